--- a/components/fleet/src/lib.rs
+++ b/components/fleet/src/lib.rs
@@ -15,15 +15,15 @@
 
 pub use ownership::Owner;
 pub use peer::{PeerVm, PoolLoad, VmEntry};
-pub use spill::{first_done, spills};
+pub use spill::{fastest_owner, should_spill};
 pub use split::{Part, Split};
 
 use ownership::Ranking;
 
 /// Pause between two heartbeats on a link.
-pub const BEAT: Duration = Duration::from_millis(200);
+pub const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(200);
 /// A peer that said nothing for this long gets no work: several heartbeats may be late.
-pub const SILENCE: Duration = Duration::from_millis(1000);
+pub const PEER_TIMEOUT: Duration = Duration::from_millis(1000);
 /// A peer counts in the size of the fleet for this long after its last word, since it may have
 /// spent its part of what the fleet shares.
 const REMEMBERED: Duration = Duration::from_secs(20);
@@ -36,10 +36,10 @@
 /// than itself: a dial, and one that is made again. It guards against what was seen before it: of 295 VMs
 /// that had lost power together 72 filled calls of the same 42 workers for two seconds. Its gain is not
 /// shown: none on fleets of 6 to 18 VMs, not measured on larger ones.
-pub const SETTLE: Duration = Duration::from_millis(1200);
+pub const SETTLE_TIME: Duration = Duration::from_millis(1200);
 
 /// Halls that are out of reach.
-pub type OutHalls = BTreeSet<HallName>;
+pub type UnreachableHalls = BTreeSet<HallName>;
 
 /// All VMs.
 #[derive(Debug)]
@@ -58,7 +58,7 @@
     /// When a VM last said that it stops.
     stop_heard: Option<Instant>,
     /// Halls that are out of reach.
-    pub out_halls: OutHalls,
+    pub unreachable_halls: UnreachableHalls,
 }
 
 impl Fleet {
@@ -74,7 +74,7 @@
             failed_dials: HashSet::new(),
             unsettled_since: now,
             stop_heard: None,
-            out_halls: OutHalls::new(),
+            unreachable_halls: UnreachableHalls::new(),
         }
     }
 
@@ -105,7 +105,7 @@
     }
 
     /// A peer was heard; `linked` says whether this VM has a link to it that it dialled itself.
-    pub fn heard(&mut self, vm: &VmName, linked: bool, now: Instant) {
+    pub fn record_heard(&mut self, vm: &VmName, linked: bool, now: Instant) {
         let peer = self.peers.entry(vm.clone()).or_insert_with(|| PeerVm::new(now));
         peer.heard = now;
         peer.lost = false;
@@ -116,7 +116,7 @@
     }
 
     /// A peer said who it is.
-    pub fn met(&mut self, vm: &VmName, incarnation: u64, entry: Option<VmEntry>) {
+    pub fn record_identity(&mut self, vm: &VmName, incarnation: u64, entry: Option<VmEntry>) {
         let Some(peer) = self.peers.get_mut(vm) else { return };
         peer.incarnation = incarnation;
         peer.entry = entry;
@@ -124,7 +124,7 @@
     }
 
     /// A peer said whether it stops; gives whether it does so for the first time.
-    pub fn told_draining(&mut self, vm: &VmName, draining: bool, now: Instant) -> bool {
+    pub fn record_draining(&mut self, vm: &VmName, draining: bool, now: Instant) -> bool {
         let Some(peer) = self.peers.get_mut(vm) else { return false };
         let newly = draining && !peer.draining;
         peer.draining = draining;
@@ -135,7 +135,7 @@
     }
 
     /// The link to a peer ended; `lost` says that it was not this VM which ended it.
-    pub fn unlinked(&mut self, vm: &VmName, lost: bool, now: Instant) {
+    pub fn record_unlinked(&mut self, vm: &VmName, lost: bool, now: Instant) {
         let Some(peer) = self.peers.get_mut(vm) else { return };
         peer.linked = false;
         peer.lost = lost;
@@ -145,7 +145,7 @@
     }
 
     /// A VM could not be linked.
-    pub fn dial_failed(&mut self, address: SocketAddr) {
+    pub fn record_dial_failure(&mut self, address: SocketAddr) {
         self.failed_dials.insert(address);
     }
 
@@ -168,7 +168,7 @@
     }
 
     /// Pieces on their way to this VM's part of a pool, of peers' requests.
-    pub fn coming(&self, pool: &str, split: &Split, now: Instant) -> f64 {
+    pub fn incoming_pieces(&self, pool: &str, split: &Split, now: Instant) -> f64 {
         let part = split.part_of(&self.own_entry.hall);
         let is_of_part = |peer: &&PeerVm| {
             peer.entry.as_ref().is_none_or(|entry| split.part_of(&entry.hall) == part)
@@ -184,7 +184,7 @@
     }
 
     /// Forgets peers that were silent for long.
-    pub fn forget(&mut self, now: Instant) {
+    pub fn forget_silent(&mut self, now: Instant) {
         let before = self.peers.len();
         self.peers.retain(|_, peer| {
             peer.linked || now.saturating_duration_since(peer.heard) < REMEMBERED
@@ -195,9 +195,9 @@
     }
 
     /// Whether a peer stands in a hall that is out of reach.
-    pub fn is_out_of_reach(&self, vm: &VmName) -> bool {
+    pub fn is_unreachable(&self, vm: &VmName) -> bool {
         let entry = self.peers.get(vm).and_then(|peer| peer.entry.as_ref());
-        entry.is_some_and(|entry| self.out_halls.contains(&entry.hall))
+        entry.is_some_and(|entry| self.unreachable_halls.contains(&entry.hall))
     }
 
     /// Other halls of which VMs were heard before and none is now.
--- a/components/fleet/src/ownership.rs
+++ b/components/fleet/src/ownership.rs
@@ -11,7 +11,7 @@
 
 use ids::VmName;
 
-use crate::{FULL_MESH, Fleet, Part, PeerVm, SETTLE, Split, VmEntry};
+use crate::{FULL_MESH, Fleet, Part, PeerVm, SETTLE_TIME, Split, VmEntry};
 
 /// VMs in the order of ownership to which a VM is linked for the part of a pool in which it lies: the
 /// owner, and one that stands ready.
@@ -102,7 +102,7 @@
             let why = match () {
                 () if self.is_fit(vm, pool, split, draining, now) => return None,
                 () if *vm == self.own => "stops",
-                () if self.is_out_of_reach(vm) => "out of reach",
+                () if self.is_unreachable(vm) => "out of reach",
                 () => self.peers.get(vm).map_or("never heard", |peer| peer.unfit(now)),
             };
             Some(format!("{vm}:{why}"))
@@ -111,7 +111,7 @@
     }
 
     /// Addresses to which this VM wants links, given its pools.
-    pub fn wanted<'a>(
+    pub fn wanted_links<'a>(
         &self,
         pools: impl Iterator<Item = (&'a str, &'a Split)>,
     ) -> BTreeSet<SocketAddr> {
@@ -213,7 +213,7 @@
             let knows = peer.configuration >= split.since() || peer.pools.contains_key(pool);
             knows && peer.linked && !peer.draining && peer.is_fresh(now)
         };
-        self.peers.get(vm).is_some_and(takes) && !self.is_out_of_reach(vm)
+        self.peers.get(vm).is_some_and(takes) && !self.is_unreachable(vm)
     }
 
     /// Whether a VM that takes no work yet is waited for rather than passed over, so that VMs with links
@@ -232,7 +232,7 @@
     fn may_take_work_soon(&self, vm: &VmName) -> bool {
         let starts = |peer: &PeerVm| !peer.linked || peer.configuration == 0;
         let may = |peer: &PeerVm| !peer.lost && !peer.draining && starts(peer);
-        self.peers.get(vm).is_none_or(may) && !self.is_out_of_reach(vm)
+        self.peers.get(vm).is_none_or(may) && !self.is_unreachable(vm)
     }
 
     /// Whether a VM said that it stops.
@@ -246,13 +246,13 @@
         let failed = |address| self.failed_dials.contains(address);
         self.peers.get(vm).is_some_and(|peer| peer.lost)
             || self.entry_of(vm).is_some_and(|entry| failed(&entry.peers))
-            || self.is_out_of_reach(vm)
+            || self.is_unreachable(vm)
     }
 }
 
 /// Whether a fleet may not have settled yet since an event.
 fn is_recent(event: Option<Instant>, now: Instant) -> bool {
-    event.is_some_and(|at| now.saturating_duration_since(at) < SETTLE)
+    event.is_some_and(|at| now.saturating_duration_since(at) < SETTLE_TIME)
 }
 
 /// Weighted rendezvous hashing: the VM with the highest rank owns the key.
--- a/components/fleet/src/peer.rs
+++ b/components/fleet/src/peer.rs
@@ -8,7 +8,7 @@
 use ids::HallName;
 use serde::{Deserialize, Serialize};
 
-use crate::SILENCE;
+use crate::PEER_TIMEOUT;
 
 /// What a VM writes of itself into the store, and tells its peers.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
@@ -25,7 +25,7 @@
 #[derive(Debug, Clone)]
 pub struct PoolLoad {
     /// Time from submitting a piece to the pool with no queue to its result.
-    pub turn: Duration,
+    pub turnaround: Duration,
     /// Pieces that wait and can be in time.
     pub queue: Queue,
     /// Pieces that wait and can't: they are made after all others, but take workers and hold inputs.
@@ -41,14 +41,14 @@
 impl PoolLoad {
     /// Time until the pool has made all that waits for it now. Without what is late a part with a
     /// thousand pieces seemed to have nothing to do, and others stood idle.
-    pub fn drain(&self) -> Duration {
+    pub fn drain_time(&self) -> Duration {
         self.time_for(self.queue.total() as f64 + self.late + self.coming)
     }
 
     /// Expected time of a piece that is submitted after `begin`, with `ahead` before it: what is queued
     /// now has drained since.
-    pub fn time(&self, begin: Duration, ahead: f64) -> Duration {
-        self.time_for(ahead).saturating_sub(begin) + self.turn
+    pub fn expected_time(&self, begin: Duration, ahead: f64) -> Duration {
+        self.time_for(ahead).saturating_sub(begin) + self.turnaround
     }
 
     fn time_for(&self, pieces: f64) -> Duration {
@@ -114,6 +114,6 @@
 
     /// Whether it was heard just now and not lost since.
     pub fn is_fresh(&self, now: Instant) -> bool {
-        !self.lost && now.saturating_duration_since(self.heard) <= SILENCE
+        !self.lost && now.saturating_duration_since(self.heard) <= PEER_TIMEOUT
     }
 }
--- a/components/fleet/src/split.rs
+++ b/components/fleet/src/split.rs
@@ -62,7 +62,7 @@
     }
 
     /// Whether there is one part only.
-    pub fn is_whole(&self) -> bool {
+    pub fn has_one_part(&self) -> bool {
         self.parts <= 1
     }
 
--- a/components/fleet/src/watchers.rs
+++ b/components/fleet/src/watchers.rs
@@ -18,7 +18,7 @@
 
 impl Fleet {
     /// Whether this VM has to follow the store itself.
-    pub fn watches_itself(&self, now: Instant) -> bool {
+    pub fn must_watch_store(&self, now: Instant) -> bool {
         !self.is_relayed() || self.is_watcher() || !self.hears_watcher(now)
     }
 
--- a/components/fleet/tests/ownership.rs
+++ b/components/fleet/tests/ownership.rs
@@ -55,7 +55,7 @@
     let mut fleet = Fleet::new(vm(own), entry(own, halls), 1, now);
     for number in left.iter().filter(|number| **number != own) {
         fleet.list(vm(*number), entry(*number, halls), now);
-        fleet.heard(&vm(*number), true, now);
+        fleet.record_heard(&vm(*number), true, now);
     }
     match fleet.owner_of(POOL, split, part, false, now) {
         Owner::This => own,
@@ -135,7 +135,7 @@
 
     for own in (0..60).filter(|own| *own != owner) {
         let mut fleet = listed(own, 60, 6, now);
-        fleet.heard(&vm(owner), true, now);
+        fleet.record_heard(&vm(owner), true, now);
         assert_eq!(fleet.owner_of(POOL, &split, part, false, now), Owner::Peer(vm(owner)));
     }
     let fleet = listed(owner, 60, 6, now);
@@ -161,7 +161,7 @@
     let [owner, own] = [0, 1].map(|place| owner_at(place, &split, 0, 60, 6));
     let split = split.first_seen(5);
     let mut fleet = listed(own, 60, 6, now);
-    fleet.heard(&vm(owner), true, now);
+    fleet.record_heard(&vm(owner), true, now);
     let owner_at_version = |fleet: &mut Fleet, version| {
         fleet.peers.get_mut(&vm(owner)).unwrap().configuration = version;
         fleet.owner_of(POOL, &split, part, false, now)
@@ -180,13 +180,13 @@
     let mut fleet = listed(own, 60, 6, now);
     let later = now + Duration::from_secs(10);
     for owner in [first, second] {
-        fleet.heard(&vm(owner), true, now);
-        fleet.unlinked(&vm(owner), true, later);
+        fleet.record_heard(&vm(owner), true, now);
+        fleet.record_unlinked(&vm(owner), true, later);
     }
 
     let before = fleet.owner_of(POOL, &split, part, false, later);
-    let wanted = fleet.wanted([(POOL, &split)].into_iter());
-    fleet.heard(&vm(third), true, later);
+    let wanted = fleet.wanted_links([(POOL, &split)].into_iter());
+    fleet.record_heard(&vm(third), true, later);
     let after = fleet.owner_of(POOL, &split, part, false, later);
 
     assert_eq!(before, Owner::Unknown);
@@ -201,7 +201,7 @@
     let part = split.part_of(&hall("hall-0"));
     let [first, second] = [0, 1].map(|place| owner_at(place, &split, 0, 60, 6));
     let mut fleet = listed(first, 60, 6, now);
-    fleet.heard(&vm(second), true, now);
+    fleet.record_heard(&vm(second), true, now);
 
     assert_eq!(fleet.owner_of(POOL, &split, part, false, now), Owner::This);
     assert_eq!(fleet.owner_of(POOL, &split, part, true, now), Owner::Peer(vm(second)));
@@ -214,7 +214,7 @@
     let links = [60, 295, 370].map(|vms| {
         let most = (0..vms).step_by(29).map(|own| {
             let fleet = listed(own, vms, 6, now);
-            fleet.wanted([(POOL, &split)].into_iter()).len()
+            fleet.wanted_links([(POOL, &split)].into_iter()).len()
         });
         most.max().unwrap()
     });
@@ -227,9 +227,9 @@
 fn watches_beside_one(own: usize, now: Instant) -> bool {
     let mut fleet = listed(own, 60, 6, now);
     let heard = vm((own + 6) % 60);
-    fleet.heard(&heard, true, now);
+    fleet.record_heard(&heard, true, now);
     fleet.peers.get_mut(&heard).unwrap().watches = true;
-    fleet.watches_itself(now)
+    fleet.must_watch_store(now)
 }
 
 #[test]
@@ -248,14 +248,14 @@
     let own = (0..60).find(|own| !watches_beside_one(*own, now)).unwrap();
     let mut fleet = listed(own, 60, 6, now);
     let heard = vm((own + 6) % 60);
-    fleet.heard(&heard, true, now);
+    fleet.record_heard(&heard, true, now);
     let set = |fleet: &mut Fleet, watches| fleet.peers.get_mut(&heard).unwrap().watches = watches;
 
     set(&mut fleet, true);
-    assert!(!fleet.watches_itself(now + Duration::from_millis(900)));
-    assert!(fleet.watches_itself(now + Duration::from_millis(1100)), "it fell silent");
+    assert!(!fleet.must_watch_store(now + Duration::from_millis(900)));
+    assert!(fleet.must_watch_store(now + Duration::from_millis(1100)), "it fell silent");
     set(&mut fleet, false);
-    assert!(fleet.watches_itself(now), "the store does not answer it");
+    assert!(fleet.must_watch_store(now), "the store does not answer it");
 }
 
 #[test]
@@ -265,20 +265,20 @@
     let mut fleet = listed(own, 60, 6, now);
     let watcher = vm((own + 6) % 60);
     for other in (0..60).filter(|other| *other != own) {
-        fleet.heard(&vm(other), true, now);
-        fleet.unlinked(&vm(other), false, now);
+        fleet.record_heard(&vm(other), true, now);
+        fleet.record_unlinked(&vm(other), false, now);
     }
-    fleet.heard(&watcher, true, now);
+    fleet.record_heard(&watcher, true, now);
     fleet.peers.get_mut(&watcher).unwrap().watches = true;
 
-    assert!(!fleet.watches_itself(now));
+    assert!(!fleet.must_watch_store(now));
 }
 
 #[test]
 fn all_vms_of_a_small_fleet_follow_the_store() {
     let now = Instant::now();
 
-    assert!((0..7).all(|own| listed(own, 7, 3, now).watches_itself(now)));
+    assert!((0..7).all(|own| listed(own, 7, 3, now).must_watch_store(now)));
 }
 
 /// A VM of a settled fleet that is linked to whom it wants, at some time long after its start.
@@ -289,9 +289,9 @@
 }
 
 fn link_wanted(fleet: &mut Fleet, own: usize, split: &Split, now: Instant) {
-    let wanted = fleet.wanted([(POOL, split)].into_iter());
+    let wanted = fleet.wanted_links([(POOL, split)].into_iter());
     for number in (0..60).filter(|number| *number != own && wanted.contains(&address(*number))) {
-        fleet.heard(&vm(number), true, now);
+        fleet.record_heard(&vm(number), true, now);
     }
 }
 
@@ -303,7 +303,7 @@
 
     for own in (0..60).filter(|own| ![first, second].contains(own)) {
         let mut fleet = settled(own, &split, now);
-        fleet.told_draining(&vm(first), true, now);
+        fleet.record_draining(&vm(first), true, now);
         let at_once = fleet.owner_of(POOL, &split, part, false, now);
         link_wanted(&mut fleet, own, &split, now);
         let linked = fleet.owner_of(POOL, &split, part, false, now);
@@ -321,11 +321,11 @@
     let part = split.part_of(&hall("hall-0"));
     let own = (0..60).find(|own| ![first, second, third].contains(own)).unwrap();
     let mut fleet = listed(own, 60, 6, now - Duration::from_secs(60));
-    [first, third].iter().for_each(|number| fleet.heard(&vm(*number), true, now));
-    fleet.told_draining(&vm(first), true, now);
+    [first, third].iter().for_each(|number| fleet.record_heard(&vm(*number), true, now));
+    fleet.record_draining(&vm(first), true, now);
 
     let before = fleet.owner_of(POOL, &split, part, false, now);
-    fleet.dial_failed(address(second));
+    fleet.record_dial_failure(address(second));
     let after = fleet.owner_of(POOL, &split, part, false, now);
 
     assert_eq!(before, Owner::Unknown, "a better one is being dialled");
@@ -337,8 +337,8 @@
     let now = Instant::now();
     let serves = |draining: bool, configuration: u64, at: Instant| {
         let mut fleet = listed(0, 2, 1, now);
-        fleet.heard(&vm(1), true, now);
-        fleet.told_draining(&vm(1), draining, now);
+        fleet.record_heard(&vm(1), true, now);
+        fleet.record_draining(&vm(1), draining, now);
         fleet.peers.get_mut(&vm(1)).unwrap().configuration = configuration;
         fleet.others_serve(at)
     };
@@ -346,6 +346,6 @@
     assert!(serves(false, 1, now));
     assert!(!serves(true, 1, now), "it stops too");
     assert!(!serves(false, 0, now), "it has only started");
-    assert!(!serves(false, 1, now + fleet::SILENCE * 2), "it is silent");
+    assert!(!serves(false, 1, now + fleet::PEER_TIMEOUT * 2), "it is silent");
     assert!(listed(0, 60, 1, now).others_serve(now), "not all are known");
 }
--- a/components/fleet/tests/spill.rs
+++ b/components/fleet/tests/spill.rs
@@ -6,20 +6,21 @@
 use std::time::{Duration, Instant};
 
 use batching::Queue;
-use fleet::{Owner, PoolLoad, first_done, spills};
+use fleet::{Owner, PoolLoad, fastest_owner, should_spill};
 use ids::VmName;
 
 const WAY: Duration = Duration::from_millis(240);
 
 fn part_spilled(own_ms: u64, other_ms: u64) -> f64 {
     let (own, other) = (Duration::from_millis(own_ms), Duration::from_millis(other_ms));
-    let spilled = (0..1000).filter(|n| spills(own, other, WAY, f64::from(*n) / 1000.0)).count();
+    let spilled =
+        (0..1000).filter(|n| should_spill(own, other, WAY, f64::from(*n) / 1000.0)).count();
     spilled as f64 / 1000.0
 }
 
 fn owner(name: &str, late: f64, rate: f64) -> (Owner, PoolLoad) {
-    let (turn, queue, at) = (Duration::ZERO, Queue::default(), Instant::now());
-    let load = PoolLoad { turn, queue, late, coming: 0.0, rate, at };
+    let (turnaround, queue, at) = (Duration::ZERO, Queue::default(), Instant::now());
+    let load = PoolLoad { turnaround, queue, late, coming: 0.0, rate, at };
     (Owner::Peer(VmName::new(name).unwrap()), load)
 }
 
@@ -28,11 +29,11 @@
     let loads =
         [owner("full", 400.0, 200.0), owner("closed", 0.0, 0.0), owner("busy", 90.0, 100.0)];
 
-    let (first, drain) = first_done(loads.into_iter()).unwrap();
+    let (first, drain) = fastest_owner(loads.into_iter()).unwrap();
 
     assert_eq!(first, Owner::Peer(VmName::new("busy").unwrap()));
     assert_eq!(drain, Duration::from_millis(900));
-    assert!(first_done([owner("closed", 0.0, 0.0)].into_iter()).is_none());
+    assert!(fastest_owner([owner("closed", 0.0, 0.0)].into_iter()).is_none());
 }
 
 #[test]
@@ -67,7 +68,7 @@
         let drain = |queue: f64| Duration::from_secs_f64(queue / rate);
         for piece in 0..80_u32 {
             let draw = f64::from((piece * 37 + step * 17) % 80) / 80.0;
-            let to = usize::from(spills(drain(told[0]), drain(told[1]), WAY, draw));
+            let to = usize::from(should_spill(drain(told[0]), drain(told[1]), WAY, draw));
             queues[to] += arriving * tick.as_secs_f64() / 80.0;
         }
         for queue in &mut queues {
--- a/components/stopping/src/lib.rs
+++ b/components/stopping/src/lib.rs
@@ -4,8 +4,8 @@
 //! read is answered before: whole, or with a refusal that is true of it, as soon as it is known that it can't be
 //! served in time. Decisions only: times are handed in, nothing is awaited here.
 
-mod passing;
 mod plan;
+mod response_time;
 
-pub use passing::PassingTime;
-pub use plan::{Limits, Progress, StopPlan, Word};
+pub use plan::{Limits, Progress, StopDecision, StopPlan};
+pub use response_time::ResponseTime;
--- a/components/stopping/src/plan.rs
+++ b/components/stopping/src/plan.rs
@@ -37,13 +37,13 @@
 
 /// What becomes of a request in a stop.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Word {
+pub enum StopDecision {
     /// It is served on.
-    ServeOn,
+    Continue,
     /// It is told that it was not run and may come back elsewhere.
-    HandBack,
+    RejectNotRun,
     /// It is told that its answer is lost.
-    GiveUp,
+    ReportLost,
 }
 
 /// The times of a stop.
@@ -61,7 +61,7 @@
     }
 
     /// Takes how late a timer of this process was: the last answers may be begun that late too.
-    pub fn ran_late(&mut self, by: Duration) {
+    pub fn record_timer_delay(&mut self, by: Duration) {
         self.lateness = self.lateness.max(by);
     }
 
@@ -71,43 +71,43 @@
     }
 
     /// When callers' connections at rest are closed.
-    pub fn closes_at(&self) -> Instant {
+    pub fn closes_idle_at(&self) -> Instant {
         self.began + self.limits.grace.mul_f64(CLOSING_PART)
     }
 
     /// When the process ends at the latest.
-    pub fn ends_at(&self) -> Instant {
+    pub fn exits_at(&self) -> Instant {
         self.began + self.limits.grace.saturating_sub(END_MARGIN)
     }
 
     /// When the last requests are told how they end, with so many of them in work.
-    pub fn answers_by(&self, in_work: usize) -> Instant {
+    pub fn final_answers_at(&self, in_work: usize) -> Instant {
         let answers = u32::try_from(in_work).unwrap_or(u32::MAX);
         let processor = ANSWER_TIME.saturating_mul(answers).div_f64(self.limits.cores);
         let writing =
             (LAST_WRITES + self.lateness + processor).min(self.limits.grace / MOST_ANSWERING);
-        let until_end = self.ends_at().saturating_duration_since(self.began);
+        let until_end = self.exits_at().saturating_duration_since(self.began);
         self.began + until_end.saturating_sub(writing)
     }
 
     /// Whether a request that takes `expected` from now on can be answered before the process ends.
     pub fn can_serve(&self, expected: Duration, in_work: usize, now: Instant) -> bool {
-        now + expected <= self.answers_by(in_work)
+        now + expected <= self.final_answers_at(in_work)
     }
 
     /// What becomes of a request; `passing` is the time that it takes at a target, as far as it is known.
-    pub fn word(
+    pub fn decide(
         &self,
         progress: Progress,
         passing: Option<Duration>,
         in_work: usize,
         now: Instant,
-    ) -> Word {
+    ) -> StopDecision {
         let can_pass = self.can_serve(passing.unwrap_or_default(), in_work, now);
         match progress {
-            Progress::NotRun if !can_pass => Word::HandBack,
-            Progress::MayRun if now >= self.answers_by(in_work) => Word::GiveUp,
-            Progress::NotRun | Progress::MayRun | Progress::Begun => Word::ServeOn,
+            Progress::NotRun if !can_pass => StopDecision::RejectNotRun,
+            Progress::MayRun if now >= self.final_answers_at(in_work) => StopDecision::ReportLost,
+            Progress::NotRun | Progress::MayRun | Progress::Begun => StopDecision::Continue,
         }
     }
 }
--- a/components/stopping/src/passing.rs
+++ b/components/stopping/src/response_time.rs
@@ -9,26 +9,26 @@
 
 /// Times that requests of one kind take at their targets, as learned.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct PassingTime {
+pub struct ResponseTime {
     mean: Duration,
     deviation: Duration,
 }
 
-impl PassingTime {
+impl ResponseTime {
     /// The first time that was seen.
     pub fn new(took: Duration) -> Self {
-        PassingTime { mean: took, deviation: took / 2 }
+        ResponseTime { mean: took, deviation: took / 2 }
     }
 
     /// Takes another time.
-    pub fn learn(&mut self, took: Duration) {
+    pub fn record(&mut self, took: Duration) {
         let off = self.mean.abs_diff(took);
         self.deviation = self.deviation * (WEIGHT / 2 - 1) / (WEIGHT / 2) + off / (WEIGHT / 2);
         self.mean = self.mean * (WEIGHT - 1) / WEIGHT + took / WEIGHT;
     }
 
     /// Time that few requests take longer than.
-    pub fn bound(&self) -> Duration {
+    pub fn upper_bound(&self) -> Duration {
         self.mean + self.deviation * DEVIATIONS
     }
 }
--- a/components/stopping/tests/plan.rs
+++ b/components/stopping/tests/plan.rs
@@ -3,7 +3,7 @@
 use std::time::{Duration, Instant};
 
 use proptest::prelude::{ProptestConfig, any, prop_assert, prop_assert_eq, proptest};
-use stopping::{Limits, PassingTime, Progress, StopPlan, Word};
+use stopping::{Limits, Progress, ResponseTime, StopDecision, StopPlan};
 
 const MS: Duration = Duration::from_millis(1);
 const SECOND: Duration = Duration::from_secs(1);
@@ -16,29 +16,29 @@
 #[test]
 fn a_request_that_no_target_has_is_handed_back_while_another_vm_can_still_serve_it() {
     let (plan, began) = plan(1.0);
-    let word = |passing, at| plan.word(Progress::NotRun, passing, 1, began + at);
+    let word = |passing, at| plan.decide(Progress::NotRun, passing, 1, began + at);
 
-    assert_eq!(word(Some(SECOND * 3), SECOND * 4), Word::ServeOn);
-    assert_eq!(word(Some(SECOND * 3), SECOND * 5), Word::HandBack);
-    assert_eq!(word(None, SECOND * 7), Word::ServeOn);
-    assert_eq!(word(None, SECOND * 8 - MS * 350), Word::HandBack);
+    assert_eq!(word(Some(SECOND * 3), SECOND * 4), StopDecision::Continue);
+    assert_eq!(word(Some(SECOND * 3), SECOND * 5), StopDecision::RejectNotRun);
+    assert_eq!(word(None, SECOND * 7), StopDecision::Continue);
+    assert_eq!(word(None, SECOND * 8 - MS * 350), StopDecision::RejectNotRun);
 }
 
 #[test]
 fn a_silent_target_is_waited_for_until_the_last_answers_are_written() {
     let (plan, began) = plan(1.0);
-    let word = |at| plan.word(Progress::MayRun, Some(SECOND * 3), 1, began + at);
+    let word = |at| plan.decide(Progress::MayRun, Some(SECOND * 3), 1, began + at);
 
-    assert_eq!(word(SECOND * 7), Word::ServeOn);
-    assert_eq!(word(SECOND * 8 - MS * 400), Word::GiveUp);
+    assert_eq!(word(SECOND * 7), StopDecision::Continue);
+    assert_eq!(word(SECOND * 8 - MS * 400), StopDecision::ReportLost);
 }
 
 #[test]
 fn a_begun_answer_goes_on_until_the_process_ends() {
     let (plan, began) = plan(1.0);
 
-    assert_eq!(plan.word(Progress::Begun, None, 1, began + SECOND * 8), Word::ServeOn);
-    assert_eq!(plan.ends_at(), began + SECOND * 8 - MS * 350);
+    assert_eq!(plan.decide(Progress::Begun, None, 1, began + SECOND * 8), StopDecision::Continue);
+    assert_eq!(plan.exits_at(), began + SECOND * 8 - MS * 350);
 }
 
 #[test]
@@ -46,34 +46,34 @@
     let (large, began) = plan(1.0);
     let small = StopPlan::new(began, Limits { notice: SECOND, grace: SECOND * 8, cores: 0.12 });
 
-    assert!(small.answers_by(100) + MS * 700 < large.answers_by(100));
-    assert!(small.answers_by(1_000_000) >= began + SECOND * 5, "not much of the grace");
+    assert!(small.final_answers_at(100) + MS * 700 < large.final_answers_at(100));
+    assert!(small.final_answers_at(1_000_000) >= began + SECOND * 5, "not much of the grace");
 }
 
 #[test]
 fn a_process_that_runs_late_begins_its_last_answers_that_much_earlier() {
     let (mut plan, began) = plan(1.0);
-    let usual = plan.answers_by(1);
+    let usual = plan.final_answers_at(1);
 
-    plan.ran_late(MS * 300);
-    plan.ran_late(MS * 20);
+    plan.record_timer_delay(MS * 300);
+    plan.record_timer_delay(MS * 20);
 
-    assert_eq!(plan.answers_by(1), usual - MS * 300);
-    plan.ran_late(SECOND * 60);
-    assert!(plan.answers_by(1) > began + SECOND * 5, "not much of the grace");
+    assert_eq!(plan.final_answers_at(1), usual - MS * 300);
+    plan.record_timer_delay(SECOND * 60);
+    assert!(plan.final_answers_at(1) > began + SECOND * 5, "not much of the grace");
 }
 
 #[test]
 fn the_bound_of_a_passing_time_follows_what_was_seen() {
-    let mut time = PassingTime::new(SECOND * 3);
-    let first = time.bound();
-    (0..100).for_each(|_| time.learn(SECOND));
-    let steady = time.bound();
-    (0..20).for_each(|number| time.learn(SECOND * (1 + number % 2)));
+    let mut time = ResponseTime::new(SECOND * 3);
+    let first = time.upper_bound();
+    (0..100).for_each(|_| time.record(SECOND));
+    let steady = time.upper_bound();
+    (0..20).for_each(|number| time.record(SECOND * (1 + number % 2)));
 
     assert_eq!(first, SECOND * 6);
     assert!(steady < SECOND + MS * 10, "{steady:?}");
-    assert!(time.bound() > SECOND * 2, "half of them take so long: {time:?}");
+    assert!(time.upper_bound() > SECOND * 2, "half of them take so long: {time:?}");
 }
 
 proptest! {
@@ -97,20 +97,20 @@
             cores,
         };
         let mut plan = StopPlan::new(began, limits);
-        plan.ran_late(MS * late_ms);
+        plan.record_timer_delay(MS * late_ms);
         let progress = if may_run { Progress::MayRun } else { Progress::NotRun };
         let passing = Some(Duration::from_millis(passing_ms));
-        let word = |at| plan.word(progress, passing, in_work, at);
+        let word = |at| plan.decide(progress, passing, in_work, at);
 
-        prop_assert!(word(plan.ends_at() + MS) != Word::ServeOn);
-        prop_assert!(plan.answers_by(in_work) <= plan.ends_at());
-        let said: Vec<Word> = (0..=60u32).map(|part| word(began + limits.grace * part / 60)).collect();
-        let first = said.iter().position(|word| *word != Word::ServeOn).unwrap_or(said.len());
+        prop_assert!(word(plan.exits_at() + MS) != StopDecision::Continue);
+        prop_assert!(plan.final_answers_at(in_work) <= plan.exits_at());
+        let said: Vec<StopDecision> = (0..=60u32).map(|part| word(began + limits.grace * part / 60)).collect();
+        let first = said.iter().position(|word| *word != StopDecision::Continue).unwrap_or(said.len());
         prop_assert!(said[first..].windows(2).all(|pair| pair[0] == pair[1]), "a word holds: {said:?}");
         if may_run {
-            prop_assert!(!said.contains(&Word::HandBack), "it may have run");
+            prop_assert!(!said.contains(&StopDecision::RejectNotRun), "it may have run");
         }
-        let begun = plan.word(Progress::Begun, passing, in_work, began + limits.grace);
-        prop_assert_eq!(begun, Word::ServeOn);
+        let begun = plan.decide(Progress::Begun, passing, in_work, began + limits.grace);
+        prop_assert_eq!(begun, StopDecision::Continue);
     }
 }
--- a/components/store_view/src/contact.rs
+++ b/components/store_view/src/contact.rs
@@ -12,13 +12,13 @@
 const LAPSE_GRACE: Duration = Duration::from_millis(2100);
 /// Longest silence before an answer and within one. A store answers in milliseconds; what fills a
 /// link of 10 Mbit/s delays it by some hundred.
-pub const SILENCE_WAIT: Duration = Duration::from_millis(900);
+pub const SILENCE_TIMEOUT: Duration = Duration::from_millis(900);
 /// The store counts as away when nothing was heard from it for this long.
 const STORE_SILENCE: Duration = Duration::from_millis(2500);
 
 /// Contact with the store.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct Contact {
+pub struct StoreContact {
     last: Option<Instant>,
     /// When an answer that is being read last brought bytes.
     bytes: Option<Instant>,
@@ -32,9 +32,9 @@
     back: Option<Instant>,
 }
 
-impl Contact {
+impl StoreContact {
     /// A whole answer came from the store; says whether it had been lost.
-    pub fn heard(&mut self, now: Instant) -> bool {
+    pub fn record_answer(&mut self, now: Instant) -> bool {
         self.last = Some(now);
         if self.is_away(now) {
             self.back = Some(now);
@@ -45,14 +45,14 @@
     }
 
     /// An answer that is being read brought bytes.
-    pub fn brought_bytes(&mut self, now: Instant) {
+    pub fn record_bytes(&mut self, now: Instant) {
         self.bytes = Some(now);
     }
 
     /// A call to the store failed; says whether it had not been lost before. While another call
     /// brings bytes the store is not lost.
-    pub fn failed(&mut self, now: Instant) -> bool {
-        if self.brings_bytes(now) {
+    pub fn record_failure(&mut self, now: Instant) -> bool {
+        if self.is_receiving(now) {
             return false;
         }
         let newly = self.lost.is_none();
@@ -64,8 +64,8 @@
     }
 
     /// Whether an answer is being read.
-    pub fn brings_bytes(&self, now: Instant) -> bool {
-        self.bytes.is_some_and(|at| now.saturating_duration_since(at) < SILENCE_WAIT)
+    pub fn is_receiving(&self, now: Instant) -> bool {
+        self.bytes.is_some_and(|at| now.saturating_duration_since(at) < SILENCE_TIMEOUT)
     }
 
     /// Whether the store is out of reach.
@@ -80,7 +80,7 @@
     }
 
     /// The store answered a peer.
-    pub fn answered_peer(&mut self, at: Instant) {
+    pub fn record_peer_answer(&mut self, at: Instant) {
         if self.answered.is_some_and(|before| at <= before) {
             return;
         }
--- a/components/store_view/src/lib.rs
+++ b/components/store_view/src/lib.rs
@@ -3,15 +3,15 @@
 
 mod contact;
 mod parts;
-mod standstill;
+mod stall;
 
 use std::collections::{BTreeSet, HashMap};
 
 use bytes::Bytes;
 
-pub use contact::{Contact, SILENCE_WAIT};
-pub use parts::{Ask, Assembly, Batch, Part, Place};
-pub use standstill::Standstill;
+pub use contact::{SILENCE_TIMEOUT, StoreContact};
+pub use parts::{Assembler, Batch, BatchRequest, Part, Position};
+pub use stall::StallDetector;
 
 /// One key at one revision.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -38,7 +38,7 @@
 pub struct View {
     items: HashMap<String, Item>,
     /// The places of `items`, in the order of changes.
-    order: BTreeSet<Place>,
+    order: BTreeSet<Position>,
     as_of: u64,
 }
 
@@ -49,7 +49,7 @@
     }
 
     /// Says that every change up to `revision` is known.
-    pub fn reached(&mut self, revision: u64) {
+    pub fn advance_to(&mut self, revision: u64) {
         self.as_of = self.as_of.max(revision);
     }
 
@@ -105,9 +105,9 @@
             None if had => Some(Change::Removed(item.key.clone())),
             None => None,
         };
-        let place = Place { revision: item.revision, key: item.key.clone() };
+        let place = Position { revision: item.revision, key: item.key.clone() };
         if let Some(old) = self.items.insert(place.key.clone(), item) {
-            self.order.remove(&Place { revision: old.revision, key: old.key });
+            self.order.remove(&Position { revision: old.revision, key: old.key });
         }
         self.order.insert(place);
         change.filter(|_| !same)
--- a/components/store_view/src/parts.rs
+++ b/components/store_view/src/parts.rs
@@ -7,27 +7,27 @@
 
 /// A place in the order of changes: by revision, then by key.
 #[derive(Debug, Clone, Default, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Place {
+pub struct Position {
     /// Revision of a change.
     pub revision: u64,
     /// Its key.
     pub key: String,
 }
 
-impl Place {
+impl Position {
     /// The place before all changes after `revision`.
     pub fn after(revision: u64) -> Self {
-        Place { revision: revision + 1, key: String::new() }
+        Position { revision: revision + 1, key: String::new() }
     }
 }
 
 /// What a peer asks for.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct Ask {
+pub struct BatchRequest {
     /// Changes up to here are not asked for.
-    pub after: Place,
+    pub after: Position,
     /// Revision of the next change and how many bytes of it are there already; 0 and 0 if none.
-    pub begun: (u64, usize),
+    pub partial: (u64, usize),
 }
 
 /// A change, or part of one with a long value.
@@ -41,7 +41,7 @@
     pub ends: bool,
 }
 
-/// Parts that answer an [`Ask`].
+/// Parts that answer an [`BatchRequest`].
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Batch {
     /// The parts, in the order of changes.
@@ -52,12 +52,12 @@
 
 impl View {
     /// The next parts, of at most `most` bytes together, or one byte of progress if that is less.
-    pub fn parts(&self, ask: &Ask, most: usize) -> Batch {
+    pub fn next_batch(&self, ask: &BatchRequest, most: usize) -> Batch {
         let (mut parts, mut left) = (Vec::new(), most.max(1));
-        let mut begun = Some(ask.begun);
+        let mut partial = Some(ask.partial);
         for place in self.order.range(ask.after.clone()..).filter(|place| **place != ask.after) {
             let Some(item) = self.items.get(&place.key) else { continue };
-            let offset = begun.take().filter(|(rev, _)| *rev == place.revision);
+            let offset = partial.take().filter(|(rev, _)| *rev == place.revision);
             let part = part_of(item, offset.map_or(0, |(_, offset)| offset), left);
             left = left.saturating_sub(cost(&part.item));
             let ends = part.ends;
@@ -88,48 +88,49 @@
 
 /// Puts the parts together at the peer that asks.
 #[derive(Debug, Default)]
-pub struct Assembly {
-    after: Place,
-    begun: Option<(Place, BytesMut)>,
+pub struct Assembler {
+    after: Position,
+    partial: Option<(Position, BytesMut)>,
 }
 
-impl Assembly {
+impl Assembler {
     /// Asks for all changes after `revision`.
     pub fn after(revision: u64) -> Self {
-        Assembly { after: Place::after(revision), begun: None }
+        Assembler { after: Position::after(revision), partial: None }
     }
 
     /// What to ask for next.
-    pub fn ask(&self) -> Ask {
-        let begun = self.begun.as_ref().map_or((0, 0), |(place, buf)| (place.revision, buf.len()));
-        Ask { after: self.after.clone(), begun }
+    pub fn next_request(&self) -> BatchRequest {
+        let partial =
+            self.partial.as_ref().map_or((0, 0), |(place, buf)| (place.revision, buf.len()));
+        BatchRequest { after: self.after.clone(), partial }
     }
 
     /// Takes a part; gives the change once it is whole. A part that continues nothing that is here
     /// is dropped: its beginning is asked for next.
-    pub fn take(&mut self, part: Part) -> Option<Item> {
+    pub fn push(&mut self, part: Part) -> Option<Item> {
         let Part { item, offset, ends } = part;
-        let place = Place { revision: item.revision, key: item.key.clone() };
+        let place = Position { revision: item.revision, key: item.key.clone() };
         let Some(value) = item.value else {
             self.pass(place);
             return Some(Item { value: None, ..item });
         };
-        let mut buf = match self.begun.take() {
-            Some((begun, buf)) if begun == place && buf.len() == offset => buf,
+        let mut buf = match self.partial.take() {
+            Some((position, buf)) if position == place && buf.len() == offset => buf,
             _ if offset == 0 => BytesMut::new(),
             _ => return None,
         };
         buf.extend_from_slice(&value);
         if !ends {
-            self.begun = Some((place, buf));
+            self.partial = Some((place, buf));
             return None;
         }
         self.pass(place);
         Some(Item { value: Some(buf.freeze()), ..item })
     }
 
-    fn pass(&mut self, place: Place) {
-        self.begun = None;
+    fn pass(&mut self, place: Position) {
+        self.partial = None;
         self.after = place;
     }
 }
--- a/components/store_view/src/standstill.rs
+++ b/components/store_view/src/stall.rs
@@ -5,14 +5,14 @@
 
 /// How long a VM has been behind its peers without learning anything itself.
 #[derive(Debug, Default)]
-pub struct Standstill {
+pub struct StallDetector {
     known: u64,
     since: Option<Instant>,
 }
 
-impl Standstill {
+impl StallDetector {
     /// Takes the revisions up to which this VM and the peer that knows most know the store.
-    pub fn look(&mut self, own: u64, peers: u64, now: Instant) {
+    pub fn update(&mut self, own: u64, peers: u64, now: Instant) {
         let moves = own != self.known;
         self.known = own;
         if peers <= own {
@@ -23,7 +23,7 @@
     }
 
     /// Whether it has lasted for some time.
-    pub fn lasts(&self, time: Duration, now: Instant) -> bool {
+    pub fn has_stalled_for(&self, time: Duration, now: Instant) -> bool {
         self.since.is_some_and(|since| now.saturating_duration_since(since) >= time)
     }
 }
--- a/components/store_view/tests/view.rs
+++ b/components/store_view/tests/view.rs
@@ -1,7 +1,7 @@
 //! The view takes what is newer, from whomever it comes, and never goes back.
 
 use bytes::Bytes;
-use store_view::{Assembly, Change, Item, Part, View};
+use store_view::{Assembler, Change, Item, Part, View};
 
 fn put(key: &str, revision: u64, value: &str) -> Item {
     let value = Some(Bytes::copy_from_slice(value.as_bytes()));
@@ -41,7 +41,7 @@
 
     assert_eq!(view.merge(vec![put("a", 6, "x")]), vec![]);
     assert_eq!(
-        view.parts(&Assembly::after(5).ask(), MOST).parts.len(),
+        view.next_batch(&Assembler::after(5).next_request(), MOST).parts.len(),
         1,
         "but its revision is passed on"
     );
@@ -64,10 +64,10 @@
 const MOST: usize = 100;
 
 /// Asks for batches until one is the last; gives how many there were.
-fn hand_on(view: &View, peer: &mut View, assembly: &mut Assembly, most: usize) -> usize {
+fn hand_on(view: &View, peer: &mut View, assembly: &mut Assembler, most: usize) -> usize {
     for count in 1.. {
-        let batch = view.parts(&assembly.ask(), most);
-        let whole: Vec<Item> = batch.parts.into_iter().filter_map(|p| assembly.take(p)).collect();
+        let batch = view.next_batch(&assembly.next_request(), most);
+        let whole: Vec<Item> = batch.parts.into_iter().filter_map(|p| assembly.push(p)).collect();
         peer.merge(whole);
         if batch.is_last {
             return count;
@@ -84,7 +84,7 @@
     let mut peer = View::default();
     peer.merge(vec![put("a", 5, "x"), put("b", 6, "x")]);
 
-    hand_on(&view, &mut peer, &mut Assembly::after(6), MOST);
+    hand_on(&view, &mut peer, &mut Assembler::after(6), MOST);
 
     assert_eq!(peer.get("a"), None);
     assert!(peer.get("b").is_some());
@@ -103,7 +103,7 @@
         ]);
         let mut peer = View::default();
 
-        let batches = hand_on(&view, &mut peer, &mut Assembly::after(0), most);
+        let batches = hand_on(&view, &mut peer, &mut Assembler::after(0), most);
 
         assert_eq!(peer.get("long").map(Bytes::as_ref), Some(long.as_bytes()), "{most}");
         assert_eq!(peer.keys("").count(), 4, "{most}");
@@ -117,9 +117,9 @@
     let mut view = View::default();
     view.merge(vec![put("long", 6, &old)]);
     let mut peer = View::default();
-    let mut assembly = Assembly::after(0);
-    let begun = view.parts(&assembly.ask(), 50);
-    begun.parts.into_iter().for_each(|part| assert_eq!(assembly.take(part), None));
+    let mut assembly = Assembler::after(0);
+    let begun = view.next_batch(&assembly.next_request(), 50);
+    begun.parts.into_iter().for_each(|part| assert_eq!(assembly.push(part), None));
 
     view.merge(vec![put("long", 8, &new)]);
     hand_on(&view, &mut peer, &mut assembly, 50);
@@ -132,23 +132,23 @@
     let long = "0123456789".repeat(10);
     let mut view = View::default();
     view.merge(vec![put("a", 5, "x"), put("long", 6, &long)]);
-    let mut assembly = Assembly::after(0);
-    let first = view.parts(&assembly.ask(), 40);
-    let taken: Vec<Option<Item>> = first.parts.into_iter().map(|p| assembly.take(p)).collect();
+    let mut assembly = Assembler::after(0);
+    let first = view.next_batch(&assembly.next_request(), 40);
+    let taken: Vec<Option<Item>> = first.parts.into_iter().map(|p| assembly.push(p)).collect();
 
-    let rest = view.parts(&assembly.ask(), 1000);
+    let rest = view.next_batch(&assembly.next_request(), 1000);
 
     assert_eq!(taken, vec![Some(put("a", 5, "x")), None]);
     assert_eq!(rest.parts.len(), 1, "what is there is not sent again");
     assert_eq!(rest.parts[0].offset, 38);
-    assert_eq!(assembly.take(rest.parts[0].clone()), Some(put("long", 6, &long)));
+    assert_eq!(assembly.push(rest.parts[0].clone()), Some(put("long", 6, &long)));
 }
 
 #[test]
 fn a_part_that_continues_nothing_is_dropped() {
-    let mut assembly = Assembly::after(0);
+    let mut assembly = Assembler::after(0);
     let part = Part { item: put("long", 6, "rest"), offset: 4, ends: true };
 
-    assert_eq!(assembly.take(part), None);
-    assert_eq!(assembly.ask(), Assembly::after(0).ask());
+    assert_eq!(assembly.push(part), None);
+    assert_eq!(assembly.next_request(), Assembler::after(0).next_request());
 }
--- a/gateway/src/accepted_links.rs
+++ b/gateway/src/accepted_links.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use batching::JobKey;
-use fleet::{BEAT, SILENCE};
+use fleet::{HEARTBEAT_INTERVAL, PEER_TIMEOUT};
 use ids::{ServiceName, VmName};
 use peering::work::{FromDialer, FromOwner, Hello, Release, Released, from_dialer, from_owner};
 use peering::{Work, WorkServer};
@@ -89,7 +89,7 @@
     let mut jobs: HashMap<u64, (ServiceName, JobKey)> = HashMap::new();
     let mut vm = None;
     let mut leases = None;
-    let mut beats = interval(BEAT);
+    let mut beats = interval(HEARTBEAT_INTERVAL);
     beats.set_missed_tick_behavior(MissedTickBehavior::Delay);
     let mut heard = tokio::time::Instant::now();
     let mut told = Told::default();
@@ -126,7 +126,7 @@
                 take(&app, &peer, kind, &mut jobs);
             }
             _ = beats.tick() => {
-                if heard.elapsed() > SILENCE || !send(from_owner::Kind::Beat(beat(&app))) {
+                if heard.elapsed() > PEER_TIMEOUT || !send(from_owner::Kind::Beat(beat(&app))) {
                     break;
                 }
                 known.mark_changed();
--- a/gateway/src/accounts.rs
+++ b/gateway/src/accounts.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use batching::RoomUse;
-use fleet::{BEAT, Owner};
+use fleet::{HEARTBEAT_INTERVAL, Owner};
 use ids::ServiceName;
 use slog::info;
 use tokio::time::{Instant, MissedTickBehavior, interval};
@@ -21,7 +21,7 @@
 
 /// Logs for as long as the process runs.
 pub(crate) async fn keep(app: Rc<App>) {
-    let mut looks = interval(BEAT);
+    let mut looks = interval(HEARTBEAT_INTERVAL);
     looks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     let mut owners = HashMap::new();
     let mut room_told = Instant::now();
--- a/gateway/src/admission.rs
+++ b/gateway/src/admission.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 
 use doors::callers::Refusal;
-use fleet::{BEAT, PoolLoad};
+use fleet::{HEARTBEAT_INTERVAL, PoolLoad};
 use ids::ServiceName;
 use slog::info;
 
@@ -209,7 +209,7 @@
         ahead += forecast.coming;
     }
     ahead += unheard(shared, req, pool, forecast.at, due);
-    forecast.time(begin, ahead)
+    forecast.expected_time(begin, ahead)
 }
 
 /// The place of a stage's pieces in its pool's order.
@@ -229,7 +229,7 @@
     heard: Instant,
     due: Instant,
 ) -> f64 {
-    let counted_until = heard.checked_sub(BEAT / 2).unwrap_or(heard);
+    let counted_until = heard.checked_sub(HEARTBEAT_INTERVAL / 2).unwrap_or(heard);
     shared
         .admission
         .recent
--- a/gateway/src/app.rs
+++ b/gateway/src/app.rs
@@ -7,7 +7,7 @@
 
 use batching::JobKey;
 use doors::Doors;
-use fleet::OutHalls;
+use fleet::UnreachableHalls;
 use ids::{ServiceName, VmName};
 use peering::work::Beat;
 use result_leases::LinkKey;
@@ -55,7 +55,7 @@
     /// Told when the list of VMs changes.
     pub(crate) vms_changed: Notify,
     /// Data halls that are out of reach.
-    pub(crate) out_halls: tokio::sync::watch::Sender<OutHalls>,
+    pub(crate) unreachable_halls: tokio::sync::watch::Sender<UnreachableHalls>,
     /// Whether the last call to the store was answered.
     pub(crate) store_reached: tokio::sync::watch::Sender<bool>,
     /// Told when the watch of the store stands still.
--- a/gateway/src/dials.rs
+++ b/gateway/src/dials.rs
@@ -65,7 +65,7 @@
         dials.dial(&app, wanted);
         drop(timeout(until_next_look(&app), app.vms_changed.notified()).await);
         app.hub.with(|shared, now| {
-            shared.fleet.forget(now);
+            shared.fleet.forget_silent(now);
             shared.end_lapses(now);
             shared.departures.forget(now);
             shared.left_alone.forget(now);
--- a/gateway/src/halls.rs
+++ b/gateway/src/halls.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 
 use eligibility::ColdBound;
-use fleet::{OutHalls, Part, Split};
+use fleet::{Part, Split, UnreachableHalls};
 use ids::{HallName, ServiceName};
 use intent::Target;
 use slog::{info, warn};
@@ -63,9 +63,9 @@
     }
 
     /// Halls are out of reach, or within it again.
-    pub(crate) fn set_out_halls(&mut self, out: OutHalls) {
+    pub(crate) fn set_out_halls(&mut self, out: UnreachableHalls) {
         self.halls.set_out_of_reach(out.clone());
-        self.fleet.out_halls = out;
+        self.fleet.unreachable_halls = out;
         self.spread_halls();
     }
 
@@ -123,7 +123,7 @@
         wanted: Part,
         now: Instant,
     ) -> Part {
-        if split.is_whole() {
+        if split.has_one_part() {
             return wanted;
         }
         let is_open = |part: &Part| {
--- a/gateway/src/link_words.rs
+++ b/gateway/src/link_words.rs
@@ -73,7 +73,7 @@
             .filter_map(|(name, _)| Some((name, shared.load_here(name, now)?)))
             .map(|(name, load)| PoolLoad {
                 pool: name.to_string(),
-                turn_ms: millis(load.turn),
+                turn_ms: millis(load.turnaround),
                 rate: load.rate as f32,
                 waiting: waiting(&load.queue),
                 late: load.late as u32,
@@ -109,9 +109,9 @@
     let entry = hello.and_then(entry_of);
     app.hub.with(|shared, now| {
         let linked = app.links.borrow().contains_key(vm);
-        shared.fleet.heard(vm, linked, now);
+        shared.fleet.record_heard(vm, linked, now);
         if let Some(hello) = hello {
-            shared.fleet.met(vm, hello.incarnation, entry);
+            shared.fleet.record_identity(vm, hello.incarnation, entry);
         }
     });
 }
@@ -125,13 +125,13 @@
         .filter_map(|load| Some((TargetName::new(&load.target).ok()?, load.calls, load.tokens)))
         .collect();
     let stops = app.hub.with(|shared, now| {
-        let stops = shared.fleet.told_draining(vm, beat.draining, now);
+        let stops = shared.fleet.record_draining(vm, beat.draining, now);
         let pools = beat.pools.iter().map(|pool| {
-            let turn = Duration::from_millis(u64::from(pool.turn_ms));
+            let turnaround = Duration::from_millis(u64::from(pool.turn_ms));
             let queue = queue_of(&pool.waiting);
             let (rate, coming) = (f64::from(pool.rate), f64::from(pool.coming));
             let late = f64::from(pool.late);
-            (pool.pool.clone(), fleet::PoolLoad { turn, rate, queue, late, coming, at: now })
+            (pool.pool.clone(), fleet::PoolLoad { turnaround, rate, queue, late, coming, at: now })
         });
         shared.targets.peer_load(peer_number(vm), &loads, now);
         let Some(peer) = shared.fleet.peers.get_mut(vm) else { return stops };
@@ -144,7 +144,7 @@
         shared.compare_versions(now);
         let age = beat.store_age_ms.map(|ms| Duration::from_millis(u64::from(ms)));
         if let Some(at) = age.and_then(|age| now.checked_sub(age)) {
-            shared.contact.answered_peer(at);
+            shared.contact.record_peer_answer(at);
         }
         stops
     });
--- a/gateway/src/links.rs
+++ b/gateway/src/links.rs
@@ -9,7 +9,7 @@
 use std::time::{Duration, Instant};
 
 use batching::Submission;
-use fleet::{BEAT, SILENCE};
+use fleet::{HEARTBEAT_INTERVAL, PEER_TIMEOUT};
 use ids::{ServiceName, VmName};
 use peering::WorkClient;
 use peering::work::{
@@ -284,7 +284,7 @@
 pub(crate) async fn hold(app: Rc<App>, address: SocketAddr) {
     if let Err(why) = hold_once(&app, address).await {
         slog::debug!(app.log, "no link"; "address" => %address, "why" => why);
-        app.hub.with(|shared, _| shared.fleet.dial_failed(address));
+        app.hub.with(|shared, _| shared.fleet.record_dial_failure(address));
         sleep(FAILED_PAUSE).await;
     } else {
         sleep(DIAL_PAUSE).await;
@@ -325,7 +325,7 @@
     let mut links = app.links.borrow_mut();
     if links.get(&vm).is_some_and(|other| Rc::ptr_eq(other, &link)) {
         links.remove(&vm);
-        app.hub.with(|shared, now| shared.fleet.unlinked(&vm, why != UNWANTED_END, now));
+        app.hub.with(|shared, now| shared.fleet.record_unlinked(&vm, why != UNWANTED_END, now));
         app.vms_changed.notify_one();
     }
     drop(links);
@@ -361,7 +361,7 @@
     address: SocketAddr,
 ) -> String {
     let mut wanted = tokio::time::Instant::now();
-    let mut beats = interval(BEAT);
+    let mut beats = interval(HEARTBEAT_INTERVAL);
     beats.set_missed_tick_behavior(MissedTickBehavior::Delay);
     let mut heard = tokio::time::Instant::now();
     let mut told = Told::default();
@@ -411,11 +411,11 @@
                 }
             }
             _ = beats.tick() => {
-                if heard.elapsed() > SILENCE {
+                if heard.elapsed() > PEER_TIMEOUT {
                     return format!("silent for {:?}", heard.elapsed());
                 }
-                let out = app.hub.with(|shared, _| shared.fleet.is_out_of_reach(vm));
-                if heard.elapsed() > BEAT && out {
+                let out = app.hub.with(|shared, _| shared.fleet.is_unreachable(vm));
+                if heard.elapsed() > HEARTBEAT_INTERVAL && out {
                     return "its hall is out of reach".to_owned();
                 }
                 let in_use = !link.jobs.borrow().is_empty() || app.held.any_made_at(address);
--- a/gateway/src/news.rs
+++ b/gateway/src/news.rs
@@ -6,11 +6,11 @@
 use std::time::{Duration, Instant};
 
 use bytes::Bytes;
-use fleet::BEAT;
+use fleet::HEARTBEAT_INTERVAL;
 use ids::VmName;
 use peering::work::{Ask, News, StoreItem};
 use slog::{debug, info, warn};
-use store_view::{Assembly, Batch, Item, Part, Place, View};
+use store_view::{Assembler, Batch, Item, Part, Position, View};
 use tokio::time::{MissedTickBehavior, interval, sleep, timeout};
 
 use crate::app::App;
@@ -36,7 +36,7 @@
 
 /// Asks peers for as long as the process runs, whenever this VM does not follow the store itself.
 pub(crate) async fn follow(app: Rc<App>) {
-    let mut looks = interval(BEAT);
+    let mut looks = interval(HEARTBEAT_INTERVAL);
     looks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     let mut silent = None;
     loop {
@@ -61,9 +61,9 @@
         let knows = |vm: &VmName| peers.get(vm).map_or(0, |peer| peer.as_of);
         let ahead = || links.iter().filter(|(vm, _)| knows(vm) > known);
         let most = ahead().map(|(vm, _)| knows(vm)).max();
-        shared.standstill.look(known, most.unwrap_or(known), now);
+        shared.stall_detector.update(known, most.unwrap_or(known), now);
         let follows = shared.watches || shared.asks_store;
-        let store_tells = !shared.contact.is_lost(now) || shared.contact.brings_bytes(now);
+        let store_tells = !shared.contact.is_lost(now) || shared.contact.is_receiving(now);
         if follows && store_tells && !watch_stands_still(app, shared, now) {
             return None;
         }
@@ -76,7 +76,8 @@
 /// Whether the watch tells nothing while peers know more; it is begun anew then.
 fn watch_stands_still(app: &App, shared: &Shared, now: Instant) -> bool {
     let borne = shared.in_force.mul_f64(STANDSTILL_PART);
-    let stands_still = shared.standstill.lasts(borne, now) && !shared.contact.brings_bytes(now);
+    let stands_still =
+        shared.stall_detector.has_stalled_for(borne, now) && !shared.contact.is_receiving(now);
     if stands_still {
         warn!(app.log, "watch of the store stands still"; "as_of" => shared.view.as_of());
         app.watch_stands_still.notify_waiters();
@@ -86,7 +87,7 @@
 
 /// Asks a peer part by part until nothing is left; `None` if it does not answer.
 async fn fetch(app: &Rc<App>, vm: &VmName, link: &Link) -> Option<()> {
-    let mut assembly = Assembly::after(app.hub.with(|shared, _| shared.view.as_of()));
+    let mut assembly = Assembler::after(app.hub.with(|shared, _| shared.view.as_of()));
     let mut known = u64::MAX;
     for number in 1.. {
         let news = link.ask(ask_of(&assembly));
@@ -95,13 +96,13 @@
         known = known.min(news.as_of);
         let parts: Vec<Part> = news.items.into_iter().map(part_of).collect();
         let count = parts.len();
-        let items: Vec<Item> = parts.into_iter().filter_map(|part| assembly.take(part)).collect();
+        let items: Vec<Item> = parts.into_iter().filter_map(|part| assembly.push(part)).collect();
         info!(app.log, "news of the store from a peer"; "peer" => %vm, "parts" => count,
             "whole" => items.len(), "as_of" => known, "last" => news.is_last);
         app.hub.with(|shared, now| {
             shared.merge(items, vm.as_str(), now);
             if news.is_last {
-                shared.view.reached(known);
+                shared.view.advance_to(known);
             } else if number >= MOST_PARTS && !shared.contact.is_lost(now) {
                 shared.asks_store = true;
             }
@@ -115,8 +116,9 @@
     Some(())
 }
 
-fn ask_of(assembly: &Assembly) -> Ask {
-    let store_view::Ask { after, begun: (begun_revision, begun_bytes) } = assembly.ask();
+fn ask_of(assembly: &Assembler) -> Ask {
+    let store_view::BatchRequest { after, partial: (begun_revision, begun_bytes) } =
+        assembly.next_request();
     Ask {
         known_revision: after.revision,
         known_key: after.key,
@@ -137,11 +139,11 @@
 /// The next part of what a peer asks for.
 pub(crate) fn answer(view: &View, ask: Ask) -> News {
     let begun_bytes = usize::try_from(ask.begun_bytes).unwrap_or(usize::MAX);
-    let ask = store_view::Ask {
-        after: Place { revision: ask.known_revision, key: ask.known_key },
-        begun: (ask.begun_revision, begun_bytes),
+    let ask = store_view::BatchRequest {
+        after: Position { revision: ask.known_revision, key: ask.known_key },
+        partial: (ask.begun_revision, begun_bytes),
     };
-    let Batch { parts, is_last } = view.parts(&ask, PART_BYTES);
+    let Batch { parts, is_last } = view.next_batch(&ask, PART_BYTES);
     News { items: parts.into_iter().map(store_item).collect(), as_of: view.as_of(), is_last }
 }
 
--- a/gateway/src/owners.rs
+++ b/gateway/src/owners.rs
@@ -40,7 +40,7 @@
         let first = self.owner_near(pool, near, now);
         let other = self
             .owner_ahead_of(pool, &first, now)
-            .filter(|ahead| fleet::spills(ahead.than, ahead.drain, ahead.way, draw));
+            .filter(|ahead| fleet::should_spill(ahead.than, ahead.drain, ahead.way, draw));
         other.map_or(first, |ahead| ahead.owner)
     }
 
@@ -73,13 +73,13 @@
 
     /// The owner of the part that makes all that waits for it first, against another one.
     fn owner_ahead_of(&self, pool: &ServiceName, than: &Owner, now: Instant) -> Option<Ahead> {
-        let split = self.splits.get(pool).filter(|split| !split.is_whole())?;
+        let split = self.splits.get(pool).filter(|split| !split.has_one_part())?;
         let way = self.intent.as_ref()?.pool(pool)?.call;
-        let than = self.load_of(pool, than, now)?.drain();
+        let than = self.load_of(pool, than, now)?.drain_time();
         let owners = split.parts().map(|part| self.owner_of_part(pool, split, part, now));
         let loads =
             owners.filter_map(|owner| self.load_of(pool, &owner, now).map(|load| (owner, load)));
-        let (owner, drain) = fleet::first_done(loads)?;
+        let (owner, drain) = fleet::fastest_owner(loads)?;
         Some(Ahead { owner, drain, than, way })
     }
 
@@ -121,7 +121,7 @@
         let queue = pool.queue(now);
         let late = pool.waiting_pieces().saturating_sub(queue.total());
         Some(PoolLoad {
-            turn: pool.turn(),
+            turnaround: pool.turn(),
             queue,
             late: late as f64,
             coming: self.coming_to(name, now),
@@ -132,7 +132,10 @@
 
     /// Pieces on their way to a pool from earlier stages, of all VMs.
     pub(crate) fn coming_to(&self, name: &ServiceName, now: Instant) -> f64 {
-        let peers = self.splits.get(name).map(|split| self.fleet.coming(name.as_str(), split, now));
+        let peers = self
+            .splits
+            .get(name)
+            .map(|split| self.fleet.incoming_pieces(name.as_str(), split, now));
         peers.unwrap_or(0.0) + self.admission.coming_to(name)
     }
 }
--- a/gateway/src/pages.rs
+++ b/gateway/src/pages.rs
@@ -207,7 +207,7 @@
             "stopping": shared.is_stopping(),
             "in_work": shared.works.len(),
             "targets": shared.targets.len(),
-            "halls_out_of_reach": shared.fleet.out_halls.iter().map(|hall| hall.as_str()).collect::<Vec<_>>(),
+            "halls_out_of_reach": shared.fleet.unreachable_halls.iter().map(|hall| hall.as_str()).collect::<Vec<_>>(),
             "halls_evacuated": shared.halls.evacuated().iter().map(|hall| hall.as_str()).collect::<Vec<_>>(),
             "targets_cold": shared.cold_targets,
             "targets_leaving": leaving(shared, now),
--- a/gateway/src/pool_calls.rs
+++ b/gateway/src/pool_calls.rs
@@ -162,7 +162,7 @@
     });
     let mut patience = std::pin::pin!(tokio::time::sleep(call.patience));
     let mut fetch = std::pin::pin!(turns::inputs_fetched(app, call));
-    let mut out = app.out_halls.subscribe();
+    let mut out = app.unreachable_halls.subscribe();
     let mut fetches = true;
     loop {
         tokio::select! {
--- a/gateway/src/reach.rs
+++ b/gateway/src/reach.rs
@@ -6,7 +6,7 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-use fleet::{BEAT, OutHalls};
+use fleet::{HEARTBEAT_INTERVAL, UnreachableHalls};
 use ids::HallName;
 use slog::{info, warn};
 use tokio::sync::watch::Receiver;
@@ -25,13 +25,13 @@
 
 /// Keeps the list of halls out of reach for as long as the process runs.
 pub(crate) async fn follow(app: Rc<App>) {
-    let mut looks = interval(BEAT);
+    let mut looks = interval(HEARTBEAT_INTERVAL);
     looks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     let mut answered: BTreeMap<HallName, Instant> = BTreeMap::new();
     loop {
         looks.tick().await;
         let silent = app.hub.with(|shared, now| shared.fleet.silent_halls(now));
-        let out = app.out_halls.borrow().clone();
+        let out = app.unreachable_halls.borrow().clone();
         for hall in out.difference(&silent) {
             tell(&app, hall, false, "its VMs are heard");
         }
@@ -74,20 +74,20 @@
     } else {
         info!(app.log, "hall within reach"; "hall" => %hall, "why" => why);
     }
-    app.out_halls.send_modify(|out| {
+    app.unreachable_halls.send_modify(|out| {
         if is_out {
             out.insert(hall.clone());
         } else {
             out.remove(hall);
         }
     });
-    let out = app.out_halls.borrow().clone();
+    let out = app.unreachable_halls.borrow().clone();
     app.hub.with(|shared, _| shared.set_out_halls(out));
     look_at_pools(app);
 }
 
 /// Ends when a hall is out of reach.
-pub(crate) async fn lost(out: &mut Receiver<OutHalls>, hall: &HallName) {
+pub(crate) async fn lost(out: &mut Receiver<UnreachableHalls>, hall: &HallName) {
     if out.wait_for(|out| out.contains(hall)).await.is_err() {
         // The process is ending.
         std::future::pending::<()>().await;
--- a/gateway/src/run.rs
+++ b/gateway/src/run.rs
@@ -9,7 +9,7 @@
 
 use doors::Doors;
 use errors::{Error, Result};
-use fleet::OutHalls;
+use fleet::UnreachableHalls;
 use slog::{info, warn};
 use stopping::{Limits, StopPlan};
 use telemetry::Metrics;
@@ -66,7 +66,7 @@
             heard_at: RefCell::default(),
             last_beat: RefCell::default(),
             vms_changed: Notify::new(),
-            out_halls: watch::channel(OutHalls::new()).0,
+            unreachable_halls: watch::channel(UnreachableHalls::new()).0,
             store_reached: watch::channel(false).0,
             watch_stands_still: Notify::new(),
             stopping: watch::channel(false).0,
@@ -169,14 +169,16 @@
         let now = now();
         let late = (now - looked).saturating_sub(STOP_LOOK);
         looked = now;
-        app.hub.with(|shared, _| shared.stop.iter_mut().for_each(|plan| plan.ran_late(late)));
+        app.hub.with(|shared, _| {
+            shared.stop.iter_mut().for_each(|plan| plan.record_timer_delay(late))
+        });
         let in_work = app.hub.with(|shared, _| shared.works.len());
         let is_written = in_work == 0 && app.open_callers.get() == 0;
-        if !closing && now >= plan.closes_at() {
+        if !closing && now >= plan.closes_idle_at() {
             closing = true;
             app.closing.send_replace(true);
         }
-        if (closing && is_written) || now >= plan.ends_at() {
+        if (closing && is_written) || now >= plan.exits_at() {
             info!(app.log, "last requests ended"; "in_work" => in_work,
                 "open_connections" => app.open_callers.get());
             stops::tell_closed(app);
--- a/gateway/src/shared.rs
+++ b/gateway/src/shared.rs
@@ -16,8 +16,8 @@
 use selection::{RepeatBudget, RepeatRules, Targets};
 use slog::{Logger, info, warn};
 use stakker::CX;
-use stopping::{PassingTime, StopPlan};
-use store_view::{Change, Contact, Item, Standstill, View};
+use stopping::{ResponseTime, StopPlan};
+use store_view::{Change, Item, StallDetector, StoreContact, View};
 use tokio::sync::watch;
 
 use crate::admission::Admission;
@@ -57,9 +57,9 @@
     pub(crate) watches: bool,
     /// Whether the next changes are better read from the store than from a peer.
     pub(crate) asks_store: bool,
-    pub(crate) contact: Contact,
+    pub(crate) contact: StoreContact,
     /// Whether this VM's watch of the store tells nothing while peers learn more.
-    pub(crate) standstill: Standstill,
+    pub(crate) stall_detector: StallDetector,
     pub(crate) behind: Behind,
     /// Time within which a change of the configuration must be in force.
     pub(crate) in_force: Duration,
@@ -94,7 +94,7 @@
     budgets: HashMap<ServiceName, RepeatBudget>,
     first_events: HashMap<ServiceName, Duration>,
     /// Times from being sent to a target to the end of the answer, by entry.
-    passing_times: HashMap<String, PassingTime>,
+    passing_times: HashMap<String, ResponseTime>,
     pub(crate) admission: Admission,
     /// Requests that end targets.
     pub(crate) quarantine: Quarantine,
@@ -133,8 +133,8 @@
             asks_store: false,
             fleet: Fleet::new(cfg.vm.clone(), own_entry(cfg), incarnation, now),
             own_hall: cfg.hall.clone(),
-            contact: Contact::default(),
-            standstill: Standstill::default(),
+            contact: StoreContact::default(),
+            stall_detector: StallDetector::default(),
             behind: Behind::default(),
             in_force: cfg.in_force(),
             stop: None,
@@ -300,7 +300,7 @@
         let pools = self.splits.iter().map(|(name, split)| (name.as_str(), split));
         let (rated, whole) = (self.rated_services(), Split::default());
         let accounts = rated.iter().map(|service| (service.as_str(), &whole));
-        self.fleet.wanted(pools.chain(accounts))
+        self.fleet.wanted_links(pools.chain(accounts))
     }
 
     /// Counts a request for a service.
@@ -328,25 +328,25 @@
     /// Takes how long a request of an entry took from being sent to its target to the end of its answer.
     pub(crate) fn learn_passing(&mut self, entry: &str, took: Duration) {
         match self.passing_times.get_mut(entry) {
-            Some(time) => time.learn(took),
-            None => drop(self.passing_times.insert(entry.to_owned(), PassingTime::new(took))),
+            Some(time) => time.record(took),
+            None => drop(self.passing_times.insert(entry.to_owned(), ResponseTime::new(took))),
         }
     }
 
     /// Time that few requests of an entry take longer than, as far as it was seen.
     pub(crate) fn passing_time(&self, entry: &str) -> Option<Duration> {
-        self.passing_times.get(entry).map(PassingTime::bound)
+        self.passing_times.get(entry).map(ResponseTime::upper_bound)
     }
 
     /// Whether a result lies in a hall that is out of reach.
     pub(crate) fn is_out_of_reach(&self, handle: &str) -> bool {
         let hall = (self.doors.calls.worker)(handle).and_then(|at| self.targets.hall_at(at));
-        hall.is_some_and(|hall| self.fleet.out_halls.contains(hall))
+        hall.is_some_and(|hall| self.fleet.unreachable_halls.contains(hall))
     }
 
     /// Submissions to a pool of this VM that need results which are out of reach.
     pub(crate) fn out_of_inputs(&self, pool: &ServiceName) -> Vec<JobKey> {
-        if self.fleet.out_halls.is_empty() {
+        if self.fleet.unreachable_halls.is_empty() {
             return Vec::new();
         }
         let waiting = self.pools.get(pool).into_iter().flat_map(Pool::waiting_submissions);
--- a/gateway/src/stages.rs
+++ b/gateway/src/stages.rs
@@ -5,7 +5,7 @@
 
 use batching::{Made, Submission};
 use doors::callers::CallerHead;
-use fleet::{Owner, SETTLE};
+use fleet::{Owner, SETTLE_TIME};
 use ids::{HallName, RequestId, ServiceName};
 use intent::{Entry, Intent};
 use quarantine::Content;
@@ -231,7 +231,7 @@
             .iter()
             .any(|stage| shared.owner_near(&stage.pool, None, now) == Owner::Unknown)
     };
-    let until = tokio::time::Instant::from_std(of.until.min(now() + SETTLE));
+    let until = tokio::time::Instant::from_std(of.until.min(now() + SETTLE_TIME));
     while of.app.hub.with(|shared, now| is_unknown(shared, now)) {
         if timeout_at(until, sleep(OWNER_LOOK)).await.is_err() {
             return;
--- a/gateway/src/stops.rs
+++ b/gateway/src/stops.rs
@@ -4,7 +4,7 @@
 
 use doors::callers::Refusal;
 use slog::{info, warn};
-use stopping::{Progress, Word};
+use stopping::{Progress, StopDecision};
 use tokio::time::sleep;
 
 use crate::admission;
@@ -42,7 +42,7 @@
     pub(crate) fn come_back_elsewhere(&self, now: Instant) -> Refusal {
         let returns = self.stop.filter(|_| !self.fleet.others_serve(now));
         let come_back = returns.map_or(ELSEWHERE, |plan| {
-            let ends = plan.ends_at().saturating_duration_since(now);
+            let ends = plan.exits_at().saturating_duration_since(now);
             ends + START.mul_f64(1.0 + rand::random::<f64>())
         });
         Refusal::NotRun { come_back }
@@ -52,10 +52,10 @@
     fn last_word(&self, key: WorkKey, now: Instant) -> Option<Refusal> {
         let plan = self.stop?;
         let work = self.works.get(key)?;
-        match plan.word(work.progress(), work.passing, self.works.len(), now) {
-            Word::ServeOn => None,
-            Word::HandBack => Some(self.come_back_elsewhere(now)),
-            Word::GiveUp => Some(Refusal::Failed),
+        match plan.decide(work.progress(), work.passing, self.works.len(), now) {
+            StopDecision::Continue => None,
+            StopDecision::RejectNotRun => Some(self.come_back_elsewhere(now)),
+            StopDecision::ReportLost => Some(Refusal::Failed),
         }
     }
 }
--- a/gateway/src/store.rs
+++ b/gateway/src/store.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use doors::store::{Age, Page, StoreItem};
-use fleet::BEAT;
+use fleet::HEARTBEAT_INTERVAL;
 use slog::{info, warn};
 use store_view::Item;
 use tokio::time::sleep;
@@ -91,7 +91,7 @@
     loop {
         let reached = *app.store_reached.borrow();
         let (watched, watches) = app.hub.with(|shared, now| {
-            let watches = !reached || shared.asks_store || shared.fleet.watches_itself(now);
+            let watches = !reached || shared.asks_store || shared.fleet.must_watch_store(now);
             (std::mem::replace(&mut shared.watches, watches), watches)
         });
         if watched != watches {
@@ -100,7 +100,7 @@
         if watches {
             return;
         }
-        sleep(BEAT).await;
+        sleep(HEARTBEAT_INTERVAL).await;
     }
 }
 
@@ -136,7 +136,7 @@
         }
     }
     let known = listing.known.unwrap_or(0);
-    app.hub.with(|shared, _| shared.view.reached(known));
+    app.hub.with(|shared, _| shared.view.advance_to(known));
     app.vms_changed.notify_one();
     known
 }
@@ -227,7 +227,7 @@
     app.hub.with(|shared, now| {
         let items = page.items.into_iter().map(item).collect();
         shared.merge(items, "store", now);
-        shared.view.reached(page.as_of);
+        shared.view.advance_to(page.as_of);
         shared.asks_store = false;
     });
     look_at_pools(app);
@@ -255,7 +255,7 @@
 /// A whole answer came from the store.
 pub(crate) fn heard(app: &App) {
     app.store_reached.send_if_modified(|reached| !std::mem::replace(reached, true));
-    if app.hub.with(|shared, now| shared.contact.heard(now)) {
+    if app.hub.with(|shared, now| shared.contact.record_answer(now)) {
         info!(app.log, "store regained");
     }
 }
@@ -263,8 +263,8 @@
 /// A call to the store failed.
 pub(crate) fn failed(app: &App, what: &str, miss: &Miss) {
     let (newly, lost, age) = app.hub.with(|shared, now| {
-        let newly = shared.contact.failed(now);
-        (newly, !shared.contact.brings_bytes(now), shared.contact.age(now))
+        let newly = shared.contact.record_failure(now);
+        (newly, !shared.contact.is_receiving(now), shared.contact.age(now))
     });
     if lost {
         app.store_reached.send_if_modified(|reached| std::mem::replace(reached, false));
--- a/gateway/src/store_connection.rs
+++ b/gateway/src/store_connection.rs
@@ -13,7 +13,7 @@
 use hyper::body::Incoming;
 use hyper::client::conn::http1::{Builder, SendRequest};
 use hyper_util::rt::TokioIo;
-use store_view::SILENCE_WAIT;
+use store_view::SILENCE_TIMEOUT;
 use tokio::task::AbortHandle;
 use tokio::time::timeout;
 
@@ -87,7 +87,7 @@
         call: StoreCall,
         wait: Duration,
     ) -> Result<Begun, Miss> {
-        let sent = timeout(wait + SILENCE_WAIT, self.send(call)).await;
+        let sent = timeout(wait + SILENCE_TIMEOUT, self.send(call)).await;
         match sent.unwrap_or_else(|_| Err("no answer in time".to_owned())) {
             Ok((status, body)) => Ok(Begun { kind, status, body, began: now() }),
             Err(problem) => Err(self.failed(kind, problem)),
@@ -99,7 +99,7 @@
         let Begun { kind, status, mut body, began } = begun;
         let mut buf = BytesMut::new();
         loop {
-            let frame = match timeout(SILENCE_WAIT, body.frame()).await {
+            let frame = match timeout(SILENCE_TIMEOUT, body.frame()).await {
                 Ok(None) => break,
                 Ok(Some(Ok(frame))) => frame,
                 Ok(Some(Err(e))) => return Err(self.failed(kind, e.to_string())),
@@ -107,7 +107,7 @@
             };
             buf.extend_from_slice(&frame.into_data().unwrap_or_default());
             if status == StatusCode::OK {
-                self.app.hub.with(|shared, now| shared.contact.brought_bytes(now));
+                self.app.hub.with(|shared, now| shared.contact.record_bytes(now));
             }
             if now() - began > LONGEST_ANSWER {
                 return Err(self.failed(kind, format!("not whole within {LONGEST_ANSWER:?}")));
@@ -159,5 +159,5 @@
 }
 
 fn silent(bytes: usize) -> String {
-    format!("silent for {SILENCE_WAIT:?} after {bytes} bytes")
+    format!("silent for {SILENCE_TIMEOUT:?} after {bytes} bytes")
 }
--- a/gateway/src/stream_reader.rs
+++ b/gateway/src/stream_reader.rs
@@ -1,6 +1,6 @@
 //! The events of one try's stream, read one by one.
 
-use fleet::OutHalls;
+use fleet::UnreachableHalls;
 use http_body_util::BodyExt;
 use hyper::body::Incoming;
 use selection::End;
@@ -16,7 +16,7 @@
     pub(crate) answer: Answer,
     splitter: Splitter,
     /// Data halls that are out of reach.
-    out: watch::Receiver<OutHalls>,
+    out: watch::Receiver<UnreachableHalls>,
 }
 
 /// What comes next in a try's stream.
@@ -31,7 +31,7 @@
 
 impl Reader {
     pub(crate) fn new(app: &App, answer: Answer) -> Self {
-        Reader { answer, splitter: Splitter::default(), out: app.out_halls.subscribe() }
+        Reader { answer, splitter: Splitter::default(), out: app.unreachable_halls.subscribe() }
     }
 
     /// Ends a try that brought no event.
--- a/gateway/src/tries.rs
+++ b/gateway/src/tries.rs
@@ -172,7 +172,7 @@
         let headers = (self.app.doors.calls.head)(&self.req.parts.headers, &head);
         self.sent += 1;
         let sending = self.app.connections.send(&target, call_of(&self.req, headers), permit);
-        let mut out = self.app.out_halls.subscribe();
+        let mut out = self.app.unreachable_halls.subscribe();
         let sent = tokio::select! {
             sent = sending => sent,
             // What may run once only is waited for: the hall may come back with its answer.
