--- a/components/batching/src/filling.rs
+++ b/components/batching/src/filling.rs
@@ -85,7 +85,7 @@
         }
         let until = |worker: &Worker| {
             let target = &worker.target;
-            worker.rests_until().max(target.left_alone_until).max(target.limited_until)
+            worker.rests_until().max(target.backoff_until).max(target.rate_limited_until)
         };
         let rests = self.workers.values().filter_map(until).filter(|at| *at > now);
         let held = self.waiting.iter().filter_map(|waiting| self.held_until(waiting, now));
--- a/components/batching/src/pool.rs
+++ b/components/batching/src/pool.rs
@@ -262,7 +262,7 @@
     fn end_earlier_lifetime(&mut self, target: &Target) {
         let Some(key) = self.by_id.get(&target.id).copied() else { return };
         let known = self.workers.get(key).map(|worker| &worker.target);
-        if known.is_some_and(|known| target.is_reborn_since(known)) {
+        if known.is_some_and(|known| target.is_other_lifetime_than(known)) {
             self.drop_worker(&target.id, key);
         }
     }
--- a/components/batching/src/worker.rs
+++ b/components/batching/src/worker.rs
@@ -64,7 +64,7 @@
 
     /// Calls a second that it takes by the rate that it names.
     pub(crate) fn most_calls(&self) -> f64 {
-        self.target.pause.map_or(f64::INFINITY, |pause| 1.0 / pause.as_secs_f64())
+        self.target.request_interval.map_or(f64::INFINITY, |pause| 1.0 / pause.as_secs_f64())
     }
 
     /// When it may work again, if it rests.
--- a/components/batching/tests/support/mod.rs
+++ b/components/batching/tests/support/mod.rs
@@ -35,10 +35,10 @@
         hall: HallName::new(hall).unwrap(),
         slots: 1,
         leaving: false,
-        left_alone_until: None,
-        limited_until: None,
-        pause: None,
-        cold: Duration::ZERO,
+        backoff_until: None,
+        rate_limited_until: None,
+        request_interval: None,
+        cold_remaining: Duration::ZERO,
     }
 }
 
--- a/components/batching/tests/words.rs
+++ b/components/batching/tests/words.rs
@@ -13,7 +13,7 @@
 mod support;
 
 fn left_alone(id: &str, hall: &str, until: Instant) -> Target {
-    Target { left_alone_until: Some(until), ..worker(id, hall) }
+    Target { backoff_until: Some(until), ..worker(id, hall) }
 }
 
 fn leaving(id: &str, hall: &str) -> Target {
--- a/components/eligibility/src/halls.rs
+++ b/components/eligibility/src/halls.rs
@@ -43,10 +43,10 @@
         match () {
             () if target.leaving => Eligibility::Leaving,
             () if self.evacuated.contains(&target.hall) => Eligibility::Evacuated,
-            () if target.left_alone_until.is_some_and(|until| now < until) => {
-                Eligibility::LeftAlone
+            () if target.backoff_until.is_some_and(|until| now < until) => Eligibility::LeftAlone,
+            () if target.rate_limited_until.is_some_and(|until| now < until) => {
+                Eligibility::Limited
             }
-            () if target.limited_until.is_some_and(|until| now < until) => Eligibility::Limited,
             () if self.out_of_reach.contains(&target.hall) => Eligibility::OutOfReach,
             () => Eligibility::Open,
         }
@@ -58,7 +58,7 @@
         match self.eligibility(target, now) {
             Eligibility::Open | Eligibility::OutOfReach => Some(now),
             Eligibility::LeftAlone | Eligibility::Limited => {
-                target.left_alone_until.max(target.limited_until)
+                target.backoff_until.max(target.rate_limited_until)
             }
             Eligibility::Evacuated | Eligibility::Leaving => None,
         }
--- a/components/eligibility/tests/halls.rs
+++ b/components/eligibility/tests/halls.rs
@@ -65,7 +65,7 @@
     let now = Instant::now();
     let until = now + Duration::from_secs(1);
     let mut halls = Halls::default();
-    let wants = Target { left_alone_until: Some(until), ..target("a") };
+    let wants = Target { backoff_until: Some(until), ..target("a") };
     let leaving = Target { leaving: true, ..wants.clone() };
 
     assert_eq!(halls.eligibility(&wants, now), Eligibility::LeftAlone);
@@ -81,9 +81,9 @@
 fn a_target_at_its_rate_is_sent_nothing_until_it_takes_more() {
     let now = Instant::now();
     let (halls, until) = (Halls::default(), now + Duration::from_secs(1));
-    let limited = Target { limited_until: Some(until), ..target("a") };
+    let limited = Target { rate_limited_until: Some(until), ..target("a") };
     let later = until + Duration::from_secs(1);
-    let both = Target { left_alone_until: Some(later), ..limited.clone() };
+    let both = Target { backoff_until: Some(later), ..limited.clone() };
 
     assert_eq!(halls.eligibility(&limited, now), Eligibility::Limited);
     assert_eq!(halls.opens_at(&limited, now), Some(until));
--- a/components/intent/src/entry.rs
+++ b/components/intent/src/entry.rs
@@ -5,7 +5,7 @@
 
 use ids::{CustomerName, ServiceName};
 
-use crate::{Service, Unfit};
+use crate::{InvalidIntent, Service};
 
 /// A customer, found by its key.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -50,17 +50,17 @@
     /// Whether a request may run more than once; for a stream, whether it may be resumed.
     pub repeatable: bool,
     /// Longest time that a request is held.
-    pub longest: Duration,
+    pub max_duration: Duration,
     /// Time within which an answer earns its full worth; for a stream, its first event.
-    pub aim: Duration,
+    pub latency_goal: Duration,
     /// Longest pause between events of a stream that is in time.
-    pub longest_gap: Option<Duration>,
+    pub max_event_gap: Option<Duration>,
     /// Urgency, 0 first.
     pub urgency: u8,
     /// The services that run its requests.
     pub shares: Vec<Share>,
     /// Most targets that one request may be sent to.
-    pub tries: u32,
+    pub max_attempts: u32,
     /// Work done before a request runs.
     pub stages: Vec<EntryStage>,
     /// Whether no key is needed.
@@ -68,8 +68,12 @@
 }
 
 impl Entry {
-    pub(crate) fn check(&self, services: &BTreeMap<ServiceName, Service>) -> Result<(), Unfit> {
-        let unfit = |problem: String| Unfit { place: format!("entry {}", self.name), problem };
+    pub(crate) fn check(
+        &self,
+        services: &BTreeMap<ServiceName, Service>,
+    ) -> Result<(), InvalidIntent> {
+        let unfit =
+            |problem: String| InvalidIntent { place: format!("entry {}", self.name), problem };
         if self.shares.is_empty() {
             return Err(unfit("no service runs it".to_owned()));
         }
--- a/components/intent/src/lib.rs
+++ b/components/intent/src/lib.rs
@@ -44,7 +44,7 @@
 
 /// Why an intent can't be taken.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Unfit {
+pub struct InvalidIntent {
     /// The entry or service at fault.
     pub place: String,
     /// What is wrong.
@@ -55,14 +55,14 @@
     /// Puts the parts together, checked against each other.
     ///
     /// # Errors
-    /// [`Unfit`] for an entry without a service, or a stage that names no pool or a later stage.
+    /// [`InvalidIntent`] for an entry without a service, or a stage that names no pool or a later stage.
     pub fn new(
         version: u64,
         bounds: CallerBounds,
         services: BTreeMap<ServiceName, Service>,
         customers: Option<HashMap<String, Arc<Customer>>>,
         entries: Vec<Entry>,
-    ) -> Result<Self, Unfit> {
+    ) -> Result<Self, InvalidIntent> {
         for entry in &entries {
             entry.check(&services)?;
         }
--- a/components/intent/src/target.rs
+++ b/components/intent/src/target.rs
@@ -24,29 +24,29 @@
     /// Whether it takes no new work because it is about to end. Within a lifetime this is never taken back.
     pub leaving: bool,
     /// Until when it wants no work from this VM, as it said when it turned some away; no entry tells it.
-    pub left_alone_until: Option<Instant>,
+    pub backoff_until: Option<Instant>,
     /// Until when this VM sends it nothing, since the rate that it takes is used up; no entry tells it.
-    pub limited_until: Option<Instant>,
+    pub rate_limited_until: Option<Instant>,
     /// Time between two requests of all VMs together by the rate that it takes, if it names one in its answers.
-    pub pause: Option<Duration>,
+    pub request_interval: Option<Duration>,
     /// For how long it was still cold when it wrote this: it bears few requests until then.
-    pub cold: Duration,
+    pub cold_remaining: Duration,
 }
 
 impl Target {
     /// What it says of its lifetime as one number, alike at all VMs.
-    pub fn birth(&self) -> u64 {
+    pub fn lifetime_id(&self) -> u64 {
         hashing::combine(hashing::of_text(self.id.as_str()), self.born.unwrap_or_default())
     }
 
     /// Whether this tells of an earlier lifetime than one of the same id that was known: a write of before the
     /// target started again may be done after its newer ones.
-    pub fn is_before(&self, known: &Target) -> bool {
+    pub fn is_earlier_lifetime_than(&self, known: &Target) -> bool {
         matches!((self.born, known.born), (Some(born), Some(known)) if born < known)
     }
 
     /// Whether this is another lifetime than one of the same id that was known.
-    pub fn is_reborn_since(&self, known: &Target) -> bool {
+    pub fn is_other_lifetime_than(&self, known: &Target) -> bool {
         self.born.is_some() && known.born.is_some() && self.born != known.born
     }
 }
--- a/components/intent/tests/entries.rs
+++ b/components/intent/tests/entries.rs
@@ -39,18 +39,18 @@
         path_prefix: prefix.to_owned(),
         streams: false,
         repeatable: true,
-        longest: Duration::from_secs(1),
-        aim: Duration::from_millis(100),
-        longest_gap: None,
+        max_duration: Duration::from_secs(1),
+        latency_goal: Duration::from_millis(100),
+        max_event_gap: None,
         urgency: 0,
         shares: vec![Share { service: name(service), weight: 1 }],
-        tries: 1,
+        max_attempts: 1,
         stages: Vec::new(),
         public: true,
     }
 }
 
-fn intent_of(entries: Vec<Entry>) -> Result<Intent, intent::Unfit> {
+fn intent_of(entries: Vec<Entry>) -> Result<Intent, intent::InvalidIntent> {
     let services = BTreeMap::from([service("plain", false), service("pool", true)]);
     Intent::new(1, bounds(), services, None, entries)
 }
--- a/components/membership/src/advert.rs
+++ b/components/membership/src/advert.rs
@@ -33,12 +33,12 @@
     /// Its operations page.
     pub operations: SocketAddr,
     /// What changes while its process runs.
-    pub beat: Beat,
+    pub beat: Heartbeat,
 }
 
 /// The part of an advert that changes while a process runs.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
-pub struct Beat {
+pub struct Heartbeat {
     /// Hash of the VM's name.
     pub vm: NameHash,
     /// When its process started.
@@ -55,16 +55,16 @@
     pub leaving: Vec<TargetName>,
 }
 
-impl Beat {
+impl Heartbeat {
     /// Order of a VM's beats: later incarnations, then later sequences, are newer.
-    pub fn stamp(&self) -> (Incarnation, u64) {
+    pub fn version(&self) -> (Incarnation, u64) {
         (self.incarnation, self.sequence)
     }
 }
 
 /// How new a VM's news are that somebody has.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Known {
+pub struct DigestEntry {
     /// Hash of the VM's name.
     pub vm: NameHash,
     /// Incarnation.
--- a/components/membership/src/lib.rs
+++ b/components/membership/src/lib.rs
@@ -4,9 +4,9 @@
 //! few random partners; see `docs/design/membership.md`.
 
 mod advert;
-mod pace;
+mod pacer;
 mod roster;
 
-pub use advert::{Advert, AdvertAge, Beat, Known, NameHash};
-pub use pace::Pace;
-pub use roster::{News, Roster};
+pub use advert::{Advert, AdvertAge, DigestEntry, Heartbeat, NameHash};
+pub use pacer::RoundPacer;
+pub use roster::{Delta, Roster};
--- a/components/membership/src/pace.rs
+++ b/components/membership/src/pacer.rs
@@ -13,13 +13,13 @@
 
 /// Learns the bytes of a round and spaces the rounds.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct Pace {
+pub struct RoundPacer {
     round_bytes: f64,
 }
 
-impl Pace {
+impl RoundPacer {
     /// Counts the bytes that one round sent and received, answers to others included.
-    pub fn round_took(&mut self, bytes: u64) {
+    pub fn record_round(&mut self, bytes: u64) {
         let bytes = bytes as f64;
         if self.round_bytes == 0.0 {
             self.round_bytes = bytes;
--- a/components/membership/src/roster.rs
+++ b/components/membership/src/roster.rs
@@ -7,7 +7,7 @@
 use ids::{HallName, Incarnation, Revision, VmName};
 use rand::seq::IteratorRandom;
 
-use crate::advert::{Advert, AdvertAge, Beat, Known, NameHash};
+use crate::advert::{Advert, AdvertAge, DigestEntry, Heartbeat, NameHash};
 
 /// Rounds that may pass without news before an advert is stale.
 const STALE_ROUNDS: u32 = 6;
@@ -36,11 +36,11 @@
 
 /// What somebody with certain knowledge does not know yet.
 #[derive(Debug, Default)]
-pub struct News {
+pub struct Delta {
     /// VMs that are not known in this incarnation.
-    pub others: Vec<Advert>,
+    pub adverts: Vec<Advert>,
     /// News of VMs that are known.
-    pub beats: Vec<Beat>,
+    pub heartbeats: Vec<Heartbeat>,
 }
 
 impl Roster {
@@ -57,13 +57,13 @@
         let known = self.heard.get(&advert.beat.vm);
         let far = || self.heard.values().filter(|e| e.advert.hall != self.hall).count();
         let full = known.is_none() && advert.hall != self.hall && far() >= MOST_FAR;
-        if !full && known.is_none_or(|old| advert.beat.stamp() > old.advert.beat.stamp()) {
+        if !full && known.is_none_or(|old| advert.beat.version() > old.advert.beat.version()) {
             self.heard.insert(advert.beat.vm, Entry { advert, at: now });
         }
     }
 
     /// Takes news of a VM that is known in this incarnation.
-    pub fn merge_beat(&mut self, beat: Beat, now: Instant) {
+    pub fn merge_heartbeat(&mut self, beat: Heartbeat, now: Instant) {
         let Some(entry) = self.heard.get_mut(&beat.vm) else { return };
         let same = entry.advert.beat.incarnation == beat.incarnation;
         if same && beat.sequence > entry.advert.beat.sequence {
@@ -73,8 +73,8 @@
     }
 
     /// How new the news are that this VM has.
-    pub fn known(&self) -> Vec<Known> {
-        let of = |beat: &Beat| Known {
+    pub fn digest(&self) -> Vec<DigestEntry> {
+        let of = |beat: &Heartbeat| DigestEntry {
             vm: beat.vm,
             incarnation: beat.incarnation,
             sequence: beat.sequence,
@@ -83,17 +83,17 @@
     }
 
     /// What somebody who knows this much should be told.
-    pub fn news(&self, known: &[Known]) -> News {
+    pub fn delta_for(&self, known: &[DigestEntry]) -> Delta {
         let known: HashMap<NameHash, (Incarnation, u64)> =
             known.iter().map(|k| (k.vm, (k.incarnation, k.sequence))).collect();
-        let mut news = News::default();
+        let mut news = Delta::default();
         for advert in self.heard.values().map(|e| &e.advert) {
             match known.get(&advert.beat.vm) {
-                Some(stamp) if *stamp >= advert.beat.stamp() => {}
+                Some(stamp) if *stamp >= advert.beat.version() => {}
                 Some((incarnation, _)) if *incarnation == advert.beat.incarnation => {
-                    news.beats.push(advert.beat.clone());
+                    news.heartbeats.push(advert.beat.clone());
                 }
-                _ if news.others.len() < MOST_OTHERS => news.others.push(advert.clone()),
+                _ if news.adverts.len() < MOST_OTHERS => news.adverts.push(advert.clone()),
                 _ => {}
             }
         }
@@ -119,18 +119,23 @@
     }
 
     /// Drops adverts that were not heard of for long.
-    pub fn forget_old(&mut self, now: Instant) {
+    pub fn remove_expired(&mut self, now: Instant) {
         self.heard.retain(|_, e| now.saturating_duration_since(e.at) < FORGET_AFTER);
     }
 
     /// Random partners: `near` from the own hall, `far` from the others; stale ones too, so that
     /// halls find each other again.
-    pub fn partners(&self, near: usize, far: usize) -> Vec<SocketAddr> {
+    pub fn sample_partners(&self, near: usize, far: usize) -> Vec<SocketAddr> {
         self.sample(near, far, |_| true)
     }
 
     /// Random VMs that are not known to have `revision`.
-    pub fn without(&self, revision: Revision, near: usize, far: usize) -> Vec<SocketAddr> {
+    pub fn sample_without_revision(
+        &self,
+        revision: Revision,
+        near: usize,
+        far: usize,
+    ) -> Vec<SocketAddr> {
         self.sample(near, far, |advert| advert.beat.revision < revision)
     }
 
--- a/components/membership/tests/roster.rs
+++ b/components/membership/tests/roster.rs
@@ -6,13 +6,13 @@
 use std::time::{Duration, Instant};
 
 use ids::{HallName, Incarnation, Revision, VmName};
-use membership::{Advert, AdvertAge, Beat, NameHash, Pace, Roster};
+use membership::{Advert, AdvertAge, Heartbeat, NameHash, Roster, RoundPacer};
 
 const ROUND: Duration = Duration::from_millis(500);
 
 fn advert(vm: &str, hall: &str, incarnation: u64, sequence: u64) -> Advert {
     let vm = VmName::new(vm).expect("name");
-    let beat = Beat {
+    let beat = Heartbeat {
         vm: NameHash::of_vm(&vm),
         incarnation: Incarnation(incarnation),
         sequence,
@@ -43,14 +43,14 @@
 
     roster.merge(advert("vm-1", "hall-a", 1, 9), now);
     roster.merge(advert("vm-1", "hall-a", 2, 4), now);
-    roster.merge_beat(Beat { sequence: 3, ..advert("vm-1", "hall-a", 2, 0).beat }, now);
-    roster.merge_beat(advert("vm-1", "hall-a", 3, 1).beat, now);
-    let known = roster.known();
+    roster.merge_heartbeat(Heartbeat { sequence: 3, ..advert("vm-1", "hall-a", 2, 0).beat }, now);
+    roster.merge_heartbeat(advert("vm-1", "hall-a", 3, 1).beat, now);
+    let known = roster.digest();
     assert_eq!((known[0].incarnation, known[0].sequence), (Incarnation(2), 5));
 
-    roster.merge_beat(advert("vm-1", "hall-a", 2, 6).beat, now);
+    roster.merge_heartbeat(advert("vm-1", "hall-a", 2, 6).beat, now);
     roster.merge(advert("vm-1", "hall-a", 3, 1), now);
-    let known = roster.known();
+    let known = roster.digest();
     assert_eq!((known[0].incarnation, known[0].sequence), (Incarnation(3), 1));
 }
 
@@ -58,7 +58,7 @@
 fn never_takes_itself_for_another() {
     let mut roster = roster();
     roster.merge(advert("own", "hall-a", 1, 1), Instant::now());
-    assert!(roster.known().is_empty());
+    assert!(roster.digest().is_empty());
 }
 
 #[test]
@@ -66,21 +66,21 @@
     let now = Instant::now();
     let (mut knows, mut asks) = (roster(), roster());
     knows.merge(advert("vm-1", "hall-a", 1, 5), now);
-    let first = knows.news(&asks.known());
-    assert_eq!((first.others.len(), first.beats.len()), (1, 0));
+    let first = knows.delta_for(&asks.digest());
+    assert_eq!((first.adverts.len(), first.heartbeats.len()), (1, 0));
 
-    first.others.into_iter().for_each(|a| asks.merge(a, now));
-    let same = knows.news(&asks.known());
-    assert_eq!((same.others.len(), same.beats.len()), (0, 0));
+    first.adverts.into_iter().for_each(|a| asks.merge(a, now));
+    let same = knows.delta_for(&asks.digest());
+    assert_eq!((same.adverts.len(), same.heartbeats.len()), (0, 0));
 
     knows.merge(advert("vm-1", "hall-a", 1, 6), now);
-    let newer = knows.news(&asks.known());
-    assert_eq!((newer.others.len(), newer.beats.len()), (0, 1));
+    let newer = knows.delta_for(&asks.digest());
+    assert_eq!((newer.adverts.len(), newer.heartbeats.len()), (0, 1));
 
     // A restarted VM may have other addresses, so it is told whole.
     knows.merge(advert("vm-1", "hall-a", 2, 1), now);
-    let restarted = knows.news(&asks.known());
-    assert_eq!((restarted.others.len(), restarted.beats.len()), (1, 0));
+    let restarted = knows.delta_for(&asks.digest());
+    assert_eq!((restarted.adverts.len(), restarted.heartbeats.len()), (1, 0));
 }
 
 #[test]
@@ -95,8 +95,8 @@
     assert_eq!(ages(&roster, later), [AdvertAge::Stale]);
     assert!(roster.loads(ROUND, later).is_empty());
 
-    roster.forget_old(now + Duration::from_secs(61));
-    assert!(roster.known().is_empty());
+    roster.remove_expired(now + Duration::from_secs(61));
+    assert!(roster.digest().is_empty());
 }
 
 #[test]
@@ -127,10 +127,10 @@
 
 #[test]
 fn rounds_are_spaced_by_what_they_cost() {
-    let mut pace = Pace::default();
+    let mut pace = RoundPacer::default();
     assert_eq!(pace.interval(), Duration::from_millis(500));
-    (0..50).for_each(|_| pace.round_took(7_000));
+    (0..50).for_each(|_| pace.record_round(7_000));
     assert_eq!(pace.interval(), Duration::from_secs(2));
-    (0..50).for_each(|_| pace.round_took(1_000_000));
+    (0..50).for_each(|_| pace.record_round(1_000_000));
     assert_eq!(pace.interval(), Duration::from_secs(5));
 }
--- a/components/routing/src/admission.rs
+++ b/components/routing/src/admission.rs
@@ -24,11 +24,11 @@
 }
 
 /// When a request that needs `needed` and has `left` can be asked again.
-pub(crate) fn come_back(needed: Duration, left: Duration) -> Duration {
+pub(crate) fn retry_after(needed: Duration, left: Duration) -> Duration {
     bounded(needed.saturating_sub(left.mul_f64(FILL)))
 }
 
 /// A time to come back that is neither at once nor too far to be of use.
-pub(crate) fn bounded(come_back: Duration) -> Duration {
-    come_back.clamp(LEAST_COME_BACK, MOST_COME_BACK)
+pub(crate) fn bounded(retry_after: Duration) -> Duration {
+    retry_after.clamp(LEAST_COME_BACK, MOST_COME_BACK)
 }
--- a/components/routing/src/api.rs
+++ b/components/routing/src/api.rs
@@ -52,26 +52,26 @@
     /// Where to call it.
     pub address: SocketAddr,
     /// Why it was chosen.
-    pub why: String,
+    pub reason: String,
 }
 
 /// Why no slot is given.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Refused {
+pub enum SlotRefusal {
     /// The stages that follow can't be done before the deadline.
     TooLate {
         /// When to ask again.
-        come_back: Duration,
+        retry_after: Duration,
     },
     /// Too many wait already.
     QueueFull {
         /// When to ask again.
-        come_back: Duration,
+        retry_after: Duration,
     },
     /// No target that the selector allows can be used.
     NoTarget {
         /// When to ask again.
-        come_back: Duration,
+        retry_after: Duration,
     },
 }
 
@@ -80,23 +80,23 @@
 pub enum SlotAnswer {
     /// Call this target now.
     Granted(Grant),
-    /// Wait; an [`Update`] will follow.
+    /// Wait; an [`WaitUpdate`] will follow.
     Queued(WaitId),
     /// Give up now.
-    Refused(Refused),
+    Refused(SlotRefusal),
 }
 
 /// What became of a request that waited.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Update {
+pub enum WaitUpdate {
     /// Call this target now.
     Granted(WaitId, Grant),
     /// Give up now.
-    Refused(WaitId, Refused),
+    Refused(WaitId, SlotRefusal),
 }
 
 /// Whether a request is taken at all.
-pub type Admission = Result<(), Refused>;
+pub type Admission = Result<(), SlotRefusal>;
 
 /// How a call ended, for what it teaches.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
--- a/components/routing/src/grants.rs
+++ b/components/routing/src/grants.rs
@@ -5,7 +5,7 @@
 use ids::{CustomerName, Priority};
 
 use crate::admission;
-use crate::api::{Grant, Refused, Slot, SlotAnswer, SlotRequest, Update};
+use crate::api::{Grant, Slot, SlotAnswer, SlotRefusal, SlotRequest, WaitUpdate};
 use crate::choice::{self, Candidate, Policy};
 use crate::lane::{Lane, LaneKey};
 use crate::queue::Waiting;
@@ -65,7 +65,7 @@
         let target = self.targets.get_mut(slot.target)?;
         target.in_flight += 1;
         target.calls += 1;
-        Some(Grant { slot, name: target.name.clone(), address: target.address, why })
+        Some(Grant { slot, name: target.name.clone(), address: target.address, reason: why })
     }
 
     pub(crate) fn baseline_slot(
@@ -75,7 +75,7 @@
         now: Instant,
     ) -> SlotAnswer {
         let refused =
-            SlotAnswer::Refused(Refused::NoTarget { come_back: admission::LEAST_COME_BACK });
+            SlotAnswer::Refused(SlotRefusal::NoTarget { retry_after: admission::LEAST_COME_BACK });
         let Some(lane) = self.lanes.get(lane_key) else {
             return refused;
         };
@@ -111,13 +111,13 @@
         }
     }
 
-    pub(crate) fn serve_all(&mut self, now: Instant) -> Vec<Update> {
+    pub(crate) fn serve_all(&mut self, now: Instant) -> Vec<WaitUpdate> {
         let lanes = self.lanes.iter().filter(|(_, lane)| lane.len() > 0);
         let lanes: Vec<LaneKey> = lanes.map(|(key, _)| key).collect();
         self.serve(&lanes, now)
     }
 
-    pub(crate) fn serve_lanes_of(&mut self, target: TargetKey, now: Instant) -> Vec<Update> {
+    pub(crate) fn serve_lanes_of(&mut self, target: TargetKey, now: Instant) -> Vec<WaitUpdate> {
         let lanes = self.lanes.iter();
         let lanes = lanes.filter(|(_, l)| l.len() > 0 && l.targets.contains(&target));
         let lanes: Vec<LaneKey> = lanes.map(|(key, _)| key).collect();
@@ -125,7 +125,7 @@
     }
 
     /// Gives free slots to those that wait in the lanes, the most urgent head first.
-    fn serve(&mut self, lanes: &[LaneKey], now: Instant) -> Vec<Update> {
+    fn serve(&mut self, lanes: &[LaneKey], now: Instant) -> Vec<WaitUpdate> {
         let mut updates = Vec::new();
         let mut open = lanes.to_vec();
         while let Some((index, waiting)) = self.most_urgent(&open) {
@@ -137,7 +137,7 @@
                         lane.remove(&waiting);
                     }
                     self.count_grant(lane_key, &waiting.customer, waiting.priority);
-                    updates.push(Update::Granted(waiting.id, grant));
+                    updates.push(WaitUpdate::Granted(waiting.id, grant));
                 }
                 None => drop(open.swap_remove(index)),
             }
--- a/components/routing/src/learning.rs
+++ b/components/routing/src/learning.rs
@@ -4,7 +4,7 @@
 
 use ids::{ServiceName, StageName};
 
-use crate::api::{CallEnd, Slot, Update};
+use crate::api::{CallEnd, Slot, WaitUpdate};
 use crate::ejection::{MOST_EJECTED, SLOW_AGAINST_PEERS};
 use crate::lane::Lane;
 use crate::limit::Signal;
@@ -25,10 +25,10 @@
         took: Duration,
         report: Option<LoadReport>,
         now: Instant,
-    ) -> Vec<Update> {
+    ) -> Vec<WaitUpdate> {
         let ratio = self.learn_time((service, stage), end, took, now);
         if end == CallEnd::Answered {
-            self.budget.succeeded();
+            self.budget.record_success();
         }
         let key = slot.target;
         if let Some(target) = self.targets.get_mut(key) {
--- a/components/routing/src/lib.rs
+++ b/components/routing/src/lib.rs
@@ -22,7 +22,7 @@
 mod usage;
 
 pub use api::{
-    Admission, CallEnd, Grant, Refused, Slot, SlotAnswer, SlotRequest, TargetDump, Update,
+    Admission, CallEnd, Grant, Slot, SlotAnswer, SlotRefusal, SlotRequest, TargetDump, WaitUpdate,
 };
 pub use choice::Policy;
 pub use lane::WaitId;
--- a/components/routing/src/retry.rs
+++ b/components/routing/src/retry.rs
@@ -25,12 +25,12 @@
     }
 
     /// Adds what a success earns.
-    pub fn succeeded(&mut self) {
+    pub fn record_success(&mut self) {
         self.saved = (self.saved + EARNED).min(MOST_SAVED);
     }
 
     /// Takes one try from the budget, if there is one.
-    pub fn take(&mut self, now: Instant) -> bool {
+    pub fn try_take(&mut self, now: Instant) -> bool {
         let passed = now.saturating_duration_since(self.last).as_secs_f64();
         self.last = now;
         self.saved = (self.saved + passed * EARNED_PER_SECOND).min(MOST_SAVED);
@@ -42,7 +42,7 @@
     }
 
     /// Tries left.
-    pub fn saved(&self) -> f64 {
+    pub fn available(&self) -> f64 {
         self.saved
     }
 }
--- a/components/routing/src/router.rs
+++ b/components/routing/src/router.rs
@@ -10,7 +10,7 @@
 use slotmap::SlotMap;
 
 use crate::admission;
-use crate::api::{Admission, Grant, Refused, SlotAnswer, SlotRequest, TargetDump, Update};
+use crate::api::{Admission, Grant, SlotAnswer, SlotRefusal, SlotRequest, TargetDump, WaitUpdate};
 use crate::choice::Policy;
 use crate::lane::{Lane, LaneKey, WaitId};
 use crate::plans::Plans;
@@ -75,7 +75,7 @@
         revision: Revision,
         catalogue: &Catalogue,
         now: Instant,
-    ) -> Vec<Update> {
+    ) -> Vec<WaitUpdate> {
         self.by_name = self.declare_targets(catalogue);
         self.deal();
         self.shares = catalogue.customers.values().map(|c| (c.name.clone(), c.share)).collect();
@@ -99,22 +99,22 @@
     }
 
     /// Notes that a request began under the configuration, which is kept until it ends.
-    pub fn begin(&mut self, revision: Revision) {
+    pub fn begin_request(&mut self, revision: Revision) {
         self.plans.begin(revision);
     }
 
     /// Notes that a request ended that began under the configuration.
-    pub fn end(&mut self, revision: Revision) -> Vec<Update> {
+    pub fn end_request(&mut self, revision: Revision) -> Vec<WaitUpdate> {
         if self.plans.end(revision) { self.drop_unused() } else { Vec::new() }
     }
 
     /// Drops lanes and targets that no kept configuration has.
-    fn drop_unused(&mut self) -> Vec<Update> {
+    fn drop_unused(&mut self) -> Vec<WaitUpdate> {
         let mut updates = Vec::new();
         for key in self.plans.drop_unused() {
             if let Some(mut lane) = self.lanes.remove(key) {
-                let refused = Refused::NoTarget { come_back: admission::LEAST_COME_BACK };
-                updates.extend(lane.take_all().iter().map(|w| Update::Refused(w.id, refused)));
+                let refused = SlotRefusal::NoTarget { retry_after: admission::LEAST_COME_BACK };
+                updates.extend(lane.take_all().iter().map(|w| WaitUpdate::Refused(w.id, refused)));
             }
         }
         let in_lanes = self.lanes.values().flat_map(|lane| lane.targets.iter());
@@ -140,11 +140,11 @@
         if admission::fits(needed, left) {
             return Ok(());
         }
-        let come_back = admission::come_back(needed, left);
-        Err(Refused::TooLate {
-            come_back: match longest {
-                Some((lane, _)) => self.book(lane, req, come_back, now),
-                None => come_back,
+        let retry_after = admission::retry_after(needed, left);
+        Err(SlotRefusal::TooLate {
+            retry_after: match longest {
+                Some((lane, _)) => self.book(lane, req, retry_after, now),
+                None => retry_after,
             },
         })
     }
@@ -166,12 +166,12 @@
     /// Finds a slot for a stage's call.
     pub fn request_slot(&mut self, req: &SlotRequest<'_>, now: Instant) -> SlotAnswer {
         let Some(stage) = req.service.stages.get(req.stage) else {
-            return SlotAnswer::Refused(Refused::NoTarget { come_back: Duration::ZERO });
+            return SlotAnswer::Refused(SlotRefusal::NoTarget { retry_after: Duration::ZERO });
         };
         let share = self.pick_share(stage);
         let Some(lane_key) = self.plans.lane(req, req.stage, share) else {
-            let come_back = admission::LEAST_COME_BACK;
-            return SlotAnswer::Refused(Refused::NoTarget { come_back });
+            let retry_after = admission::LEAST_COME_BACK;
+            return SlotAnswer::Refused(SlotRefusal::NoTarget { retry_after });
         };
         if self.policy != Policy::Adaptive {
             return self.baseline_slot(lane_key, req, now);
@@ -184,8 +184,8 @@
         let after = self.time_from(req.service, req.stage, now);
         let left = req.deadline.saturating_duration_since(now);
         if !admission::fits(after, left) {
-            let come_back = admission::come_back(after, left);
-            return SlotAnswer::Refused(Refused::TooLate { come_back });
+            let retry_after = admission::retry_after(after, left);
+            return SlotAnswer::Refused(SlotRefusal::TooLate { retry_after });
         }
         self.slot_or_queue(lane_key, req, req.deadline.checked_sub(after).unwrap_or(now), now)
     }
@@ -231,23 +231,25 @@
         req: &SlotRequest<'_>,
         start_by: Instant,
         now: Instant,
-    ) -> Option<Refused> {
+    ) -> Option<SlotRefusal> {
         let lane = self.lanes.get(lane_key)?;
         let usable = |key: &TargetKey| {
             !req.exclude.contains(key) && self.targets.get(*key).is_some_and(|t| !t.leaving)
         };
         if !lane.targets.iter().any(usable) {
-            return Some(Refused::NoTarget { come_back: self.next_probe(lane, now) });
+            return Some(SlotRefusal::NoTarget { retry_after: self.next_probe(lane, now) });
         }
         let wait = self.wait_in(lane, req, now);
         let left = start_by.saturating_duration_since(now);
         if !admission::fits(wait, left) {
-            let earliest = admission::come_back(wait, left);
-            return Some(Refused::TooLate { come_back: self.book(lane_key, req, earliest, now) });
+            let earliest = admission::retry_after(wait, left);
+            return Some(SlotRefusal::TooLate {
+                retry_after: self.book(lane_key, req, earliest, now),
+            });
         }
         let full = QUEUE_PER_SLOT * self.slots_of(lane, req.priority, now);
-        let come_back = admission::come_back(wait, Duration::ZERO);
-        (lane.len() as f64 >= full).then_some(Refused::QueueFull { come_back })
+        let retry_after = admission::retry_after(wait, Duration::ZERO);
+        (lane.len() as f64 >= full).then_some(SlotRefusal::QueueFull { retry_after })
     }
 
     fn enqueue(
@@ -277,13 +279,13 @@
     /// Whether a call may be tried again; counts the try.
     pub fn may_retry(&mut self, tries: u32, now: Instant) -> bool {
         match self.policy {
-            Policy::Adaptive => self.budget.take(now),
+            Policy::Adaptive => self.budget.try_take(now),
             Policy::RoundRobin | Policy::FirstInOrder => tries <= BASELINE_RETRIES,
         }
     }
 
     /// Refuses whoever waited too long and gives slots that have become usable.
-    pub fn tick(&mut self, now: Instant) -> Vec<Update> {
+    pub fn tick(&mut self, now: Instant) -> Vec<WaitUpdate> {
         let mut updates = Vec::new();
         let keys: Vec<LaneKey> = self.lanes.keys().collect();
         for key in keys {
@@ -296,8 +298,8 @@
                 let (customer, class) = (&waiting.customer, waiting.priority);
                 let order = (waiting.returning, waiting.start_by);
                 let wait = lane.wait(customer, class, order, slots, now);
-                let come_back = admission::come_back(wait, Duration::ZERO);
-                updates.push(Update::Refused(waiting.id, Refused::TooLate { come_back }));
+                let retry_after = admission::retry_after(wait, Duration::ZERO);
+                updates.push(WaitUpdate::Refused(waiting.id, SlotRefusal::TooLate { retry_after }));
             }
         }
         updates.extend(self.serve_all(now));
@@ -348,7 +350,7 @@
 
     /// Tries left in the retry budget.
     pub fn retries_left(&self) -> f64 {
-        self.budget.saved()
+        self.budget.available()
     }
 
     /// Every target's state.
--- a/components/routing/tests/decisions.rs
+++ b/components/routing/tests/decisions.rs
@@ -11,8 +11,8 @@
 use proptest::prelude::{any, proptest};
 use proptest::{prop_assert, prop_assert_eq};
 use routing::{
-    CallEnd, Grant, LoadReport, Policy, Refused, Router, Sharer, Slot, SlotAnswer, SlotRequest,
-    TargetDump, Update, WaitId,
+    CallEnd, Grant, LoadReport, Policy, Router, Sharer, Slot, SlotAnswer, SlotRefusal, SlotRequest,
+    TargetDump, WaitId, WaitUpdate,
 };
 
 const SECOND: Duration = Duration::from_secs(1);
@@ -101,7 +101,7 @@
         }
     }
 
-    fn release(&mut self, slot: Slot, end: CallEnd, took: Duration) -> Vec<Update> {
+    fn release(&mut self, slot: Slot, end: CallEnd, took: Duration) -> Vec<WaitUpdate> {
         let (service, stage) =
             (ServiceName::new("s").expect("name"), StageName::new("a").expect("name"));
         self.router.release(slot, (&service, &stage), end, took, None, self.now)
@@ -113,17 +113,17 @@
     }
 }
 
-fn granted(updates: &[Update]) -> Vec<WaitId> {
+fn granted(updates: &[WaitUpdate]) -> Vec<WaitId> {
     let ids = updates.iter().map(|u| match u {
-        Update::Granted(id, _) => *id,
-        Update::Refused(id, refused) => panic!("{id:?} {refused:?}"),
+        WaitUpdate::Granted(id, _) => *id,
+        WaitUpdate::Refused(id, refused) => panic!("{id:?} {refused:?}"),
     });
     ids.collect()
 }
 
-fn slot_of(updates: &[Update]) -> Slot {
+fn slot_of(updates: &[WaitUpdate]) -> Slot {
     match updates {
-        [Update::Granted(_, grant)] => grant.slot,
+        [WaitUpdate::Granted(_, grant)] => grant.slot,
         other => panic!("{other:?}"),
     }
 }
@@ -193,9 +193,11 @@
     let short = bench.ask("small", Priority::Standard, 300 * MS);
     let behind = bench.ask("small", Priority::Standard, 600 * MS);
 
-    assert!(matches!(short, SlotAnswer::Refused(Refused::TooLate { .. })), "{short:?}");
-    let SlotAnswer::Refused(Refused::TooLate { come_back }) = behind else { panic!("{behind:?}") };
-    assert!(come_back >= 50 * MS && come_back <= SECOND, "{come_back:?}");
+    assert!(matches!(short, SlotAnswer::Refused(SlotRefusal::TooLate { .. })), "{short:?}");
+    let SlotAnswer::Refused(SlotRefusal::TooLate { retry_after }) = behind else {
+        panic!("{behind:?}")
+    };
+    assert!(retry_after >= 50 * MS && retry_after <= SECOND, "{retry_after:?}");
 }
 
 #[test]
@@ -211,7 +213,9 @@
     bench.now += MS;
     let updates = bench.router.tick(bench.now);
 
-    assert!(matches!(updates[..], [Update::Refused(w, Refused::TooLate { .. })] if w == id));
+    assert!(
+        matches!(updates[..], [WaitUpdate::Refused(w, SlotRefusal::TooLate { .. })] if w == id)
+    );
     assert_eq!(bench.router.waiting(), 0);
 }
 
@@ -383,7 +387,7 @@
 #[test]
 fn a_request_in_work_keeps_the_targets_of_its_configuration() {
     let mut bench = Bench::new(&[("t1", "hall-a", 1)]);
-    bench.router.begin(FIRST);
+    bench.router.begin_request(FIRST);
     let slot = bench.grant().slot;
     let waiting = bench.queue("small", Priority::Standard);
 
@@ -394,9 +398,9 @@
     assert!(refused.is_empty(), "{refused:?}");
     assert_eq!(granted(&updates), [waiting]);
     bench.release(slot_of(&updates), CallEnd::Answered, 10 * MS);
-    assert!(bench.router.end(FIRST).is_empty());
+    assert!(bench.router.end_request(FIRST).is_empty());
     let gone = bench.ask("small", Priority::Standard, SECOND);
-    assert!(matches!(gone, SlotAnswer::Refused(Refused::NoTarget { .. })), "{gone:?}");
+    assert!(matches!(gone, SlotAnswer::Refused(SlotRefusal::NoTarget { .. })), "{gone:?}");
 }
 
 #[test]
@@ -478,11 +482,11 @@
             }
             for update in updates {
                 match update {
-                    Update::Granted(id, grant) => {
+                    WaitUpdate::Granted(id, grant) => {
                         prop_assert!(waiting.remove(&id));
                         held.push(grant.slot);
                     }
-                    Update::Refused(id, _) => prop_assert!(waiting.remove(&id)),
+                    WaitUpdate::Refused(id, _) => prop_assert!(waiting.remove(&id)),
                 }
             }
             prop_assert_eq!(bench.router.waiting(), waiting.len());
--- a/components/selection/src/targets.rs
+++ b/components/selection/src/targets.rs
@@ -43,11 +43,11 @@
     /// Adds a target, or takes what it says of itself now. Nothing that was known of an earlier lifetime
     /// holds for a later one under the same id.
     pub fn put(&mut self, target: Target, now: Instant) {
-        if self.get(&target.id).is_some_and(|known| target.is_reborn_since(known)) {
+        if self.get(&target.id).is_some_and(|known| target.is_other_lifetime_than(known)) {
             self.remove(&target.id);
         }
         let (id, service, address) = (target.id.clone(), target.service.clone(), target.address);
-        let cold = target.cold;
+        let cold = target.cold_remaining;
         if let Some(key) = self.by_id.get(&id).copied() {
             self.arena[key].target = target;
             self.arena[key].warming.told(cold, now);
@@ -159,7 +159,10 @@
     /// Targets of a service that name the rate which they take.
     pub fn rated(&self, service: &ServiceName) -> Vec<TargetKey> {
         let keys = self.by_service.get(service).map(Vec::as_slice).unwrap_or_default();
-        keys.iter().copied().filter(|key| self.arena[*key].target.pause.is_some()).collect()
+        keys.iter()
+            .copied()
+            .filter(|key| self.arena[*key].target.request_interval.is_some())
+            .collect()
     }
 
     /// From when on some target of a service may be sent work, as far as it is known: now, or once one does
@@ -174,9 +177,9 @@
         let known = self.by_id.get(&said.id).and_then(|key| self.arena.get_mut(*key));
         let Some(Known { target, .. }) = known else { return false };
         target.leaving |= said.leaving;
-        target.left_alone_until = said.left_alone_until.max(target.left_alone_until);
-        target.limited_until = said.limited_until;
-        target.pause = said.pause;
+        target.backoff_until = said.backoff_until.max(target.backoff_until);
+        target.rate_limited_until = said.rate_limited_until;
+        target.request_interval = said.request_interval;
         true
     }
 
--- a/components/selection/tests/choice.rs
+++ b/components/selection/tests/choice.rs
@@ -29,16 +29,16 @@
         hall: hall(in_hall),
         slots: 4,
         leaving: false,
-        left_alone_until: None,
-        limited_until: None,
-        pause: None,
-        cold: Duration::ZERO,
+        backoff_until: None,
+        rate_limited_until: None,
+        request_interval: None,
+        cold_remaining: Duration::ZERO,
     }
 }
 
 /// What a target says of itself in answers.
-fn said(id: &str, leaving: bool, left_alone_until: Option<Instant>) -> Target {
-    Target { leaving, left_alone_until, ..target(id, "a") }
+fn said(id: &str, leaving: bool, backoff_until: Option<Instant>) -> Target {
+    Target { leaving, backoff_until, ..target(id, "a") }
 }
 
 fn targets(list: &[(&str, &str)]) -> Targets {
@@ -257,7 +257,7 @@
 fn a_cold_target_gets_this_vms_share_and_the_others_the_rest() {
     let now = Instant::now();
     let mut targets = targets(&[("warm", "a")]);
-    let cold = Target { cold: Duration::from_secs(3), ..target("cold", "a") };
+    let cold = Target { cold_remaining: Duration::from_secs(3), ..target("cold", "a") };
     targets.put(cold, now);
     targets.share_cold(|_, _| 2, now);
 
@@ -277,7 +277,7 @@
 fn a_request_for_which_only_cold_targets_of_other_vms_are_left_finds_none() {
     let now = Instant::now();
     let mut targets = Targets::new(Policy::Adaptive, hall("a"));
-    targets.put(Target { cold: Duration::from_secs(3), ..target("cold", "a") }, now);
+    targets.put(Target { cold_remaining: Duration::from_secs(3), ..target("cold", "a") }, now);
     targets.share_cold(|_, _| 0, now);
 
     assert!(pick(&mut targets, &[], now).is_none());
--- a/daemon/src/ask.rs
+++ b/daemon/src/ask.rs
@@ -10,7 +10,7 @@
     TargetName,
 };
 use journal::{AttemptEnd, RequestRecord, Submission};
-use membership::{Advert, Known, News};
+use membership::{Advert, Delta, DigestEntry};
 use outcomes::{Outcome, Reason, Refusal};
 use routing::{Admission, CallEnd, LoadReport, Slot, SlotRequest, TargetKey};
 use settings::Settings;
@@ -114,7 +114,7 @@
 #[derive(Debug)]
 pub(crate) struct Round {
     pub(crate) own: Advert,
-    pub(crate) known: Vec<Known>,
+    pub(crate) known: Vec<DigestEntry>,
     pub(crate) to_announce: Vec<SocketAddr>,
     pub(crate) partners: Vec<SocketAddr>,
     pub(crate) interval: Duration,
@@ -137,9 +137,9 @@
     Offer(Box<InForce>),
     Current(Revision, oneshot::Sender<CatalogueView>),
     StartRound(oneshot::Sender<Round>),
-    Heard(News),
+    Heard(Delta),
     RoundTook(u64),
-    NewsFor(Vec<Known>, oneshot::Sender<(Advert, News)>),
+    NewsFor(Vec<DigestEntry>, oneshot::Sender<(Advert, Delta)>),
     Listed(Vec<ListedVm>),
     ReadsPlatform(oneshot::Sender<(bool, Revision)>),
     HoldsOrders(Option<u64>),
--- a/daemon/src/dispatcher.rs
+++ b/daemon/src/dispatcher.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 use journal::Journal;
-use membership::{Pace, Roster};
+use membership::{Roster, RoundPacer};
 use routing::{Policy, Router, Sharer};
 use stakker::{CX, after};
 use store_client::ListedVm;
@@ -30,7 +30,7 @@
     pub(crate) waiting: WaitingThreads,
     pub(crate) history: History,
     pub(crate) roster: Roster,
-    pub(crate) pace: Pace,
+    pub(crate) pace: RoundPacer,
     pub(crate) leaving: Leaving,
     /// The platform's list as last read.
     pub(crate) listed: Vec<ListedVm>,
@@ -61,7 +61,7 @@
             waiting: WaitingThreads::default(),
             history: History::default(),
             roster,
-            pace: Pace::default(),
+            pace: RoundPacer::default(),
             leaving: Leaving::default(),
             listed: Vec::new(),
             sequence: 0,
@@ -82,16 +82,16 @@
             Message::MayRetry(tries, reply) => answer(reply, self.router.may_retry(tries, now)),
             Message::Ended { submission, revision, outcome, reason, took } => {
                 self.ended(submission, outcome, reason, took);
-                let updates = self.router.end(revision);
+                let updates = self.router.end_request(revision);
                 self.send(updates);
             }
             Message::Offer(offered) => self.offer(*offered, now),
             Message::Current(have, reply) => answer(reply, self.current(have)),
             Message::StartRound(reply) => answer(reply, self.start_round(now)),
             Message::Heard(news) => self.heard(news, now),
-            Message::RoundTook(bytes) => self.pace.round_took(bytes),
+            Message::RoundTook(bytes) => self.pace.record_round(bytes),
             Message::NewsFor(known, reply) => {
-                answer(reply, (self.advert(), self.roster.news(&known)))
+                answer(reply, (self.advert(), self.roster.delta_for(&known)))
             }
             Message::Listed(vms) => self.listed(vms, now),
             Message::ReadsPlatform(reply) => answer(reply, self.reads_platform(now)),
@@ -120,7 +120,7 @@
     fn slow_tick(&mut self, cx: CX![]) {
         let now = cx.now();
         self.leaving.forget_old(now);
-        self.roster.forget_old(now);
+        self.roster.remove_expired(now);
         self.spread_peer_word(now);
         let revision = self.history.revision().0;
         self.setup.metrics.set_state(self.in_work as u64, revision);
--- a/daemon/src/fleet.rs
+++ b/daemon/src/fleet.rs
@@ -4,7 +4,7 @@
 use std::time::Instant;
 
 use ids::{HallName, Revision, TargetName, VmName};
-use membership::{Advert, Beat, NameHash, News};
+use membership::{Advert, Delta, Heartbeat, NameHash};
 use rand::seq::IteratorRandom;
 use routing::Sharer;
 use slog::info;
@@ -48,7 +48,7 @@
 
     pub(crate) fn advert(&self) -> Advert {
         let loads = self.router.own_loads();
-        let beat = Beat {
+        let beat = Heartbeat {
             vm: NameHash::of_vm(&self.setup.cfg.vm),
             incarnation: self.setup.incarnation,
             sequence: self.sequence,
@@ -73,7 +73,7 @@
 
     pub(crate) fn start_round(&mut self, now: Instant) -> Round {
         self.sequence += 1;
-        let mut partners = self.roster.partners(NEAR_PARTNERS, FAR_PARTNERS);
+        let mut partners = self.roster.sample_partners(NEAR_PARTNERS, FAR_PARTNERS);
         if self.roster.fresh(self.pace.interval(), now).next().is_none() {
             let listed = self.listed.iter().filter(|vm| vm.entry).map(|vm| vm.address);
             let others = self.setup.cfg.seeds.iter().copied().chain(listed);
@@ -85,13 +85,13 @@
         partners.dedup();
         let revision = self.history.revision();
         let to_announce = if std::mem::replace(&mut self.announced, revision) < revision {
-            self.roster.without(revision, NEAR_TOLD, FAR_TOLD)
+            self.roster.sample_without_revision(revision, NEAR_TOLD, FAR_TOLD)
         } else {
             Vec::new()
         };
         Round {
             own: self.advert(),
-            known: self.roster.known(),
+            known: self.roster.digest(),
             to_announce,
             partners,
             interval: self.pace.interval(),
@@ -114,9 +114,9 @@
         unheard.map(|vm| vm.address).choose(&mut rand::rng())
     }
 
-    pub(crate) fn heard(&mut self, news: News, now: Instant) {
-        news.others.into_iter().for_each(|advert| self.roster.merge(advert, now));
-        news.beats.into_iter().for_each(|beat| self.roster.merge_beat(beat, now));
+    pub(crate) fn heard(&mut self, news: Delta, now: Instant) {
+        news.adverts.into_iter().for_each(|advert| self.roster.merge(advert, now));
+        news.heartbeats.into_iter().for_each(|beat| self.roster.merge_heartbeat(beat, now));
         self.spread_peer_word(now);
     }
 
--- a/daemon/src/peer_links.rs
+++ b/daemon/src/peer_links.rs
@@ -197,13 +197,13 @@
         let hello = request.into_inner();
         let received = hello.encoded_len() as u64 + FRAMING_BYTES;
         let known = known_of(&hello);
-        let others = hello.own.into_iter().filter_map(advert_from_wire).collect();
+        let adverts = hello.own.into_iter().filter_map(advert_from_wire).collect();
         let (own, news) = self
             .desk
             .ask_async(|reply| Message::NewsFor(known, reply))
             .await
             .map_err(|Gone| ending())?;
-        self.desk.tell(Message::Heard(membership::News { others, beats: Vec::new() }));
+        self.desk.tell(Message::Heard(membership::Delta { adverts, heartbeats: Vec::new() }));
         let news = news_to_wire(own, news);
         self.metrics.control_bytes(news.encoded_len() as u64 + FRAMING_BYTES, received);
         Ok(Response::new(news))
--- a/daemon/src/peer_messages.rs
+++ b/daemon/src/peer_messages.rs
@@ -3,12 +3,12 @@
 use catalogue::{Catalogue, ChangeKind, Document, ObjectKey, diff};
 use errors::{Error, Result};
 use ids::{HallName, Incarnation, Revision, TargetName, VmName};
-use membership::{Advert, Beat, Known, NameHash, News};
+use membership::{Advert, Delta, DigestEntry, Heartbeat, NameHash};
 use peering::messages as wire;
 
 use crate::in_force::{InForce, Source};
 
-pub(crate) fn beat_to_wire(beat: Beat) -> wire::Beat {
+pub(crate) fn beat_to_wire(beat: Heartbeat) -> wire::Beat {
     let (load_targets, load_calls) = beat.loads.into_iter().map(|(t, calls)| (t.0, calls)).unzip();
     wire::Beat {
         vm: beat.vm.0,
@@ -22,10 +22,10 @@
     }
 }
 
-pub(crate) fn beat_from_wire(beat: wire::Beat) -> Beat {
+pub(crate) fn beat_from_wire(beat: wire::Beat) -> Heartbeat {
     let targets = beat.load_targets.into_iter().map(NameHash);
     let leaving = beat.leaving.iter().map(|name| TargetName::new(name));
-    Beat {
+    Heartbeat {
         vm: NameHash(beat.vm),
         incarnation: Incarnation(beat.incarnation),
         sequence: beat.sequence,
@@ -57,7 +57,7 @@
     })
 }
 
-pub(crate) fn hello(own: Advert, known: &[Known]) -> wire::Hello {
+pub(crate) fn hello(own: Advert, known: &[DigestEntry]) -> wire::Hello {
     wire::Hello {
         own: Some(advert_to_wire(own)),
         known_vms: known.iter().map(|k| k.vm.0).collect(),
@@ -66,11 +66,11 @@
     }
 }
 
-pub(crate) fn known_of(hello: &wire::Hello) -> Vec<Known> {
+pub(crate) fn known_of(hello: &wire::Hello) -> Vec<DigestEntry> {
     let stamps = hello.known_incarnations.iter().zip(&hello.known_sequences);
     let known = hello.known_vms.iter().zip(stamps);
     known
-        .map(|(vm, (incarnation, sequence))| Known {
+        .map(|(vm, (incarnation, sequence))| DigestEntry {
             vm: NameHash(*vm),
             incarnation: Incarnation(*incarnation),
             sequence: *sequence,
@@ -78,19 +78,19 @@
         .collect()
 }
 
-pub(crate) fn news_to_wire(own: Advert, news: News) -> wire::News {
+pub(crate) fn news_to_wire(own: Advert, news: Delta) -> wire::News {
     wire::News {
         own: Some(advert_to_wire(own)),
-        others: news.others.into_iter().map(advert_to_wire).collect(),
-        beats: news.beats.into_iter().map(beat_to_wire).collect(),
+        others: news.adverts.into_iter().map(advert_to_wire).collect(),
+        beats: news.heartbeats.into_iter().map(beat_to_wire).collect(),
     }
 }
 
-pub(crate) fn news_from_wire(news: wire::News) -> News {
+pub(crate) fn news_from_wire(news: wire::News) -> Delta {
     let adverts = news.own.into_iter().chain(news.others);
-    News {
-        others: adverts.filter_map(advert_from_wire).collect(),
-        beats: news.beats.into_iter().map(beat_from_wire).collect(),
+    Delta {
+        adverts: adverts.filter_map(advert_from_wire).collect(),
+        heartbeats: news.beats.into_iter().map(beat_from_wire).collect(),
     }
 }
 
--- a/daemon/src/pipeline.rs
+++ b/daemon/src/pipeline.rs
@@ -8,7 +8,7 @@
 use ids::Incarnation;
 use journal::AttemptEnd;
 use outcomes::{Answer, Outcome, Reason, Refusal, StageRun};
-use routing::{CallEnd, LoadReport, Refused, TargetKey};
+use routing::{CallEnd, LoadReport, SlotRefusal, TargetKey};
 use settings::Settings;
 use slog::{Logger, debug, info};
 use store_client::Store;
@@ -455,25 +455,25 @@
         }
     }
 
-    fn refusal_of(&self, refused: Refused) -> Refusal {
+    fn refusal_of(&self, refused: SlotRefusal) -> Refusal {
         let (reason, detail, wait) = match refused {
-            Refused::TooLate { come_back } => {
-                (Reason::TooLate, "the stages left need more time than is left", come_back)
+            SlotRefusal::TooLate { retry_after } => {
+                (Reason::TooLate, "the stages left need more time than is left", retry_after)
             }
-            Refused::QueueFull { come_back } => {
-                (Reason::QueueFull, "too many wait for the stage's targets", come_back)
+            SlotRefusal::QueueFull { retry_after } => {
+                (Reason::QueueFull, "too many wait for the stage's targets", retry_after)
             }
-            Refused::NoTarget { come_back } => (
+            SlotRefusal::NoTarget { retry_after } => (
                 Reason::NoTarget,
                 "every target that the selectors allow was tried or is out",
-                come_back,
+                retry_after,
             ),
         };
         self.give_up(reason, detail, Some(wait))
     }
 
     /// The refusal that goes with what is known of this request.
-    fn give_up(&self, reason: Reason, detail: &str, come_back: Option<Duration>) -> Refusal {
+    fn give_up(&self, reason: Reason, detail: &str, retry_after: Option<Duration>) -> Refusal {
         let refusal = if self.may_have_run && !self.req.repeatable {
             Refusal::unknown(reason, detail)
         } else if self.may_have_run || !self.runs.is_empty() {
@@ -481,7 +481,7 @@
         } else {
             Refusal::not_run(reason, detail)
         };
-        match come_back.filter(|_| refusal.outcome != Outcome::Unknown) {
+        match retry_after.filter(|_| refusal.outcome != Outcome::Unknown) {
             Some(wait) => refusal.come_back_in(wait),
             None => refusal,
         }
--- a/daemon/src/requests.rs
+++ b/daemon/src/requests.rs
@@ -5,7 +5,7 @@
 use ids::AttemptId;
 use journal::{AttemptEnd, AttemptRecord, RequestRecord, Submission};
 use outcomes::{Outcome, Reason, Refusal};
-use routing::{Admission, CallEnd, Grant, SlotAnswer, Update};
+use routing::{Admission, CallEnd, Grant, SlotAnswer, WaitUpdate};
 use slog::{debug, info};
 use tokio::sync::oneshot;
 
@@ -44,7 +44,7 @@
             took_ms: None,
         });
         self.in_work += 1;
-        self.router.begin(in_force.revision);
+        self.router.begin_request(in_force.revision);
         Ok(Begun { in_force, priority, submission })
     }
 
@@ -78,13 +78,13 @@
             attempt: attempt.to_string(),
             stage: stage.name.clone(),
             target: grant.name.clone(),
-            why: grant.why.clone(),
+            why: grant.reason.clone(),
             chosen_at_ms: millis(now.saturating_duration_since(ask.arrived)),
             took_ms: None,
             end: AttemptEnd::Running,
         };
         debug!(self.setup.log, "attempt"; "request" => %ask.id, "attempt" => %attempt,
-            "stage" => %stage.name, "target" => %grant.name, "why" => &grant.why);
+            "stage" => %stage.name, "target" => %grant.name, "why" => &grant.reason);
         self.journal.chose(ask.submission, record);
         let (slot, service, stage) = (grant.slot, ask.service.clone(), stage.name.clone());
         if reply.send(Ok(Granted { grant, attempt })).is_err() {
@@ -96,16 +96,16 @@
         }
     }
 
-    pub(crate) fn send(&mut self, updates: Vec<Update>) {
+    pub(crate) fn send(&mut self, updates: Vec<WaitUpdate>) {
         let now = Instant::now();
         for update in updates {
             match update {
-                Update::Granted(id, grant) => {
+                WaitUpdate::Granted(id, grant) => {
                     if let Some(thread) = self.waiting.take(id) {
                         self.grant(&thread.ask, grant, thread.reply, now);
                     }
                 }
-                Update::Refused(id, refused) => {
+                WaitUpdate::Refused(id, refused) => {
                     if let Some(thread) = self.waiting.take(id) {
                         answer(thread.reply, Err(refused));
                     }
--- a/daemon/src/waiting.rs
+++ b/daemon/src/waiting.rs
@@ -2,13 +2,13 @@
 
 use std::collections::HashMap;
 
-use routing::{Grant, Refused, WaitId};
+use routing::{Grant, SlotRefusal, WaitId};
 use tokio::sync::oneshot;
 
 use crate::ask::SlotAsk;
 
 /// Answer to a request for a slot.
-pub(crate) type SlotReply = Result<Granted, Refused>;
+pub(crate) type SlotReply = Result<Granted, SlotRefusal>;
 
 /// A slot and the id of the attempt that uses it.
 #[derive(Debug)]
--- a/gateway/src/admission.rs
+++ b/gateway/src/admission.rs
@@ -138,7 +138,7 @@
     let (expected, allowed, age) = app.hub.with(|shared, now| {
         let expected = expected_time(shared, req, now);
         let age = oldest_forecast(shared, req, now);
-        let allowed = req.entry.aim.mul_f64(ADMITTED_PART - PART_BY_RANK * rank(req));
+        let allowed = req.entry.latency_goal.mul_f64(ADMITTED_PART - PART_BY_RANK * rank(req));
         if expected <= allowed {
             in_flight.by_stage = note(shared, req, now);
         }
@@ -216,7 +216,7 @@
 fn stage_due(shared: &Shared, req: &Accepted, index: usize) -> Instant {
     let after = time_after(&req.intent, &req.entry, &req.head.pieces, index);
     let after = after + shared.first_event(&req.service);
-    let due = (req.arrived + req.entry.aim).checked_sub(after).unwrap_or(req.arrived);
+    let due = (req.arrived + req.entry.latency_goal).checked_sub(after).unwrap_or(req.arrived);
     batching::order_due(due, req.urgency)
 }
 
--- a/gateway/src/crashes.rs
+++ b/gateway/src/crashes.rs
@@ -213,5 +213,5 @@
 }
 
 fn birth_of(target: &Target) -> Birth {
-    Birth(target.birth())
+    Birth(target.lifetime_id())
 }
--- a/gateway/src/pages.rs
+++ b/gateway/src/pages.rs
@@ -138,7 +138,7 @@
 fn rates(shared: &Shared, now: Instant) -> Vec<Value> {
     let word = |(lifetime, limit, heard): (&Lifetime, RateLimit, Instant)| {
         let target = shared.targets.get(&lifetime.target);
-        let held = target.and_then(|target| target.limited_until);
+        let held = target.and_then(|target| target.rate_limited_until);
         let account = target.map(|target| shared.account_owner_known(&target.service, now));
         json!({
             "account_at": account.map(|owner| name_of(&owner)),
--- a/gateway/src/permits.rs
+++ b/gateway/src/permits.rs
@@ -114,7 +114,7 @@
 /// Time for which such words to a target are gathered into one, if it names a rate: they stay few beside the
 /// calls that its rate allows, also where the target counts them.
 pub(crate) fn gathers_for(app: &App, target: &Target) -> Option<Duration> {
-    let pause = app.hub.with(|shared, _| shared.targets.get(&target.id)?.pause)?;
+    let pause = app.hub.with(|shared, _| shared.targets.get(&target.id)?.request_interval)?;
     Some((pause * PAUSES_GATHERED).min(LONGEST_GATHERED))
 }
 
@@ -232,7 +232,7 @@
         known.filter(|known| Lifetime::from(*known) == Lifetime::from(chosen)).is_some_and(
             |known| {
                 // That it is at its rate by now was counted before.
-                let known = Target { limited_until: None, ..known.clone() };
+                let known = Target { rate_limited_until: None, ..known.clone() };
                 self.halls.eligibility(&known, now).is_allowed()
             },
         )
--- a/gateway/src/plain.rs
+++ b/gateway/src/plain.rs
@@ -29,8 +29,8 @@
     let mut tries = Tries::new(app, req);
     loop {
         let last = tokio::time::Instant::from_std(req.until - MARGIN);
-        let patient = tokio::time::Instant::from_std(now() + req.entry.aim * PATIENCE);
-        let impatient = req.entry.repeatable && req.entry.tries > 1 && patient < last;
+        let patient = tokio::time::Instant::from_std(now() + req.entry.latency_goal * PATIENCE);
+        let impatient = req.entry.repeatable && req.entry.max_attempts > 1 && patient < last;
         let limit = if impatient { patient } else { last };
         let missed = match timeout_at(limit, one_try(app, &mut tries)).await {
             Ok(Ok(Ok(answer))) => return answer,
--- a/gateway/src/releases.rs
+++ b/gateway/src/releases.rs
@@ -102,7 +102,8 @@
 fn tells_itself(app: &App, handle: &str) -> bool {
     let Some(worker) = (app.doors.calls.worker)(handle) else { return true };
     app.hub.with(|shared, _| {
-        let names_rate = shared.targets.at(worker).is_some_and(|target| target.pause.is_some());
+        let names_rate =
+            shared.targets.at(worker).is_some_and(|target| target.request_interval.is_some());
         !names_rate
     })
 }
@@ -286,7 +287,7 @@
 
 /// Whether a target is not the lifetime that was told before.
 fn is_another(target: &Target, before: Option<&Target>) -> bool {
-    before.is_some_and(|before| target.id != before.id || target.is_reborn_since(before))
+    before.is_some_and(|before| target.id != before.id || target.is_other_lifetime_than(before))
 }
 
 /// What came of telling a worker.
--- a/gateway/src/request_stages.rs
+++ b/gateway/src/request_stages.rs
@@ -41,7 +41,7 @@
         service: &req.service,
         size: &size,
         until,
-        due: (req.arrived + req.entry.aim).checked_sub(first_event).unwrap_or(req.arrived),
+        due: (req.arrived + req.entry.latency_goal).checked_sub(first_event).unwrap_or(req.arrived),
     };
     let began = now();
     in_work::waits_for(app, req.work, Waits::Stages);
--- a/gateway/src/requests.rs
+++ b/gateway/src/requests.rs
@@ -146,7 +146,7 @@
     let customer = customer.map_err(|(why, denial)| deny(why, denial))?;
     let service = entry.service_for(hashing::of_text(id.as_str())).cloned();
     let service = service.ok_or(("no entry", Refusal::NoEntry))?;
-    let left = head.left.unwrap_or(entry.longest).min(entry.longest);
+    let left = head.left.unwrap_or(entry.max_duration).min(entry.max_duration);
     let until = arrived + left;
     let body = read_body(body, intent.bounds.body_bytes, until).await?;
     let passing = app.hub.with(|shared, now| {
--- a/gateway/src/stream_passing.rs
+++ b/gateway/src/stream_passing.rs
@@ -149,7 +149,7 @@
         if !self.req.entry.repeatable {
             return TokioInstant::from_std(self.req.until);
         }
-        let stall = self.req.entry.longest_gap.map_or(STALL, |gap| (gap * STALL_GAPS).max(STALL));
+        let stall = self.req.entry.max_event_gap.map_or(STALL, |gap| (gap * STALL_GAPS).max(STALL));
         TokioInstant::now() + stall
     }
 
--- a/gateway/src/streams.rs
+++ b/gateway/src/streams.rs
@@ -146,14 +146,14 @@
 
 /// When the caller gives up a stream that has not begun.
 fn useful_until(req: &Accepted) -> Instant {
-    let by_aim = (req.entry.aim * GIVE_UP_AIMS).max(GIVE_UP);
-    let by_gap = req.entry.longest_gap.map_or(Duration::ZERO, |gap| gap * GIVE_UP_GAPS);
+    let by_aim = (req.entry.latency_goal * GIVE_UP_AIMS).max(GIVE_UP);
+    let by_gap = req.entry.max_event_gap.map_or(Duration::ZERO, |gap| gap * GIVE_UP_GAPS);
     (req.arrived + by_aim.max(by_gap)).min(req.until) - MARGIN
 }
 
 fn first_event_limit(req: &Accepted, until: Instant) -> TokioInstant {
-    let patient = now() + req.entry.aim * FIRST_EVENT_AIMS;
-    let impatient = req.entry.repeatable && req.entry.tries > 1;
+    let patient = now() + req.entry.latency_goal * FIRST_EVENT_AIMS;
+    let impatient = req.entry.repeatable && req.entry.max_attempts > 1;
     TokioInstant::from_std(if impatient { patient.min(until) } else { until })
 }
 
--- a/gateway/src/target_entries.rs
+++ b/gateway/src/target_entries.rs
@@ -40,16 +40,16 @@
         info!(self.log, "target known"; "target" => %target.id,
             "service" => %target.service, "address" => %target.address,
             "hall" => %target.hall, "leaving" => target.leaving,
-            "cold_ms" => target.cold.as_millis(), "from" => from,
+            "cold_ms" => target.cold_remaining.as_millis(), "from" => from,
             "as_of" => self.view.as_of());
         let known = self.targets.get(&target.id).cloned();
-        if let Some(known) = known.as_ref().filter(|known| target.is_before(known)) {
+        if let Some(known) = known.as_ref().filter(|known| target.is_earlier_lifetime_than(known)) {
             info!(self.log, "target's entry of an earlier lifetime"; "target" => %target.id,
                 "born" => target.born, "known" => known.born);
             return;
         }
         self.lapsed.remove(&target.id);
-        if let Some(known) = known.filter(|known| target.is_reborn_since(known)) {
+        if let Some(known) = known.filter(|known| target.is_other_lifetime_than(known)) {
             info!(self.log, "target born again"; "target" => %target.id,
                 "born" => target.born, "before" => known.born);
             self.target_ended(&known, now);
--- a/gateway/src/target_words.rs
+++ b/gateway/src/target_words.rs
@@ -202,10 +202,10 @@
     /// Adds to a target's entry what the target said in answers.
     pub(crate) fn add_words(&self, target: &mut Target) {
         target.leaving |= self.departures.said(target).is_some();
-        target.left_alone_until = self.left_alone.until(target);
-        target.limited_until = self.rates.held_until(target);
+        target.backoff_until = self.left_alone.until(target);
+        target.rate_limited_until = self.rates.held_until(target);
         let limit = self.rates.limit(target);
-        target.pause = limit.map(|limit| Duration::from_secs_f64(1.0 / limit.per_s()));
+        target.request_interval = limit.map(|limit| Duration::from_secs_f64(1.0 / limit.per_s()));
     }
 
     /// For how long nothing may be sent to any target of a service, if some of them want no more than to be
--- a/gateway/src/tries.rs
+++ b/gateway/src/tries.rs
@@ -266,7 +266,7 @@
 
     /// Time that the request can wait for a target, which leaves most of its aim to the answer.
     fn patience(&self) -> Duration {
-        (self.req.entry.aim / WAIT_PART).min(left(self.req.until))
+        (self.req.entry.latency_goal / WAIT_PART).min(left(self.req.until))
     }
 
     fn pick(&self, size: Option<&CallSize>, exclude: &[TargetKey]) -> Option<Try> {
@@ -373,7 +373,7 @@
             }
             Missed::Declined | Missed::InputGone | Missed::Lost(_) => {}
         }
-        self.sent < self.req.entry.tries.max(1) && in_time && self.takes_repeat()
+        self.sent < self.req.entry.max_attempts.max(1) && in_time && self.takes_repeat()
     }
 
     /// Takes a repeat from the fleet's budget, if one is left.
--- a/load/src/choice.rs
+++ b/load/src/choice.rs
@@ -35,10 +35,10 @@
             hall: hall.clone(),
             slots: 16,
             leaving: false,
-            left_alone_until: None,
-            limited_until: None,
-            pause: None,
-            cold: Duration::ZERO,
+            backoff_until: None,
+            rate_limited_until: None,
+            request_interval: None,
+            cold_remaining: Duration::ZERO,
         };
         targets.put(target, Instant::now());
     }
