--- a/components/batching/src/ends.rs
+++ b/components/batching/src/ends.rs
@@ -5,7 +5,7 @@
 use doors::calls::PieceAnswer;
 
 use crate::pool::{Pool, UnderWay, Waiting};
-use crate::submission::{CallEnd, CallKey, Finished, JobKey, Made};
+use crate::submission::{CallEnd, CallKey, Finished, JobKey, PieceOutcome};
 use crate::worker::WorkerKey;
 
 /// Most times that a piece is tried.
@@ -22,7 +22,7 @@
 
 impl Pool {
     /// The target of a call has fetched its inputs; gives the submissions that need theirs no more.
-    pub fn fetched(&mut self, key: CallKey) -> Vec<JobKey> {
+    pub fn inputs_fetched(&mut self, key: CallKey) -> Vec<JobKey> {
         let Some(call) = self.calls.get_mut(key) else { return Vec::new() };
         let mut over = Vec::new();
         for waiting in call.pieces.iter_mut().filter(|waiting| !waiting.fetched) {
@@ -75,10 +75,10 @@
             let made = match answer {
                 PieceAnswer::Made(handle) => {
                     self.keep(call.worker, waiting, &handle, now);
-                    Made::At(handle)
+                    PieceOutcome::Stored(handle)
                 }
-                PieceAnswer::Late => Made::Late,
-                PieceAnswer::Gone => Made::Gone,
+                PieceAnswer::Late => PieceOutcome::Late,
+                PieceAnswer::Gone => PieceOutcome::InputGone,
                 PieceAnswer::NoRoom => {
                     if let Some(worker) = self.workers.get_mut(call.worker) {
                         worker.had_no_room(now);
@@ -132,10 +132,10 @@
         }
     }
 
-    pub(crate) fn finish(&mut self, waiting: &Waiting, made: Made) -> Option<Finished> {
+    pub(crate) fn finish(&mut self, waiting: &Waiting, outcome: PieceOutcome) -> Option<Finished> {
         let job = self.jobs.get_mut(waiting.job)?;
         job.left -= 1;
-        let finished = Finished { job: waiting.job, piece: waiting.piece, made };
+        let finished = Finished { job: waiting.job, piece: waiting.piece, outcome };
         if job.left == 0 {
             self.jobs.remove(waiting.job);
         }
@@ -153,7 +153,7 @@
                 self.waiting.push(waiting);
                 continue;
             }
-            given_up.extend(self.finish(&waiting, Made::Broken));
+            given_up.extend(self.finish(&waiting, PieceOutcome::Failed));
         }
         given_up
     }
--- a/components/batching/src/filling.rs
+++ b/components/batching/src/filling.rs
@@ -36,11 +36,11 @@
 
 /// When a submission is due as far as the order of pieces goes.
 pub(crate) fn order_key(submission: &Submission) -> Instant {
-    order_due(submission.due, submission.urgency)
+    effective_due(submission.due, submission.urgency)
 }
 
 /// The place in that order of pieces that are due at `due`.
-pub fn order_due(due: Instant, urgency: u8) -> Instant {
+pub fn effective_due(due: Instant, urgency: u8) -> Instant {
     due + BY_URGENCY * u32::from(urgency)
 }
 
@@ -79,7 +79,7 @@
     }
 
     /// When a piece that is held back may go to any worker, or a worker may work again.
-    pub fn next_look(&self, now: Instant) -> Option<Instant> {
+    pub fn next_wakeup(&self, now: Instant) -> Option<Instant> {
         if self.waiting.is_empty() {
             return None;
         }
@@ -120,7 +120,8 @@
     fn best_fill(&self, free: &[WorkerKey], now: Instant) -> Option<(WorkerKey, Vec<usize>)> {
         for (index, waiting) in self.waiting.iter().enumerate() {
             let held = self.held_until(waiting, now).is_some();
-            let near = self.jobs.get(waiting.job).and_then(|job| job.submission.near.as_ref());
+            let near =
+                self.jobs.get(waiting.job).and_then(|job| job.submission.preferred_hall.as_ref());
             let is_near = |key: &&WorkerKey| {
                 let worker = &self.workers[**key];
                 near == Some(&worker.target.hall) && !worker.doubtful()
@@ -155,7 +156,7 @@
                 continue;
             }
             let Some(job) = self.jobs.get(waiting.job) else { continue };
-            let near = job.submission.near.as_ref();
+            let near = job.submission.preferred_hall.as_ref();
             let elsewhere = near.is_some_and(|hall| *hall != worker.target.hall);
             if elsewhere && self.held_until(waiting, now).is_some() {
                 continue;
@@ -181,7 +182,7 @@
     /// Until when a piece waits for a worker near its inputs rather than take any.
     fn held_until(&self, waiting: &Waiting, now: Instant) -> Option<Instant> {
         let job = self.jobs.get(waiting.job)?;
-        let near = job.submission.near.as_ref()?;
+        let near = job.submission.preferred_hall.as_ref()?;
         let mut workers = self.workers.values();
         let is_near = |worker: &Worker| worker.target.hall == *near && !worker.doubtful();
         if self.order == Order::Arrival
@@ -206,7 +207,7 @@
         let expected = (self.spec.call + self.spec.piece * count).max(LEAST_TIME);
         self.usual_pieces += PIECES_WEIGHT * (f64::from(count) - self.usual_pieces);
         self.learn_pressed(count);
-        let fetch = self.fetch_time(&pieces);
+        let fetch_time = self.fetch_time(&pieces);
         let worker = &mut self.workers[key];
         let room_before = worker.room_used;
         worker.at_work += 1;
@@ -224,8 +225,8 @@
             room_used,
             waited,
             still_waiting: self.waiting.len(),
-            fetch,
-            patience: patience(expected),
+            fetch_time,
+            timeout: patience(expected),
         }
     }
 
--- a/components/batching/src/forecast.rs
+++ b/components/batching/src/forecast.rs
@@ -36,7 +36,7 @@
 
     /// Expected time from submitting a piece to a pool with no queue to its result: half of what is
     /// at work, and its own call.
-    pub fn turn(&self) -> Duration {
+    pub fn expected_turnaround(&self) -> Duration {
         let busy = self.workers.values().filter(|worker| worker.at_work > 0).count() as f64;
         let of_all = busy / self.workers.len().max(1) as f64;
         let next_free = self.spec.call.mul_f64(of_all.powi(NEXT_FREE_POWER) / 2.0);
--- a/components/batching/src/lib.rs
+++ b/components/batching/src/lib.rs
@@ -13,9 +13,11 @@
 mod submission;
 mod worker;
 
-pub use filling::order_due;
+pub use filling::effective_due;
 pub use pool::Pool;
 pub use room::RoomUse;
 pub use slack::Queue;
-pub use submission::{Call, CallEnd, CallKey, Finished, GivenUp, JobKey, Made, Order, Submission};
+pub use submission::{
+    Call, CallEnd, CallKey, Finished, JobKey, Order, PendingRelease, PieceOutcome, Submission,
+};
 pub use worker::WorkerKey;
--- a/components/batching/src/pool.rs
+++ b/components/batching/src/pool.rs
@@ -9,7 +9,9 @@
 use slotmap::SlotMap;
 
 use crate::results::Results;
-use crate::submission::{CallKey, Finished, GivenUp, JobKey, Made, Order, Submission};
+use crate::submission::{
+    CallKey, Finished, JobKey, Order, PendingRelease, PieceOutcome, Submission,
+};
 use crate::worker::{Worker, WorkerKey};
 
 /// Room is scarce at a worker of which more than this part is used: the rest holds the results of two
@@ -136,7 +138,7 @@
     }
 
     /// Ends what waits and has no worker before its time is over, with no try left; gives the pieces.
-    pub fn give_up_unservable(&mut self, now: Instant) -> Vec<Finished> {
+    pub fn fail_unservable(&mut self, now: Instant) -> Vec<Finished> {
         if self.workers.is_empty() {
             return Vec::new();
         }
@@ -150,7 +152,7 @@
             opens.is_none_or(|opens| until.is_none_or(|until| until <= opens))
         });
         self.waiting = left;
-        gone.iter().filter_map(|waiting| self.finish(waiting, Made::Broken)).collect()
+        gone.iter().filter_map(|waiting| self.finish(waiting, PieceOutcome::Failed)).collect()
     }
 
     /// Submissions of which pieces wait.
@@ -162,7 +164,7 @@
     }
 
     /// Ends the waiting pieces of a submission, with what became of them; gives these.
-    pub fn give_up(&mut self, job: JobKey, made: &Made) -> Vec<Finished> {
+    pub fn finish_waiting(&mut self, job: JobKey, made: &PieceOutcome) -> Vec<Finished> {
         let (gone, left) = self.waiting.iter().partition(|waiting| waiting.job == job);
         self.waiting = left;
         let gone: Vec<Waiting> = gone;
@@ -207,9 +209,9 @@
     }
 
     /// Gives up results; tells which target has to be told of which handles. Their room counts as
-    /// taken until [`Pool::given_up`] says that the target has heard: a call that overtakes the word
+    /// taken until [`Pool::finish_release`] says that the target has heard: a call that overtakes the word
     /// finds no room.
-    pub fn release(&mut self, handles: Vec<String>) -> Vec<GivenUp> {
+    pub fn release(&mut self, handles: Vec<String>) -> Vec<PendingRelease> {
         let mut by_worker: HashMap<WorkerKey, (Vec<String>, u64)> = HashMap::new();
         for handle in handles {
             if let Some((key, bytes)) = self.results.remove(&handle) {
@@ -219,14 +221,14 @@
             }
         }
         let told = |(key, (handles, bytes))| {
-            Some(GivenUp { target: self.workers.get(key)?.target.clone(), handles, bytes })
+            Some(PendingRelease { target: self.workers.get(key)?.target.clone(), handles, bytes })
         };
         by_worker.into_iter().filter_map(told).collect()
     }
 
     /// Takes how a target was told that results are given up. Where it may not have heard, they take
     /// room until they run out.
-    pub fn given_up(&mut self, told: &GivenUp, heard: bool, now: Instant) {
+    pub fn finish_release(&mut self, told: &PendingRelease, heard: bool, now: Instant) {
         let Some(key) = self.by_id.get(&told.target.id).copied() else { return };
         if heard {
             self.free_room(key, told.bytes);
@@ -253,7 +255,7 @@
 
     /// Gives up results that are to be given up though no request says so: those made after nobody
     /// waited for them any more, and those for which room is too scarce.
-    pub fn release_orphans(&mut self) -> Vec<GivenUp> {
+    pub fn release_orphans(&mut self) -> Vec<PendingRelease> {
         let orphans = std::mem::take(&mut self.orphans);
         self.release(orphans)
     }
--- a/components/batching/src/room.rs
+++ b/components/batching/src/room.rs
@@ -22,7 +22,7 @@
     /// Results of calls that failed, which may lie there until they run out.
     pub lost: u64,
     /// Results that are given up and whose worker has not confirmed it.
-    pub telling: u64,
+    pub unconfirmed: u64,
     /// Results that this VM did not have made.
     pub foreign: u64,
     /// Workers that are free, but for room.
@@ -58,7 +58,7 @@
         }
         room.lost = self.results.lost_bytes(|key| able.contains(&key));
         let named = room.at_work + room.incomplete + room.kept + room.spare + room.lost;
-        room.telling = used.saturating_sub(named);
+        room.unconfirmed = used.saturating_sub(named);
         room
     }
 }
--- a/components/batching/src/submission.rs
+++ b/components/batching/src/submission.rs
@@ -52,7 +52,7 @@
     /// About how large a result is.
     pub result_bytes: u64,
     /// Where the inputs lie or the results are wanted, if that matters.
-    pub near: Option<HallName>,
+    pub preferred_hall: Option<HallName>,
 }
 
 /// A call to be made.
@@ -71,15 +71,15 @@
     /// Pieces that go on waiting, for the log.
     pub still_waiting: usize,
     /// Time within which its inputs have been fetched once it has its turn; `None` if that can't be told.
-    pub fetch: Option<Duration>,
+    pub fetch_time: Option<Duration>,
     /// After this time it is given up.
-    pub patience: Duration,
+    pub timeout: Duration,
 }
 
 /// Results that are to be given up at their worker. Their room counts as taken until it is told how
 /// that went.
 #[derive(Debug, Clone)]
-pub struct GivenUp {
+pub struct PendingRelease {
     /// The worker.
     pub target: Target,
     /// The results.
@@ -105,23 +105,23 @@
 
 /// Result of a piece.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Made {
+pub enum PieceOutcome {
     /// It lies at its worker under this handle.
-    At(String),
+    Stored(String),
     /// Its time was over.
     Late,
     /// An input is gone.
-    Gone,
+    InputGone,
     /// It could not be made.
-    Broken,
+    Failed,
 }
 
-impl Made {
+impl PieceOutcome {
     /// The result's handle, if there is one.
     pub fn handle(&self) -> Option<&str> {
         match self {
-            Made::At(handle) => Some(handle),
-            Made::Late | Made::Gone | Made::Broken => None,
+            PieceOutcome::Stored(handle) => Some(handle),
+            PieceOutcome::Late | PieceOutcome::InputGone | PieceOutcome::Failed => None,
         }
     }
 }
@@ -134,5 +134,5 @@
     /// Number of the piece.
     pub piece: u32,
     /// What became of it.
-    pub made: Made,
+    pub outcome: PieceOutcome,
 }
--- a/components/batching/tests/pool.rs
+++ b/components/batching/tests/pool.rs
@@ -6,7 +6,7 @@
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
 
-use batching::{CallEnd, Finished, Made, Pool, Submission};
+use batching::{CallEnd, Finished, PieceOutcome, Pool, Submission};
 use doors::calls::PieceAnswer;
 use eligibility::Halls;
 use ids::HallName;
@@ -61,7 +61,7 @@
 
     let pieces: Vec<u32> = finished.iter().map(|finished| finished.piece).collect();
     assert_eq!(pieces, [0, 1, 2]);
-    assert!(finished.iter().all(|f| f.job == job && matches!(f.made, Made::At(_))));
+    assert!(finished.iter().all(|f| f.job == job && matches!(f.outcome, PieceOutcome::Stored(_))));
     assert!(pool.call_ended(call.key, made(3), now + CALL).is_empty(), "a call ends once");
 }
 
@@ -78,7 +78,7 @@
 
     let told = pool.release(vec!["127.0.0.1:9/0".to_owned(), "unknown".to_owned()]);
     assert!(pool.next_call(now).is_none(), "the worker has not heard yet");
-    pool.given_up(&told[0], true, now);
+    pool.finish_release(&told[0], true, now);
     let call = pool.next_call(now).unwrap();
 
     assert_eq!(told.len(), 1);
@@ -106,7 +106,7 @@
     };
 
     assert_ne!(workers[0], workers[1]);
-    assert!(matches!(finished[..], [Finished { made: Made::Broken, .. }]));
+    assert!(matches!(finished[..], [Finished { outcome: PieceOutcome::Failed, .. }]));
 }
 
 #[test]
@@ -119,8 +119,8 @@
 
     let finished = pool.call_ended(call.key, CallEnd::Answered(answers), now);
 
-    let made: Vec<&Made> = finished.iter().map(|finished| &finished.made).collect();
-    assert_eq!(made, [&Made::Late, &Made::Gone]);
+    let made: Vec<&PieceOutcome> = finished.iter().map(|finished| &finished.outcome).collect();
+    assert_eq!(made, [&PieceOutcome::Late, &PieceOutcome::InputGone]);
     assert!(pool.next_call(now).is_none(), "a worker with no room is left alone for a moment");
     let again = pool.next_call(now + CALL).unwrap();
     let pieces: Vec<u32> = again.pieces.iter().map(|(_, piece)| *piece).collect();
@@ -173,7 +173,8 @@
     let now = Instant::now();
     let mut pool = pool(&[worker("near", "a"), worker("far", "b")]);
     let near = Some(HallName::new("a").unwrap());
-    let wants_a = |id| Submission { near: near.clone(), ..submission(id, 4, now + CALL * 20) };
+    let wants_a =
+        |id| Submission { preferred_hall: near.clone(), ..submission(id, 4, now + CALL * 20) };
     pool.submit(wants_a("first"), now);
     pool.submit(wants_a("second"), now);
 
@@ -181,7 +182,7 @@
     assert_eq!(first.target.id.as_str(), "near");
     assert!(pool.next_call(now).is_none(), "the second waits");
 
-    let look = pool.next_look(now).unwrap();
+    let look = pool.next_wakeup(now).unwrap();
     assert!(look > now && look <= now + CALL);
     assert_eq!(pool.next_call(look).unwrap().target.id.as_str(), "far");
 }
@@ -219,16 +220,16 @@
     let first = pool.next_call(now).unwrap();
     let second = pool.next_call(now).unwrap();
 
-    let early = pool.fetched(first.key);
-    let over = pool.fetched(second.key);
+    let early = pool.inputs_fetched(first.key);
+    let over = pool.inputs_fetched(second.key);
 
     assert!(
-        first.fetch.is_some_and(|time| time > Duration::from_secs(1)),
+        first.fetch_time.is_some_and(|time| time > Duration::from_secs(1)),
         "a second over two links"
     );
     assert!(early.is_empty(), "two pieces are not at work yet");
     assert_eq!(over, [job]);
-    assert!(pool.fetched(second.key).is_empty(), "told once");
+    assert!(pool.inputs_fetched(second.key).is_empty(), "told once");
 }
 
 #[test]
@@ -239,11 +240,11 @@
     let wants = Submission { inputs, input_bytes: 1, ..submission("r", 4, now + CALL * 9) };
     let job = pool.submit(wants, now);
     let first = pool.next_call(now).unwrap();
-    let over = pool.fetched(first.key);
+    let over = pool.inputs_fetched(first.key);
     pool.call_ended(first.key, CallEnd::Failed, now);
     let second = pool.next_call(now).unwrap();
 
-    let over_again = pool.fetched(second.key);
+    let over_again = pool.inputs_fetched(second.key);
 
     assert_eq!(over, [job]);
     assert_eq!(second.pieces.len(), 4);
@@ -304,11 +305,11 @@
     let job = pool.submit(submission("r", 6, now + CALL * 9), now);
     let call = pool.next_call(now).unwrap();
 
-    let finished = pool.give_up(job, &Made::Gone);
+    let finished = pool.finish_waiting(job, &PieceOutcome::InputGone);
 
     let gone: Vec<u32> = finished.iter().map(|finished| finished.piece).collect();
     assert_eq!(gone, [4, 5], "those at work end with their call");
-    assert!(finished.iter().all(|finished| finished.made == Made::Gone));
+    assert!(finished.iter().all(|finished| finished.outcome == PieceOutcome::InputGone));
     assert_eq!(pool.call_ended(call.key, made(4), now + CALL).len(), 4);
     assert!(pool.is_idle());
 }
@@ -345,7 +346,7 @@
     pool.submit(large("second"), now);
     let told = pool.release(vec!["127.0.0.1:9/0".to_owned()]);
 
-    pool.given_up(&told[0], false, now);
+    pool.finish_release(&told[0], false, now);
 
     assert!(pool.next_call(now).is_none(), "it may still be there");
     assert_eq!(pool.next_call(now + LIFE).unwrap().pieces.len(), 2);
@@ -428,7 +429,7 @@
     let finished = pool.call_ended(under_way.key, CallEnd::Answered(made), now);
 
     assert_ne!(elsewhere.target.hall, under_way.target.hall);
-    assert_eq!(finished[0].made, Made::At("m/1".to_owned()));
+    assert_eq!(finished[0].outcome, PieceOutcome::Stored("m/1".to_owned()));
     pool.submit(submission("third", 1, now + CALL * 9), now);
     assert!(pool.next_call(now).is_none(), "the only worker in service is at work");
 }
@@ -445,12 +446,12 @@
     halls.evacuate(HallName::new("b").unwrap());
     pool.set_halls(halls.clone());
     pool.submit(submission("r", 3, now + CALL * 9), now);
-    let given_up = pool.give_up_unservable(now);
+    let given_up = pool.fail_unservable(now);
 
     assert!(pool.is_closed(now));
     assert!(pool.next_call(now).is_none());
     assert_eq!(given_up.len(), 3);
-    assert!(given_up.iter().all(|finished| finished.made == Made::Broken));
+    assert!(given_up.iter().all(|finished| finished.outcome == PieceOutcome::Failed));
     halls.take_back(&HallName::new("b").unwrap());
     pool.set_halls(halls);
     assert!(!pool.is_closed(now));
--- a/components/batching/tests/support/mod.rs
+++ b/components/batching/tests/support/mod.rs
@@ -63,6 +63,6 @@
         due,
         urgency: 0,
         result_bytes: 10,
-        near: None,
+        preferred_hall: None,
     }
 }
--- a/components/batching/tests/turns.rs
+++ b/components/batching/tests/turns.rs
@@ -42,7 +42,11 @@
 
         let call = begin(&mut pool, now + took + CALL);
 
-        assert!(call.fetch.unwrap() < FETCHED, "{end:?} after {took:?}: {:?}", call.fetch);
+        assert!(
+            call.fetch_time.unwrap() < FETCHED,
+            "{end:?} after {took:?}: {:?}",
+            call.fetch_time
+        );
     }
 }
 
@@ -54,5 +58,5 @@
 
     let call = begin(&mut pool, now);
 
-    assert_eq!(call.fetch, None);
+    assert_eq!(call.fetch_time, None);
 }
--- a/components/batching/tests/words.rs
+++ b/components/batching/tests/words.rs
@@ -5,7 +5,7 @@
 
 use std::time::Instant;
 
-use batching::{Made, Submission};
+use batching::{PieceOutcome, Submission};
 use ids::HallName;
 use intent::Target;
 use support::{CALL, pool, submission, worker};
@@ -29,8 +29,8 @@
 
     assert!(pool.next_call(now).is_none());
     assert!(!pool.is_closed(now));
-    assert!(pool.give_up_unservable(now).is_empty(), "its time is not over by then");
-    assert_eq!(pool.next_look(now), Some(until));
+    assert!(pool.fail_unservable(now).is_empty(), "its time is not over by then");
+    assert_eq!(pool.next_wakeup(now), Some(until));
     assert_eq!(pool.next_call(until).unwrap().target.id.as_str(), "m");
 }
 
@@ -42,10 +42,10 @@
     pool.submit(short, now);
     pool.submit(submission("long", 3, now + CALL * 4), now);
 
-    let given_up = pool.give_up_unservable(now);
+    let given_up = pool.fail_unservable(now);
 
     assert_eq!(given_up.len(), 2);
-    assert!(given_up.iter().all(|finished| finished.made == Made::Broken));
+    assert!(given_up.iter().all(|finished| finished.outcome == PieceOutcome::Failed));
     assert_eq!(pool.waiting_pieces(), 3);
 }
 
@@ -55,13 +55,16 @@
     let near = |workers: &[Target]| {
         let mut pool = pool(workers);
         let hall = Some(HallName::new("a").unwrap());
-        pool.submit(Submission { near: hall, ..submission("r", 1, now + CALL * 9) }, now);
+        pool.submit(Submission { preferred_hall: hall, ..submission("r", 1, now + CALL * 9) }, now);
         pool.next_call(now).map(|call| call.target.id.to_string())
     };
     let mut busy = pool(&[worker("m", "a"), worker("n", "b")]);
     let hall = Some(HallName::new("a").unwrap());
-    busy.submit(Submission { near: hall.clone(), ..submission("r", 4, now + CALL * 9) }, now);
-    busy.submit(Submission { near: hall, ..submission("s", 1, now + CALL * 9) }, now);
+    busy.submit(
+        Submission { preferred_hall: hall.clone(), ..submission("r", 4, now + CALL * 9) },
+        now,
+    );
+    busy.submit(Submission { preferred_hall: hall, ..submission("s", 1, now + CALL * 9) }, now);
     busy.next_call(now).unwrap();
 
     assert!(busy.next_call(now).is_none(), "it waits for the one that is at work");
--- a/components/result_leases/src/lib.rs
+++ b/components/result_leases/src/lib.rs
@@ -31,7 +31,7 @@
 
 /// Why a lease is over.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Why {
+pub enum EndReason {
     /// The request's time is over.
     RequestOver,
     /// The holder's process ended.
@@ -42,11 +42,11 @@
 
 /// A result whose lease is over.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Ended {
+pub struct EndedLease {
     /// The result.
     pub handle: String,
     /// Why.
-    pub why: Why,
+    pub reason: EndReason,
 }
 
 #[derive(Debug)]
@@ -54,7 +54,7 @@
     holder: Holder,
     is_up: bool,
     /// When its leases are over, and why, if that is known.
-    ends: Option<(Instant, Why)>,
+    ends: Option<(Instant, EndReason)>,
 }
 
 #[derive(Debug)]
@@ -78,7 +78,7 @@
     pub fn link_opened(&mut self, holder: Holder, now: Instant) -> LinkKey {
         for link in self.links.values_mut() {
             if link.holder.vm == holder.vm && link.holder.incarnation != holder.incarnation {
-                link.end_by(now, Why::HolderGone);
+                link.end_by(now, EndReason::HolderGone);
             }
         }
         self.links.insert(Link { holder, is_up: true, ends: None })
@@ -95,7 +95,7 @@
         }
         for (key, link) in &mut self.links {
             if key != new && link.holder == holder {
-                link.end_by(now, Why::NotHeld);
+                link.end_by(now, EndReason::NotHeld);
             }
         }
     }
@@ -107,7 +107,7 @@
     }
 
     /// The holder has given results up.
-    pub fn given_up(&mut self, handles: &[String]) {
+    pub fn released(&mut self, handles: &[String]) {
         for handle in handles {
             self.by_handle.remove(handle);
         }
@@ -134,7 +134,7 @@
     /// The process of a holder ended.
     pub fn holder_gone(&mut self, holder: &Holder, now: Instant) {
         for link in self.links.values_mut().filter(|link| link.holder == *holder) {
-            link.end_by(now, Why::HolderGone);
+            link.end_by(now, EndReason::HolderGone);
         }
     }
 
@@ -149,21 +149,21 @@
     }
 
     /// Takes out the leases that are over; gives their results, but for those that have run out.
-    pub fn take_ended(&mut self, now: Instant) -> Vec<Ended> {
+    pub fn take_ended(&mut self, now: Instant) -> Vec<EndedLease> {
         let links = &self.links;
         let over = |lease: &Lease| {
             let of_link = links.get(lease.link).and_then(|link| link.ends);
-            let of_link = of_link.filter(|(at, _)| *at <= now).map(|(_, why)| why);
-            of_link.or((lease.until + REQUEST_GRACE <= now).then_some(Why::RequestOver))
+            let of_link = of_link.filter(|(at, _)| *at <= now).map(|(_, reason)| reason);
+            of_link.or((lease.until + REQUEST_GRACE <= now).then_some(EndReason::RequestOver))
         };
         let mut ended = Vec::new();
         self.by_handle.retain(|handle, lease| {
             if lease.runs_out <= now {
                 return false;
             }
-            let why = over(lease);
-            ended.extend(why.map(|why| Ended { handle: handle.clone(), why }));
-            why.is_none()
+            let reason = over(lease);
+            ended.extend(reason.map(|reason| EndedLease { handle: handle.clone(), reason }));
+            reason.is_none()
         });
         self.forget_links();
         ended
@@ -178,9 +178,9 @@
 
 impl Link {
     /// The first end that is known stands.
-    fn end_by(&mut self, at: Instant, why: Why) {
+    fn end_by(&mut self, at: Instant, reason: EndReason) {
         if self.ends.is_none_or(|(known, _)| at < known) {
-            self.ends = Some((at, why));
+            self.ends = Some((at, reason));
         }
     }
 }
--- a/components/result_leases/tests/histories.rs
+++ b/components/result_leases/tests/histories.rs
@@ -8,7 +8,7 @@
 use ids::VmName;
 use proptest::prelude::{Strategy, prop_oneof};
 use proptest::{prop_assert_eq, proptest};
-use result_leases::{Ended, Holder, Leases, LinkKey, REQUEST_GRACE, Why};
+use result_leases::{EndReason, EndedLease, Holder, Leases, LinkKey, REQUEST_GRACE};
 
 /// Time of one step of a history.
 const STEP: Duration = Duration::from_millis(100);
@@ -115,7 +115,7 @@
     due: BTreeMap<String, u64>,
     heard: BTreeSet<String>,
     /// Results that were taken over though a request used them.
-    wronged: Vec<(String, Why)>,
+    wronged: Vec<(String, EndReason)>,
     /// Processes that ended, and the step at which the owners know.
     gone: Vec<(u64, Holder)>,
     /// Results whose owner has ended: their holder alone knows them.
@@ -225,12 +225,12 @@
         for index in 0..HOLDERS {
             self.advance_holder(index);
         }
-        let ended: Vec<Ended> =
+        let ended: Vec<EndedLease> =
             self.leases.iter_mut().flat_map(|leases| leases.take_ended(now)).collect();
-        for Ended { handle, why } in ended {
+        for EndedLease { handle, reason } in ended {
             let held = |model: &Model| model.held.get(&handle).copied();
             if self.models.iter().filter_map(held).any(|held| held.ends > step) {
-                self.wronged.push((handle.clone(), why));
+                self.wronged.push((handle.clone(), reason));
             }
             self.heard.insert(handle);
         }
@@ -273,7 +273,7 @@
         model.held = left;
         for (handle, held) in over {
             if model.ways[held.owner].link.is_some() {
-                self.leases[held.owner].given_up(std::slice::from_ref(&handle));
+                self.leases[held.owner].released(std::slice::from_ref(&handle));
             }
             self.heard.insert(handle);
         }
--- a/components/result_leases/tests/leases.rs
+++ b/components/result_leases/tests/leases.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 use ids::VmName;
-use result_leases::{Ended, Holder, Leases, LinkKey, REQUEST_GRACE, Why};
+use result_leases::{EndReason, EndedLease, Holder, Leases, LinkKey, REQUEST_GRACE};
 
 const SECOND: Duration = Duration::from_secs(1);
 
@@ -17,8 +17,8 @@
     handles.iter().map(|handle| (*handle).to_owned()).collect()
 }
 
-fn ended(handle: &str, why: Why) -> Ended {
-    Ended { handle: handle.to_owned(), why }
+fn ended(handle: &str, reason: EndReason) -> EndedLease {
+    EndedLease { handle: handle.to_owned(), reason }
 }
 
 /// A link through which one result was handed over, for a request that ends in ten seconds.
@@ -35,7 +35,7 @@
 
     assert_eq!(leases.take_ended(now + 9 * SECOND), []);
 
-    leases.given_up(&["r".to_owned()]);
+    leases.released(&["r".to_owned()]);
     assert_eq!(leases.take_ended(now + 30 * SECOND), []);
     assert!(leases.is_empty());
 }
@@ -48,7 +48,7 @@
     assert_eq!(leases.take_ended(now + 10 * SECOND), [], "the holder gives it up itself");
     let over = leases.take_ended(now + 10 * SECOND + REQUEST_GRACE);
 
-    assert_eq!(over, [ended("r", Why::RequestOver)]);
+    assert_eq!(over, [ended("r", EndReason::RequestOver)]);
     assert!(leases.is_empty());
 }
 
@@ -60,7 +60,7 @@
 
     leases.holder_gone(&holder(1), now + SECOND);
 
-    assert_eq!(leases.take_ended(now + SECOND), [ended("r", Why::HolderGone)]);
+    assert_eq!(leases.take_ended(now + SECOND), [ended("r", EndReason::HolderGone)]);
 }
 
 #[test]
@@ -70,7 +70,7 @@
     leases.link_ended(link);
 
     assert_eq!(leases.take_ended(now + 10 * SECOND), []);
-    assert_eq!(leases.take_ended(now + 11 * SECOND), [ended("r", Why::RequestOver)]);
+    assert_eq!(leases.take_ended(now + 11 * SECOND), [ended("r", EndReason::RequestOver)]);
 }
 
 #[test]
@@ -83,7 +83,7 @@
     let new = leases.link_opened(holder(1), now + SECOND);
     leases.claimed(new, &claims(&["held", "of another owner"]), now + SECOND);
 
-    assert_eq!(leases.take_ended(now + SECOND), [ended("lost", Why::NotHeld)]);
+    assert_eq!(leases.take_ended(now + SECOND), [ended("lost", EndReason::NotHeld)]);
     assert_eq!(leases.take_ended(now + 9 * SECOND), []);
     assert_eq!(leases.len(), 1);
 }
@@ -97,7 +97,7 @@
 
     leases.granted(old, "late".to_owned(), now + 10 * SECOND, now + 60 * SECOND);
 
-    assert_eq!(leases.take_ended(now), [ended("late", Why::NotHeld)]);
+    assert_eq!(leases.take_ended(now), [ended("late", EndReason::NotHeld)]);
 }
 
 #[test]
@@ -109,7 +109,7 @@
     let later = leases.link_opened(holder(2), now + SECOND);
     leases.granted(later, "new".to_owned(), now + 10 * SECOND, now + 60 * SECOND);
 
-    assert_eq!(leases.take_ended(now + SECOND), [ended("r", Why::HolderGone)]);
+    assert_eq!(leases.take_ended(now + SECOND), [ended("r", EndReason::HolderGone)]);
     assert_eq!(leases.len(), 1);
 }
 
--- a/gateway/src/accounts.rs
+++ b/gateway/src/accounts.rs
@@ -62,7 +62,7 @@
             "workers" => room.workers, "idle" => room.idle_workers, "total_kb" => room.total / KB,
             "at_work_kb" => room.at_work / KB, "incomplete_kb" => room.incomplete / KB,
             "kept_kb" => room.kept / KB, "spare_kb" => room.spare / KB,
-            "lost_kb" => room.lost / KB, "telling_kb" => room.telling / KB,
+            "lost_kb" => room.lost / KB, "telling_kb" => room.unconfirmed / KB,
             "foreign_kb" => room.foreign / KB);
     }
 }
--- a/gateway/src/admission.rs
+++ b/gateway/src/admission.rs
@@ -217,7 +217,7 @@
     let after = time_after(&req.intent, &req.entry, &req.head.pieces, index);
     let after = after + shared.first_event(&req.service);
     let due = (req.arrived + req.entry.aim).checked_sub(after).unwrap_or(req.arrived);
-    batching::order_due(due, req.urgency)
+    batching::effective_due(due, req.urgency)
 }
 
 /// Pieces to go before those of a request that this VM admitted and that a forecast does not count yet: it tells of
--- a/gateway/src/link_words.rs
+++ b/gateway/src/link_words.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use batching::{Made, Queue, Submission};
+use batching::{PieceOutcome, Queue, Submission};
 use eligibility::{ChangeCursor, Departure};
 use fleet::VmEntry;
 use ids::{HallName, RequestId, ServiceName, TargetName, VmName};
@@ -159,22 +159,22 @@
 }
 
 /// What became of a piece, as its owner tells it.
-pub(crate) fn made_of(piece: &PieceDone) -> Made {
+pub(crate) fn made_of(piece: &PieceDone) -> PieceOutcome {
     match piece.failure() {
-        Failure::None => Made::At(piece.handle.clone()),
-        Failure::Late => Made::Late,
-        Failure::Gone => Made::Gone,
-        Failure::Broken => Made::Broken,
+        Failure::None => PieceOutcome::Stored(piece.handle.clone()),
+        Failure::Late => PieceOutcome::Late,
+        Failure::Gone => PieceOutcome::InputGone,
+        Failure::Broken => PieceOutcome::Failed,
     }
 }
 
 /// Hands a finished piece back to the VM that handed it in.
-pub(crate) fn send_done(tx: &ToDialer, job: u64, piece: u32, made: Made) {
+pub(crate) fn send_done(tx: &ToDialer, job: u64, piece: u32, made: PieceOutcome) {
     let (handle, failure) = match made {
-        Made::At(handle) => (handle, Failure::None),
-        Made::Late => (String::new(), Failure::Late),
-        Made::Gone => (String::new(), Failure::Gone),
-        Made::Broken => (String::new(), Failure::Broken),
+        PieceOutcome::Stored(handle) => (handle, Failure::None),
+        PieceOutcome::Late => (String::new(), Failure::Late),
+        PieceOutcome::InputGone => (String::new(), Failure::Gone),
+        PieceOutcome::Failed => (String::new(), Failure::Broken),
     };
     let pieces = vec![PieceDone { piece, handle, failure: failure.into() }];
     // A peer that is gone hands its pieces in elsewhere.
@@ -203,7 +203,7 @@
         due: now + slack,
         urgency: u8::try_from(submit.urgency).unwrap_or(u8::MAX),
         result_bytes: submit.result_bytes,
-        near: HallName::new(&submit.hall).ok(),
+        preferred_hall: HallName::new(&submit.hall).ok(),
     };
     Some((ServiceName::new(&submit.pool).ok()?, submission))
 }
--- a/gateway/src/links.rs
+++ b/gateway/src/links.rs
@@ -125,7 +125,7 @@
             slack_ms: i32::try_from(millis(submission.due)).unwrap_or(i32::MAX),
             urgency: u32::from(submission.urgency),
             result_bytes: submission.result_bytes,
-            hall: submission.near.as_ref().map(ToString::to_string).unwrap_or_default(),
+            hall: submission.preferred_hall.as_ref().map(ToString::to_string).unwrap_or_default(),
         }));
         job
     }
--- a/gateway/src/owners.rs
+++ b/gateway/src/owners.rs
@@ -121,7 +121,7 @@
         let queue = pool.queue(now);
         let late = pool.waiting_pieces().saturating_sub(queue.total());
         Some(PoolLoad {
-            turn: pool.turn(),
+            turn: pool.expected_turnaround(),
             queue,
             late: late as f64,
             coming: self.coming_to(name, now),
--- a/gateway/src/pages.rs
+++ b/gateway/src/pages.rs
@@ -177,7 +177,7 @@
                 json!({
                     "pool": name.as_str(),
                     "filled_by": name_of(&shared.owner_of(name, now)),
-                    "turn_ms": pool.turn().as_millis() as u64,
+                    "turn_ms": pool.expected_turnaround().as_millis() as u64,
                     "queue": pool.queue(now).total(),
                     "queue_by_slack": pool.queue(now).counts().collect::<Vec<_>>(),
                     "rate": pool.rate(now),
--- a/gateway/src/piece_news.rs
+++ b/gateway/src/piece_news.rs
@@ -3,7 +3,7 @@
 use std::rc::Rc;
 use std::time::Instant;
 
-use batching::Made;
+use batching::PieceOutcome;
 use result_leases::LinkKey;
 use tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender};
 
@@ -31,7 +31,7 @@
         /// Number of the piece.
         piece: u32,
         /// What became of it.
-        made: Made,
+        made: PieceOutcome,
     },
     /// The inputs of the stage were fetched and may be given up.
     Fetched {
@@ -85,7 +85,7 @@
     fn drop(&mut self) {
         self.rx.close();
         while let Ok(news) = self.rx.try_recv() {
-            if let PieceNews::Done { made: Made::At(handle), .. } = news {
+            if let PieceNews::Done { made: PieceOutcome::Stored(handle), .. } = news {
                 releases::give_up(&self.app, &[handle]);
             }
         }
--- a/gateway/src/pool_calls.rs
+++ b/gateway/src/pool_calls.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use batching::{Call, CallEnd, CallKey, Finished, JobKey, Made, Pool};
+use batching::{Call, CallEnd, CallKey, Finished, JobKey, PieceOutcome, Pool};
 use doors::calls::{OwnCall, PieceAnswer, PieceCall};
 use ids::ServiceName;
 use slog::info;
@@ -38,7 +38,7 @@
         releases::reclaim(app, pool, orphans);
         spawn_local(make(Rc::clone(app), pool.clone(), call, permit));
     }
-    let look = app.hub.with(|shared, now| shared.pools.get(pool)?.next_look(now));
+    let look = app.hub.with(|shared, now| shared.pools.get(pool)?.next_wakeup(now));
     if let Some(at) = look {
         plan_look(app, pool, tokio::time::Instant::from_std(at));
     }
@@ -50,7 +50,9 @@
         let jobs = shared.out_of_inputs(pool);
         let pool = shared.pools.get_mut(pool);
         let give_up = |pool: &mut Pool| -> Vec<Finished> {
-            jobs.into_iter().flat_map(|job| pool.give_up(job, &Made::Gone)).collect()
+            jobs.into_iter()
+                .flat_map(|job| pool.finish_waiting(job, &PieceOutcome::InputGone))
+                .collect()
         };
         pool.map(give_up)
     });
@@ -63,7 +65,7 @@
 fn end_without_workers(app: &Rc<App>, pool: &ServiceName) {
     let finished = app.hub.with(|shared, now| {
         let pool = shared.pools.get_mut(pool);
-        pool.map(|pool| pool.give_up_unservable(now)).unwrap_or_default()
+        pool.map(|pool| pool.fail_unservable(now)).unwrap_or_default()
     });
     if !finished.is_empty() {
         info!(app.log, "pieces given up"; "pool" => %pool, "pieces" => finished.len(),
@@ -77,7 +79,8 @@
     let finished = app.hub.with(|shared, now| {
         let jobs = shared.refused_jobs(pool, now);
         let pool = shared.pools.get_mut(pool)?;
-        let given_up = jobs.into_iter().flat_map(|job| pool.give_up(job, &Made::Broken));
+        let given_up =
+            jobs.into_iter().flat_map(|job| pool.finish_waiting(job, &PieceOutcome::Failed));
         Some(given_up.collect::<Vec<_>>())
     });
     if let Some(finished) = finished.filter(|finished| !finished.is_empty()) {
@@ -160,7 +163,7 @@
         let (app, target) = (Rc::clone(app), call.target.clone());
         async move { own_call(&app, &target, req, permit).await }
     });
-    let mut patience = std::pin::pin!(tokio::time::sleep(call.patience));
+    let mut patience = std::pin::pin!(tokio::time::sleep(call.timeout));
     let mut fetch = std::pin::pin!(turns::inputs_fetched(app, call));
     let mut out = app.out_halls.subscribe();
     let mut fetches = true;
@@ -211,7 +214,7 @@
 /// Tells those whose inputs are needed no more: room at their workers is scarcer than time.
 fn tell_fetched(app: &App, pool: &ServiceName, call: CallKey) {
     let jobs = app.hub.with(|shared, _| {
-        shared.pools.get_mut(pool).map(|pool| pool.fetched(call)).unwrap_or_default()
+        shared.pools.get_mut(pool).map(|pool| pool.inputs_fetched(call)).unwrap_or_default()
     });
     let sinks = app.sinks.borrow();
     for job in jobs {
@@ -261,8 +264,8 @@
 }
 
 /// From now on the peer gives the result up.
-fn grant(app: &App, pool: &ServiceName, peer: &PeerSink, made: &Made) {
-    let (Some(link), Made::At(handle)) = (peer.lease_link, made) else { return };
+fn grant(app: &App, pool: &ServiceName, peer: &PeerSink, outcome: &PieceOutcome) {
+    let (Some(link), PieceOutcome::Stored(handle)) = (peer.lease_link, outcome) else { return };
     app.hub.with(|shared, now| {
         let life = shared.pools.get(pool).map(Pool::result_life).unwrap_or_default();
         shared.leases.granted(link, handle.clone(), peer.until, now + life);
@@ -277,19 +280,19 @@
     let now = now();
     let life = app.hub.with(|shared, _| shared.pools.get(pool).map(Pool::result_life));
     let life = life.unwrap_or_default();
-    for Finished { job, piece, made } in finished {
+    for Finished { job, piece, outcome } in finished {
         match sinks.get(&(pool.clone(), job)) {
             Some(Sink::Here(tx, of)) => {
-                if let Made::At(handle) = &made {
+                if let PieceOutcome::Stored(handle) = &outcome {
                     app.held.add(handle, Maker::Here, Term { until: now + life, life }, now);
                 }
-                if tx.send(PieceNews::Done { of: *of, piece, made: made.clone() }).is_err() {
-                    unread.extend(made.handle().map(str::to_owned));
+                if tx.send(PieceNews::Done { of: *of, piece, made: outcome.clone() }).is_err() {
+                    unread.extend(outcome.handle().map(str::to_owned));
                 }
             }
             Some(Sink::Peer(peer)) => {
-                grant(app, pool, peer, &made);
-                link_words::send_done(&peer.tx, peer.number, piece, made);
+                grant(app, pool, peer, &outcome);
+                link_words::send_done(&peer.tx, peer.number, piece, outcome);
             }
             None => {}
         }
--- a/gateway/src/releases.rs
+++ b/gateway/src/releases.rs
@@ -10,11 +10,11 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-use batching::{GivenUp, Pool};
+use batching::{PendingRelease, Pool};
 use ids::ServiceName;
 use intent::Target;
 use peering::work::{FromOwner, Reclaimed, from_owner};
-use result_leases::{Ended, Why};
+use result_leases::{EndReason, EndedLease};
 use slog::{debug, info};
 use tokio::sync::oneshot;
 use tokio::task::{JoinHandle, spawn_local};
@@ -161,7 +161,7 @@
 }
 
 /// Takes results out of the pools that know them.
-fn take_from_pools(app: &App, handles: &[String]) -> Vec<(ServiceName, GivenUp)> {
+fn take_from_pools(app: &App, handles: &[String]) -> Vec<(ServiceName, PendingRelease)> {
     app.hub.with(|shared, _| {
         let pools = shared.pools.iter_mut();
         let of_pool = |(name, pool): (&ServiceName, &mut Pool)| {
@@ -174,7 +174,7 @@
 
 /// Takes word that the workers of results have heard that these are given up.
 pub(crate) fn heard_by_workers(app: &Rc<App>, handles: &[String]) {
-    app.hub.with(|shared, _| shared.leases.given_up(handles));
+    app.hub.with(|shared, _| shared.leases.released(handles));
     for (pool, told) in take_from_pools(app, handles) {
         account(app, &pool, &told, true);
     }
@@ -204,13 +204,13 @@
         give_up_if_scarce_as_owner(app, &handles);
         return Vec::new();
     }
-    app.hub.with(|shared, _| shared.leases.given_up(&handles));
+    app.hub.with(|shared, _| shared.leases.released(&handles));
     give_up_as_owner(app, handles)
 }
 
 /// Gives up results that no request gave up by itself: nobody waits for them, or their room is scarce. Those who hold
 /// them hear of it, so that the workers are told once.
-pub(crate) fn reclaim(app: &Rc<App>, pool: &ServiceName, told: Vec<GivenUp>) {
+pub(crate) fn reclaim(app: &Rc<App>, pool: &ServiceName, told: Vec<PendingRelease>) {
     for told in told {
         app.held.forget(&told.handles);
         let links = app.hub.with(|shared, _| shared.leases.reclaimed(&told.handles));
@@ -238,9 +238,9 @@
         }
         last = now();
         let ended = app.hub.with(|shared, now| shared.leases.take_ended(now));
-        let mut by_why: BTreeMap<Why, Vec<String>> = BTreeMap::new();
-        for Ended { handle, why } in ended {
-            by_why.entry(why).or_default().push(handle);
+        let mut by_why: BTreeMap<EndReason, Vec<String>> = BTreeMap::new();
+        for EndedLease { handle, reason } in ended {
+            by_why.entry(reason).or_default().push(handle);
         }
         for (why, handles) in by_why {
             info!(app.log, "results taken over"; "results" => handles.len(), "why" => ?why);
@@ -250,16 +250,16 @@
     }
 }
 
-fn why_name(why: Why) -> &'static str {
-    match why {
-        Why::RequestOver => "request_over",
-        Why::HolderGone => "holder_gone",
-        Why::NotHeld => "not_held",
+fn why_name(reason: EndReason) -> &'static str {
+    match reason {
+        EndReason::RequestOver => "request_over",
+        EndReason::HolderGone => "holder_gone",
+        EndReason::NotHeld => "not_held",
     }
 }
 
 /// Tells a worker of a pool of this VM; the room is used again once it has heard.
-fn tell_worker_of_pool(app: &Rc<App>, pool: ServiceName, told: GivenUp) -> JoinHandle<()> {
+fn tell_worker_of_pool(app: &Rc<App>, pool: ServiceName, told: PendingRelease) -> JoinHandle<()> {
     let app = Rc::clone(app);
     spawn_local(async move {
         let worker = told.target.address;
@@ -268,10 +268,10 @@
     })
 }
 
-fn account(app: &Rc<App>, pool: &ServiceName, told: &GivenUp, heard: bool) {
+fn account(app: &Rc<App>, pool: &ServiceName, told: &PendingRelease, heard: bool) {
     app.hub.with(|shared, now| {
         let pool = shared.pools.get_mut(pool);
-        pool.map(|pool| pool.given_up(told, heard, now))
+        pool.map(|pool| pool.finish_release(told, heard, now))
     });
     fill_calls(app, pool);
 }
--- a/gateway/src/stages.rs
+++ b/gateway/src/stages.rs
@@ -3,7 +3,7 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-use batching::{Made, Submission};
+use batching::{PieceOutcome, Submission};
 use doors::callers::CallerHead;
 use fleet::{Owner, SETTLE};
 use ids::{HallName, RequestId, ServiceName};
@@ -254,7 +254,7 @@
     let news = timeout_at(until, inbox.next()).await.map_err(|_| StagesMiss::Late)?;
     // This side holds a sender, so there is always another word or the time is over.
     match news.ok_or(StagesMiss::Broken)? {
-        PieceNews::Done { of: turn, piece, made: Made::At(handle) } => {
+        PieceNews::Done { of: turn, piece, made: PieceOutcome::Stored(handle) } => {
             let index = turn.stage as usize;
             if !runs[index].take(piece, &handle) {
                 releases::give_up(of.app, &[handle]);
@@ -271,9 +271,9 @@
             runs[turn.stage as usize].fetched = true;
             release_used(of.entry, runs);
         }
-        PieceNews::Done { made: Made::Late, .. } => return Err(StagesMiss::Late),
-        PieceNews::Done { made: Made::Broken, .. } => return Err(StagesMiss::Broken),
-        PieceNews::Done { of: turn, made: Made::Gone, .. } => {
+        PieceNews::Done { made: PieceOutcome::Late, .. } => return Err(StagesMiss::Late),
+        PieceNews::Done { made: PieceOutcome::Failed, .. } => return Err(StagesMiss::Broken),
+        PieceNews::Done { of: turn, made: PieceOutcome::InputGone, .. } => {
             start_over(of, runs, turn.stage as usize, tx)?;
         }
         PieceNews::OwnerLost { of: turn } => {
@@ -377,7 +377,7 @@
     let bytes_of =
         |need: &usize| of.entry.stages[*need].result_bytes * u64::from(runs[*need].pieces);
     let input_bytes = stage.needs.iter().map(bytes_of).sum();
-    let near = near_of(of, runs, index, &inputs);
+    let preferred_hall = near_of(of, runs, index, &inputs);
     let key = inputs.is_empty().then(|| of.head.piece_key.clone()).flatten();
     runs[index].submissions += 1;
     let turn = StageTurn {
@@ -396,7 +396,7 @@
         due: due_of(of, runs, index),
         urgency: of.urgency,
         result_bytes: stage.result_bytes,
-        near,
+        preferred_hall,
     };
     runs[index].submitted = Some(work::submit_to_owner(of.app, &stage.pool, submission, turn, tx));
 }
--- a/gateway/src/work.rs
+++ b/gateway/src/work.rs
@@ -40,7 +40,7 @@
     of: StageTurn,
     news: &UnboundedSender<PieceNews>,
 ) -> Submitted {
-    let (near, draw) = (submission.near.as_ref(), rand::random());
+    let (near, draw) = (submission.preferred_hall.as_ref(), rand::random());
     let owner = app.hub.with(|shared, now| shared.owner_for(pool, near, draw, now));
     let link = match owner {
         Owner::Peer(vm) => app.links.borrow().get(&vm).cloned(),
