--- a/components/batching/src/submission.rs
+++ b/components/batching/src/submission.rs
@@ -5,7 +5,7 @@
 use doors::calls::PieceAnswer;
 use ids::{HallName, RequestId};
 use intent::Target;
-use quarantine::Content;
+use quarantine::RequestDigest;
 use slotmap::new_key_type;
 
 new_key_type! {
@@ -32,7 +32,7 @@
     pub request: RequestId,
     /// What is the same for these pieces of each attempt at the same request; a VM of an older build does
     /// not say.
-    pub content: Option<Content>,
+    pub content: Option<RequestDigest>,
     /// Index of the stage.
     pub stage: u32,
     /// Numbers of the pieces.
--- a/components/batching/tests/pool.rs
+++ b/components/batching/tests/pool.rs
@@ -451,7 +451,7 @@
     assert!(pool.next_call(now).is_none());
     assert_eq!(given_up.len(), 3);
     assert!(given_up.iter().all(|finished| finished.made == Made::Broken));
-    halls.take_back(&HallName::new("b").unwrap());
+    halls.restore(&HallName::new("b").unwrap());
     pool.set_halls(halls);
     assert!(!pool.is_closed(now));
 }
--- a/components/eligibility/src/left_alone.rs
+++ b/components/eligibility/src/backoffs.rs
@@ -9,12 +9,12 @@
 
 /// Until when targets want no work from this VM, by lifetime: an entry that lapses and comes back does not end it.
 #[derive(Debug, Default)]
-pub struct LeftAlone(HashMap<Lifetime, Instant>);
+pub struct Backoffs(HashMap<Lifetime, Instant>);
 
-impl LeftAlone {
+impl Backoffs {
     /// Takes a target's word. Of several the one that lasts longest holds: they may have been said to calls
     /// of which one overtook the other. Says whether it is left alone for longer than before.
-    pub fn note(&mut self, lifetime: Lifetime, until: Instant) -> bool {
+    pub fn record(&mut self, lifetime: Lifetime, until: Instant) -> bool {
         let known = self.0.get(&lifetime).copied();
         let is_longer = known.is_none_or(|known| until > known);
         if is_longer {
@@ -35,7 +35,7 @@
     }
 
     /// Forgets what is over.
-    pub fn forget(&mut self, now: Instant) {
+    pub fn remove_expired(&mut self, now: Instant) {
         self.0.retain(|_, until| *until > now);
     }
 }
--- a/components/eligibility/src/cold.rs
+++ b/components/eligibility/src/cold.rs
@@ -42,26 +42,26 @@
 
 /// How a cold target's rate is shared out.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Share {
+pub struct ColdShare {
     /// VMs that may send to it.
     pub senders: usize,
     /// Requests that each of them may send within a second.
-    pub each: u32,
+    pub per_sender: u32,
 }
 
 /// Shares the rate of one cold target of a service with so many targets among the VMs of a fleet. Few
 /// targets need many senders, lest most VMs have none to send to.
-pub fn share(bound: ColdBound, vms: usize, targets: usize) -> Share {
+pub fn cold_share(bound: ColdBound, vms: usize, targets: usize) -> ColdShare {
     let handed_out = bound.handed_out();
     let needed = (TARGETS_PER_VM * vms).div_ceil(targets.max(1));
     let senders = needed.max(LEAST_SENDERS).min(handed_out).min(vms.max(1));
-    let each = u32::try_from(handed_out / senders).unwrap_or(u32::MAX);
-    Share { senders, each }
+    let per_sender = u32::try_from(handed_out / senders).unwrap_or(u32::MAX);
+    ColdShare { senders, per_sender }
 }
 
 /// Until when a target is cold, and what this VM sent it of late.
 #[derive(Debug, Default)]
-pub struct Warming {
+pub struct ColdState {
     told_until: Option<Instant>,
     assumed_until: Option<Instant>,
     /// Requests that this VM may send it within a second while it is cold.
@@ -69,14 +69,14 @@
     sent: VecDeque<Instant>,
 }
 
-impl Warming {
+impl ColdState {
     /// The target said for how long it is still cold. By the time that this is heard it is less.
-    pub fn told(&mut self, remaining: Duration, now: Instant) {
+    pub fn set_remaining(&mut self, remaining: Duration, now: Instant) {
         self.told_until = now.checked_add(remaining).filter(|until| *until > now);
     }
 
     /// The target may have turned cold, and its word on that is still on its way.
-    pub fn assume(&mut self, time: Duration, now: Instant) {
+    pub fn assume_cold(&mut self, time: Duration, now: Instant) {
         self.assumed_until = now.checked_add(time).filter(|until| *until > now);
     }
 
@@ -97,7 +97,7 @@
     }
 
     /// Counts a request sent now. Those to a warm target count too: it may turn cold within the second.
-    pub fn sent(&mut self, now: Instant) {
+    pub fn record_request(&mut self, now: Instant) {
         while self.sent.front().is_some_and(|at| is_old(*at, now)) {
             self.sent.pop_front();
         }
--- a/components/eligibility/src/departures.rs
+++ b/components/eligibility/src/departures.rs
@@ -39,7 +39,7 @@
     /// Who leaves.
     pub lifetime: Lifetime,
     /// When the target last said so to any VM, by the clock of this one.
-    pub said: Instant,
+    pub announced_at: Instant,
 }
 
 /// What a VM knows of targets that leave, beside their entries.
@@ -52,7 +52,7 @@
 
 impl Departures {
     /// Takes a word that the target said at `said`; whether it is the first one of its lifetime.
-    pub fn note(&mut self, lifetime: Lifetime, said: Instant, now: Instant) -> bool {
+    pub fn record(&mut self, lifetime: Lifetime, said: Instant, now: Instant) -> bool {
         if is_old(said, now) {
             return false;
         }
@@ -69,7 +69,7 @@
     }
 
     /// When a target said that it leaves; `None` if this lifetime has not.
-    pub fn said(&self, target: &Target) -> Option<Instant> {
+    pub fn announced_at(&self, target: &Target) -> Option<Instant> {
         self.said.get(&Lifetime::from(target)).copied()
     }
 
@@ -85,7 +85,7 @@
     }
 
     /// Forgets words that are too old.
-    pub fn forget(&mut self, now: Instant) {
+    pub fn remove_expired(&mut self, now: Instant) {
         while self
             .order
             .first()
@@ -97,7 +97,7 @@
     }
 
     fn of(&self, lifetime: &Lifetime) -> Option<Departure> {
-        Some(Departure { lifetime: lifetime.clone(), said: *self.said.get(lifetime)? })
+        Some(Departure { lifetime: lifetime.clone(), announced_at: *self.said.get(lifetime)? })
     }
 
     fn drop_first(&mut self) {
--- a/components/eligibility/src/halls.rs
+++ b/components/eligibility/src/halls.rs
@@ -16,7 +16,7 @@
     /// Operators took its hall out of service.
     Evacuated,
     /// It wants no work from this VM for some time.
-    LeftAlone,
+    BackedOff,
     /// It takes a rate from all VMs together, which is used up for now.
     Limited,
     /// It is about to end.
@@ -44,7 +44,7 @@
             () if target.leaving => Eligibility::Leaving,
             () if self.evacuated.contains(&target.hall) => Eligibility::Evacuated,
             () if target.left_alone_until.is_some_and(|until| now < until) => {
-                Eligibility::LeftAlone
+                Eligibility::BackedOff
             }
             () if target.limited_until.is_some_and(|until| now < until) => Eligibility::Limited,
             () if self.out_of_reach.contains(&target.hall) => Eligibility::OutOfReach,
@@ -57,7 +57,7 @@
     pub fn opens_at(&self, target: &Target, now: Instant) -> Option<Instant> {
         match self.eligibility(target, now) {
             Eligibility::Open | Eligibility::OutOfReach => Some(now),
-            Eligibility::LeftAlone | Eligibility::Limited => {
+            Eligibility::BackedOff | Eligibility::Limited => {
                 target.left_alone_until.max(target.limited_until)
             }
             Eligibility::Evacuated | Eligibility::Leaving => None,
@@ -80,7 +80,7 @@
     }
 
     /// Takes a hall back into service; false if it was in service.
-    pub fn take_back(&mut self, hall: &HallName) -> bool {
+    pub fn restore(&mut self, hall: &HallName) -> bool {
         self.evacuated.remove(hall)
     }
 }
--- a/components/eligibility/src/lib.rs
+++ b/components/eligibility/src/lib.rs
@@ -4,18 +4,18 @@
 //! Work that is under way ends where it is, and results that lie at a target may be fetched from it,
 //! whatever is said here.
 
-mod accounts;
+mod backoffs;
 mod change_log;
 mod cold;
 mod departures;
 mod halls;
-mod left_alone;
 mod rates;
+mod token_buckets;
 
-pub use accounts::{Accounts, Decision};
+pub use backoffs::Backoffs;
 pub use change_log::ChangeCursor;
-pub use cold::{ColdBound, Share, Warming, share};
+pub use cold::{ColdBound, ColdShare, ColdState, cold_share};
 pub use departures::{Departure, Departures, Lifetime};
 pub use halls::{Eligibility, Halls};
-pub use left_alone::LeftAlone;
-pub use rates::{RateBelief, RateChange, RateLimit, RateLimits, Sighting};
+pub use rates::{RateChange, RateLimit, RateLimits, RateObservation, RateObservations};
+pub use token_buckets::{Decision, TokenBuckets};
--- a/components/eligibility/src/rates.rs
+++ b/components/eligibility/src/rates.rs
@@ -48,7 +48,7 @@
 
 /// What an answer said of its target's rate.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Sighting {
+pub struct RateObservation {
     /// The rate; `None` if the answer named none.
     pub limit: Option<RateLimit>,
     /// When the call was sent.
@@ -59,24 +59,27 @@
 
 /// What some sightings of one lifetime amount to.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct RateBelief {
+pub struct RateObservations {
     /// When the latest call was sent that was answered.
     after: Option<Instant>,
     /// Rates that may still hold, and when each was last heard; none of these was before `after`.
     heard: BTreeMap<RateLimit, Instant>,
 }
 
-impl RateBelief {
-    /// A belief as it was told: see [`RateBelief::after`] and [`RateBelief::heard`].
-    pub fn told(after: Option<Instant>, heard: impl Iterator<Item = (RateLimit, Instant)>) -> Self {
-        let mut belief = RateBelief { after, heard: BTreeMap::new() };
+impl RateObservations {
+    /// A belief as it was told: see [`RateObservations::latest_sent`] and [`RateObservations::limits`].
+    pub fn from_parts(
+        after: Option<Instant>,
+        heard: impl Iterator<Item = (RateLimit, Instant)>,
+    ) -> Self {
+        let mut belief = RateObservations { after, heard: BTreeMap::new() };
         heard.for_each(|(limit, at)| belief.hear(limit, at));
         belief.prune();
         belief
     }
 
     /// Takes what an answer said.
-    pub fn note(&mut self, sighting: Sighting) {
+    pub fn record(&mut self, sighting: RateObservation) {
         self.after = self.after.max(Some(sighting.sent));
         if let Some(limit) = sighting.limit {
             self.hear(limit, sighting.heard);
@@ -85,7 +88,7 @@
     }
 
     /// Takes all that another one amounts to.
-    pub fn join(&mut self, other: &RateBelief) {
+    pub fn merge(&mut self, other: &RateObservations) {
         self.after = self.after.max(other.after);
         other.heard.iter().for_each(|(limit, at)| self.hear(*limit, *at));
         self.prune();
@@ -97,12 +100,12 @@
     }
 
     /// When the latest call was sent that was answered.
-    pub fn after(&self) -> Option<Instant> {
+    pub fn latest_sent(&self) -> Option<Instant> {
         self.after
     }
 
     /// Rates that may hold, and when each was last heard.
-    pub fn heard(&self) -> impl Iterator<Item = (RateLimit, Instant)> {
+    pub fn limits(&self) -> impl Iterator<Item = (RateLimit, Instant)> {
         self.heard.iter().map(|(limit, at)| (*limit, *at))
     }
 
@@ -135,9 +138,9 @@
 struct Beliefs {
     /// From this VM's own answers; only these are told to others, so that no two VMs keep a word alive between
     /// them.
-    own: RateBelief,
+    own: RateObservations,
     /// From these and what peers heard themselves.
-    all: RateBelief,
+    all: RateObservations,
     /// Until when this VM sends it nothing, since the rate is used up.
     held_until: Option<Instant>,
 }
@@ -152,10 +155,10 @@
 
 impl RateLimits {
     /// Takes what an answer to this VM said; gives the change of the rate that holds, if there is one.
-    pub fn note(&mut self, lifetime: Lifetime, sighting: Sighting) -> Option<RateChange> {
+    pub fn record(&mut self, lifetime: Lifetime, sighting: RateObservation) -> Option<RateChange> {
         let beliefs = self.known.entry(lifetime.clone()).or_default();
-        beliefs.own.note(sighting);
-        let change = beliefs.change(|all| all.note(sighting))?;
+        beliefs.own.record(sighting);
+        let change = beliefs.change(|all| all.record(sighting))?;
         if self.changes.len() >= MOST_CHANGES {
             self.changes.drop_first();
         }
@@ -164,12 +167,16 @@
     }
 
     /// Takes what a peer heard itself; gives the change of the rate that holds, if there is one.
-    pub fn note_told(&mut self, lifetime: Lifetime, told: &RateBelief) -> Option<RateChange> {
-        self.known.entry(lifetime).or_default().change(|all| all.join(told))
+    pub fn merge_peer(
+        &mut self,
+        lifetime: Lifetime,
+        told: &RateObservations,
+    ) -> Option<RateChange> {
+        self.known.entry(lifetime).or_default().change(|all| all.merge(told))
     }
 
     /// This VM sends a target nothing before `until`, since the rate that holds for it is used up.
-    pub fn hold(&mut self, lifetime: &Lifetime, until: Instant) {
+    pub fn hold_until(&mut self, lifetime: &Lifetime, until: Instant) {
         if let Some(beliefs) = self.known.get_mut(lifetime) {
             beliefs.held_until = Some(until);
         }
@@ -184,9 +191,11 @@
     pub fn changes_after(
         &self,
         cursor: ChangeCursor,
-    ) -> (BTreeMap<Lifetime, RateBelief>, ChangeCursor) {
+    ) -> (BTreeMap<Lifetime, RateObservations>, ChangeCursor) {
         let (lifetimes, up_to) = self.changes.after(cursor);
-        let own = |lifetime: &Lifetime| Some((lifetime.clone(), self.own(lifetime)?.clone()));
+        let own = |lifetime: &Lifetime| {
+            Some((lifetime.clone(), self.own_observations(lifetime)?.clone()))
+        };
         (lifetimes.filter_map(own).collect(), up_to)
     }
 
@@ -201,7 +210,7 @@
     }
 
     /// What this VM's own answers say of a lifetime.
-    pub fn own(&self, lifetime: &Lifetime) -> Option<&RateBelief> {
+    pub fn own_observations(&self, lifetime: &Lifetime) -> Option<&RateObservations> {
         self.known.get(lifetime).map(|beliefs| &beliefs.own)
     }
 
@@ -209,20 +218,20 @@
     pub fn all(&self) -> impl Iterator<Item = (&Lifetime, RateLimit, Instant)> {
         let first = |(lifetime, beliefs)| {
             let beliefs: &Beliefs = beliefs;
-            let (limit, at) = beliefs.all.heard().next()?;
+            let (limit, at) = beliefs.all.limits().next()?;
             Some((lifetime, limit, at))
         };
         self.known.iter().filter_map(first)
     }
 
     /// Forgets lifetimes of which nothing was heard for long.
-    pub fn forget(&mut self, now: Instant) {
+    pub fn remove_expired(&mut self, now: Instant) {
         self.known.retain(|_, beliefs| !beliefs.all.is_old(now));
     }
 }
 
 impl Beliefs {
-    fn change(&mut self, take: impl FnOnce(&mut RateBelief)) -> Option<RateChange> {
+    fn change(&mut self, take: impl FnOnce(&mut RateObservations)) -> Option<RateChange> {
         let before = self.all.limit();
         take(&mut self.all);
         let now = self.all.limit();
--- a/components/eligibility/src/accounts.rs
+++ b/components/eligibility/src/token_buckets.rs
@@ -51,11 +51,11 @@
 
 /// The accounts that this VM holds, by lifetime.
 #[derive(Debug, Default)]
-pub struct Accounts(HashMap<Lifetime, Account>);
+pub struct TokenBuckets(HashMap<Lifetime, Account>);
 
-impl Accounts {
+impl TokenBuckets {
     /// Asks for a permit for a request that can wait for `within`.
-    pub fn ask(
+    pub fn acquire(
         &mut self,
         lifetime: &Lifetime,
         limit: RateLimit,
@@ -72,7 +72,7 @@
     }
 
     /// Counts what is sent without asking; gives the time until the next permit is left.
-    pub fn spend(&mut self, lifetime: &Lifetime, limit: RateLimit, now: Instant) -> Duration {
+    pub fn consume(&mut self, lifetime: &Lifetime, limit: RateLimit, now: Instant) -> Duration {
         let account = self.filled(lifetime, limit, now);
         account.permits -= 1.0;
         account.wait(limit)
@@ -84,12 +84,12 @@
     }
 
     /// Forgets the account of a lifetime: the next one starts with its debt.
-    pub fn close(&mut self, lifetime: &Lifetime) {
+    pub fn remove(&mut self, lifetime: &Lifetime) {
         self.0.remove(lifetime);
     }
 
     /// Forgets accounts that nobody asks for.
-    pub fn forget(&mut self, now: Instant) {
+    pub fn remove_expired(&mut self, now: Instant) {
         self.0.retain(|_, account| now.saturating_duration_since(account.at) < LIFE);
     }
 
--- a/components/eligibility/tests/cold.rs
+++ b/components/eligibility/tests/cold.rs
@@ -3,7 +3,7 @@
 
 use std::time::{Duration, Instant};
 
-use eligibility::{ColdBound, Share, Warming, share};
+use eligibility::{ColdBound, ColdShare, ColdState, cold_share};
 use proptest::prelude::{ProptestConfig, any, prop_assert, proptest};
 
 const BOUND: ColdBound = ColdBound { per_s: 10.0, overshoot: 1.5, slack: 5.0 };
@@ -25,8 +25,8 @@
 #[test]
 fn shares_of_fleets_from_six_to_370_vms() {
     let shared = |vms, targets| {
-        let Share { senders, each } = share(BOUND, vms, targets);
-        (senders, each)
+        let ColdShare { senders, per_sender } = cold_share(BOUND, vms, targets);
+        (senders, per_sender)
     };
 
     assert_eq!(shared(6, 9), (2, 5));
@@ -42,32 +42,32 @@
 fn a_target_that_bears_next_to_nothing_still_gets_a_request() {
     let least = ColdBound { per_s: 0.5, overshoot: 1.0, slack: 0.0 };
 
-    assert_eq!(share(least, 59, 90), Share { senders: 1, each: 1 });
+    assert_eq!(cold_share(least, 59, 90), ColdShare { senders: 1, per_sender: 1 });
 }
 
 #[test]
 fn what_a_target_says_and_what_is_assumed_of_it_both_make_it_cold() {
     let now = Instant::now();
-    let mut told = Warming::default();
-    told.told(SECOND, now);
-    let mut assumed = Warming::default();
-    assumed.assume(SECOND * 2, now);
+    let mut told = ColdState::default();
+    told.set_remaining(SECOND, now);
+    let mut assumed = ColdState::default();
+    assumed.assume_cold(SECOND * 2, now);
     // Its own word, which may be older than what is assumed, does not end that.
-    assumed.told(Duration::ZERO, now);
+    assumed.set_remaining(Duration::ZERO, now);
 
     assert!(told.is_cold(now) && !told.is_cold(now + SECOND));
     assert!(assumed.is_cold(now + SECOND) && !assumed.is_cold(now + SECOND * 2));
-    assert!(!Warming::default().is_cold(now));
+    assert!(!ColdState::default().is_cold(now));
 }
 
 #[test]
 fn requests_that_it_was_sent_just_before_it_turned_cold_count() {
     let now = Instant::now();
-    let mut warming = Warming::default();
+    let mut warming = ColdState::default();
     warming.set_share(2);
-    (0..2).for_each(|_| warming.sent(now));
+    (0..2).for_each(|_| warming.record_request(now));
 
-    warming.told(SECOND * 3, now + Duration::from_millis(300));
+    warming.set_remaining(SECOND * 3, now + Duration::from_millis(300));
 
     assert!(!warming.may_send(now + Duration::from_millis(900)));
     assert!(warming.may_send(now + Duration::from_millis(1200)));
@@ -92,9 +92,9 @@
         for target in 0..cold as u64 {
             let mut arrivals = Vec::new();
             for half in &halves {
-                let Share { senders: count, each } = share(BOUND, half.len(), 90);
+                let ColdShare { senders: count, per_sender } = cold_share(BOUND, half.len(), 90);
                 for vm in senders(target, half, count) {
-                    arrivals.extend(sends(each, begin, hashing::combine(vm, target)));
+                    arrivals.extend(sends(per_sender, begin, hashing::combine(vm, target)));
                 }
             }
             arrivals.sort_unstable();
@@ -104,15 +104,15 @@
 }
 
 /// When the requests of a VM arrive that has one every few milliseconds.
-fn sends(each: u32, begin: Instant, seed: u64) -> Vec<Instant> {
-    let mut warming = Warming::default();
-    warming.told(SECOND * 3, begin);
-    warming.set_share(each);
+fn sends(per_sender: u32, begin: Instant, seed: u64) -> Vec<Instant> {
+    let mut warming = ColdState::default();
+    warming.set_remaining(SECOND * 3, begin);
+    warming.set_share(per_sender);
     let mut arrivals = Vec::new();
     for step in 0..600_u64 {
         let at = begin + Duration::from_millis(step * 5);
         if warming.may_send(at) {
-            warming.sent(at);
+            warming.record_request(at);
             let way = Duration::from_millis(hashing::combine(seed, step) % 100);
             arrivals.push(at + way);
         }
--- a/components/eligibility/tests/departures.rs
+++ b/components/eligibility/tests/departures.rs
@@ -7,7 +7,7 @@
 
 use std::time::{Duration, Instant};
 
-use eligibility::{ChangeCursor, Departure, Departures, LeftAlone, Lifetime};
+use eligibility::{Backoffs, ChangeCursor, Departure, Departures, Lifetime};
 use ids::TargetName;
 use intent::Target;
 use proptest::prelude::{Just, ProptestConfig, Strategy, any, prop_assert_eq, proptest};
@@ -27,7 +27,7 @@
 }
 
 fn sorted(departures: &Departures) -> Vec<(Lifetime, Instant)> {
-    let mut all: Vec<_> = departures.all().map(|word| (word.lifetime, word.said)).collect();
+    let mut all: Vec<_> = departures.all().map(|word| (word.lifetime, word.announced_at)).collect();
     all.sort();
     all
 }
@@ -37,24 +37,24 @@
     let now = Instant::now();
     let mut departures = Departures::default();
 
-    assert!(departures.note(lifetime(Some(1)), now, now));
-    assert!(!departures.note(lifetime(Some(1)), now + SECOND, now + SECOND));
+    assert!(departures.record(lifetime(Some(1)), now, now));
+    assert!(!departures.record(lifetime(Some(1)), now + SECOND, now + SECOND));
 
-    assert_eq!(departures.said(&target(Some(1))), Some(now + SECOND));
-    assert_eq!(departures.said(&target(Some(2))), None);
-    assert_eq!(departures.said(&target(None)), None);
+    assert_eq!(departures.announced_at(&target(Some(1))), Some(now + SECOND));
+    assert_eq!(departures.announced_at(&target(Some(2))), None);
+    assert_eq!(departures.announced_at(&target(None)), None);
 }
 
 #[test]
 fn a_peers_word_keeps_none_alive() {
     let heard = Instant::now();
     let (mut first, mut second) = (Departures::default(), Departures::default());
-    first.note(lifetime(None), heard, heard);
-    second.note(lifetime(None), heard, heard + LONG / 2);
+    first.record(lifetime(None), heard, heard);
+    second.record(lifetime(None), heard, heard + LONG / 2);
 
-    first.forget(heard + LONG);
-    for Departure { lifetime, said } in second.all().collect::<Vec<_>>() {
-        first.note(lifetime, said, heard + LONG);
+    first.remove_expired(heard + LONG);
+    for Departure { lifetime, announced_at: said } in second.all().collect::<Vec<_>>() {
+        first.record(lifetime, said, heard + LONG);
     }
 
     assert_eq!(first.all().count(), 0, "two VMs would tell each other for ever");
@@ -64,10 +64,10 @@
 fn each_change_is_told_once_and_the_oldest_give_way() {
     let now = Instant::now();
     let mut departures = Departures::default();
-    departures.note(lifetime(Some(0)), now, now);
+    departures.record(lifetime(Some(0)), now, now);
     let (first, cursor) = departures.changes_after(ChangeCursor::default());
     for born in 1..MANY {
-        departures.note(lifetime(Some(born)), now, now);
+        departures.record(lifetime(Some(born)), now, now);
     }
     let (then, cursor) = departures.changes_after(cursor);
     let (nothing, _) = departures.changes_after(cursor);
@@ -77,21 +77,21 @@
     assert!(then.len() < MANY as usize);
     assert_eq!(then.last().unwrap().lifetime, lifetime(Some(MANY - 1)));
     assert!(nothing.is_empty());
-    assert_eq!(departures.said(&target(Some(0))), None);
+    assert_eq!(departures.announced_at(&target(Some(0))), None);
 }
 
 #[test]
 fn the_word_that_lasts_longest_holds() {
     let now = Instant::now();
-    let mut left_alone = LeftAlone::default();
+    let mut left_alone = Backoffs::default();
 
-    assert!(left_alone.note(lifetime(None), now + SECOND * 2));
-    assert!(!left_alone.note(lifetime(None), now + SECOND), "it was overtaken");
+    assert!(left_alone.record(lifetime(None), now + SECOND * 2));
+    assert!(!left_alone.record(lifetime(None), now + SECOND), "it was overtaken");
 
     assert_eq!(left_alone.until(&target(None)), Some(now + SECOND * 2));
     assert_eq!(left_alone.until(&target(Some(1))), None);
     assert_eq!(left_alone.all(now).count(), 1);
-    left_alone.forget(now + SECOND * 2);
+    left_alone.remove_expired(now + SECOND * 2);
     assert_eq!(left_alone.until(&target(None)), None);
 }
 
@@ -115,7 +115,7 @@
         let merged = |words: &[(u64, u64)]| {
             let mut departures = Departures::default();
             for (born, after) in words {
-                departures.note(lifetime(Some(*born)), said(after), now);
+                departures.record(lifetime(Some(*born)), said(after), now);
             }
             departures
         };
@@ -124,8 +124,8 @@
         let (here, there) = shuffled.split_at(split.index(shuffled.len()));
         let mut told = merged(here);
         for _ in 0..2 {
-            for Departure { lifetime, said } in merged(there).all() {
-                told.note(lifetime, said, now);
+            for Departure { lifetime, announced_at: said } in merged(there).all() {
+                told.record(lifetime, said, now);
             }
         }
 
--- a/components/eligibility/tests/halls.rs
+++ b/components/eligibility/tests/halls.rs
@@ -22,7 +22,7 @@
         (Eligibility::Open, true),
         (Eligibility::OutOfReach, true),
         (Eligibility::Evacuated, false),
-        (Eligibility::LeftAlone, false),
+        (Eligibility::BackedOff, false),
         (Eligibility::Limited, false),
         (Eligibility::Leaving, false),
     ];
@@ -55,8 +55,8 @@
     assert!(halls.evacuate(hall("a")));
     assert!(!halls.evacuate(hall("a")));
     assert_ne!(halls.eligibility(&target("a"), now), Eligibility::Open);
-    assert!(halls.take_back(&hall("a")));
-    assert!(!halls.take_back(&hall("a")));
+    assert!(halls.restore(&hall("a")));
+    assert!(!halls.restore(&hall("a")));
     assert_eq!(halls.eligibility(&target("a"), now), Eligibility::Open);
 }
 
@@ -68,13 +68,13 @@
     let wants = Target { left_alone_until: Some(until), ..target("a") };
     let leaving = Target { leaving: true, ..wants.clone() };
 
-    assert_eq!(halls.eligibility(&wants, now), Eligibility::LeftAlone);
+    assert_eq!(halls.eligibility(&wants, now), Eligibility::BackedOff);
     assert_eq!(halls.opens_at(&wants, now), Some(until));
     assert_eq!(halls.eligibility(&wants, until), Eligibility::Open);
     assert_eq!(halls.opens_at(&wants, until), Some(until));
     assert_eq!(halls.opens_at(&leaving, now), None);
     halls.set_out_of_reach([hall("a")].into());
-    assert_eq!(halls.eligibility(&wants, now), Eligibility::LeftAlone, "also as the last one left");
+    assert_eq!(halls.eligibility(&wants, now), Eligibility::BackedOff, "also as the last one left");
 }
 
 #[test]
@@ -88,6 +88,6 @@
     assert_eq!(halls.eligibility(&limited, now), Eligibility::Limited);
     assert_eq!(halls.opens_at(&limited, now), Some(until));
     assert_eq!(halls.eligibility(&limited, until), Eligibility::Open);
-    assert_eq!(halls.eligibility(&both, now), Eligibility::LeftAlone);
+    assert_eq!(halls.eligibility(&both, now), Eligibility::BackedOff);
     assert_eq!(halls.opens_at(&both, now), Some(later), "whichever lasts longer");
 }
--- a/components/eligibility/tests/rates.rs
+++ b/components/eligibility/tests/rates.rs
@@ -7,7 +7,7 @@
 
 use std::time::{Duration, Instant};
 
-use eligibility::{Lifetime, RateBelief, RateLimit, RateLimits, Sighting};
+use eligibility::{Lifetime, RateLimit, RateLimits, RateObservation, RateObservations};
 use ids::TargetName;
 use intent::Target;
 use proptest::prelude::{
@@ -27,14 +27,14 @@
 }
 
 /// An answer to a call sent and heard so many milliseconds after the start.
-fn sighting(start: Instant, limit: Option<f64>, sent: u64, heard: u64) -> Sighting {
+fn sighting(start: Instant, limit: Option<f64>, sent: u64, heard: u64) -> RateObservation {
     let at = |ms| start + Duration::from_millis(ms);
-    Sighting { limit: limit.map(rate), sent: at(sent), heard: at(heard) }
+    RateObservation { limit: limit.map(rate), sent: at(sent), heard: at(heard) }
 }
 
-fn belief(sightings: &[Sighting]) -> RateBelief {
-    let mut belief = RateBelief::default();
-    sightings.iter().for_each(|sighting| belief.note(*sighting));
+fn belief(sightings: &[RateObservation]) -> RateObservations {
+    let mut belief = RateObservations::default();
+    sightings.iter().for_each(|sighting| belief.record(*sighting));
     belief
 }
 
@@ -71,13 +71,13 @@
     let start = Instant::now();
     let mut limits = RateLimits::default();
 
-    let change = limits.note(lifetime(1), sighting(start, Some(2.0), 0, 1)).unwrap();
+    let change = limits.record(lifetime(1), sighting(start, Some(2.0), 0, 1)).unwrap();
 
     assert_eq!((change.before, change.now), (None, Some(rate(2.0))));
     assert_eq!(limits.limit(&target(1)), Some(rate(2.0)));
     assert_eq!(limits.limit(&target(2)), None);
     assert_eq!(limits.all().count(), 1);
-    limits.forget(start + Duration::from_secs(601));
+    limits.remove_expired(start + Duration::from_secs(601));
     assert_eq!(limits.limit(&target(1)), None);
 }
 
@@ -86,10 +86,10 @@
     let start = Instant::now();
     let mut limits = RateLimits::default();
 
-    let change = limits.note_told(lifetime(1), &belief(&[sighting(start, Some(2.0), 0, 1)]));
+    let change = limits.merge_peer(lifetime(1), &belief(&[sighting(start, Some(2.0), 0, 1)]));
 
     assert_eq!(change.unwrap().now, Some(rate(2.0)));
-    assert_eq!(limits.own(&lifetime(1)).unwrap(), &RateBelief::default());
+    assert_eq!(limits.own_observations(&lifetime(1)).unwrap(), &RateObservations::default());
 }
 
 type Words = Vec<(Option<u8>, u64, u64)>;
@@ -110,7 +110,7 @@
         split in any::<proptest::sample::Index>(),
     ) {
         let start = Instant::now();
-        let sightings = |words: &Words| -> Vec<Sighting> {
+        let sightings = |words: &Words| -> Vec<RateObservation> {
             let of = |(limit, sent, took): &(Option<u8>, u64, u64)| {
                 sighting(start, limit.map(f64::from), *sent, sent + took)
             };
@@ -121,7 +121,7 @@
         let mut told = belief(here);
         for _ in 0..2 {
             let there = belief(there);
-            told.join(&RateBelief::told(there.after(), there.heard()));
+            told.merge(&RateObservations::from_parts(there.latest_sent(), there.limits()));
         }
 
         prop_assert_eq!(&belief(&one), &belief(&other));
@@ -138,12 +138,12 @@
         let start = Instant::now();
         // What the target says at each moment; an answer is given somewhere between its sending and its hearing.
         let says = |at: u64| changes[(at / 100).min(5) as usize];
-        let mut seen = RateBelief::default();
+        let mut seen = RateObservations::default();
         let mut last = None;
         for (_, sent, took) in words {
             let given = sent + took / 2;
             let limit = says(given).map(f64::from);
-            seen.note(sighting(start, limit, sent, sent + took));
+            seen.record(sighting(start, limit, sent, sent + took));
             last = last.max(Some((given, says(given))));
         }
 
--- a/components/eligibility/tests/accounts.rs
+++ b/components/eligibility/tests/token_buckets.rs
@@ -5,7 +5,7 @@
 
 use std::time::{Duration, Instant};
 
-use eligibility::{Accounts, Decision, Lifetime, RateLimit};
+use eligibility::{Decision, Lifetime, RateLimit, TokenBuckets};
 use ids::TargetName;
 use proptest::prelude::{ProptestConfig, prop_assert, proptest};
 
@@ -38,10 +38,10 @@
 #[test]
 fn an_account_starts_with_a_debt_and_fills_by_the_rate() {
     let start = Instant::now();
-    let mut accounts = Accounts::default();
+    let mut accounts = TokenBuckets::default();
     let mut ask = |after: u64| {
         let at = start + Duration::from_millis(after);
-        accounts.ask(&lifetime(), rate(2.0), Duration::ZERO, at)
+        accounts.acquire(&lifetime(), rate(2.0), Duration::ZERO, at)
     };
 
     assert_eq!(ask(0), Decision::Denied(Duration::from_millis(1500)));
@@ -57,9 +57,9 @@
 #[test]
 fn a_request_that_can_wait_gets_the_next_permit_for_itself() {
     let start = Instant::now();
-    let mut accounts = Accounts::default();
+    let mut accounts = TokenBuckets::default();
     let mut ask =
-        |within| accounts.ask(&lifetime(), rate(2.0), Duration::from_millis(within), start);
+        |within| accounts.acquire(&lifetime(), rate(2.0), Duration::from_millis(within), start);
 
     assert_eq!(ask(2200), Decision::Granted(Duration::from_millis(1500)));
     assert_eq!(ask(2200), Decision::Granted(Duration::from_secs(2)));
@@ -69,11 +69,11 @@
 #[test]
 fn what_is_sent_without_asking_is_counted() {
     let now = Instant::now();
-    let mut accounts = Accounts::default();
+    let mut accounts = TokenBuckets::default();
 
-    assert_eq!(accounts.spend(&lifetime(), rate(1.0), now), Duration::from_secs(3));
+    assert_eq!(accounts.consume(&lifetime(), rate(1.0), now), Duration::from_secs(3));
     assert_eq!(accounts.wait(&lifetime(), rate(1.0), now), Duration::from_secs(3));
-    accounts.forget(now + LOAD * 2);
+    accounts.remove_expired(now + LOAD * 2);
     assert_eq!(accounts.wait(&lifetime(), rate(1.0), now), Duration::from_secs(2));
 }
 
@@ -104,7 +104,7 @@
         let start = Instant::now();
         let (limit, within) = (rate(per_s), Duration::from_millis(patience));
         let holders = holders(&handovers);
-        let mut accounts: Vec<Accounts> = holders.iter().map(|_| Accounts::default()).collect();
+        let mut accounts: Vec<TokenBuckets> = holders.iter().map(|_| TokenBuckets::default()).collect();
         let mut sent = Vec::new();
         // Twice as many ask as are allowed.
         let mean = Duration::from_secs_f64(0.5 / per_s);
@@ -115,7 +115,7 @@
             let asks = |(begin, end): &(Duration, Duration)| (*begin..*end).contains(&at);
             let held: Vec<usize> = (0..holders.len()).filter(|n| asks(&holders[*n])).collect();
             let holder = held[asked % held.len()];
-            let decision = accounts[holder].ask(&lifetime(), limit, within, start + at);
+            let decision = accounts[holder].acquire(&lifetime(), limit, within, start + at);
             if let Decision::Granted(wait) = decision {
                 sent.push(start + at + wait);
             }
--- a/components/quarantine/src/crash.rs
+++ b/components/quarantine/src/crash.rs
@@ -2,7 +2,7 @@
 
 use std::fmt;
 
-use crate::Content;
+use crate::RequestDigest;
 
 /// What a target says of one of its lifetimes: its id and the time of its birth, hashed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
@@ -39,7 +39,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct Crash {
     /// The request.
-    pub content: Content,
+    pub digest: RequestDigest,
     /// The lifetime that ended.
     pub lifetime: Lifetime,
     /// It does not count: the request ran to a good end elsewhere, or an operator released it. Once said,
--- a/components/quarantine/src/lib.rs
+++ b/components/quarantine/src/lib.rs
@@ -2,11 +2,11 @@
 //! VM, so that neither the tries of an attempt nor the failures of a target show it. Here stands what is
 //! the same request, what counts as evidence, and who is refused; plain state, asked with the time of now.
 
-mod content;
 mod crash;
-mod recent;
+mod recent_completions;
+mod request_digest;
 mod table;
 
-pub use content::{Asked, Content};
 pub use crash::{Birth, Crash, Lifetime};
-pub use table::{Cursor, Quarantine, Refused, Rules};
+pub use request_digest::{RequestDigest, RequestParts};
+pub use table::{Cursor, Quarantine, RefusedRequest, Rules};
--- a/components/quarantine/src/recent.rs
+++ b/components/quarantine/src/recent_completions.rs
@@ -3,7 +3,7 @@
 use std::collections::{HashMap, VecDeque};
 use std::time::{Duration, Instant};
 
-use crate::Content;
+use crate::RequestDigest;
 
 /// Contents that are remembered, 80 KB; the oldest goes first.
 const MOST: usize = 2048;
@@ -13,14 +13,14 @@
 
 /// Contents that ended well of late, at this VM.
 #[derive(Debug, Default)]
-pub(crate) struct Recent {
-    at: HashMap<Content, Instant>,
-    order: VecDeque<(Instant, Content)>,
+pub(crate) struct RecentCompletions {
+    at: HashMap<RequestDigest, Instant>,
+    order: VecDeque<(Instant, RequestDigest)>,
 }
 
-impl Recent {
+impl RecentCompletions {
     /// Notes that one ended well.
-    pub(crate) fn note(&mut self, content: Content, now: Instant) {
+    pub(crate) fn note(&mut self, content: RequestDigest, now: Instant) {
         self.at.insert(content, now);
         self.order.push_back((now, content));
         while self.order.len() > MOST {
@@ -29,7 +29,7 @@
     }
 
     /// Whether one ended well of late.
-    pub(crate) fn has(&self, content: &Content, now: Instant) -> bool {
+    pub(crate) fn has(&self, content: &RequestDigest, now: Instant) -> bool {
         self.at.get(content).is_some_and(|at| now.saturating_duration_since(*at) < LIFE)
     }
 
--- a/components/quarantine/src/content.rs
+++ b/components/quarantine/src/request_digest.rs
@@ -9,7 +9,7 @@
 
 /// What a caller asks, whatever the attempt's id.
 #[derive(Debug, Clone, Copy)]
-pub struct Asked<'a> {
+pub struct RequestParts<'a> {
     /// The method.
     pub method: &'a str,
     /// The host, in lower case and without its port.
@@ -24,12 +24,12 @@
 
 /// Two attempts with the same content ask the same on behalf of the same customer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub struct Content([u8; DIGEST_BYTES]);
+pub struct RequestDigest([u8; DIGEST_BYTES]);
 
-impl Content {
+impl RequestDigest {
     /// The content of a request. SHA-256, since whoever could make two requests look alike could have
     /// another one refused; each field goes in with its length, so that none runs into the next.
-    pub fn of(asked: &Asked<'_>) -> Self {
+    pub fn of(asked: &RequestParts<'_>) -> Self {
         let mut hasher = Sha256::new();
         let mut add = |field: &[u8]| {
             hasher.update((field.len() as u64).to_le_bytes());
@@ -41,42 +41,42 @@
         add(asked.customer.map_or("", |_| "customer").as_bytes());
         add(asked.customer.unwrap_or_default().as_bytes());
         add(asked.body);
-        Content::from_digest(&hasher.finalize())
+        RequestDigest::from_digest(&hasher.finalize())
     }
 
     /// The content of the pieces of a stage: what ends the targets that make them, or does not, says nothing
     /// of the request itself.
-    pub fn of_stage(&self, stage: u32) -> Self {
+    pub fn for_stage(&self, stage: u32) -> Self {
         let mut hasher = Sha256::new();
         hasher.update(self.0);
         hasher.update(stage.to_le_bytes());
-        Content::from_digest(&hasher.finalize())
+        RequestDigest::from_digest(&hasher.finalize())
     }
 
     fn from_digest(digest: &[u8]) -> Self {
         let mut kept = [0; DIGEST_BYTES];
         kept.copy_from_slice(&digest[..DIGEST_BYTES]);
-        Content(kept)
+        RequestDigest(kept)
     }
 
     /// The content's bytes, as VMs tell them each other.
-    pub fn bytes(&self) -> [u8; DIGEST_BYTES] {
+    pub fn to_bytes(&self) -> [u8; DIGEST_BYTES] {
         self.0
     }
 
-    /// Reads what [`Content::bytes`] gave; `None` if the length differs.
+    /// Reads what [`RequestDigest::to_bytes`] gave; `None` if the length differs.
     pub fn from_bytes(bytes: &[u8]) -> Option<Self> {
-        bytes.try_into().ok().map(Content)
+        bytes.try_into().ok().map(RequestDigest)
     }
 
     /// Reads what its text shows; `None` if it is no content.
     pub fn parse(text: &str) -> Option<Self> {
         let number = u128::from_str_radix(text, 16).ok()?;
-        (text.len() == 2 * DIGEST_BYTES).then(|| Content(number.to_be_bytes()))
+        (text.len() == 2 * DIGEST_BYTES).then(|| RequestDigest(number.to_be_bytes()))
     }
 }
 
-impl fmt::Display for Content {
+impl fmt::Display for RequestDigest {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{:032x}", u128::from_be_bytes(self.0))
     }
--- a/components/quarantine/src/table.rs
+++ b/components/quarantine/src/table.rs
@@ -8,8 +8,8 @@
 use std::time::{Duration, Instant};
 
 use crate::crash::Crashes;
-use crate::recent::Recent;
-use crate::{Birth, Content, Crash, Lifetime};
+use crate::recent_completions::RecentCompletions;
+use crate::{Birth, Crash, Lifetime, RequestDigest};
 
 /// Requests that are kept; the one with the fewest crashes, and of these the oldest, goes first. An engine
 /// that ends has 64 requests at work.
@@ -28,7 +28,7 @@
     /// Targets that it ended.
     pub crashes: usize,
     /// Time from the last of these on, or from its last return.
-    pub lasts: Duration,
+    pub duration: Duration,
 }
 
 #[derive(Debug)]
@@ -44,7 +44,7 @@
 /// A connection that broke under a request.
 #[derive(Debug, Clone, Copy)]
 struct Loss {
-    content: Content,
+    content: RequestDigest,
     lifetime: Lifetime,
     at: Instant,
 }
@@ -58,15 +58,15 @@
 
 /// A request that is refused, as operators see it.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Refused {
+pub struct RefusedRequest {
     /// The request.
-    pub content: Content,
+    pub digest: RequestDigest,
     /// Lifetimes of targets that it ended.
     pub ended: Vec<Lifetime>,
     /// Time until it is forgotten.
     pub left: Duration,
     /// How often this VM refused it.
-    pub refused: u64,
+    pub refusals: u64,
 }
 
 /// How far into the changes a peer was sent them.
@@ -77,10 +77,10 @@
 #[derive(Debug)]
 pub struct Quarantine {
     rules: Rules,
-    records: HashMap<Content, Record>,
+    records: HashMap<RequestDigest, Record>,
     losses: VecDeque<Loss>,
     ends: HashMap<Birth, Ends>,
-    completed: Recent,
+    completed: RecentCompletions,
     /// What became known, in order.
     changes: VecDeque<Crash>,
     /// Changes before these.
@@ -95,20 +95,20 @@
             records: HashMap::new(),
             losses: VecDeque::new(),
             ends: HashMap::new(),
-            completed: Recent::default(),
+            completed: RecentCompletions::default(),
             changes: VecDeque::new(),
             changes_dropped: 0,
         }
     }
 
     /// The lifetime to which work is sent now, of a target with this birth.
-    pub fn lifetime(&self, birth: Birth) -> Lifetime {
+    pub fn current_lifetime(&self, birth: Birth) -> Lifetime {
         let ends_before = self.ends.get(&birth).map_or(0, |ends| ends.count);
         Lifetime { birth, ends_before }
     }
 
     /// A connection to a target broke under a request: a crash, if the target turns out to have ended.
-    pub fn lost(&mut self, content: Content, lifetime: Lifetime, now: Instant) {
+    pub fn connection_lost(&mut self, content: RequestDigest, lifetime: Lifetime, now: Instant) {
         let is_old = |loss: &Loss| now.saturating_duration_since(loss.at) > LOSS_LIFE;
         while self.losses.front().is_some_and(is_old) || self.losses.len() >= MOST_LOSSES {
             self.losses.pop_front();
@@ -117,12 +117,12 @@
     }
 
     /// A lifetime of a target ended; gives what is new of it.
-    pub fn ended(&mut self, lifetime: Lifetime, now: Instant) -> Vec<Crash> {
+    pub fn lifetime_ended(&mut self, lifetime: Lifetime, now: Instant) -> Vec<Crash> {
         self.end_where(|other| *other == lifetime, now)
     }
 
     /// A target with this birth is gone; gives what is new of it.
-    pub fn gone(&mut self, birth: Birth, now: Instant) -> Vec<Crash> {
+    pub fn target_gone(&mut self, birth: Birth, now: Instant) -> Vec<Crash> {
         self.end_where(|lifetime| lifetime.birth == birth, now)
     }
 
@@ -132,30 +132,30 @@
         self.losses = others;
         let lost: VecDeque<Loss> = of_it;
         let crashes = lost.iter().filter(|loss| !is_old(loss)).map(|loss| Crash {
-            content: loss.content,
+            digest: loss.content,
             lifetime: loss.lifetime,
             cleared: self.completed.has(&loss.content, now),
         });
         let crashes: Vec<Crash> = crashes.collect();
         let new: Vec<Crash> = crashes.into_iter().filter(|crash| self.take(*crash, now)).collect();
         for crash in &new {
-            self.want_written(&crash.content);
+            self.want_written(&crash.digest);
         }
         new
     }
 
     /// A target ran a request to a good end, so that it is none that ends every target.
-    pub fn completed(&mut self, content: Content, now: Instant) {
+    pub fn request_completed(&mut self, content: RequestDigest, now: Instant) {
         self.completed.note(content, now);
         self.clear(&content, now);
     }
 
     /// Releases a request: what it ended so far counts no more. False if nothing was known of it.
-    pub fn clear(&mut self, content: &Content, now: Instant) -> bool {
+    pub fn clear(&mut self, content: &RequestDigest, now: Instant) -> bool {
         let Some(record) = self.records.get(content) else { return false };
         let counted: Vec<Lifetime> = record.crashes.counted().collect();
         for lifetime in &counted {
-            self.take(Crash { content: *content, lifetime: *lifetime, cleared: true }, now);
+            self.take(Crash { digest: *content, lifetime: *lifetime, cleared: true }, now);
         }
         !counted.is_empty()
     }
@@ -165,8 +165,8 @@
         let mut new = Vec::new();
         for crash in crashes {
             // Whoever saw that lifetime end saw it for this VM's requests as well.
-            new.extend(self.ended(crash.lifetime, now));
-            let cleared = crash.cleared || self.completed.has(&crash.content, now);
+            new.extend(self.lifetime_ended(crash.lifetime, now));
+            let cleared = crash.cleared || self.completed.has(&crash.digest, now);
             let crash = Crash { cleared, ..*crash };
             if self.take(crash, now) {
                 new.push(crash);
@@ -176,22 +176,22 @@
     }
 
     /// Whether any request ended a target: only then others need to be looked up.
-    pub fn knows_any(&self) -> bool {
+    pub fn has_records(&self) -> bool {
         !self.records.is_empty()
     }
 
     /// For how long a request is refused, if it is.
-    pub fn refused_for(&self, content: &Content, now: Instant) -> Option<Duration> {
+    pub fn refused_for(&self, content: &RequestDigest, now: Instant) -> Option<Duration> {
         let record = self.records.get(content)?;
         if record.crashes.counted().count() < self.rules.crashes {
             return None;
         }
-        let left = (record.last + self.rules.lasts).saturating_duration_since(now);
+        let left = (record.last + self.rules.duration).saturating_duration_since(now);
         (!left.is_zero()).then_some(left)
     }
 
     /// Counts that this VM refused a request. It is kept for as long as it returns.
-    pub fn note_refusal(&mut self, content: &Content, now: Instant) {
+    pub fn note_refusal(&mut self, content: &RequestDigest, now: Instant) {
         if let Some(record) = self.records.get_mut(content) {
             record.refused += 1;
             record.last = now;
@@ -200,36 +200,36 @@
     }
 
     /// The store tells of a request anew, since it still returns.
-    pub fn renew(&mut self, content: &Content, now: Instant) {
+    pub fn renew(&mut self, content: &RequestDigest, now: Instant) {
         if let Some(record) = self.records.get_mut(content) {
             record.last = now;
         }
     }
 
     /// Refused requests that this VM is to write into the store.
-    pub fn unwritten(&self, now: Instant) -> Vec<Refused> {
+    pub fn unwritten(&self, now: Instant) -> Vec<RefusedRequest> {
         let all = self.records.iter().filter(|(_, record)| record.unwritten);
         all.filter_map(|(content, record)| self.refused_of(content, record, now)).collect()
     }
 
     /// A request stands in the store.
-    pub fn written(&mut self, content: &Content) {
+    pub fn mark_written(&mut self, content: &RequestDigest) {
         if let Some(record) = self.records.get_mut(content) {
             record.unwritten = false;
         }
     }
 
     /// All requests that are refused, in the order of their contents.
-    pub fn refused(&self, now: Instant) -> Vec<Refused> {
+    pub fn refused(&self, now: Instant) -> Vec<RefusedRequest> {
         let all = self.records.iter();
-        let mut refused: Vec<Refused> =
+        let mut refused: Vec<RefusedRequest> =
             all.filter_map(|(content, record)| self.refused_of(content, record, now)).collect();
-        refused.sort_unstable_by_key(|refused| refused.content);
+        refused.sort_unstable_by_key(|refused| refused.digest);
         refused
     }
 
     /// Requests that ended a target and may be bystanders.
-    pub fn suspects(&self) -> usize {
+    pub fn suspect_count(&self) -> usize {
         let counts = |record: &&Record| record.crashes.counted().next().is_some();
         self.records.values().filter(counts).count()
     }
@@ -243,26 +243,31 @@
     }
 
     /// Forgets what is over.
-    pub fn forget(&mut self, now: Instant) {
-        let lasts = self.rules.lasts;
+    pub fn remove_expired(&mut self, now: Instant) {
+        let lasts = self.rules.duration;
         self.ends.retain(|_, ends| now.saturating_duration_since(ends.last) < lasts);
         let before = self.records.len();
         self.records.retain(|_, record| now.saturating_duration_since(record.last) < lasts);
         if self.records.len() < before {
             let known = &self.records;
             self.changes_dropped += self.changes.len() as u64;
-            self.changes.retain(|crash| known.contains_key(&crash.content));
+            self.changes.retain(|crash| known.contains_key(&crash.digest));
             // What is left is sent again to all peers: it says nothing new to them.
         }
     }
 
-    fn refused_of(&self, content: &Content, record: &Record, now: Instant) -> Option<Refused> {
+    fn refused_of(
+        &self,
+        content: &RequestDigest,
+        record: &Record,
+        now: Instant,
+    ) -> Option<RefusedRequest> {
         let left = self.refused_for(content, now)?;
         let ended = record.crashes.counted().collect();
-        Some(Refused { content: *content, ended, left, refused: record.refused })
+        Some(RefusedRequest { digest: *content, ended, left, refusals: record.refused })
     }
 
-    fn want_written(&mut self, content: &Content) {
+    fn want_written(&mut self, content: &RequestDigest) {
         if let Some(record) = self.records.get_mut(content) {
             record.unwritten = true;
         }
@@ -270,12 +275,12 @@
 
     /// Takes a crash; false if it says nothing new.
     fn take(&mut self, crash: Crash, now: Instant) -> bool {
-        if !self.records.contains_key(&crash.content) {
+        if !self.records.contains_key(&crash.digest) {
             self.make_room();
         }
         let new =
             || Record { crashes: Crashes::default(), last: now, refused: 0, unwritten: false };
-        let record = self.records.entry(crash.content).or_insert_with(new);
+        let record = self.records.entry(crash.digest).or_insert_with(new);
         if !record.crashes.take(crash.lifetime, crash.cleared) {
             return false;
         }
--- a/components/quarantine/tests/table.rs
+++ b/components/quarantine/tests/table.rs
@@ -3,15 +3,21 @@
 use std::time::{Duration, Instant};
 
 use proptest::prelude::{Strategy, any, prop, proptest};
-use quarantine::{Asked, Birth, Content, Crash, Cursor, Lifetime, Quarantine, Rules};
+use quarantine::{Birth, Crash, Cursor, Lifetime, Quarantine, RequestDigest, RequestParts, Rules};
 
-const RULES: Rules = Rules { crashes: 3, lasts: Duration::from_secs(600) };
+const RULES: Rules = Rules { crashes: 3, duration: Duration::from_secs(600) };
 /// Time within which peers hear of each other's changes: a heartbeat and its way.
 const HEARD: Duration = Duration::from_millis(250);
 
-fn content(number: usize) -> Content {
+fn content(number: usize) -> RequestDigest {
     let path = format!("/{number}");
-    Content::of(&Asked { method: "POST", host: "h", path: &path, customer: None, body: b"" })
+    RequestDigest::of(&RequestParts {
+        method: "POST",
+        host: "h",
+        path: &path,
+        customer: None,
+        body: b"",
+    })
 }
 
 fn vm() -> Quarantine {
@@ -24,9 +30,9 @@
 }
 
 /// A target ends under one request.
-fn crash(vm: &mut Quarantine, of: Content, birth: u64, now: Instant) -> Vec<Crash> {
-    vm.lost(of, lifetime(birth), now);
-    vm.ended(lifetime(birth), now)
+fn crash(vm: &mut Quarantine, of: RequestDigest, birth: u64, now: Instant) -> Vec<Crash> {
+    vm.connection_lost(of, lifetime(birth), now);
+    vm.lifetime_ended(lifetime(birth), now)
 }
 
 /// Tells one VM all that another one knows.
@@ -46,7 +52,7 @@
     crash(&mut vm, fatal, 3, now);
 
     assert_eq!((after_two, same_again), (None, None));
-    assert_eq!(vm.refused_for(&fatal, now), Some(RULES.lasts));
+    assert_eq!(vm.refused_for(&fatal, now), Some(RULES.duration));
     assert_eq!(vm.refused_for(&content(1), now), None);
 }
 
@@ -54,12 +60,15 @@
 fn a_broken_connection_alone_is_no_crash() {
     let (mut vm, cut, now) = (vm(), content(0), Instant::now());
 
-    (1..=5).for_each(|birth| vm.lost(cut, lifetime(birth), now));
+    (1..=5).for_each(|birth| vm.connection_lost(cut, lifetime(birth), now));
 
     assert_eq!(vm.refused_for(&cut, now), None);
     assert!(vm.changes_after(Cursor::default()).0.is_empty());
     let late = now + Duration::from_secs(7);
-    assert!(vm.ended(lifetime(1), late).is_empty(), "it ended long after it broke off the answer");
+    assert!(
+        vm.lifetime_ended(lifetime(1), late).is_empty(),
+        "it ended long after it broke off the answer"
+    );
 }
 
 #[test]
@@ -85,16 +94,16 @@
     let (mut vm, mut peer, fatal, now) = (vm(), vm(), content(0), Instant::now());
 
     for _ in 0..3 {
-        let sent_to = vm.lifetime(Birth(7));
-        vm.lost(fatal, sent_to, now);
-        vm.lost(fatal, sent_to, now);
-        vm.ended(sent_to, now);
+        let sent_to = vm.current_lifetime(Birth(7));
+        vm.connection_lost(fatal, sent_to, now);
+        vm.connection_lost(fatal, sent_to, now);
+        vm.lifetime_ended(sent_to, now);
     }
     tell(&mut peer, &vm, now);
 
     assert!(vm.refused_for(&fatal, now).is_some());
     assert!(peer.refused_for(&fatal, now).is_some());
-    assert_eq!(peer.lifetime(Birth(7)).ends_before, 3);
+    assert_eq!(peer.current_lifetime(Birth(7)).ends_before, 3);
 }
 
 #[test]
@@ -105,10 +114,10 @@
     assert!(one.refused_for(&hot, now).is_some());
     tell(&mut other, &one, now);
 
-    other.completed(hot, now);
+    other.request_completed(hot, now);
     tell(&mut one, &other, now);
     // The store, or a VM that did not hear of it, tells of them once more.
-    one.merge(&[Crash { content: hot, lifetime: lifetime(2), cleared: false }], now);
+    one.merge(&[Crash { digest: hot, lifetime: lifetime(2), cleared: false }], now);
 
     assert_eq!(one.refused_for(&hot, now), None);
     assert_eq!(other.refused_for(&hot, now), None);
@@ -117,7 +126,7 @@
 #[test]
 fn a_request_that_ends_well_all_the_time_is_spared_when_many_targets_end_at_once() {
     let (mut vm, hot, now) = (vm(), content(0), Instant::now());
-    vm.completed(hot, now);
+    vm.request_completed(hot, now);
 
     let later = now + Duration::from_secs(5);
     (1..=8).for_each(|lifetime| drop(crash(&mut vm, hot, lifetime, later)));
@@ -134,13 +143,13 @@
     let (mut vm, fatal, now) = (vm(), content(0), Instant::now());
     (1..=3).for_each(|lifetime| drop(crash(&mut vm, fatal, lifetime, now)));
 
-    let before_end = now + RULES.lasts - Duration::from_secs(1);
+    let before_end = now + RULES.duration - Duration::from_secs(1);
     vm.note_refusal(&fatal, before_end);
-    let kept = now + RULES.lasts + Duration::from_secs(1);
-    vm.forget(kept);
+    let kept = now + RULES.duration + Duration::from_secs(1);
+    vm.remove_expired(kept);
     let still = vm.refused_for(&fatal, kept);
-    let over = before_end + RULES.lasts + Duration::from_secs(1);
-    vm.forget(over);
+    let over = before_end + RULES.duration + Duration::from_secs(1);
+    vm.remove_expired(over);
 
     assert!(still.is_some());
     assert_eq!(vm.refused_for(&fatal, over), None);
@@ -171,7 +180,7 @@
     }
 
     assert!(vm.refused_for(&fatal, now).is_some());
-    assert!(vm.suspects() <= 1024);
+    assert!(vm.suspect_count() <= 1024);
 }
 
 /// What happens next in a fleet: (what, VM, request, target).
@@ -187,7 +196,7 @@
     vms: Vec<Quarantine>,
     /// Births of the targets so far.
     births: [u64; 4],
-    at_work: Vec<(usize, Content, usize)>,
+    at_work: Vec<(usize, RequestDigest, usize)>,
     now: Instant,
     crashes: usize,
     /// Sends of request 0 by a VM that had had time to hear of its third end.
@@ -241,12 +250,12 @@
         let lifetime = self.lifetime(target);
         let (ended, others) = self.at_work.drain(..).partition(|(_, _, at)| *at == target);
         self.at_work = others;
-        let ended: Vec<(usize, Content, usize)> = ended;
+        let ended: Vec<(usize, RequestDigest, usize)> = ended;
         for (vm, of, _) in &ended {
-            self.vms[*vm].lost(*of, lifetime, self.now);
+            self.vms[*vm].connection_lost(*of, lifetime, self.now);
         }
         for (vm, _, _) in &ended {
-            self.vms[*vm].ended(lifetime, self.now);
+            self.vms[*vm].lifetime_ended(lifetime, self.now);
         }
         self.births[target] += 1;
         self.crashes += 1;
@@ -259,9 +268,9 @@
     fn finish(&mut self, target: usize) {
         let (done, others) = self.at_work.drain(..).partition(|(_, _, at)| *at == target);
         self.at_work = others;
-        let done: Vec<(usize, Content, usize)> = done;
+        let done: Vec<(usize, RequestDigest, usize)> = done;
         for (vm, of, _) in done {
-            self.vms[vm].completed(of, self.now);
+            self.vms[vm].request_completed(of, self.now);
         }
     }
 
@@ -297,7 +306,7 @@
         let crashes: Vec<Crash> = told
             .iter()
             .map(|(of, birth, cleared)| Crash {
-                content: content(*of),
+                digest: content(*of),
                 lifetime: lifetime(*birth),
                 cleared: *cleared,
             })
--- a/components/selection/src/choice.rs
+++ b/components/selection/src/choice.rs
@@ -38,7 +38,7 @@
 
 /// What a call needs.
 #[derive(Debug)]
-pub struct Wanted<'a> {
+pub struct SelectionRequest<'a> {
     /// The service.
     pub service: &'a ServiceName,
     /// Targets already tried.
@@ -55,7 +55,7 @@
     /// The target.
     pub target: Target,
     /// Prompt tokens that it has to read.
-    pub unread: u64,
+    pub unread_tokens: u64,
     /// Its cost among the candidates, for the log.
     pub cost: f64,
     /// Candidates, for the log.
@@ -66,7 +66,7 @@
 
 /// How a call ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum End {
+pub enum TargetOutcome {
     /// The whole answer came.
     Answered,
     /// It answered with a failure of its own.
--- a/components/selection/src/cost.rs
+++ b/components/selection/src/cost.rs
@@ -3,7 +3,7 @@
 
 use std::time::Instant;
 
-use crate::choice::{CallSize, TargetKey, Wanted};
+use crate::choice::{CallSize, SelectionRequest, TargetKey};
 use crate::targets::Targets;
 
 /// Cost of a call to another hall, in parts of a slot in use.
@@ -28,7 +28,7 @@
     pub(crate) fn cheapest(
         &self,
         among: &[TargetKey],
-        wanted: &Wanted<'_>,
+        wanted: &SelectionRequest<'_>,
         now: Instant,
     ) -> Option<TargetKey> {
         let home = self.home_of(among, wanted);
@@ -38,7 +38,11 @@
 
     /// The home of a call's prompt, found once for all that are compared: 7 us a choice among 240
     /// targets, not 1,151 (`saddlerail-load choice`).
-    pub(crate) fn home_of(&self, among: &[TargetKey], wanted: &Wanted<'_>) -> Option<TargetKey> {
+    pub(crate) fn home_of(
+        &self,
+        among: &[TargetKey],
+        wanted: &SelectionRequest<'_>,
+    ) -> Option<TargetKey> {
         self.home(among, wanted.size?)
     }
 
@@ -46,7 +50,7 @@
         &self,
         key: TargetKey,
         home: Option<TargetKey>,
-        wanted: &Wanted<'_>,
+        wanted: &SelectionRequest<'_>,
         now: Instant,
     ) -> f64 {
         let known = &self.arena[key];
--- a/components/selection/src/lib.rs
+++ b/components/selection/src/lib.rs
@@ -1,13 +1,13 @@
 //! Which target runs a request, and how many requests may be sent a second time.
 
-mod cache;
 mod choice;
 mod cost;
-mod known;
-mod repeats;
+mod prefix_cache;
+mod retry_budget;
+mod target_state;
 mod targets;
 
-pub use cache::chain_of;
-pub use choice::{CallSize, End, Pick, Policy, TargetKey, Wanted};
-pub use repeats::{RepeatBudget, RepeatRules};
+pub use choice::{CallSize, Pick, Policy, SelectionRequest, TargetKey, TargetOutcome};
+pub use prefix_cache::prefix_chain;
+pub use retry_budget::{FleetRetryBudget, FleetRetryRules};
 pub use targets::Targets;
--- a/components/selection/src/cache.rs
+++ b/components/selection/src/prefix_cache.rs
@@ -7,7 +7,7 @@
 pub type Chain = Vec<(u64, u64)>;
 
 /// The starts of a prompt given by its parts, shortest first.
-pub fn chain_of(model: &str, parts: impl Iterator<Item = (u64, u32)>) -> Chain {
+pub fn prefix_chain(model: &str, parts: impl Iterator<Item = (u64, u32)>) -> Chain {
     let mut hash = hashing::of_text(model);
     let mut tokens = 0;
     parts
@@ -21,12 +21,12 @@
 
 /// Starts of prompts that a target was sent, the least recently used given up first.
 #[derive(Debug, Default)]
-pub(crate) struct Kept {
+pub(crate) struct PrefixCache {
     starts: HashMap<u64, (Instant, u64)>,
     tokens: u64,
 }
 
-impl Kept {
+impl PrefixCache {
     /// Tokens of the prompt that are probably kept.
     pub(crate) fn tokens_of(&self, chain: &[(u64, u64)]) -> u64 {
         let known = chain.iter().take_while(|(hash, _)| self.starts.contains_key(hash));
--- a/components/selection/src/repeats.rs
+++ b/components/selection/src/retry_budget.rs
@@ -5,7 +5,7 @@
 
 /// The fleet's budget for one service, in a sliding window.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct RepeatRules {
+pub struct FleetRetryRules {
     /// Repeats for each request.
     pub ratio: f64,
     /// Repeats beside these, for the whole fleet.
@@ -20,19 +20,19 @@
 
 /// This VM's part of the budget for one service.
 #[derive(Debug, Default)]
-pub struct RepeatBudget {
+pub struct FleetRetryBudget {
     requests: VecDeque<Instant>,
     repeats: VecDeque<Instant>,
 }
 
-impl RepeatBudget {
+impl FleetRetryBudget {
     /// Counts a request that a caller sent.
-    pub fn request(&mut self, now: Instant) {
+    pub fn record_request(&mut self, now: Instant) {
         self.requests.push_back(now);
     }
 
     /// Takes a repeat, if one is left; `vms` share the fleet's slack.
-    pub fn take(&mut self, rules: &RepeatRules, vms: usize, now: Instant) -> bool {
+    pub fn try_take(&mut self, rules: &FleetRetryRules, vms: usize, now: Instant) -> bool {
         forget(&mut self.requests, rules.window, now);
         forget(&mut self.repeats, rules.window, now);
         let shared = rules.slack / vms.max(1) as f64;
--- a/components/selection/src/known.rs
+++ b/components/selection/src/target_state.rs
@@ -4,11 +4,11 @@
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
 
-use eligibility::Warming;
+use eligibility::ColdState;
 use intent::Target;
 
-use crate::cache::Kept;
-use crate::choice::{CallSize, End};
+use crate::choice::{CallSize, TargetOutcome};
+use crate::prefix_cache::PrefixCache;
 
 /// A target's own word on its load counts for this long.
 const LOAD_LIFE: Duration = Duration::from_millis(1500);
@@ -42,7 +42,7 @@
 
 /// What is known of a target.
 #[derive(Debug)]
-pub(crate) struct Known {
+pub(crate) struct TargetState {
     pub(crate) target: Target,
     /// Hash of its id.
     pub(crate) id_hash: u64,
@@ -57,13 +57,13 @@
     /// Part of its calls that failed of late.
     pub(crate) failing: f64,
     rests_until: Option<Instant>,
-    pub(crate) kept: Kept,
-    pub(crate) warming: Warming,
+    pub(crate) kept: PrefixCache,
+    pub(crate) warming: ColdState,
 }
 
-impl Known {
+impl TargetState {
     pub(crate) fn new(target: Target) -> Self {
-        Known {
+        TargetState {
             id_hash: hashing::of_text(target.id.as_str()),
             target,
             calls: 0,
@@ -73,23 +73,26 @@
             failures: 0,
             failing: 0.0,
             rests_until: None,
-            kept: Kept::default(),
-            warming: Warming::default(),
+            kept: PrefixCache::default(),
+            warming: ColdState::default(),
         }
     }
 
     /// A call from here ended.
-    pub(crate) fn ended(&mut self, end: End, now: Instant) {
+    pub(crate) fn ended(&mut self, end: TargetOutcome, now: Instant) {
         self.calls = self.calls.saturating_sub(1);
-        let failed = matches!(end, End::OwnFailure | End::Failed | End::Unreachable);
-        if end != End::GivenUp {
+        let failed = matches!(
+            end,
+            TargetOutcome::OwnFailure | TargetOutcome::Failed | TargetOutcome::Unreachable
+        );
+        if end != TargetOutcome::GivenUp {
             self.failing += FAILING_WEIGHT * (f64::from(u8::from(failed)) - self.failing);
         }
         match end {
-            End::Answered => self.recover(),
-            End::Unreachable => self.failed(1, now),
-            End::Failed => self.failed(FAILURES, now),
-            End::OwnFailure | End::Declined | End::GivenUp => {}
+            TargetOutcome::Answered => self.recover(),
+            TargetOutcome::Unreachable => self.failed(1, now),
+            TargetOutcome::Failed => self.failed(FAILURES, now),
+            TargetOutcome::OwnFailure | TargetOutcome::Declined | TargetOutcome::GivenUp => {}
         }
     }
 
--- a/components/selection/src/targets.rs
+++ b/components/selection/src/targets.rs
@@ -9,15 +9,15 @@
 use intent::Target;
 use slotmap::SlotMap;
 
-use crate::choice::{CallSize, End, Pick, Policy, TargetKey, Wanted};
-use crate::known::Known;
+use crate::choice::{CallSize, Pick, Policy, SelectionRequest, TargetKey, TargetOutcome};
+use crate::target_state::TargetState;
 
 /// All targets.
 #[derive(Debug)]
 pub struct Targets {
     policy: Policy,
     pub(crate) own_hall: HallName,
-    pub(crate) arena: SlotMap<TargetKey, Known>,
+    pub(crate) arena: SlotMap<TargetKey, TargetState>,
     by_id: HashMap<TargetName, TargetKey>,
     by_service: HashMap<ServiceName, Vec<TargetKey>>,
     by_address: HashMap<SocketAddr, TargetKey>,
@@ -42,7 +42,7 @@
 
     /// Adds a target, or takes what it says of itself now. Nothing that was known of an earlier lifetime
     /// holds for a later one under the same id.
-    pub fn put(&mut self, target: Target, now: Instant) {
+    pub fn upsert(&mut self, target: Target, now: Instant) {
         if self.get(&target.id).is_some_and(|known| target.is_reborn_since(known)) {
             self.remove(&target.id);
         }
@@ -50,12 +50,12 @@
         let cold = target.cold;
         if let Some(key) = self.by_id.get(&id).copied() {
             self.arena[key].target = target;
-            self.arena[key].warming.told(cold, now);
+            self.arena[key].warming.set_remaining(cold, now);
             self.by_address.insert(address, key);
             return;
         }
-        let key = self.arena.insert(Known::new(target));
-        self.arena[key].warming.told(cold, now);
+        let key = self.arena.insert(TargetState::new(target));
+        self.arena[key].warming.set_remaining(cold, now);
         self.by_address.insert(address, key);
         self.by_id.insert(id, key);
         self.by_service.entry(service).or_default().push(key);
@@ -92,14 +92,14 @@
     }
 
     /// The target that listens at an address.
-    pub fn at(&self, address: SocketAddr) -> Option<&Target> {
+    pub fn at_address(&self, address: SocketAddr) -> Option<&Target> {
         let key = self.by_address.get(&address)?;
         self.arena.get(*key).map(|known| &known.target)
     }
 
     /// The hall of whatever listens at an address.
     pub fn hall_at(&self, address: SocketAddr) -> Option<&HallName> {
-        self.at(address).map(|target| &target.hall)
+        self.at_address(address).map(|target| &target.hall)
     }
 
     /// The hall of the target to which a prompt's shared start belongs.
@@ -130,14 +130,18 @@
     ) {
         for known in self.arena.values_mut().filter(|known| known.target.hall == *hall) {
             if let Some(time) = lasts(&known.target.service) {
-                known.warming.assume(time, now);
+                known.warming.assume_cold(time, now);
             }
         }
     }
 
     /// Works out anew what this VM may send each cold target within a second, from the target and the number
     /// of targets of its service; gives how many are cold.
-    pub fn share_cold(&mut self, share: impl Fn(&Target, usize) -> u32, now: Instant) -> usize {
+    pub fn update_cold_shares(
+        &mut self,
+        share: impl Fn(&Target, usize) -> u32,
+        now: Instant,
+    ) -> usize {
         let by_service = &self.by_service;
         let share =
             |target: &Target| share(target, by_service.get(&target.service).map_or(0, Vec::len));
@@ -157,7 +161,7 @@
     }
 
     /// Targets of a service that name the rate which they take.
-    pub fn rated(&self, service: &ServiceName) -> Vec<TargetKey> {
+    pub fn rate_limited(&self, service: &ServiceName) -> Vec<TargetKey> {
         let keys = self.by_service.get(service).map(Vec::as_slice).unwrap_or_default();
         keys.iter().copied().filter(|key| self.arena[*key].target.pause.is_some()).collect()
     }
@@ -170,9 +174,9 @@
     }
 
     /// Takes what a target says of itself in answers; false if it is not known.
-    pub fn set_words(&mut self, said: &Target) -> bool {
+    pub fn update_announced(&mut self, said: &Target) -> bool {
         let known = self.by_id.get(&said.id).and_then(|key| self.arena.get_mut(*key));
-        let Some(Known { target, .. }) = known else { return false };
+        let Some(TargetState { target, .. }) = known else { return false };
         target.leaving |= said.leaving;
         target.left_alone_until = said.left_alone_until.max(target.left_alone_until);
         target.limited_until = said.limited_until;
@@ -181,7 +185,7 @@
     }
 
     /// Addresses of some targets of a hall, others with each look.
-    pub fn some_of_hall(&mut self, hall: &HallName, most: usize) -> Vec<SocketAddr> {
+    pub fn sample_of_hall(&mut self, hall: &HallName, most: usize) -> Vec<SocketAddr> {
         let of_hall = self.arena.values().filter(|known| known.target.hall == *hall);
         let all: Vec<SocketAddr> = of_hall.map(|known| known.target.address).collect();
         self.turn = self.turn.wrapping_add(1);
@@ -205,8 +209,8 @@
         self.arena.is_empty()
     }
 
-    /// Chooses a target and counts the call there; [`Targets::end`] must follow.
-    pub fn pick(&mut self, wanted: &Wanted<'_>, now: Instant) -> Option<Pick> {
+    /// Chooses a target and counts the call there; [`Targets::record_outcome`] must follow.
+    pub fn pick(&mut self, wanted: &SelectionRequest<'_>, now: Instant) -> Option<Pick> {
         let keys = self.by_service.get(wanted.service)?;
         let untried = keys.iter().copied().filter(|key| !wanted.exclude.contains(key));
         let allowed: Vec<TargetKey> =
@@ -229,7 +233,7 @@
         let known = &mut self.arena[chosen];
         let unread = wanted.size.map_or(0, |size| known.unread_of(size));
         known.calls += 1;
-        known.warming.sent(now);
+        known.warming.record_request(now);
         known.unread += unread;
         if let Some(size) = wanted.size {
             known.kept.note(&size.chain, size.memory_tokens, now);
@@ -237,7 +241,7 @@
         Some(Pick {
             key: chosen,
             target: known.target.clone(),
-            unread,
+            unread_tokens: unread,
             cost,
             candidates: among.len(),
             load_age: known.load_age(now),
@@ -245,35 +249,35 @@
     }
 
     /// The prompt of a call was read.
-    pub fn prompt_read(&mut self, key: TargetKey, unread: u64) {
+    pub fn record_prompt_read(&mut self, key: TargetKey, unread: u64) {
         if let Some(known) = self.arena.get_mut(key) {
             known.unread = known.unread.saturating_sub(unread);
         }
     }
 
     /// A call ended.
-    pub fn end(&mut self, key: TargetKey, end: End, now: Instant) {
+    pub fn record_outcome(&mut self, key: TargetKey, end: TargetOutcome, now: Instant) {
         if let Some(known) = self.arena.get_mut(key) {
             known.ended(end, now);
         }
     }
 
     /// A call was given up because nothing came of it.
-    pub fn was_silent(&mut self, key: TargetKey, now: Instant) {
+    pub fn record_timeout(&mut self, key: TargetKey, now: Instant) {
         if let Some(known) = self.arena.get_mut(key) {
             known.was_silent(now);
         }
     }
 
     /// A target told its load.
-    pub fn told_load(&mut self, key: TargetKey, running: u32, waiting: u32, now: Instant) {
+    pub fn record_target_load(&mut self, key: TargetKey, running: u32, waiting: u32, now: Instant) {
         if let Some(known) = self.arena.get_mut(key) {
             known.told_load(running, waiting, now);
         }
     }
 
     /// A peer told of its calls under way.
-    pub fn peer_load(&mut self, peer: u64, loads: &[(TargetName, u32, u64)], now: Instant) {
+    pub fn record_peer_load(&mut self, peer: u64, loads: &[(TargetName, u32, u64)], now: Instant) {
         for (id, calls, unread) in loads {
             if let Some(known) = self.by_id.get(id).and_then(|key| self.arena.get_mut(*key)) {
                 known.peer_load(peer, *calls, *unread, now);
@@ -288,12 +292,12 @@
     }
 
     /// Whether a target may be sent a request if no other one is left.
-    fn is_allowed(&self, known: &Known, now: Instant) -> bool {
+    fn is_allowed(&self, known: &TargetState, now: Instant) -> bool {
         self.halls.eligibility(&known.target, now).is_allowed() && known.warming.may_send(now)
     }
 
     /// Whether a target may be sent a request.
-    fn is_open(&self, known: &Known, now: Instant) -> bool {
+    fn is_open(&self, known: &TargetState, now: Instant) -> bool {
         self.halls.eligibility(&known.target, now) == Eligibility::Open
             && known.warming.may_send(now)
             && !known.rests(now)
--- a/components/selection/tests/choice.rs
+++ b/components/selection/tests/choice.rs
@@ -9,7 +9,8 @@
 use ids::{HallName, ServiceName, TargetName};
 use intent::Target;
 use selection::{
-    CallSize, End, Pick, Policy, RepeatBudget, RepeatRules, TargetKey, Targets, Wanted, chain_of,
+    CallSize, FleetRetryBudget, FleetRetryRules, Pick, Policy, SelectionRequest, TargetKey,
+    TargetOutcome, Targets, prefix_chain,
 };
 
 fn service() -> ServiceName {
@@ -44,12 +45,12 @@
 fn targets(list: &[(&str, &str)]) -> Targets {
     let mut targets = Targets::new(Policy::Adaptive, hall("a"));
     let now = Instant::now();
-    list.iter().for_each(|(id, hall)| targets.put(target(id, hall), now));
+    list.iter().for_each(|(id, hall)| targets.upsert(target(id, hall), now));
     targets
 }
 
 fn pick(targets: &mut Targets, exclude: &[TargetKey], now: Instant) -> Option<Pick> {
-    targets.pick(&Wanted { service: &service(), exclude, size: None }, now)
+    targets.pick(&SelectionRequest { service: &service(), exclude, size: None }, now)
 }
 
 fn name(pick: &Pick) -> &str {
@@ -74,7 +75,7 @@
 fn a_leaving_target_gets_nothing() {
     let now = Instant::now();
     let mut targets = targets(&[("one", "a")]);
-    targets.put(Target { leaving: true, ..target("one", "a") }, now);
+    targets.upsert(Target { leaving: true, ..target("one", "a") }, now);
 
     assert!(pick(&mut targets, &[], now).is_none());
 }
@@ -86,7 +87,7 @@
     let first = pick(&mut targets, &[], now).unwrap();
     assert_eq!(name(&first), "near");
 
-    targets.end(first.key, End::Unreachable, now);
+    targets.record_outcome(first.key, TargetOutcome::Unreachable, now);
 
     let second = pick(&mut targets, &[], now).unwrap();
     assert_eq!(name(&second), "far");
@@ -99,7 +100,7 @@
     let now = Instant::now();
     let mut targets = targets(&[("one", "a")]);
     let first = pick(&mut targets, &[], now).unwrap();
-    targets.end(first.key, End::Unreachable, now);
+    targets.record_outcome(first.key, TargetOutcome::Unreachable, now);
 
     assert!(pick(&mut targets, &[], now).is_some());
     assert!(pick(&mut targets, &[first.key], now).is_none(), "but not one that was tried");
@@ -110,7 +111,7 @@
     let now = Instant::now();
     let mut targets = targets(&[("one", "a"), ("two", "a")]);
     let one = TargetName::new("one").unwrap();
-    targets.peer_load(7, &[(one, 3, 0)], now);
+    targets.record_peer_load(7, &[(one, 3, 0)], now);
 
     assert_eq!(name(&pick(&mut targets, &[], now).unwrap()), "two");
     let later = now + Duration::from_secs(10);
@@ -125,12 +126,12 @@
     for own in 100..108 {
         let parts = [(1, 500), (2, 4000), (own, 300)];
         let size = CallSize {
-            chain: chain_of("m", parts.into_iter()),
+            chain: prefix_chain("m", parts.into_iter()),
             prompt_tokens: 4800,
             inputs: Vec::new(),
             memory_tokens: 100_000,
         };
-        let wanted = Wanted { service: &service(), exclude: &[], size: Some(&size) };
+        let wanted = SelectionRequest { service: &service(), exclude: &[], size: Some(&size) };
         homes.push(name(&targets.pick(&wanted, now).unwrap()).to_owned());
     }
 
@@ -143,15 +144,15 @@
     let now = Instant::now();
     let mut targets = targets(&[("e1", "a")]);
     let size = |id: u64| CallSize {
-        chain: chain_of("m", [(id, 60)].into_iter()),
+        chain: prefix_chain("m", [(id, 60)].into_iter()),
         prompt_tokens: 60,
         inputs: Vec::new(),
         memory_tokens: 100,
     };
     let mut unread = |id: u64, at: Instant| {
         let size = size(id);
-        let wanted = Wanted { service: &service(), exclude: &[], size: Some(&size) };
-        targets.pick(&wanted, at).unwrap().unread
+        let wanted = SelectionRequest { service: &service(), exclude: &[], size: Some(&size) };
+        targets.pick(&wanted, at).unwrap().unread_tokens
     };
 
     assert_eq!(unread(1, now), 60);
@@ -162,19 +163,20 @@
 
 #[test]
 fn the_vms_together_keep_to_the_budget_of_repeats_at_every_moment() {
-    let rules = RepeatRules { ratio: 0.2, slack: 54.0, window: Duration::from_secs(10) };
+    let rules = FleetRetryRules { ratio: 0.2, slack: 54.0, window: Duration::from_secs(10) };
     let begin = Instant::now();
     let vms = 6;
-    let mut budgets: Vec<RepeatBudget> = (0..vms).map(|_| RepeatBudget::default()).collect();
+    let mut budgets: Vec<FleetRetryBudget> =
+        (0..vms).map(|_| FleetRetryBudget::default()).collect();
     let mut repeats: Vec<Duration> = Vec::new();
     let mut requests: Vec<Duration> = Vec::new();
     for step in 0..3000 {
         let at = Duration::from_millis(step * 10);
         let budget = &mut budgets[step as usize % vms];
-        budget.request(begin + at);
+        budget.record_request(begin + at);
         requests.push(at);
         // Every call fails, and each VM tries as often as it may.
-        while budget.take(&rules, vms, begin + at) {
+        while budget.try_take(&rules, vms, begin + at) {
             repeats.push(at);
         }
     }
@@ -227,7 +229,7 @@
 
     let chosen = pick(&mut targets, &[], now).unwrap();
     let none_left = pick(&mut targets, &[chosen.key], now);
-    halls.take_back(&hall("a"));
+    halls.restore(&hall("a"));
     targets.set_halls(halls);
     let back = pick(&mut targets, &[chosen.key], now).unwrap();
 
@@ -258,8 +260,8 @@
     let now = Instant::now();
     let mut targets = targets(&[("warm", "a")]);
     let cold = Target { cold: Duration::from_secs(3), ..target("cold", "a") };
-    targets.put(cold, now);
-    targets.share_cold(|_, _| 2, now);
+    targets.upsert(cold, now);
+    targets.update_cold_shares(|_, _| 2, now);
 
     let mut sent = |at: Instant| -> usize {
         let picks = (0..20).filter_map(|_| pick(&mut targets, &[], at)).collect::<Vec<_>>();
@@ -277,8 +279,8 @@
 fn a_request_for_which_only_cold_targets_of_other_vms_are_left_finds_none() {
     let now = Instant::now();
     let mut targets = Targets::new(Policy::Adaptive, hall("a"));
-    targets.put(Target { cold: Duration::from_secs(3), ..target("cold", "a") }, now);
-    targets.share_cold(|_, _| 0, now);
+    targets.upsert(Target { cold: Duration::from_secs(3), ..target("cold", "a") }, now);
+    targets.update_cold_shares(|_, _| 0, now);
 
     assert!(pick(&mut targets, &[], now).is_none());
     assert!(pick(&mut targets, &[], now + Duration::from_secs(3)).is_some(), "it is warm");
@@ -290,27 +292,27 @@
     let mut targets = targets(&[("near", "a"), ("far", "b")]);
 
     targets.assume_cold(&hall("a"), |_| Some(Duration::from_secs(3)), now);
-    let cold = targets.share_cold(|_, _| 0, now);
+    let cold = targets.update_cold_shares(|_, _| 0, now);
     let chosen = pick(&mut targets, &[], now).unwrap();
 
     assert_eq!((cold, name(&chosen)), (1, "far"));
-    assert_eq!(targets.share_cold(|_, _| 0, now + Duration::from_secs(3)), 0);
+    assert_eq!(targets.update_cold_shares(|_, _| 0, now + Duration::from_secs(3)), 0);
 }
 
 #[test]
 fn a_target_that_started_again_under_its_id_has_no_past() {
     let (mut targets, now) = (Targets::new(Policy::Adaptive, hall("a")), Instant::now());
     let born = |at: u64| Target { born: Some(at), ..target("one", "a") };
-    targets.put(born(1), now);
+    targets.upsert(born(1), now);
     let first = pick(&mut targets, &[], now).unwrap();
-    targets.end(first.key, End::Failed, now);
-    targets.put(born(1), now);
+    targets.record_outcome(first.key, TargetOutcome::Failed, now);
+    targets.upsert(born(1), now);
     let same = pick(&mut targets, &[], now).unwrap();
 
-    targets.put(born(2), now);
+    targets.upsert(born(2), now);
     let again = pick(&mut targets, &[first.key], now).unwrap();
     // A call to the lifetime before ends after the next one is known.
-    targets.end(same.key, End::Failed, now);
+    targets.record_outcome(same.key, TargetOutcome::Failed, now);
 
     assert_eq!(same.key, first.key);
     assert_ne!(again.key, first.key);
@@ -325,13 +327,13 @@
     let until = now + Duration::from_secs(1);
     let mut targets = targets(&[("near", "a"), ("far", "b")]);
     let id = |name: &str| TargetName::new(name).unwrap();
-    let wanted = Wanted { service: &service(), exclude: &[], size: None };
+    let wanted = SelectionRequest { service: &service(), exclude: &[], size: None };
 
-    assert!(targets.set_words(&said("near", true, None)));
+    assert!(targets.update_announced(&said("near", true, None)));
     let other = targets.pick(&wanted, now).unwrap();
-    targets.set_words(&said("far", false, Some(until)));
+    targets.update_announced(&said("far", false, Some(until)));
     // A later word is not shorter, whichever is heard last.
-    targets.set_words(&said("far", false, None));
+    targets.update_announced(&said("far", false, None));
     let none = targets.pick(&wanted, now);
 
     assert_eq!(other.target.id, id("far"));
@@ -339,7 +341,7 @@
     assert_eq!(targets.opens_at(&service(), now), Some(until));
     assert!(!targets.is_closed(&service(), now));
     assert_eq!(targets.pick(&wanted, until).unwrap().target.id, id("far"));
-    targets.set_words(&said("far", true, None));
+    targets.update_announced(&said("far", true, None));
     assert!(targets.is_closed(&service(), until));
-    assert!(!targets.set_words(&said("unknown", true, None)));
+    assert!(!targets.update_announced(&said("unknown", true, None)));
 }
--- a/gateway/src/crashes.rs
+++ b/gateway/src/crashes.rs
@@ -8,7 +8,7 @@
 use doors::callers::Refusal;
 use ids::ServiceName;
 use intent::Target;
-use quarantine::{Birth, Content, Crash, Lifetime};
+use quarantine::{Birth, Crash, Lifetime, RequestDigest};
 use slog::info;
 use tokio::task::spawn_local;
 use tokio::time::sleep;
@@ -39,14 +39,14 @@
 /// A worker's connection ended under a call with pieces of these.
 pub(crate) async fn call_broke(
     app: &Rc<App>,
-    contents: &[Content],
+    contents: &[RequestDigest],
     target: &Target,
     lifetime: Lifetime,
 ) {
     broke(app, contents, target, lifetime).await;
 }
 
-async fn broke(app: &Rc<App>, contents: &[Content], target: &Target, lifetime: Lifetime) {
+async fn broke(app: &Rc<App>, contents: &[RequestDigest], target: &Target, lifetime: Lifetime) {
     app.hub.with(|shared, now| shared.note_losses(contents, target, lifetime, now));
     if connections::is_refused(target.address, FIRST_LOOK).await {
         looked(app, contents, target, lifetime, true);
@@ -71,7 +71,7 @@
     false
 }
 
-fn looked(app: &App, contents: &[Content], target: &Target, lifetime: Lifetime, ended: bool) {
+fn looked(app: &App, contents: &[RequestDigest], target: &Target, lifetime: Lifetime, ended: bool) {
     for content in contents {
         info!(app.log, "connection broke under a request"; "content" => %content,
             "target" => %target.id, "target_ended" => ended);
@@ -83,24 +83,24 @@
 
 /// A target ran a request to a good end.
 pub(crate) fn completed(app: &App, req: &Accepted) {
-    app.hub.with(|shared, now| shared.quarantine.completed(req.content, now));
+    app.hub.with(|shared, now| shared.quarantine.request_completed(req.content, now));
 }
 
 /// What the pieces of a call are part of, each once.
-pub(crate) fn contents_of_call(app: &App, pool: &ServiceName, call: &Call) -> Vec<Content> {
+pub(crate) fn contents_of_call(app: &App, pool: &ServiceName, call: &Call) -> Vec<RequestDigest> {
     app.hub.with(|shared, _| {
         let pool = shared.pools.get(pool);
         let of = |(job, _): &(JobKey, u32)| pool?.submission(*job)?.content;
-        let contents: BTreeSet<Content> = call.pieces.iter().filter_map(of).collect();
+        let contents: BTreeSet<RequestDigest> = call.pieces.iter().filter_map(of).collect();
         contents.into_iter().collect()
     })
 }
 
 /// A worker answered a call: whatever came of its pieces, none of them ended it.
-pub(crate) fn pieces_completed(app: &App, contents: &[Content], end: &CallEnd) {
+pub(crate) fn pieces_completed(app: &App, contents: &[RequestDigest], end: &CallEnd) {
     if matches!(end, CallEnd::Answered(_)) {
         app.hub.with(|shared, now| {
-            contents.iter().for_each(|content| shared.quarantine.completed(*content, now));
+            contents.iter().for_each(|content| shared.quarantine.request_completed(*content, now));
         });
     }
 }
@@ -131,31 +131,33 @@
 impl Shared {
     /// The lifetime of a target to which work is sent now.
     pub(crate) fn lifetime_of(&self, target: &Target) -> Lifetime {
-        self.quarantine.lifetime(birth_of(target))
+        self.quarantine.current_lifetime(birth_of(target))
     }
 
     /// A connection to a target broke under these. A target that is leaving ends by itself.
     fn note_losses(
         &mut self,
-        contents: &[Content],
+        contents: &[RequestDigest],
         target: &Target,
         lifetime: Lifetime,
         now: Instant,
     ) {
         let leaves = self.targets.get(&target.id).is_none_or(|known| known.leaving);
         if !leaves {
-            contents.iter().for_each(|content| self.quarantine.lost(*content, lifetime, now));
+            contents
+                .iter()
+                .for_each(|content| self.quarantine.connection_lost(*content, lifetime, now));
         }
     }
 
     /// For how long a request is refused, for itself or for the pieces of one of its stages.
     fn refused_for(&mut self, req: &Accepted, now: Instant) -> Option<Duration> {
-        if !self.quarantine.knows_any() {
+        if !self.quarantine.has_records() {
             return None;
         }
         let pieces = pieces_of(&req.entry, &req.head);
         let stages = (0u32..).zip(pieces).filter(|(_, pieces)| *pieces > 0);
-        let contents = stages.map(|(stage, _)| req.content.of_stage(stage));
+        let contents = stages.map(|(stage, _)| req.content.for_stage(stage));
         let refused = [req.content]
             .into_iter()
             .chain(contents)
@@ -167,7 +169,7 @@
 
     /// Submissions to a pool of this VM whose pieces end their workers.
     pub(crate) fn refused_jobs(&self, pool: &ServiceName, now: Instant) -> Vec<JobKey> {
-        if !self.quarantine.knows_any() {
+        if !self.quarantine.has_records() {
             return Vec::new();
         }
         let waiting = self.pools.get(pool).into_iter().flat_map(Pool::waiting_submissions);
@@ -178,14 +180,14 @@
     }
 
     fn lifetime_ended(&mut self, lifetime: Lifetime, now: Instant) {
-        let new = self.quarantine.ended(lifetime, now);
+        let new = self.quarantine.lifetime_ended(lifetime, now);
         self.announce(&new, "own", now);
     }
 
     /// A target is gone or was born again, as the platform says or as whoever has its address says.
     pub(crate) fn target_ended(&mut self, target: &Target, now: Instant) {
         if !target.leaving {
-            let new = self.quarantine.gone(birth_of(target), now);
+            let new = self.quarantine.target_gone(birth_of(target), now);
             self.announce(&new, "its entry", now);
         }
     }
@@ -204,8 +206,8 @@
             self.word_known.send_replace(());
         }
         for crash in new {
-            let refused = self.quarantine.refused_for(&crash.content, now);
-            info!(self.log, "target ended under a request"; "content" => %crash.content,
+            let refused = self.quarantine.refused_for(&crash.digest, now);
+            info!(self.log, "target ended under a request"; "content" => %crash.digest,
                 "lifetime" => %crash.lifetime, "cleared" => crash.cleared, "from" => from,
                 "refused_ms" => refused.map(|left| left.as_millis()));
         }
--- a/gateway/src/dials.rs
+++ b/gateway/src/dials.rs
@@ -67,10 +67,10 @@
         app.hub.with(|shared, now| {
             shared.fleet.forget(now);
             shared.end_lapses(now);
-            shared.departures.forget(now);
-            shared.left_alone.forget(now);
-            shared.rates.forget(now);
-            shared.accounts.forget(now);
+            shared.departures.remove_expired(now);
+            shared.left_alone.remove_expired(now);
+            shared.rates.remove_expired(now);
+            shared.accounts.remove_expired(now);
             shared.look_at_accounts(now);
             shared.share_cold(now);
         });
--- a/gateway/src/gone_inputs.rs
+++ b/gateway/src/gone_inputs.rs
@@ -39,7 +39,7 @@
     let Some(has_run_out) = app.held.has_run_out(handle, now()) else { return Cause::TakenBack };
     let worker = (app.doors.calls.worker)(handle);
     let is_known =
-        |shared: &Shared| worker.is_some_and(|worker| shared.targets.at(worker).is_some());
+        |shared: &Shared| worker.is_some_and(|worker| shared.targets.at_address(worker).is_some());
     if !app.hub.with(|shared, _| is_known(shared)) {
         return Cause::WorkerGone;
     }
--- a/gateway/src/halls.rs
+++ b/gateway/src/halls.rs
@@ -50,7 +50,7 @@
     pub(crate) fn end_evacuation(&mut self, key: &str, from: &str, now: Instant) {
         let prefix = self.doors.intents.evacuations_prefix;
         let Some(Ok(hall)) = key.strip_prefix(prefix).map(HallName::new) else { return };
-        if !self.halls.take_back(&hall) {
+        if !self.halls.restore(&hall) {
             return;
         }
         if let Some(intent) = self.intent.clone() {
@@ -87,11 +87,11 @@
             let Some(cold) = service.and_then(|service| service.cold) else { return u32::MAX };
             let (overshoot, slack) = (margin.overshoot, margin.slack);
             let bound = ColdBound { per_s: cold.per_s, overshoot, slack };
-            let share = eligibility::share(bound, vms, targets);
+            let share = eligibility::cold_share(bound, vms, targets);
             let sends = fleet.is_among_first(&sender_key(target), share.senders);
-            if sends { share.each } else { 0 }
+            if sends { share.per_sender } else { 0 }
         };
-        self.cold_targets = self.targets.share_cold(share, now);
+        self.cold_targets = self.targets.update_cold_shares(share, now);
     }
 
     /// Services all of whose targets leave or are out of service, so that nothing can be run there.
--- a/gateway/src/link_words.rs
+++ b/gateway/src/link_words.rs
@@ -11,7 +11,7 @@
     PoolLoad, Rates, Submit, TargetLoad, Waiting, from_owner,
 };
 
-use quarantine::{Birth, Content, Crash, Cursor, Lifetime};
+use quarantine::{Birth, Crash, Cursor, Lifetime, RequestDigest};
 
 use crate::app::App;
 use crate::links::ToDialer;
@@ -133,7 +133,7 @@
             let late = f64::from(pool.late);
             (pool.pool.clone(), fleet::PoolLoad { turn, rate, queue, late, coming, at: now })
         });
-        shared.targets.peer_load(peer_number(vm), &loads, now);
+        shared.targets.record_peer_load(peer_number(vm), &loads, now);
         let Some(peer) = shared.fleet.peers.get_mut(vm) else { return stops };
         peer.as_of = beat.as_of;
         peer.watches = beat.watches;
@@ -193,7 +193,7 @@
     let slack = Duration::from_millis(u64::try_from(submit.slack_ms).unwrap_or(0));
     let submission = Submission {
         request: RequestId::new(&submit.request).ok()?,
-        content: Content::from_bytes(&submit.content),
+        content: RequestDigest::from_bytes(&submit.content),
         stage: submit.stage,
         pieces: submit.pieces,
         key: (!submit.key.is_empty()).then_some(submit.key),
@@ -211,9 +211,9 @@
 /// What a peer tells of requests that end targets; what can't be read is left out.
 pub(crate) fn crashes_of(told: &Crashes) -> Vec<Crash> {
     let crash = |crash: &work::Crash| {
-        let content = Content::from_bytes(&crash.content)?;
+        let content = RequestDigest::from_bytes(&crash.content)?;
         let lifetime = Lifetime { birth: Birth(crash.birth), ends_before: crash.ends_before };
-        Some(Crash { content, lifetime, cleared: crash.cleared })
+        Some(Crash { digest: content, lifetime, cleared: crash.cleared })
     };
     told.crashes.iter().filter_map(crash).collect()
 }
@@ -224,7 +224,10 @@
     let departure = |told: &work::Departure| {
         let target = TargetName::new(&told.target).ok()?;
         let said = now.checked_sub(Duration::from_millis(u64::from(told.age_ms)))?;
-        Some(Departure { lifetime: eligibility::Lifetime { target, born: told.born }, said })
+        Some(Departure {
+            lifetime: eligibility::Lifetime { target, born: told.born },
+            announced_at: said,
+        })
     };
     told.departures.iter().filter_map(departure).collect()
 }
@@ -259,7 +262,7 @@
         (changes, up_to, now)
     });
     *cursor = up_to;
-    let departure = |Departure { lifetime, said }: Departure| work::Departure {
+    let departure = |Departure { lifetime, announced_at: said }: Departure| work::Departure {
         target: lifetime.target.to_string(),
         born: lifetime.born,
         age_ms: millis(now.saturating_duration_since(said)),
@@ -276,7 +279,7 @@
     let (changes, up_to) = app.hub.with(|shared, _| shared.quarantine.changes_after(*cursor));
     *cursor = up_to;
     let crash = |crash: Crash| work::Crash {
-        content: crash.content.bytes().to_vec(),
+        content: crash.digest.to_bytes().to_vec(),
         birth: crash.lifetime.birth.0,
         ends_before: crash.lifetime.ends_before,
         cleared: crash.cleared,
--- a/gateway/src/pages.rs
+++ b/gateway/src/pages.rs
@@ -12,7 +12,7 @@
 use hyper::server::conn::http1;
 use hyper::service::service_fn;
 use hyper_util::rt::TokioIo;
-use quarantine::Content;
+use quarantine::RequestDigest;
 use serde_json::{Value, json};
 use tokio::net::TcpListener;
 use tokio::task::spawn_local;
@@ -70,7 +70,7 @@
 }
 
 fn release(app: &Rc<App>, path: &str) -> (StatusCode, String) {
-    let Some(content) = path.strip_prefix(RELEASE).and_then(Content::parse) else {
+    let Some(content) = path.strip_prefix(RELEASE).and_then(RequestDigest::parse) else {
         return (
             StatusCode::BAD_REQUEST,
             "expected a content of 32 hexadecimal digits\n".to_owned(),
@@ -112,7 +112,7 @@
 
 /// Lifetimes of targets that said in answers that they leave.
 fn leaving(shared: &Shared, now: Instant) -> Vec<Value> {
-    let word = |Departure { lifetime, said }: Departure| {
+    let word = |Departure { lifetime, announced_at: said }: Departure| {
         json!({
             "target": lifetime.target.as_str(),
             "born": lifetime.born,
@@ -190,10 +190,10 @@
             .iter()
             .map(|refused| {
                 json!({
-                    "content": refused.content.to_string(),
+                    "content": refused.digest.to_string(),
                     "ended": refused.ended.iter().map(ToString::to_string).collect::<Vec<_>>(),
                     "left_ms": refused.left.as_millis() as u64,
-                    "refused_here": refused.refused,
+                    "refused_here": refused.refusals,
                 })
             })
             .collect();
@@ -214,7 +214,7 @@
             "targets_left_alone": left_alone(shared, now),
             "targets_rates": rates(shared, now),
             "quarantine": quarantine,
-            "quarantine_suspects": shared.quarantine.suspects(),
+            "quarantine_suspects": shared.quarantine.suspect_count(),
             "peers": peers,
             "pools": pools,
         });
--- a/gateway/src/permits.rs
+++ b/gateway/src/permits.rs
@@ -137,11 +137,9 @@
 ) -> Option<Decision> {
     let owner = app.hub.with(|shared, now| shared.account_owner(&target.service, now));
     match owner {
-        Owner::This => {
-            Some(app.hub.with(|shared, now| {
-                shared.accounts.ask(&Lifetime::from(target), limit, within, now)
-            }))
-        }
+        Owner::This => Some(app.hub.with(|shared, now| {
+            shared.accounts.acquire(&Lifetime::from(target), limit, within, now)
+        })),
         Owner::Peer(vm) => ask_peer(app, &vm, question(app, target, within)).await,
         Owner::Unknown => None,
     }
@@ -157,7 +155,7 @@
 fn question(app: &App, target: &Target, within: Duration) -> PermitAsk {
     app.hub.with(|shared, now| {
         let lifetime = Lifetime::from(target);
-        let own = shared.rates.own(&lifetime).cloned().unwrap_or_default();
+        let own = shared.rates.own_observations(&lifetime).cloned().unwrap_or_default();
         let within_ms = u32::try_from(within.as_millis()).unwrap_or(u32::MAX);
         let rate = Some(rate_of(&lifetime, &own, now));
         PermitAsk { number: 0, rate, within_ms, passed_on: false }
@@ -193,7 +191,7 @@
 fn decide_here(app: &App, lifetime: &Lifetime, ask: &PermitAsk) -> Decision {
     let within = Duration::from_millis(u64::from(ask.within_ms));
     app.hub.with(|shared, now| match shared.rates.limit_of(lifetime) {
-        Some(limit) => shared.accounts.ask(lifetime, limit, within, now),
+        Some(limit) => shared.accounts.acquire(lifetime, limit, within, now),
         // Others have heard since that it takes whatever comes.
         None => Decision::Granted(Duration::ZERO),
     })
@@ -208,7 +206,7 @@
         if owner == Owner::This && before.is_some_and(|before| before != Owner::This) {
             let targets: Vec<Lifetime> =
                 self.targets.of_service(service).map(Lifetime::from).collect();
-            targets.iter().for_each(|lifetime| self.accounts.close(lifetime));
+            targets.iter().for_each(|lifetime| self.accounts.remove(lifetime));
         }
         owner
     }
@@ -253,7 +251,7 @@
     /// Sends a target nothing before `until`, since its rate is used up.
     fn hold_back(&mut self, target: &Target, until: Instant) {
         let lifetime = Lifetime::from(target);
-        self.rates.hold(&lifetime, until);
+        self.rates.hold_until(&lifetime, until);
         self.words_changed(&lifetime);
     }
 
@@ -269,7 +267,7 @@
     fn spend(&mut self, target: &Target, now: Instant) {
         let lifetime = Lifetime::from(target);
         let Some(limit) = self.rates.limit(target) else { return };
-        let wait = self.accounts.spend(&lifetime, limit, now);
+        let wait = self.accounts.consume(&lifetime, limit, now);
         self.hold_back(target, now + wait);
     }
 
@@ -281,7 +279,7 @@
         }
         if let Some(limit) = self.rates.limit(&target) {
             let wait = self.accounts.wait(lifetime, limit, now);
-            self.rates.hold(lifetime, now + wait);
+            self.rates.hold_until(lifetime, now + wait);
         }
     }
 }
--- a/gateway/src/plain.rs
+++ b/gateway/src/plain.rs
@@ -6,7 +6,7 @@
 use doors::callers::Refusal;
 use http_body_util::BodyExt;
 use hyper::Response;
-use selection::End;
+use selection::TargetOutcome;
 use tokio::time::timeout_at;
 
 use crate::answers::{AnswerBody, refusal, whole};
@@ -74,7 +74,7 @@
         Ok(body) => body.to_bytes(),
         Err(e) => {
             crashes::connection_broke(app, tries.req(), &a_try).await;
-            a_try.end(End::Failed);
+            a_try.end(TargetOutcome::Failed);
             tries.set_may_have_run();
             return Ok(Err(Missed::Lost(e.to_string())));
         }
@@ -87,7 +87,7 @@
     let took = now() - tries.began();
     app.hub.with(|shared, _| shared.learn_passing(&tries.req().entry.name, took));
     let own_failure = head.status.is_server_error();
-    a_try.end(if own_failure { End::OwnFailure } else { End::Answered });
+    a_try.end(if own_failure { TargetOutcome::OwnFailure } else { TargetOutcome::Answered });
     if own_failure {
         tries.set_may_have_run();
         let again = Missed::Lost(format!("status {}", head.status.as_u16()));
--- a/gateway/src/rate_words.rs
+++ b/gateway/src/rate_words.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant};
 
-use eligibility::{ChangeCursor, Lifetime, RateBelief, RateLimit};
+use eligibility::{ChangeCursor, Lifetime, RateLimit, RateObservations};
 use ids::TargetName;
 use peering::work::{NamedRate, Rate, Rates};
 
@@ -16,7 +16,7 @@
 const PARTS: f64 = 1000.0;
 
 /// What this VM heard of a target's rate, as it tells peers.
-pub(crate) fn rate_of(lifetime: &Lifetime, own: &RateBelief, now: Instant) -> Rate {
+pub(crate) fn rate_of(lifetime: &Lifetime, own: &RateObservations, now: Instant) -> Rate {
     let age = |at: Instant| millis(now.saturating_duration_since(at));
     let named = |(limit, at): (RateLimit, Instant)| NamedRate {
         thousandths: (limit.per_s() * PARTS).round() as u64,
@@ -25,13 +25,13 @@
     Rate {
         target: lifetime.target.to_string(),
         born: lifetime.born,
-        after_ms: own.after().map(age),
-        named: own.heard().map(named).collect(),
+        after_ms: own.latest_sent().map(age),
+        named: own.limits().map(named).collect(),
     }
 }
 
 /// What a peer heard of a target's rate; `None` if it can't be read.
-pub(crate) fn rate_from(rate: &Rate, now: Instant) -> Option<(Lifetime, RateBelief)> {
+pub(crate) fn rate_from(rate: &Rate, now: Instant) -> Option<(Lifetime, RateObservations)> {
     let ago = |ms: u32| now.checked_sub(Duration::from_millis(u64::from(ms)));
     let after = rate.after_ms.and_then(ago).and_then(|at| at.checked_sub(ON_ITS_WAY));
     let heard = rate.named.iter().filter_map(|named| {
@@ -39,11 +39,11 @@
         Some((limit, ago(named.heard_ms)? + ON_ITS_WAY))
     });
     let lifetime = Lifetime { target: TargetName::new(&rate.target).ok()?, born: rate.born };
-    Some((lifetime, RateBelief::told(after, heard)))
+    Some((lifetime, RateObservations::from_parts(after, heard)))
 }
 
 /// What a peer tells of targets' rates; what can't be read is left out.
-pub(crate) fn rates_of(told: &Rates) -> Vec<(Lifetime, RateBelief)> {
+pub(crate) fn rates_of(told: &Rates) -> Vec<(Lifetime, RateObservations)> {
     let now = hub::now();
     told.rates.iter().filter_map(|rate| rate_from(rate, now)).collect()
 }
--- a/gateway/src/reach.rs
+++ b/gateway/src/reach.rs
@@ -56,7 +56,7 @@
 /// Whether some target of a hall takes a connection.
 async fn takes_connections(app: &App, hall: &HallName) -> bool {
     let mut asked = JoinSet::new();
-    for address in app.hub.with(|shared, _| shared.targets.some_of_hall(hall, ASKED)) {
+    for address in app.hub.with(|shared, _| shared.targets.sample_of_hall(hall, ASKED)) {
         asked.spawn_local(connect(address));
     }
     while let Some(connected) = asked.join_next().await {
--- a/gateway/src/releases.rs
+++ b/gateway/src/releases.rs
@@ -102,7 +102,8 @@
 fn tells_itself(app: &App, handle: &str) -> bool {
     let Some(worker) = (app.doors.calls.worker)(handle) else { return true };
     app.hub.with(|shared, _| {
-        let names_rate = shared.targets.at(worker).is_some_and(|target| target.pause.is_some());
+        let names_rate =
+            shared.targets.at_address(worker).is_some_and(|target| target.pause.is_some());
         !names_rate
     })
 }
@@ -279,7 +280,7 @@
 /// The worker at an address; `None` if no target of a pool is known there.
 fn worker_at(app: &App, address: SocketAddr) -> Option<Target> {
     app.hub.with(|shared, _| {
-        let target = shared.targets.at(address)?;
+        let target = shared.targets.at_address(address)?;
         shared.pools.contains_key(&target.service).then(|| target.clone())
     })
 }
--- a/gateway/src/request_stages.rs
+++ b/gateway/src/request_stages.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 use doors::callers::Refusal;
-use selection::{CallSize, chain_of};
+use selection::{CallSize, prefix_chain};
 use slog::info;
 
 use crate::admission::InFlight;
@@ -64,7 +64,7 @@
 pub(crate) fn size_of(app: &Rc<App>, req: &Accepted, results: Option<&Results>) -> CallSize {
     let engine = req.intent.services.get(&req.service).and_then(|service| service.engine);
     CallSize {
-        chain: chain_of("", req.head.prompt.iter().map(|part| (part.id, part.tokens))),
+        chain: prefix_chain("", req.head.prompt.iter().map(|part| (part.id, part.tokens))),
         prompt_tokens: req.head.prompt_tokens,
         inputs: results.map(|r| r.bytes_by_hall(app, &req.entry)).unwrap_or_default(),
         memory_tokens: engine.map_or(u64::MAX, |engine| engine.memory_tokens),
--- a/gateway/src/requests.rs
+++ b/gateway/src/requests.rs
@@ -12,7 +12,7 @@
 use hyper::{Request, Response};
 use ids::{CustomerName, RequestId, ServiceName};
 use intent::{Customer, Entry, Intent};
-use quarantine::{Asked, Content};
+use quarantine::{RequestDigest, RequestParts};
 use slog::info;
 
 use crate::answers::{AnswerBody, refusal};
@@ -30,7 +30,7 @@
     pub(crate) id: RequestId,
     pub(crate) work: WorkKey,
     /// The same for each attempt at the same request.
-    pub(crate) content: Content,
+    pub(crate) content: RequestDigest,
     pub(crate) head: CallerHead,
     pub(crate) parts: Parts,
     pub(crate) body: Bytes,
@@ -175,8 +175,13 @@
 }
 
 /// What the request asks, worked out once, before it is sent anywhere.
-fn content_of(parts: &Parts, host: &str, customer: Option<&CustomerName>, body: &[u8]) -> Content {
-    Content::of(&Asked {
+fn content_of(
+    parts: &Parts,
+    host: &str,
+    customer: Option<&CustomerName>,
+    body: &[u8],
+) -> RequestDigest {
+    RequestDigest::of(&RequestParts {
         method: parts.method.as_str(),
         host,
         path: parts.uri.path_and_query().map_or("/", |path| path.as_str()),
--- a/gateway/src/settings.rs
+++ b/gateway/src/settings.rs
@@ -164,7 +164,7 @@
     }
 
     pub(crate) fn rules(&self) -> quarantine::Rules {
-        quarantine::Rules { crashes: self.crashes, lasts: self.lasts() }
+        quarantine::Rules { crashes: self.crashes, duration: self.lasts() }
     }
 }
 
--- a/gateway/src/shared.rs
+++ b/gateway/src/shared.rs
@@ -7,13 +7,13 @@
 
 use batching::{JobKey, Order, Pool, Submission};
 use doors::Doors;
-use eligibility::{Accounts, Departures, Halls, LeftAlone, RateLimits};
+use eligibility::{Backoffs, Departures, Halls, RateLimits, TokenBuckets};
 use fleet::{Fleet, Owner, Split, VmEntry};
 use ids::{HallName, ServiceName, TargetName, VmName};
 use intent::Intent;
 use quarantine::Quarantine;
 use result_leases::Leases;
-use selection::{RepeatBudget, RepeatRules, Targets};
+use selection::{FleetRetryBudget, FleetRetryRules, Targets};
 use slog::{Logger, info, warn};
 use stakker::CX;
 use stopping::{PassingTime, StopPlan};
@@ -68,13 +68,13 @@
     /// Targets that said in answers that they leave, to this VM or to peers.
     pub(crate) departures: Departures,
     /// Targets that want no work from this VM for some time.
-    pub(crate) left_alone: LeftAlone,
+    pub(crate) left_alone: Backoffs,
     /// Rates that targets name as the most that they take.
     pub(crate) rates: RateLimits,
     /// Words in answers that nobody here knows, by service.
     pub(crate) unknown_words: BTreeSet<(ServiceName, String)>,
     /// Accounts of such targets that this VM holds.
-    pub(crate) accounts: Accounts,
+    pub(crate) accounts: TokenBuckets,
     /// Who held the accounts of each service when last looked at.
     pub(crate) account_owners: BTreeMap<ServiceName, Owner>,
     /// Told when there is something to tell peers.
@@ -90,8 +90,8 @@
     /// Requests in work.
     pub(crate) works: Works,
     order: Order,
-    rules: RepeatRules,
-    budgets: HashMap<ServiceName, RepeatBudget>,
+    rules: FleetRetryRules,
+    budgets: HashMap<ServiceName, FleetRetryBudget>,
     first_events: HashMap<ServiceName, Duration>,
     /// Times from being sent to a target to the end of the answer, by entry.
     passing_times: HashMap<String, PassingTime>,
@@ -139,10 +139,10 @@
             in_force: cfg.in_force(),
             stop: None,
             departures: Departures::default(),
-            left_alone: LeftAlone::default(),
+            left_alone: Backoffs::default(),
             rates: RateLimits::default(),
             unknown_words: BTreeSet::new(),
-            accounts: Accounts::default(),
+            accounts: TokenBuckets::default(),
             account_owners: BTreeMap::new(),
             word_known: watch::channel(()).0,
             halls: Halls::default(),
@@ -151,7 +151,7 @@
             cold_targets: 0,
             works: Works::default(),
             order,
-            rules: RepeatRules {
+            rules: FleetRetryRules {
                 ratio: cfg.repeats.ratio,
                 slack: cfg.repeats.slack,
                 window: cfg.repeats.window(),
@@ -305,13 +305,13 @@
 
     /// Counts a request for a service.
     pub(crate) fn count_request(&mut self, service: &ServiceName, now: Instant) {
-        self.budgets.entry(service.clone()).or_default().request(now);
+        self.budgets.entry(service.clone()).or_default().record_request(now);
     }
 
     /// Takes a repeat from the budget, if one is left.
     pub(crate) fn take_repeat(&mut self, service: &ServiceName, now: Instant) -> bool {
         let vms = self.fleet.size();
-        self.budgets.entry(service.clone()).or_default().take(&self.rules, vms, now)
+        self.budgets.entry(service.clone()).or_default().try_take(&self.rules, vms, now)
     }
 
     /// Learns how long a service takes to a first event.
--- a/gateway/src/stages.rs
+++ b/gateway/src/stages.rs
@@ -8,7 +8,7 @@
 use fleet::{Owner, SETTLE};
 use ids::{HallName, RequestId, ServiceName};
 use intent::{Entry, Intent};
-use quarantine::Content;
+use quarantine::RequestDigest;
 use selection::CallSize;
 use slog::info;
 use tokio::sync::mpsc::{UnboundedSender, unbounded_channel};
@@ -185,7 +185,7 @@
     pub(crate) entry: &'a Entry,
     pub(crate) head: &'a CallerHead,
     pub(crate) id: &'a RequestId,
-    pub(crate) content: Content,
+    pub(crate) content: RequestDigest,
     pub(crate) urgency: u8,
     /// The service that runs the request, and the request's size there.
     pub(crate) service: &'a ServiceName,
@@ -386,7 +386,7 @@
     };
     let submission = Submission {
         request: of.id.clone(),
-        content: Some(of.content.of_stage(turn.stage)),
+        content: Some(of.content.for_stage(turn.stage)),
         stage: turn.stage,
         pieces: runs[index].missing(),
         key,
--- a/gateway/src/stored_refusals.rs
+++ b/gateway/src/stored_refusals.rs
@@ -5,7 +5,7 @@
 
 use bytes::Bytes;
 use doors::store::Write;
-use quarantine::{Content, Crash, Lifetime, Refused};
+use quarantine::{Crash, Lifetime, RefusedRequest, RequestDigest};
 use serde::{Deserialize, Serialize};
 use slog::{debug, info, warn};
 use tokio::task::spawn_local;
@@ -35,7 +35,7 @@
 }
 
 impl StoredRefusal {
-    fn of(refused: &Refused) -> Self {
+    fn of(refused: &RefusedRequest) -> Self {
         StoredRefusal { ended: refused.ended.iter().map(ToString::to_string).collect() }
     }
 
@@ -51,13 +51,13 @@
         let prefix = keys_prefix(self);
         let Some(content) = key.strip_prefix(&prefix) else { return false };
         let stored: Result<StoredRefusal, _> = serde_json::from_slice(value);
-        let (Some(content), Ok(stored)) = (Content::parse(content), stored) else {
+        let (Some(content), Ok(stored)) = (RequestDigest::parse(content), stored) else {
             warn!(self.log, "refused request's entry left out"; "key" => key);
             return true;
         };
         let lifetimes = stored.ended.iter().filter_map(|text| Lifetime::parse(text));
         let crashes: Vec<Crash> =
-            lifetimes.map(|lifetime| Crash { content, lifetime, cleared: false }).collect();
+            lifetimes.map(|lifetime| Crash { digest: content, lifetime, cleared: false }).collect();
         self.take_crashes(&crashes, "store", now);
         self.quarantine.renew(&content, now);
         true
@@ -75,7 +75,7 @@
         let now = looks.tick().await.into_std();
         if now.saturating_duration_since(forgot) > FORGET_LOOK {
             forgot = now;
-            app.hub.with(|shared, now| shared.quarantine.forget(now));
+            app.hub.with(|shared, now| shared.quarantine.remove_expired(now));
         }
         if !*app.store_reached.borrow() {
             continue;
@@ -90,8 +90,12 @@
     }
 }
 
-async fn write(app: &App, store: &mut StoreConnection, refused: &Refused) -> Result<(), Miss> {
-    let key = app.hub.with(|shared, _| key_of(shared, &refused.content));
+async fn write(
+    app: &App,
+    store: &mut StoreConnection,
+    refused: &RefusedRequest,
+) -> Result<(), Miss> {
+    let key = app.hub.with(|shared, _| key_of(shared, &refused.digest));
     let known = StoredRefusal::of(refused);
     let stands = app.hub.with(|shared, _| {
         let stored = shared.view.get(&key).and_then(|value| serde_json::from_slice(value).ok());
@@ -100,7 +104,7 @@
     if !stands {
         put(app, store, &key, &known).await?;
     }
-    app.hub.with(|shared, _| shared.quarantine.written(&refused.content));
+    app.hub.with(|shared, _| shared.quarantine.mark_written(&refused.digest));
     Ok(())
 }
 
@@ -123,7 +127,7 @@
 }
 
 /// Releases a request by an operator's word; false if nothing is known of it.
-pub(crate) fn release(app: &Rc<App>, content: Content) -> bool {
+pub(crate) fn release(app: &Rc<App>, content: RequestDigest) -> bool {
     let known = app.hub.with(|shared, now| shared.quarantine.clear(&content, now));
     if known {
         warn!(app.log, "refused request released"; "content" => %content);
@@ -144,6 +148,6 @@
     format!("{}{KEYS}", shared.doors.intents.own_prefix)
 }
 
-fn key_of(shared: &Shared, content: &Content) -> String {
+fn key_of(shared: &Shared, content: &RequestDigest) -> String {
     format!("{}{content}", keys_prefix(shared))
 }
--- a/gateway/src/stream_passing.rs
+++ b/gateway/src/stream_passing.rs
@@ -7,7 +7,7 @@
 
 use bytes::Bytes;
 use hyper::body::{Body, Frame};
-use selection::{CallSize, End};
+use selection::{CallSize, TargetOutcome};
 use slog::info;
 use tokio::sync::mpsc::{Receiver, Sender};
 use tokio::time::{Instant as TokioInstant, timeout_at};
@@ -74,7 +74,7 @@
         stream.app.hub.with(|shared, _| shared.learn_passing(&stream.req.entry.name, took));
         let Reader { answer, .. } = *stream.reader;
         let Answer { read, carrier, mut a_try, .. } = answer;
-        a_try.end(End::Answered);
+        a_try.end(TargetOutcome::Answered);
         if !read.closes {
             stream.app.rest(carrier, read.keeps);
         }
@@ -119,7 +119,7 @@
             }
             Err(_) => "it stalled".to_owned(),
         };
-        stream.reader.answer.a_try.end(End::Failed);
+        stream.reader.answer.a_try.end(TargetOutcome::Failed);
         let resumed = tokio::select! {
             biased;
             () = tx.closed() => return Passed::CallerGone,
--- a/gateway/src/stream_reader.rs
+++ b/gateway/src/stream_reader.rs
@@ -3,7 +3,7 @@
 use fleet::OutHalls;
 use http_body_util::BodyExt;
 use hyper::body::Incoming;
-use selection::End;
+use selection::TargetOutcome;
 use tokio::sync::watch;
 
 use crate::app::App;
@@ -36,7 +36,7 @@
 
     /// Ends a try that brought no event.
     pub(crate) fn lost(&mut self, tries: &Tries, why: String) -> Missed {
-        self.answer.a_try.end(End::Failed);
+        self.answer.a_try.end(TargetOutcome::Failed);
         tries.set_may_have_run();
         Missed::Lost(why)
     }
--- a/gateway/src/streams.rs
+++ b/gateway/src/streams.rs
@@ -7,7 +7,7 @@
 use doors::callers::Refusal;
 use http_body_util::BodyExt;
 use hyper::Response;
-use selection::{CallSize, End};
+use selection::{CallSize, TargetOutcome};
 use slog::info;
 use tokio::sync::mpsc::channel;
 use tokio::task::spawn_local;
@@ -203,7 +203,11 @@
         app.rest(carrier, read.keeps);
     }
     crashes::completed(app, req);
-    a_try.end(if head.status.is_server_error() { End::OwnFailure } else { End::Answered });
+    a_try.end(if head.status.is_server_error() {
+        TargetOutcome::OwnFailure
+    } else {
+        TargetOutcome::Answered
+    });
     let mut answer = Response::new(whole(body.to_bytes()));
     *answer.status_mut() = head.status;
     *answer.headers_mut() = (app.doors.calls.pass_on)(&head.headers);
--- a/gateway/src/target_entries.rs
+++ b/gateway/src/target_entries.rs
@@ -54,7 +54,7 @@
                 "born" => target.born, "before" => known.born);
             self.target_ended(&known, now);
         }
-        self.targets.put(target, now);
+        self.targets.upsert(target, now);
     }
 
     /// An entry is gone.
--- a/gateway/src/target_words.rs
+++ b/gateway/src/target_words.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 
 use doors::calls::{AnswerHead, Evidence, NamedRate};
-use eligibility::{Departure, Lifetime, RateBelief, RateChange, RateLimit, Sighting};
+use eligibility::{Departure, Lifetime, RateChange, RateLimit, RateObservation, RateObservations};
 use http::response::Parts;
 use ids::ServiceName;
 use intent::Target;
@@ -90,7 +90,7 @@
             return;
         }
     };
-    let sighting = Sighting { limit, sent, heard: now() };
+    let sighting = RateObservation { limit, sent, heard: now() };
     let changed = app.hub.with(|shared, now| shared.take_rate(target, sighting, now));
     if changed {
         rates_changed(app);
@@ -113,7 +113,7 @@
 
 /// Takes what a peer heard of targets that leave.
 pub(crate) fn heard_from_peer(app: &Rc<App>, peer: &str, departures: Vec<Departure>) {
-    for Departure { lifetime, said } in departures {
+    for Departure { lifetime, announced_at: said } in departures {
         let service = app.hub.with(|shared, now| {
             let service = shared.targets.service_of(&lifetime.target).cloned();
             let is_new = shared.departs(lifetime, said, peer, now);
@@ -129,7 +129,7 @@
 impl Shared {
     /// Takes that a target leaves; says whether it is the first word of that.
     fn departs(&mut self, lifetime: Lifetime, said: Instant, from: &str, now: Instant) -> bool {
-        if !self.departures.note(lifetime.clone(), said, now) {
+        if !self.departures.record(lifetime.clone(), said, now) {
             return false;
         }
         let entry = self.targets.get(&lifetime.target);
@@ -143,9 +143,9 @@
     }
 
     /// Takes what an answer said of its target's rate; says whether another rate holds than before.
-    fn take_rate(&mut self, target: &Target, sighting: Sighting, now: Instant) -> bool {
+    fn take_rate(&mut self, target: &Target, sighting: RateObservation, now: Instant) -> bool {
         let lifetime = Lifetime::from(target);
-        let change = self.rates.note(lifetime.clone(), sighting);
+        let change = self.rates.record(lifetime.clone(), sighting);
         let Some(change) = change else { return false };
         self.rate_changed(&lifetime, change, "its answer", now);
         self.word_known.send_replace(());
@@ -156,11 +156,11 @@
     pub(crate) fn take_told_rate(
         &mut self,
         lifetime: Lifetime,
-        belief: &RateBelief,
+        belief: &RateObservations,
         peer: &str,
         now: Instant,
     ) {
-        if let Some(change) = self.rates.note_told(lifetime.clone(), belief) {
+        if let Some(change) = self.rates.merge_peer(lifetime.clone(), belief) {
             self.rate_changed(&lifetime, change, peer, now);
         }
     }
@@ -177,7 +177,7 @@
     fn leave_alone(&mut self, lifetime: &Lifetime, time: Duration, now: Instant) {
         // No clock goes on for long enough to overflow here: the time is at most a day.
         let until = now + time;
-        if !self.left_alone.note(lifetime.clone(), until) {
+        if !self.left_alone.record(lifetime.clone(), until) {
             return;
         }
         info!(self.log, "target wants to be left alone"; "target" => %lifetime.target,
@@ -192,7 +192,7 @@
             return;
         };
         self.add_words(&mut target);
-        self.targets.set_words(&target);
+        self.targets.update_announced(&target);
         if self.pools.contains_key(&target.service) {
             self.sync_pools();
             self.choices_changed = true;
@@ -201,7 +201,7 @@
 
     /// Adds to a target's entry what the target said in answers.
     pub(crate) fn add_words(&self, target: &mut Target) {
-        target.leaving |= self.departures.said(target).is_some();
+        target.leaving |= self.departures.announced_at(target).is_some();
         target.left_alone_until = self.left_alone.until(target);
         target.limited_until = self.rates.held_until(target);
         let limit = self.rates.limit(target);
--- a/gateway/src/tries.rs
+++ b/gateway/src/tries.rs
@@ -9,7 +9,7 @@
 use hyper::Response;
 use hyper::body::Incoming;
 use quarantine::Lifetime;
-use selection::{CallSize, End, Pick, TargetKey, Wanted};
+use selection::{CallSize, Pick, SelectionRequest, TargetKey, TargetOutcome};
 use slog::info;
 
 use crate::app::App;
@@ -67,21 +67,21 @@
     /// The prompt was read.
     pub(crate) fn prompt_read(&mut self) {
         let unread = std::mem::take(&mut self.unread);
-        self.app.hub.with(|shared, _| shared.targets.prompt_read(self.pick.key, unread));
+        self.app.hub.with(|shared, _| shared.targets.record_prompt_read(self.pick.key, unread));
     }
 
     /// Notes how the try ended.
-    pub(crate) fn end(&mut self, end: End) {
+    pub(crate) fn end(&mut self, end: TargetOutcome) {
         if !std::mem::replace(&mut self.ended, true) {
             self.prompt_read();
-            self.app.hub.with(|shared, now| shared.targets.end(self.pick.key, end, now));
+            self.app.hub.with(|shared, now| shared.targets.record_outcome(self.pick.key, end, now));
         }
     }
 }
 
 impl Drop for Try {
     fn drop(&mut self) {
-        self.end(End::GivenUp);
+        self.end(TargetOutcome::GivenUp);
     }
 }
 
@@ -140,7 +140,7 @@
     pub(crate) fn was_silent(&mut self) {
         self.set_may_have_run();
         if let Some(key) = self.tried.last() {
-            self.app.hub.with(|shared, now| shared.targets.was_silent(*key, now));
+            self.app.hub.with(|shared, now| shared.targets.record_timeout(*key, now));
         }
     }
 
@@ -185,25 +185,25 @@
         let result = match sent {
             Ok((answer, carrier)) => self.read(answer, carrier, &mut a_try).await,
             Err(NoAnswer::NotSent(why)) => {
-                a_try.end(End::Unreachable);
+                a_try.end(TargetOutcome::Unreachable);
                 self.sent -= 1;
                 self.unreachable += 1;
                 slog::debug!(self.app.log, "target not reached"; "target" => %target.id, "why" => why);
                 Err(Missed::NotReached)
             }
             Err(NoAnswer::Withheld) => {
-                a_try.end(End::GivenUp);
+                a_try.end(TargetOutcome::GivenUp);
                 self.sent -= 1;
                 self.unreachable += 1;
                 Err(Missed::NotReached)
             }
             Err(NoAnswer::Broke(why)) => {
                 crashes::connection_broke(&self.app, &self.req, &a_try).await;
-                a_try.end(End::Failed);
+                a_try.end(TargetOutcome::Failed);
                 Err(Missed::Lost(why))
             }
             Err(NoAnswer::GivenUp(why)) => {
-                a_try.end(End::Failed);
+                a_try.end(TargetOutcome::Failed);
                 Err(Missed::Lost(why))
             }
         };
@@ -250,7 +250,7 @@
             match permits::for_request(&self.app, &target, within).await {
                 Ok(permit) => return Ok((a_try, permit)),
                 Err(AtItsRate) => {
-                    a_try.end(End::GivenUp);
+                    a_try.end(TargetOutcome::GivenUp);
                     permits::tell_passed_over(&self.app, &self.req.id, &target);
                     passed_over.push(a_try.pick.key);
                     asked += 1;
@@ -258,7 +258,7 @@
             }
             if asked == MOST_ASKED {
                 let service = &self.req.service;
-                let rated = self.app.hub.with(|shared, _| shared.targets.rated(service));
+                let rated = self.app.hub.with(|shared, _| shared.targets.rate_limited(service));
                 passed_over.extend(rated);
             }
         }
@@ -270,13 +270,13 @@
     }
 
     fn pick(&self, size: Option<&CallSize>, exclude: &[TargetKey]) -> Option<Try> {
-        let wanted = Wanted { service: &self.req.service, exclude, size };
+        let wanted = SelectionRequest { service: &self.req.service, exclude, size };
         self.app.hub.with(|shared, now| {
             let pick = shared.targets.pick(&wanted, now)?;
-            let said = shared.departures.said(&pick.target);
+            let said = shared.departures.announced_at(&pick.target);
             Some(Try {
                 app: Rc::clone(&self.app),
-                unread: pick.unread,
+                unread: pick.unread_tokens,
                 lifetime: shared.lifetime_of(&pick.target),
                 said_leaving: said.map(|at| now.saturating_duration_since(at)),
                 rate: shared.rates.limit(&pick.target),
@@ -299,13 +299,13 @@
         let key = a_try.pick.key;
         if let (Some(load), true) = (read.load, read.evidence != Evidence::Crossed) {
             self.app.hub.with(|shared, now| {
-                shared.targets.told_load(key, load.running, load.waiting, now);
+                shared.targets.record_target_load(key, load.running, load.waiting, now);
             });
         }
         match read.evidence {
             Evidence::Own => Ok((head, read, body, carrier)),
             Evidence::Declined | Evidence::InputGone => {
-                a_try.end(End::Declined);
+                a_try.end(TargetOutcome::Declined);
                 self.finish_declined(body, carrier, read).await;
                 if read.evidence == Evidence::InputGone {
                     return Err(Missed::InputGone);
@@ -313,19 +313,19 @@
                 Err(Missed::Declined)
             }
             Evidence::OtherTarget => {
-                a_try.end(End::Unreachable);
+                a_try.end(TargetOutcome::Unreachable);
                 self.sent -= 1;
                 self.unreachable += 1;
                 self.app.hub.with(|shared, now| shared.target_replaced(&a_try.pick.target, now));
                 Err(Missed::Replaced)
             }
             Evidence::Crossed => {
-                a_try.end(End::Failed);
+                a_try.end(TargetOutcome::Failed);
                 self.app.metrics.answer_crossed(a_try.pick.target.id.as_str());
                 Err(Missed::Lost("an answer to another request came".to_owned()))
             }
             Evidence::Spoiled => {
-                a_try.end(End::Failed);
+                a_try.end(TargetOutcome::Failed);
                 Err(Missed::Lost("no valid answer came".to_owned()))
             }
         }
@@ -344,7 +344,7 @@
         info!(self.app.log, "try"; "request" => %self.req.id, "content" => %self.req.content, "service" => %self.req.service,
             "target" => %pick.target.id, "hall" => %pick.target.hall,
             "cost" => format!("{:.2}", pick.cost), "of" => pick.candidates,
-            "load_age_ms" => pick.load_age.map(|age| age.as_millis()), "unread" => pick.unread,
+            "load_age_ms" => pick.load_age.map(|age| age.as_millis()), "unread" => pick.unread_tokens,
             "missed" => missed.map(|missed| format!("{missed:?}")),
             "rate_per_s" => a_try.rate.map(RateLimit::per_s),
             "said_leaving_ms" => a_try.said_leaving.map(|age| age.as_millis()),
--- a/load/src/choice.rs
+++ b/load/src/choice.rs
@@ -5,7 +5,7 @@
 
 use ids::{HallName, ServiceName, TargetName};
 use intent::Target;
-use selection::{CallSize, End, Policy, Targets, Wanted, chain_of};
+use selection::{CallSize, Policy, SelectionRequest, TargetOutcome, Targets, prefix_chain};
 
 /// Choices that are timed together.
 const CHOICES: u64 = 2000;
@@ -40,14 +40,14 @@
             pause: None,
             cold: Duration::ZERO,
         };
-        targets.put(target, Instant::now());
+        targets.upsert(target, Instant::now());
     }
     let began = Instant::now();
     for number in 0..CHOICES {
         let size = size_of(number);
-        let wanted = Wanted { service: &service, exclude: &[], size: Some(&size) };
+        let wanted = SelectionRequest { service: &service, exclude: &[], size: Some(&size) };
         if let Some(pick) = targets.pick(&wanted, began) {
-            targets.end(pick.key, End::Answered, began);
+            targets.record_outcome(pick.key, TargetOutcome::Answered, began);
         }
     }
     Ok(began.elapsed() / u32::try_from(CHOICES).unwrap_or(u32::MAX))
@@ -56,6 +56,6 @@
 /// A prompt of three parts, of which the first two are shared with others.
 fn size_of(number: u64) -> CallSize {
     let parts = [(1, 500), (number % 100, 4000), (number, 6000)];
-    let chain = chain_of("model", parts.into_iter());
+    let chain = prefix_chain("model", parts.into_iter());
     CallSize { chain, prompt_tokens: 10_500, inputs: Vec::new(), memory_tokens: 400_000 }
 }
--- a/load/src/rates.rs
+++ b/load/src/rates.rs
@@ -3,7 +3,7 @@
 
 use std::time::{Duration, Instant};
 
-use eligibility::{Accounts, Decision, Lifetime, RateLimit};
+use eligibility::{Decision, Lifetime, RateLimit, TokenBuckets};
 use ids::TargetName;
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
@@ -94,12 +94,12 @@
     };
     let part = |_| Part { per_s: per_s / senders as f64, permits: 0.0, at: Duration::ZERO };
     let mut parts: Vec<Part> = (0..senders).map(part).collect();
-    let (mut account, start) = (Accounts::default(), Instant::now());
+    let (mut account, start) = (TokenBuckets::default(), Instant::now());
     let lifetime = Lifetime { target: TargetName::new("target")?, born: None };
     let limit = RateLimit::new(per_s);
     let mut ask = |vm: usize, at: Duration| match (way, limit) {
         (Way::Account, Some(limit)) => {
-            let decision = account.ask(&lifetime, limit, Duration::ZERO, start + at);
+            let decision = account.acquire(&lifetime, limit, Duration::ZERO, start + at);
             matches!(decision, Decision::Granted(_))
         }
         _ => parts.get_mut(vm).is_some_and(|part| part.take(at)),
