--- a/components/caller_request/src/lib.rs
+++ b/components/caller_request/src/lib.rs
@@ -1,4 +1,6 @@
-//! What a caller asks for, read from the head of its HTTP request.
+//! Parses the path and headers of a caller's HTTP request.
+//!
+//! Whatever can't be accepted is refused as a bad_request request that has not run.
 
 use std::time::{Duration, Instant};
 
@@ -6,59 +8,66 @@
 use ids::{CustomerName, Priority, RequestId, ServiceName};
 use outcomes::{REQUEST_ID_HEADER, Reason, Refusal};
 
-/// Start of every header that speaks to this system; an unknown one is refused.
-const PREFIX: &str = "saddlerail-";
+/// Prefix of the headers that belong to this system. An unknown header with it is refused.
+const HEADER_PREFIX: &str = "saddlerail-";
+/// Header with the customer's name; required.
 const CUSTOMER: &str = "saddlerail-customer";
+/// Header with the milliseconds until the deadline; required.
 const DEADLINE: &str = "saddlerail-deadline-ms";
+/// Header with the request's priority.
 const PRIORITY: &str = "saddlerail-priority";
+/// Header that says whether the request's calls may run more than once.
 const REPEATABLE: &str = "saddlerail-repeatable";
+/// Header that says whether the request was refused before and is repeated at the time it was given.
 const RETURNING: &str = "saddlerail-returning";
-const PREFIX_KEY: &str = "saddlerail-prompt-prefix";
-/// Path before the service's name.
+/// Header that names the prefix of the prompt.
+const PROMPT_PREFIX: &str = "saddlerail-prompt-prefix";
+/// Path of requests to services, without the service's name.
 pub const SERVICES_PATH: &str = "/v1/services/";
 
-/// A caller's request, but for its body.
+/// A caller's request without its body.
 #[derive(Debug, Clone)]
 pub struct CallerRequest {
-    /// The caller's own id, or one made here.
+    /// The id that the caller gave, or a new one.
     pub id: RequestId,
-    /// Whether the caller gave the id, so that it may give it elsewhere too.
+    /// Whether the caller gave the id. It may then send the same id to other VMs too.
     pub has_caller_id: bool,
-    /// The service asked for.
+    /// Name of the requested service.
     pub service: ServiceName,
-    /// On whose behalf.
+    /// Customer on whose behalf the request is made.
     pub customer: CustomerName,
-    /// Priority; the service's if none.
+    /// Priority; if it is `None`, the service's priority applies.
     pub priority: Option<Priority>,
-    /// Whether its calls may run more than once.
+    /// Whether the request's calls may run more than once.
     pub repeatable: bool,
-    /// Whether it was refused before and comes back at the time told.
+    /// Whether the request was refused before and is repeated at the time it was given.
     pub returning: bool,
-    /// Whether the caller takes a stream.
+    /// Whether the caller accepts a stream.
     pub wants_stream: bool,
-    /// Text that names the prompt's prefix, for the choice of an engine that has it cached.
+    /// Name of the prompt's prefix, used to select an engine that has it cached.
     pub prefix: Option<String>,
-    /// When its head was read.
+    /// When the head of the request was read.
     pub arrived: Instant,
-    /// When its answer is of no use any more.
+    /// When the caller no longer needs the answer.
     pub deadline: Instant,
 }
 
-/// The caller's id, or a new one; whether it is the caller's.
+/// Returns the request's id and whether the caller gave it; without a header, a new id.
 ///
 /// # Errors
-/// `BadRequest` if it is no name.
+/// `BadRequest` if the given id is not a valid name.
 pub fn request_id(headers: &HeaderMap) -> Result<(RequestId, bool), Refusal> {
     match text(headers, REQUEST_ID_HEADER)? {
-        Some(id) => RequestId::new(id).map(|id| (id, true)).map_err(bad),
+        Some(id) => RequestId::new(id).map(|id| (id, true)).map_err(bad_request),
         None => Ok((RequestId::mint(), false)),
     }
 }
 
-/// Reads path and headers.
+/// Parses the path and headers of a request that arrived at `arrived`. The pair is the result of
+/// [`request_id`].
 ///
 /// # Errors
-/// `BadRequest` for the first thing that can't be taken, with the header and what was expected.
+/// `BadRequest` for the first path or header that can't be accepted, with what was expected.
 pub fn parse(
     path: &str,
     headers: &HeaderMap,
@@ -68,9 +77,9 @@
 ) -> Result<CallerRequest, Refusal> {
     refuse_unknown_headers(headers)?;
     let service = path.strip_prefix(SERVICES_PATH).unwrap_or_default();
-    let service = ServiceName::new(service).map_err(bad)?;
+    let service = ServiceName::new(service).map_err(bad_request)?;
     let customer = required(headers, CUSTOMER, "the customer's name")?;
-    let customer = CustomerName::new(customer).map_err(bad)?;
+    let customer = CustomerName::new(customer).map_err(bad_request)?;
     let deadline_ms = deadline_ms(headers, longest_deadline_ms)?;
     Ok(CallerRequest {
         id,
@@ -81,13 +90,13 @@
         repeatable: yes_or_no(headers, REPEATABLE)?,
         returning: yes_or_no(headers, RETURNING)?,
         wants_stream: text(headers, "accept")?.is_some_and(|a| a.contains("text/event-stream")),
-        prefix: text(headers, PREFIX_KEY)?.map(str::to_owned),
+        prefix: text(headers, PROMPT_PREFIX)?.map(str::to_owned),
         arrived,
         deadline: arrived + Duration::from_millis(deadline_ms),
     })
 }
 
-fn bad(e: errors::Error) -> Refusal {
+fn bad_request(e: errors::Error) -> Refusal {
     Refusal::not_run(Reason::BadRequest, e.to_string())
 }
 
@@ -107,9 +116,9 @@
 fn deadline_ms(headers: &HeaderMap, longest: u64) -> Result<u64, Refusal> {
     let expected = format!("1 to {longest} milliseconds from now");
     let value = required(headers, DEADLINE, &expected)?;
-    let wrong = || bad_header(DEADLINE, &format!("expected {expected}, found \"{value}\""));
-    let millis: u64 = value.parse().map_err(|_| wrong())?;
-    if (1..=longest).contains(&millis) { Ok(millis) } else { Err(wrong()) }
+    let invalid = || bad_header(DEADLINE, &format!("expected {expected}, found \"{value}\""));
+    let millis: u64 = value.parse().map_err(|_| invalid())?;
+    if (1..=longest).contains(&millis) { Ok(millis) } else { Err(invalid()) }
 }
 
 fn parse_priority(value: &str) -> Result<Priority, Refusal> {
@@ -119,7 +128,7 @@
     })
 }
 
-/// A header that says yes or no; no if it is missing.
+/// A header with the value `yes` or `no`; `no` if it is missing.
 fn yes_or_no(headers: &HeaderMap, name: &str) -> Result<bool, Refusal> {
     match text(headers, name)? {
         Some("yes") => Ok(true),
@@ -128,12 +137,13 @@
     }
 }
 
+/// Refuses headers that have this system's prefix and are not known, such as misspelled ones.
 fn refuse_unknown_headers(headers: &HeaderMap) -> Result<(), Refusal> {
     let known =
-        [CUSTOMER, DEADLINE, PRIORITY, REPEATABLE, RETURNING, PREFIX_KEY, REQUEST_ID_HEADER];
-    let mut ours = headers.keys().map(http::HeaderName::as_str);
-    match ours.find(|name| name.starts_with(PREFIX) && !known.contains(name)) {
-        Some(name) => Err(bad_header(name, "not known")),
+        [CUSTOMER, DEADLINE, PRIORITY, REPEATABLE, RETURNING, PROMPT_PREFIX, REQUEST_ID_HEADER];
+    let mut names = headers.keys().map(http::HeaderName::as_str);
+    match names.find(|name| name.starts_with(HEADER_PREFIX) && !known.contains(name)) {
+        Some(name) => Err(bad_header(name, "unknown header of this system")),
         None => Ok(()),
     }
 }
--- a/components/caller_request/tests/parse.rs
+++ b/components/caller_request/tests/parse.rs
@@ -1,6 +1,6 @@
-//! Whatever callers send is taken or refused with a reason, and what is taken is within bounds.
+//! Any request head is either accepted with values within bounds, or refused as a bad request with a reason.
 
-// A helper that can't go on fails its test.
+// A test fails if its setup fails.
 #![allow(clippy::expect_used)]
 
 use std::time::{Duration, Instant};
@@ -12,8 +12,8 @@
 use proptest::prelude::{any, proptest};
 use proptest::{prop_assert, prop_assert_eq};
 
-const LONGEST: u64 = 600_000;
-const NAMES: [&str; 8] = [
+const MAX_DEADLINE_MS: u64 = 600_000;
+const HEADERS: [&str; 8] = [
     "saddlerail-customer",
     "saddlerail-deadline-ms",
     "saddlerail-priority",
@@ -36,11 +36,11 @@
 
 fn parsed(path: &str, headers: &HeaderMap) -> Result<CallerRequest, Refusal> {
     let id = request_id(headers)?;
-    parse(path, headers, id, Instant::now(), LONGEST)
+    parse(path, headers, id, Instant::now(), MAX_DEADLINE_MS)
 }
 
 #[test]
-fn takes_a_whole_request() {
+fn parses_a_complete_request() {
     let headers = headers(&[
         ("saddlerail-customer", b"small"),
         ("saddlerail-deadline-ms", b"1500"),
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn a_request_that_says_nothing_may_not_be_repeated() {
+fn a_request_is_not_repeatable_by_default() {
     let headers = headers(&[("saddlerail-customer", b"small"), ("saddlerail-deadline-ms", b"1")]);
     let req = parsed("/v1/services/check", &headers).expect("a request");
     assert!(!req.repeatable && !req.has_caller_id);
@@ -67,21 +67,21 @@
 
 proptest! {
     #[test]
-    fn any_header_is_taken_within_bounds_or_refused_as_not_run(
+    fn any_head_is_accepted_within_bounds_or_refused_as_not_run(
         path in "/v1/services/.{0,80}|.{0,40}",
-        values in proptest::collection::vec((0..NAMES.len(), proptest::collection::vec(any::<u8>(), 0..80)), 0..8),
-        sound in any::<bool>(),
+        values in proptest::collection::vec((0..HEADERS.len(), proptest::collection::vec(any::<u8>(), 0..80)), 0..8),
+        with_required in any::<bool>(),
     ) {
         let mut pairs: Vec<(&str, &[u8])> = Vec::new();
-        if sound {
+        if with_required {
             pairs.push(("saddlerail-customer", b"small"));
             pairs.push(("saddlerail-deadline-ms", b"1000"));
         }
-        pairs.extend(values.iter().map(|(name, value)| (NAMES[*name], value.as_slice())));
+        pairs.extend(values.iter().map(|(name, value)| (HEADERS[*name], value.as_slice())));
         match parsed(&path, &headers(&pairs)) {
             Ok(req) => {
                 let left = req.deadline - req.arrived;
-                prop_assert!(left >= Duration::from_millis(1) && left <= Duration::from_millis(LONGEST));
+                prop_assert!(left >= Duration::from_millis(1) && left <= Duration::from_millis(MAX_DEADLINE_MS));
                 prop_assert!(RequestId::new(req.id.as_str()).is_ok());
             }
             Err(refusal) => {
@@ -93,9 +93,9 @@
     }
 
     #[test]
-    fn an_unknown_header_of_ours_is_always_refused(name in "[a-z]{1,20}") {
+    fn an_unknown_header_with_the_systems_prefix_is_refused(name in "[a-z]{1,20}") {
         let name = format!("saddlerail-{name}");
-        if !NAMES.contains(&name.as_str()) {
+        if !HEADERS.contains(&name.as_str()) {
             let mut all = headers(&[("saddlerail-customer", b"a"), ("saddlerail-deadline-ms", b"1")]);
             all.insert(HeaderName::from_bytes(name.as_bytes()).expect("a name"), HeaderValue::from_static("x"));
             let refusal = parsed("/v1/services/check", &all).expect_err("refused");
--- a/components/target_calls/src/call.rs
+++ b/components/target_calls/src/call.rs
@@ -1,4 +1,4 @@
-//! One call of a stage at a target.
+//! Calls of stages at targets over HTTP, and how their failures are classified.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -10,62 +10,62 @@
 use ureq::unversioned::transport::{Connector, TcpConnector};
 use ureq::{Agent, Body};
 
-use crate::evidence::{self, WatchWrites};
 use crate::stream::TokenStream;
+use crate::write_tracking::{self, TrackWrites};
 
 /// Header that carries the attempt id, in calls and answers.
 pub const ATTEMPT_HEADER: &str = "x-attempt-id";
 /// Header in which a target reports its load as `running/queued`.
 pub const LOAD_HEADER: &str = "x-load";
-/// Header by which a target says that it is leaving.
+/// Header with the value `true` on answers of a target that is leaving.
 pub const LEAVING_HEADER: &str = "x-leaving";
-/// Header that tells a target the milliseconds left.
+/// Header with the milliseconds until the deadline.
 const DEADLINE_HEADER: &str = "x-deadline-ms";
-/// Header that tells a target the priority.
+/// Header with the request's priority.
 const PRIORITY_HEADER: &str = "x-priority";
-/// Header that names the token after which a stream goes on, as server-sent events have it.
+/// Header with the number of the token after which a stream resumes, as in server-sent events.
 const LAST_EVENT_HEADER: &str = "last-event-id";
 
-/// Longest wait for a connection.
-const CONNECT_WAIT: Duration = Duration::from_millis(500);
-/// Largest answer of a stage, in bytes.
-const MAX_ANSWER: u64 = 16 << 20;
-/// Idle connections kept to one target.
-const IDLE_PER_TARGET: usize = 16;
-/// Idle connections kept in all.
-const IDLE: usize = 256;
+/// Timeout for opening a connection, and for a call that cancels an attempt.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
+/// Largest answer of a stage that is read, in bytes.
+const MAX_ANSWER_BYTES: u64 = 16 << 20;
+/// Idle connections that are kept open to one target.
+const MAX_IDLE_PER_TARGET: usize = 16;
+/// Idle connections that are kept open to all targets together.
+const MAX_IDLE: usize = 256;
 
-/// A stage's call.
+/// A call of a stage.
 #[derive(Debug, Clone)]
 pub struct CallRequest<'a> {
-    /// Where to.
+    /// Address of the target.
     pub address: SocketAddr,
-    /// The stage, which is also the path.
+    /// Name of the stage, which is the last part of the path.
     pub stage: &'a StageName,
-    /// This attempt.
+    /// Id of the attempt, which the answer must repeat.
     pub attempt: &'a AttemptId,
-    /// The stage's input.
+    /// The stage's input, as JSON text.
     pub input: &'a [u8],
-    /// Time left.
+    /// Time until the deadline.
     pub left: Duration,
-    /// Priority, for engines that honour it.
+    /// Priority, for engines that support it.
     pub priority: Priority,
-    /// Whether a connection may be used that carried another call before.
+    /// Whether a connection that carried another call may be used again.
     pub reuse: bool,
-    /// The last token that the caller has already, to resume a stream.
+    /// Number of the last token that the caller has, to resume a stream.
     pub last_token: Option<u64>,
 }
 
-/// What a target says about itself beside an answer.
+/// What a target reports about itself in the headers of an answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct TargetStatus {
-    /// Calls that it runs and calls that wait, if told.
+    /// Calls that run and calls that wait, if reported.
     pub load: Option<(u32, u32)>,
-    /// Whether it is leaving.
+    /// Whether the target is leaving.
     pub leaving: bool,
 }
 
-/// A whole answer that is no stream.
+/// A complete answer that is not a stream.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct PlainAnswer {
     /// Output of the stage, as JSON text.
@@ -74,28 +74,29 @@
     pub cost: u64,
 }
 
-/// A call that brought no whole answer.
+/// Why a call brought no complete answer, with a description for the log.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum CallFailure {
-    /// Nothing was sent: the call did not run.
+    /// Nothing was sent, so the call did not run.
     NotSent(String),
-    /// The target says that it did not run the call.
+    /// The target did not run the call, and said so.
     Declined(String),
-    /// The answer named another attempt; ours may have run.
+    /// The answer named another attempt or none; this one may have run.
     Crossed(String),
-    /// Something was sent and no whole answer came; it may have run.
+    /// Something was sent and no complete answer came, so the call may have run.
     MayHaveRun(String),
 }
 
-/// How a call ended, and the target's status if any came.
+/// How a call ended, and the target's status; the default status if no answer came.
 #[derive(Debug)]
 pub struct CallOutcome<T> {
     /// The answer, or why there is none.
     pub result: Result<T, CallFailure>,
-    /// What the target said about itself.
+    /// What the target reported about itself.
     pub status: TargetStatus,
 }
 
+/// Body of an answer that is not a stream.
 #[derive(Deserialize)]
 struct AnswerBody {
     attempt: String,
@@ -103,7 +104,7 @@
     cost: u64,
 }
 
-/// Makes calls; keeps connections for those that may reuse one.
+/// Client for calls to targets, with a pool of connections for the calls that may reuse one.
 #[derive(Debug, Clone)]
 pub struct TargetClient {
     pooled: Agent,
@@ -112,7 +113,7 @@
 
 impl Default for TargetClient {
     fn default() -> Self {
-        TargetClient { pooled: agent(IDLE_PER_TARGET, IDLE), fresh: agent(0, 0) }
+        TargetClient { pooled: agent(MAX_IDLE_PER_TARGET, MAX_IDLE), fresh: agent(0, 0) }
     }
 }
 
@@ -121,16 +122,16 @@
         .http_status_as_error(false)
         .max_redirects(0)
         .proxy(None)
-        .timeout_connect(Some(CONNECT_WAIT))
+        .timeout_connect(Some(CONNECT_TIMEOUT))
         .max_idle_connections_per_host(idle_per_target)
         .max_idle_connections(idle)
         .build();
-    let connector = ().chain(TcpConnector::default()).chain(WatchWrites);
+    let connector = ().chain(TcpConnector::default()).chain(TrackWrites);
     Agent::with_parts(cfg, connector, DefaultResolver::default())
 }
 
 impl TargetClient {
-    /// Calls a stage for a whole answer.
+    /// Calls a stage and reads the complete answer.
     pub fn call(&self, req: &CallRequest<'_>) -> CallOutcome<PlainAnswer> {
         let (rx, status) = match self.send(req, "application/json") {
             Ok(answered) => answered,
@@ -139,7 +140,7 @@
         CallOutcome { result: read_plain(rx, req.attempt), status }
     }
 
-    /// Calls a stage for a stream of tokens.
+    /// Calls a stage and opens the stream of tokens that it answers with.
     pub fn open_stream(&self, req: &CallRequest<'_>) -> CallOutcome<TokenStream> {
         let (rx, status) = match self.send(req, "text/event-stream") {
             Ok(answered) => answered,
@@ -152,19 +153,22 @@
         let result = if is_stream {
             Ok(TokenStream::new(rx.into_body(), req.attempt.clone(), req.last_token))
         } else {
-            Err(CallFailure::MayHaveRun("answered with something that is no stream".to_owned()))
+            Err(CallFailure::MayHaveRun(
+                "expected a stream, the answer has another content type".to_owned(),
+            ))
         };
         CallOutcome { result, status }
     }
 
-    /// Tells a target that an attempt is no longer wanted; whether it heard is not known.
+    /// Asks a target to cancel an attempt. Whether the target got the call is not known.
     pub fn cancel(&self, address: SocketAddr, attempt: &AttemptId) {
         let url = format!("http://{address}/v1/attempts/{attempt}");
-        let call = self.pooled.delete(url).config().timeout_global(Some(CONNECT_WAIT)).build();
-        // Only saves work at the target; nothing depends on it.
+        let call = self.pooled.delete(url).config().timeout_global(Some(CONNECT_TIMEOUT)).build();
+        // Cancelling only saves work at the target, so a failure is ignored.
         let _ = call.call();
     }
 
+    /// Sends the request and checks the head of the answer. The deadline covers the whole exchange.
     fn send<T>(
         &self,
         req: &CallRequest<'_>,
@@ -181,7 +185,7 @@
         if let Some(last) = req.last_token {
             call = call.header(LAST_EVENT_HEADER, last.to_string());
         }
-        evidence::reset();
+        write_tracking::reset();
         let result = call.config().timeout_global(Some(req.left)).build().send(req.input);
         let rx = result.map_err(|e| CallOutcome {
             result: Err(failure_of(&e)),
@@ -195,8 +199,9 @@
     }
 }
 
+/// Classifies an error of the HTTP client by whether anything was written.
 fn failure_of(e: &ureq::Error) -> CallFailure {
-    if evidence::anything_written() {
+    if write_tracking::anything_written() {
         CallFailure::MayHaveRun(e.to_string())
     } else {
         CallFailure::NotSent(e.to_string())
@@ -207,6 +212,7 @@
     rx.headers().get(name).and_then(|v| v.to_str().ok())
 }
 
+/// Reads a target's status from the headers of its answer.
 fn status_of(rx: &Response<Body>) -> TargetStatus {
     let load = header(rx, LOAD_HEADER).and_then(|v| {
         let (running, queued) = v.split_once('/')?;
@@ -215,31 +221,40 @@
     TargetStatus { load, leaving: header(rx, LEAVING_HEADER) == Some("true") }
 }
 
-/// A target declines with 429 or 503 and the attempt's id; any other status may have run.
+/// Checks the attempt id and status of an answer. With 429 or 503 the target did not run the call; with
+/// any other status but 200 it may have run.
 fn check_head(rx: &Response<Body>, attempt: &AttemptId) -> Result<(), CallFailure> {
-    let named = header(rx, ATTEMPT_HEADER).unwrap_or("none");
-    if named != attempt.as_str() {
-        return Err(CallFailure::Crossed(format!("the answer names attempt {named}")));
+    let answered = header(rx, ATTEMPT_HEADER).unwrap_or("none");
+    if answered != attempt.as_str() {
+        return Err(CallFailure::Crossed(format!(
+            "expected an answer to attempt {attempt}, its head names {answered}"
+        )));
     }
     match rx.status().as_u16() {
         200 => Ok(()),
-        status @ (429 | 503) => Err(CallFailure::Declined(format!("answered {status}"))),
-        status => Err(CallFailure::MayHaveRun(format!("answered {status}"))),
+        status @ (429 | 503) => {
+            Err(CallFailure::Declined(format!("declined with status {status}")))
+        }
+        status => Err(CallFailure::MayHaveRun(format!("unexpected status {status}"))),
     }
 }
 
+/// Reads the body of a complete answer and checks that it names the attempt.
 fn read_plain(mut rx: Response<Body>, attempt: &AttemptId) -> Result<PlainAnswer, CallFailure> {
     let may_have_run = |problem: String| CallFailure::MayHaveRun(problem);
     let bytes = rx
         .body_mut()
         .with_config()
-        .limit(MAX_ANSWER)
+        .limit(MAX_ANSWER_BYTES)
         .read_to_vec()
-        .map_err(|e| may_have_run(format!("the answer was cut: {e}")))?;
+        .map_err(|e| may_have_run(format!("reading the answer failed: {e}")))?;
     let body: AnswerBody = serde_json::from_slice(&bytes)
-        .map_err(|e| may_have_run(format!("the answer can't be read: {e}")))?;
+        .map_err(|e| may_have_run(format!("the answer can't be parsed: {e}")))?;
     if body.attempt != attempt.as_str() {
-        return Err(CallFailure::Crossed(format!("the answer names attempt {}", body.attempt)));
+        return Err(CallFailure::Crossed(format!(
+            "expected attempt {attempt}, the answer's body names {}",
+            body.attempt
+        )));
     }
     Ok(PlainAnswer { output: body.output.get().as_bytes().to_vec(), cost: body.cost })
 }
--- a/components/target_calls/src/lib.rs
+++ b/components/target_calls/src/lib.rs
@@ -1,9 +1,11 @@
-//! Calls to targets, with evidence of what was sent.
+//! HTTP client for targets: calls to stages, streams of tokens, and orders to engines.
+//!
+//! A failed call says whether it may have run at the target, which decides whether it may be repeated.
 
 mod call;
-mod evidence;
 mod order;
 mod stream;
+mod write_tracking;
 
 pub use call::{
     ATTEMPT_HEADER, CallFailure, CallOutcome, CallRequest, LEAVING_HEADER, LOAD_HEADER,
--- a/components/target_calls/src/order.rs
+++ b/components/target_calls/src/order.rs
@@ -1,4 +1,5 @@
-//! Orders to engines: the condition in which one should be, under a fence.
+//! Orders to engines: the condition that an engine should be in, such as its model and version. A fencing
+//! token keeps a VM whose lease has expired from giving further orders.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -7,31 +8,31 @@
 use serde::{Deserialize, Serialize};
 use ureq::Agent;
 
-/// Longest that an order may be under way; a new holder waits this long before its first one to a
-/// target that does not check fences.
+/// Timeout of an order. A new holder of the lease waits this long before its first order to a target that
+/// does not check fences, so that no order of the previous holder is still on its way.
 pub const ORDER_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// A condition and the fence under which it was ordered.
+/// A condition and the fencing token under which it was ordered.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Order {
-    /// Fence of the holder's lease.
+    /// Fencing token of the lease under which the order is given.
     pub fence: u64,
-    /// Model, version, adapter or role by name.
+    /// The wanted condition: model, version, adapter or role, by name.
     pub wanted: BTreeMap<String, String>,
 }
 
-/// What became of an order.
+/// Outcome of an order.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum OrderResult {
-    /// The target took it.
+    /// The target accepted the order.
     Taken,
-    /// The target has seen a higher fence: this holder is one no more.
+    /// The target has seen a higher fencing token, so this VM no longer holds the lease.
     Fenced,
-    /// It may or may not have been taken; the next look tells.
+    /// The target may have accepted the order or not; its condition shows which.
     Unknown(String),
 }
 
-/// Gives orders to targets.
+/// Client that sends orders to targets and reads their conditions.
 #[derive(Debug, Clone)]
 pub struct OrderClient {
     agent: Agent,
@@ -48,19 +49,19 @@
 }
 
 impl OrderClient {
-    /// The condition in which a target is; `None` if it does not answer.
+    /// Returns the condition that a target is in; `None` if it gives no readable answer.
     pub fn condition(&self, target: SocketAddr) -> Option<Order> {
         let mut rx = self.agent.get(format!("http://{target}/v1/condition")).call().ok()?;
         serde_json::from_slice(&rx.body_mut().read_to_vec().ok()?).ok()
     }
 
-    /// Orders a condition.
+    /// Sends an order to a target.
     pub fn send(&self, target: SocketAddr, order: &Order) -> OrderResult {
         let json = serde_json::to_vec(order).unwrap_or_default();
         match self.agent.post(format!("http://{target}/v1/orders")).send(json) {
             Ok(rx) if rx.status() == 200 => OrderResult::Taken,
             Ok(rx) if rx.status() == 409 => OrderResult::Fenced,
-            Ok(rx) => OrderResult::Unknown(format!("answered {}", rx.status())),
+            Ok(rx) => OrderResult::Unknown(format!("unexpected status {}", rx.status())),
             Err(e) => OrderResult::Unknown(e.to_string()),
         }
     }
--- a/components/target_calls/src/stream.rs
+++ b/components/target_calls/src/stream.rs
@@ -1,4 +1,4 @@
-//! A target's stream of tokens as server-sent events.
+//! Reads a target's stream of tokens, sent as server-sent events.
 
 use std::io::{BufRead, BufReader, Read};
 
@@ -8,34 +8,35 @@
 
 use crate::call::CallFailure;
 
-/// Longest event, in bytes.
-const MAX_EVENT: u64 = 64 * 1024;
+/// Longest line of an event, in bytes.
+const MAX_LINE_BYTES: u64 = 64 * 1024;
 
-/// What a stream brings.
+/// An event of a stream.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum StreamEvent {
-    /// The token with this number, counted from 1.
+    /// A token and its number, counted from 1.
     Token(u64, String),
-    /// The stream's end was seen: it is whole.
+    /// The end of the stream: it is complete.
     End(StreamEnd),
 }
 
-/// A stream's last event.
+/// The last event of a stream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
 pub struct StreamEnd {
-    /// Tokens from the first, those before a resumption included.
+    /// Number of all tokens, including those before a resumption.
     pub tokens: u64,
     /// What the target charges.
     pub cost: u64,
 }
 
+/// Data of a token's event.
 #[derive(Deserialize)]
 struct TokenData {
     attempt: String,
     token: String,
 }
 
-/// Reads tokens in order; a gap, a repetition or another attempt's token is a failure.
+/// Reads the tokens of an attempt in order. A gap, a repetition or another attempt's token is a failure.
 pub struct TokenStream {
     lines: BufReader<BodyReader<'static>>,
     attempt: AttemptId,
@@ -48,6 +49,7 @@
     }
 }
 
+/// A server-sent event, before its data is parsed.
 #[derive(Default)]
 struct RawEvent {
     kind: String,
@@ -56,7 +58,7 @@
 }
 
 impl TokenStream {
-    /// Reads a body as the stream of `attempt`, whose caller has the tokens up to `last`.
+    /// Reads `body` as the stream of `attempt`. The caller already has the tokens up to `last`.
     pub fn new(body: Body, attempt: AttemptId, last: Option<u64>) -> Self {
         let lines = BufReader::new(body.into_reader());
         TokenStream { lines, attempt, last: last.unwrap_or(0) }
@@ -65,41 +67,47 @@
     /// Waits for the next event.
     ///
     /// # Errors
-    /// `Crossed` for another attempt's token, else `MayHaveRun`: the stream was cut or broken.
+    /// `Crossed` for another attempt's token. `MayHaveRun` if the stream ends early, can't be parsed, or has
+    /// a gap or a repetition.
     pub fn next_event(&mut self) -> Result<StreamEvent, CallFailure> {
         let broken = |problem: String| CallFailure::MayHaveRun(problem);
         let event = self.read_event()?;
         if event.kind == "end" {
             let end: StreamEnd = serde_json::from_str(&event.data)
-                .map_err(|e| broken(format!("the stream's end can't be read: {e}")))?;
+                .map_err(|e| broken(format!("the stream's end can't be parsed: {e}")))?;
             if end.tokens != self.last {
-                return Err(broken(format!("{} tokens came of {}", self.last, end.tokens)));
+                return Err(broken(format!(
+                    "received {} tokens, the stream's end names {}",
+                    self.last, end.tokens
+                )));
             }
             return Ok(StreamEvent::End(end));
         }
         let data: TokenData = serde_json::from_str(&event.data)
-            .map_err(|e| broken(format!("a token can't be read: {e}")))?;
+            .map_err(|e| broken(format!("a token can't be parsed: {e}")))?;
         if data.attempt != self.attempt.as_str() {
             let problem = format!("a token names attempt {}", data.attempt);
             return Err(CallFailure::Crossed(problem));
         }
         if event.id != Some(self.last + 1) {
-            return Err(broken(format!("token {:?} came after {}", event.id, self.last)));
+            return Err(broken(format!("token id {:?} follows token {}", event.id, self.last)));
         }
         self.last += 1;
         Ok(StreamEvent::Token(self.last, data.token))
     }
 
+    /// Reads lines up to the empty line that ends an event; skips events without data.
     fn read_event(&mut self) -> Result<RawEvent, CallFailure> {
         let mut event = RawEvent::default();
         let mut line = String::new();
         loop {
             line.clear();
-            let read = (&mut self.lines).take(MAX_EVENT).read_line(&mut line);
-            let count =
-                read.map_err(|e| CallFailure::MayHaveRun(format!("the stream broke: {e}")))?;
+            let read = (&mut self.lines).take(MAX_LINE_BYTES).read_line(&mut line);
+            let count = read
+                .map_err(|e| CallFailure::MayHaveRun(format!("reading the stream failed: {e}")))?;
             if count == 0 || !line.ends_with('\n') {
-                let problem = "the stream was cut before its end".to_owned();
+                let problem =
+                    "the stream ended before its end event, or a line is too long".to_owned();
                 return Err(CallFailure::MayHaveRun(problem));
             }
             let text = line.trim_end_matches(['\r', '\n']);
--- a/components/target_calls/src/evidence.rs
+++ b/components/target_calls/src/write_tracking.rs
@@ -1,7 +1,7 @@
-//! Knows whether anything of a call was written to a connection.
+//! Records whether any byte of a call was written to a connection.
 //!
 //! ureq runs a call on the calling thread, so a thread-local flag ties a transport's writes to
-//! the call. "Not sent" is told only where the flag shows that no byte was handed over.
+//! the call. A call is reported as not sent only if the flag shows that no byte was written.
 
 use std::cell::Cell;
 
@@ -12,37 +12,37 @@
     static WRITTEN: Cell<bool> = const { Cell::new(false) };
 }
 
-/// Forgets what earlier calls of this thread wrote.
+/// Clears the flag of this thread, before a call.
 pub(crate) fn reset() {
     WRITTEN.set(false);
 }
 
-/// Whether this thread handed any byte to a connection since [`reset`].
+/// Whether this thread wrote any byte to a connection since [`reset`].
 pub(crate) fn anything_written() -> bool {
     WRITTEN.get()
 }
 
-/// Last link of the connector chain: watches what is written.
+/// Last connector of the chain: wraps connections so that writes are recorded.
 #[derive(Debug, Default)]
-pub(crate) struct WatchWrites;
+pub(crate) struct TrackWrites;
 
-impl<In: Transport> Connector<In> for WatchWrites {
-    type Out = Watched<In>;
+impl<In: Transport> Connector<In> for TrackWrites {
+    type Out = TrackedTransport<In>;
 
     fn connect(
         &self,
         _details: &ConnectionDetails<'_>,
         chained: Option<In>,
     ) -> Result<Option<Self::Out>, Error> {
-        Ok(chained.map(Watched))
+        Ok(chained.map(TrackedTransport))
     }
 }
 
-/// A transport whose writes are noted.
+/// A transport that sets the thread's flag before each write.
 #[derive(Debug)]
-pub(crate) struct Watched<T>(T);
+pub(crate) struct TrackedTransport<T>(T);
 
-impl<T: Transport> Transport for Watched<T> {
+impl<T: Transport> Transport for TrackedTransport<T> {
     fn buffers(&mut self) -> &mut dyn Buffers {
         self.0.buffers()
     }
--- a/components/target_calls/tests/stream.rs
+++ b/components/target_calls/tests/stream.rs
@@ -1,6 +1,6 @@
-//! Whatever a target streams, tokens come in order and an end is told only if it was seen.
+//! Whatever bytes a target sends, tokens are returned in order, and an end only if the stream is complete.
 
-// A helper that can't go on fails its test.
+// A test fails if its setup fails.
 #![allow(clippy::expect_used)]
 
 use ids::{AttemptId, RequestId};
@@ -21,7 +21,7 @@
     format!("event: end\ndata: {{\"tokens\":{tokens},\"cost\":{tokens}}}\n\n")
 }
 
-/// Numbers of the tokens read, and how it ended.
+/// Reads a stream: the numbers of its tokens, and its end or failure.
 fn read(bytes: Vec<u8>, attempt: &AttemptId) -> (Vec<u64>, Result<u64, CallFailure>) {
     let mut stream = TokenStream::new(Body::builder().data(bytes), attempt.clone(), None);
     let mut numbers = Vec::new();
@@ -34,18 +34,18 @@
     }
 }
 
-fn whole(attempt: &AttemptId, tokens: u64) -> String {
+fn complete_stream(attempt: &AttemptId, tokens: u64) -> String {
     (1..=tokens).map(|n| token(attempt, n)).collect::<String>() + &end(tokens)
 }
 
 #[test]
-fn reads_a_whole_stream() {
+fn reads_a_complete_stream() {
     let attempt = attempt();
-    assert_eq!(read(whole(&attempt, 3).into_bytes(), &attempt), (vec![1, 2, 3], Ok(3)));
+    assert_eq!(read(complete_stream(&attempt, 3).into_bytes(), &attempt), (vec![1, 2, 3], Ok(3)));
 }
 
 #[test]
-fn refuses_gaps_repetitions_and_others_tokens() {
+fn refuses_gaps_repetitions_and_tokens_of_other_attempts() {
     let (ours, other) = (attempt(), attempt());
     let gap = token(&ours, 1) + &token(&ours, 3) + &end(3);
     let twice = token(&ours, 1) + &token(&ours, 1) + &end(2);
@@ -62,11 +62,11 @@
 }
 
 proptest! {
-    /// A stream that is cut anywhere is never taken for whole.
+    /// A stream that ends early at any byte is never taken for complete.
     #[test]
-    fn a_cut_anywhere_is_seen(tokens in 0u64..20, at in any::<prop::sample::Index>()) {
+    fn a_truncated_stream_is_a_failure(tokens in 0u64..20, at in any::<prop::sample::Index>()) {
         let attempt = attempt();
-        let text = whole(&attempt, tokens);
+        let text = complete_stream(&attempt, tokens);
         let cut = at.index(text.len());
         let (numbers, ended) = read(text.as_bytes()[..cut].to_vec(), &attempt);
         prop_assert!(ended.is_err());
@@ -74,19 +74,19 @@
     }
 
     #[test]
-    fn any_bytes_end_without_harm(bytes in proptest::collection::vec(any::<u8>(), 0..400)) {
+    fn any_bytes_give_a_failure_and_no_token(bytes in proptest::collection::vec(any::<u8>(), 0..400)) {
         let (numbers, ended) = read(bytes, &attempt());
         prop_assert!(numbers.is_empty());
         prop_assert!(ended.is_err());
     }
 
-    /// Changed bytes may break a stream, but never its order.
+    /// Changed bytes may make a stream fail, but tokens never come out of order.
     #[test]
-    fn changed_bytes_never_change_the_order(
+    fn changed_bytes_never_give_tokens_out_of_order(
         changes in proptest::collection::vec((any::<prop::sample::Index>(), any::<u8>()), 1..5),
     ) {
         let attempt = attempt();
-        let mut bytes = whole(&attempt, 10).into_bytes();
+        let mut bytes = complete_stream(&attempt, 10).into_bytes();
         for (at, value) in changes {
             let index = at.index(bytes.len());
             bytes[index] = value;
