--- a/components/batching/src/ends.rs
+++ b/components/batching/src/completion.rs
@@ -1,27 +1,29 @@
-//! What comes of a call: pieces that are done, those to be made again, and the room that results take.
+//! Handles the end of a call: finishes or requeues its pieces and accounts for the room of their
+//! results.
 
 use std::time::Instant;
 
 use doors::calls::PieceAnswer;
 
-use crate::pool::{Pool, UnderWay, Waiting};
+use crate::pool::{ActiveCall, Pool, QueuedPiece};
 use crate::submission::{CallEnd, CallKey, Finished, JobKey, PieceOutcome};
 use crate::worker::WorkerKey;
 
-/// Most times that a piece is tried.
-const PIECE_TRIES: u32 = 4;
-/// Least part of the room that is used, however often a worker had none.
-const LEAST_ROOM_PART: f64 = 0.6;
-/// By this the part falls when a worker had no room for a result.
-const ROOM_FALL: f64 = 0.03;
-/// Room that is missing is taken by unknown results if it is more than so many results take, beyond
-/// what their sizes differ from what is said of them.
+/// Maximum number of failed tries of a piece.
+const MAX_PIECE_TRIES: u32 = 4;
+/// Lower bound of the fraction of room that is used, however often a worker had none.
+const MIN_ROOM_FRACTION: f64 = 0.6;
+/// Decrease of the fraction when a worker had no room for a result.
+const ROOM_DECREASE: f64 = 0.03;
+/// Missing room is attributed to unknown results if it exceeds the size of this many results, which is
+/// more than errors in the estimated sizes explain.
 const FOREIGN_PIECES: u64 = 2;
-/// By this it rises with each call that found room: one in ten without is borne.
-const ROOM_RISE: f64 = 0.003;
+/// Increase of the fraction with each call that found room. One call in ten without room is tolerated.
+const ROOM_INCREASE: f64 = 0.003;
 
 impl Pool {
-    /// The target of a call has fetched its inputs; gives the submissions that need theirs no more.
+    /// Records that the target of a call has fetched its inputs; returns the submissions whose inputs
+    /// are no longer needed.
     pub fn inputs_fetched(&mut self, key: CallKey) -> Vec<JobKey> {
         let Some(call) = self.calls.get_mut(key) else { return Vec::new() };
         let mut over = Vec::new();
@@ -36,35 +38,36 @@
         over
     }
 
-    /// Takes the end of a call; gives the pieces that are done.
+    /// Records the end of a call; returns the finished pieces.
     pub fn call_ended(&mut self, key: CallKey, end: CallEnd, now: Instant) -> Vec<Finished> {
         let Some(call) = self.calls.remove(key) else { return Vec::new() };
         let took = now.saturating_duration_since(call.began);
         if matches!(end, CallEnd::Failed | CallEnd::OutOfReach) {
-            // It may have made all of them.
+            // The worker may have made all of the results.
             self.results.add_lost(call.worker, call.bytes, now + self.spec.result_life);
         } else {
             self.free_room(call.worker, call.bytes);
         }
         if let Some(worker) = self.workers.get_mut(call.worker) {
-            worker.at_work = worker.at_work.saturating_sub(1);
+            worker.active_calls = worker.active_calls.saturating_sub(1);
             match end {
-                CallEnd::Answered(_) => worker.answered(took, call.expected),
-                CallEnd::Full => worker.was_full(now),
-                CallEnd::TargetGone | CallEnd::Failed => worker.failed(now),
+                CallEnd::Answered(_) => worker.record_answer(took, call.expected),
+                CallEnd::Full => worker.record_full(now),
+                CallEnd::TargetGone | CallEnd::Failed => worker.record_failure(now),
                 CallEnd::OutOfReach => {}
             }
         }
         match end {
-            CallEnd::Answered(answers) => self.answered(&call, answers, now),
-            CallEnd::Full | CallEnd::OutOfReach => self.try_again(call.pieces, 0),
-            CallEnd::TargetGone | CallEnd::Failed => self.try_again(call.pieces, 1),
+            CallEnd::Answered(answers) => self.handle_answers(&call, answers, now),
+            CallEnd::Full | CallEnd::OutOfReach => self.requeue(call.pieces, 0),
+            CallEnd::TargetGone | CallEnd::Failed => self.requeue(call.pieces, 1),
         }
     }
 
-    fn answered(
+    /// Finishes or requeues the pieces of an answered call. A missing answer counts as failed.
+    fn handle_answers(
         &mut self,
-        call: &UnderWay,
+        call: &ActiveCall,
         answers: Vec<PieceAnswer>,
         now: Instant,
     ) -> Vec<Finished> {
@@ -74,21 +77,21 @@
         for (waiting, answer) in call.pieces.iter().zip(answers.into_iter().chain(missing)) {
             let made = match answer {
                 PieceAnswer::Made(handle) => {
-                    self.keep(call.worker, waiting, &handle, now);
+                    self.store_result(call.worker, waiting, &handle, now);
                     PieceOutcome::Stored(handle)
                 }
                 PieceAnswer::Late => PieceOutcome::Late,
                 PieceAnswer::Gone => PieceOutcome::InputGone,
                 PieceAnswer::NoRoom => {
                     if let Some(worker) = self.workers.get_mut(call.worker) {
-                        worker.had_no_room(now);
+                        worker.record_no_room(now);
                     }
-                    // It costs no try: the piece ends with its time at the latest.
-                    finished.extend(self.try_again(vec![*waiting], 0));
+                    // This does not count as a try: the piece ends with its deadline at the latest.
+                    finished.extend(self.requeue(vec![*waiting], 0));
                     continue;
                 }
                 PieceAnswer::Failed => {
-                    finished.extend(self.try_again(vec![*waiting], 1));
+                    finished.extend(self.requeue(vec![*waiting], 1));
                     continue;
                 }
             };
@@ -97,14 +100,14 @@
         finished
     }
 
-    /// Learns from pieces that found no room. What is missing beyond the size of a result is taken by
-    /// results that this owner does not know; less than that is told by their sizes, which are known
-    /// about only.
-    fn learn_room(&mut self, call: &UnderWay, answers: &[PieceAnswer], now: Instant) {
+    /// Updates the room estimates from the answers of a call. Missing room beyond the size of a few
+    /// results is attributed to results that this owner does not know; less than that, to errors in the
+    /// estimated result sizes.
+    fn learn_room(&mut self, call: &ActiveCall, answers: &[PieceAnswer], now: Instant) {
         let count = |is: fn(&PieceAnswer) -> bool| answers.iter().filter(|a| is(a)).count() as u64;
         let no_room = count(|answer| matches!(answer, PieceAnswer::NoRoom));
         if no_room == 0 {
-            self.room_part = (self.room_part + ROOM_RISE).min(1.0);
+            self.room_fraction = (self.room_fraction + ROOM_INCREASE).min(1.0);
             return;
         }
         let of_piece = call.bytes / (call.pieces.len() as u64).max(1);
@@ -115,11 +118,12 @@
             Some(worker) if foreign > of_piece * FOREIGN_PIECES => {
                 worker.set_foreign(foreign - of_piece, life, now);
             }
-            _ => self.room_part = (self.room_part - ROOM_FALL).max(LEAST_ROOM_PART),
+            _ => self.room_fraction = (self.room_fraction - ROOM_DECREASE).max(MIN_ROOM_FRACTION),
         }
     }
 
-    fn keep(&mut self, key: WorkerKey, waiting: &Waiting, handle: &str, now: Instant) {
+    /// Records a result that a worker stores. If its submission is gone, the result is released.
+    fn store_result(&mut self, key: WorkerKey, waiting: &QueuedPiece, handle: &str, now: Instant) {
         let job = self.jobs.get(waiting.job);
         if job.is_none() {
             self.orphans.push(handle.to_owned());
@@ -132,24 +136,30 @@
         }
     }
 
-    pub(crate) fn finish(&mut self, waiting: &Waiting, outcome: PieceOutcome) -> Option<Finished> {
+    /// Finishes a piece and removes its submission after the last one; `None` if the submission is gone.
+    pub(crate) fn finish(
+        &mut self,
+        waiting: &QueuedPiece,
+        outcome: PieceOutcome,
+    ) -> Option<Finished> {
         let job = self.jobs.get_mut(waiting.job)?;
-        job.left -= 1;
+        job.unfinished -= 1;
         let finished = Finished { job: waiting.job, piece: waiting.piece, outcome };
-        if job.left == 0 {
+        if job.unfinished == 0 {
             self.jobs.remove(waiting.job);
         }
         Some(finished)
     }
 
-    /// Puts pieces back, or gives them up after too many tries.
-    fn try_again(&mut self, pieces: Vec<Waiting>, cost: u32) -> Vec<Finished> {
+    /// Requeues pieces, adding `cost` to their tries, and finishes those that have no tries left as
+    /// failed.
+    fn requeue(&mut self, pieces: Vec<QueuedPiece>, cost: u32) -> Vec<Finished> {
         let mut given_up = Vec::new();
         for mut waiting in pieces {
             let Some(job) = self.jobs.get_mut(waiting.job) else { continue };
             job.unfetched += usize::from(std::mem::take(&mut waiting.fetched));
             waiting.tries += cost;
-            if waiting.tries < PIECE_TRIES {
+            if waiting.tries < MAX_PIECE_TRIES {
                 self.waiting.push(waiting);
                 continue;
             }
--- a/components/batching/src/filling.rs
+++ b/components/batching/src/filling.rs
@@ -1,138 +1,145 @@
-//! Which pieces go to which worker in the next call.
+//! Chooses the worker and the pieces of the next call.
 
 use std::time::{Duration, Instant};
 
 use eligibility::Eligibility;
 
-use crate::pool::{LEAST_TIME, Pool, UnderWay, Waiting};
+use crate::pool::{ActiveCall, MIN_DURATION, Pool, QueuedPiece};
 use crate::submission::{Call, JobKey, Order, Submission};
 use crate::worker::{Worker, WorkerKey};
 
-/// Part of a call's time that a piece waits for a worker in the hall of its inputs.
-const NEAR_WAIT: f64 = 0.8;
-/// Slack that a piece seems to have more for each rank of less urgency. 400 ms against 150 is worth 0.009
-/// and 0.015 of a loaded day (means of 15 days each on two deployments), since long chains of great
-/// worth then go before short ones of little; it decides only among pieces that can be in time.
-const BY_URGENCY: Duration = Duration::from_millis(400);
-/// A call that takes this many times what was expected is given up and its pieces go elsewhere.
-const PATIENCE: f64 = 2.5;
-/// The same, beside the factor.
-const PATIENCE_EXTRA: Duration = Duration::from_millis(250);
-/// Pieces of which so many calls failed are called with those of their own request only: what ends every
-/// worker must not take others' tries with it, nor look alike with them. Without it all
-/// four requests of a call met all four ends of one, with it two (`a_piece_that_fails_its_calls_...`); after
-/// one failed call, most often a worker that crashed by itself, they still share.
-const LONE_TRIES: u32 = 2;
-/// Weight of a new call in the learned number of pieces.
+/// Fraction of a call's time that a piece waits for a worker in the hall of its inputs.
+const PREFERRED_HALL_WAIT: f64 = 0.8;
+/// Slack added to a piece for each step of lower urgency, so that long chains of high value precede
+/// short ones of low value. It decides only among pieces that can still be in time. Compared with 150
+/// ms, 400 ms improved a loaded day by 0.009 and 0.015 (means of 15 days each on two deployments).
+const URGENCY_STEP: Duration = Duration::from_millis(400);
+/// A call that takes longer than this multiple of the expected time, plus [`TIMEOUT_MARGIN`], is given
+/// up and its pieces are requeued.
+const TIMEOUT_FACTOR: f64 = 2.5;
+/// Time added to the multiple given by [`TIMEOUT_FACTOR`].
+const TIMEOUT_MARGIN: Duration = Duration::from_millis(250);
+/// After this many failed calls, a piece shares calls only with pieces of its own request: a piece that
+/// crashes every worker must not use up the tries of others, nor make them look like the cause. Without
+/// this limit all four requests of a call shared all four failed calls of such a piece; with it they
+/// share two (`a_piece_that_fails_its_calls_...`). After a single failed call, most often a worker that
+/// crashed by itself, pieces still share calls.
+const ISOLATION_TRIES: u32 = 2;
+/// Weight of a new call in the moving average of pieces in a call.
 const PIECES_WEIGHT: f64 = 0.2;
-/// Weight of a new call in the learned number of pieces of calls that leave others waiting: what makes
-/// them smaller, results that wait to be used, lasts for some seconds and dozens of calls.
-const PRESSED_WEIGHT: f64 = 0.05;
-/// Time beside the transfer itself within which a target that begins a call has fetched its inputs: many times the
-/// way between halls.
-const FETCH_EXTRA: Duration = Duration::from_millis(20);
-/// An input crosses the link of its worker and that of the target that fetches it.
+/// Weight of a new call in the moving average of pieces in calls that leave others waiting. Such calls
+/// get smaller because of results that wait to be used, which lasts for some seconds and dozens of
+/// calls.
+const BACKLOGGED_WEIGHT: f64 = 0.05;
+/// Time, in addition to the transfer, within which a target that starts a call has fetched its inputs:
+/// many times the latency between halls.
+const FETCH_MARGIN: Duration = Duration::from_millis(20);
+/// Links that an input crosses: that of its worker and that of the target that fetches it.
 const FETCH_LINKS: f64 = 2.0;
 
-/// When a submission is due as far as the order of pieces goes.
-pub(crate) fn order_key(submission: &Submission) -> Instant {
+/// Returns the due time by which the pieces of a submission are ordered.
+pub(crate) fn effective_due_of(submission: &Submission) -> Instant {
     effective_due(submission.due, submission.urgency)
 }
 
-/// The place in that order of pieces that are due at `due`.
+/// Returns the due time by which pieces are ordered: `due` plus the slack added for lower urgency.
 pub fn effective_due(due: Instant, urgency: u8) -> Instant {
-    due + BY_URGENCY * u32::from(urgency)
+    due + URGENCY_STEP * u32::from(urgency)
 }
 
-/// Whether a piece may go into a call that begins with another one.
-fn may_share(begun: &Waiting, other: &Waiting) -> bool {
-    let is_lone = |waiting: &Waiting| waiting.tries >= LONE_TRIES;
-    begun.job == other.job || (!is_lone(begun) && !is_lone(other))
+/// Whether a piece may join a call whose first piece is `begun`.
+fn may_share(begun: &QueuedPiece, other: &QueuedPiece) -> bool {
+    let is_isolated = |waiting: &QueuedPiece| waiting.tries >= ISOLATION_TRIES;
+    begun.job == other.job || (!is_isolated(begun) && !is_isolated(other))
 }
 
-/// Time after which a call is given up.
-fn patience(expected: Duration) -> Duration {
-    expected.mul_f64(PATIENCE) + PATIENCE_EXTRA
+/// Returns the time after which a call is given up.
+fn call_timeout(expected: Duration) -> Duration {
+    expected.mul_f64(TIMEOUT_FACTOR) + TIMEOUT_MARGIN
 }
 
 impl Pool {
-    /// The next call to make now, if a worker is free and something waits for it.
+    /// Returns the next call to make now, if a worker is free and a piece waits for it.
     pub fn next_call(&mut self, now: Instant) -> Option<Call> {
         self.expire(now);
         if self.waiting.is_empty() {
             return None;
         }
-        self.sort(now);
+        self.sort_waiting(now);
         let mut free: Vec<WorkerKey> = self
             .workers
             .iter()
-            .filter(|(_, worker)| self.may_work(worker, self.spec.at_once.max(1), now))
+            .filter(|(_, worker)| self.can_take_call(worker, self.spec.at_once.max(1), now))
             .map(|(key, _)| key)
             .collect();
-        // Whoever failed last is asked after all others.
+        // Workers whose last call failed come last.
         free.sort_by(|a, b| {
             let (a, b) = (&self.workers[*a], &self.workers[*b]);
-            a.doubtful().cmp(&b.doubtful()).then(a.pace.total_cmp(&b.pace))
+            a.last_call_failed().cmp(&b.last_call_failed()).then(a.slowdown.total_cmp(&b.slowdown))
         });
-        let (worker, pieces) = self.best_fill(&free, now)?;
-        Some(self.begin(worker, pieces, now))
+        let (worker, pieces) = self.choose_call(&free, now)?;
+        Some(self.start_call(worker, pieces, now))
     }
 
-    /// When a piece that is held back may go to any worker, or a worker may work again.
+    /// Returns the next time at which a held piece may go to any worker, or a worker may be called
+    /// again.
     pub fn next_wakeup(&self, now: Instant) -> Option<Instant> {
         if self.waiting.is_empty() {
             return None;
         }
         let until = |worker: &Worker| {
             let target = &worker.target;
-            worker.rests_until().max(target.left_alone_until).max(target.limited_until)
+            worker.backoff_until().max(target.left_alone_until).max(target.limited_until)
         };
-        let rests = self.workers.values().filter_map(until).filter(|at| *at > now);
-        let held = self.waiting.iter().filter_map(|waiting| self.held_until(waiting, now));
-        rests.chain(held).min()
+        let backoffs = self.workers.values().filter_map(until).filter(|at| *at > now);
+        let held = self.waiting.iter().filter_map(|waiting| self.hold_until(waiting, now));
+        backoffs.chain(held).min()
     }
 
-    pub(crate) fn may_work(&self, worker: &Worker, at_once: u32, now: Instant) -> bool {
-        worker.may_work(at_once, now) && self.is_open(worker, now)
+    /// Whether a worker may be called now with fewer than `at_once` calls in progress.
+    pub(crate) fn can_take_call(&self, worker: &Worker, at_once: u32, now: Instant) -> bool {
+        worker.can_take_call(at_once, now) && self.is_open(worker, now)
     }
 
+    /// Whether the worker's hall and the worker itself accept calls now.
     fn is_open(&self, worker: &Worker, now: Instant) -> bool {
         self.halls.eligibility(&worker.target, now) == Eligibility::Open
     }
 
-    /// Pieces that can still be in time go first, by slack; late ones follow. Whether they are late is
-    /// told by their own due time: judged by the order's, less urgent ones that are late took the place
-    /// of others that were not (0.036 of a loaded day).
-    fn sort(&mut self, now: Instant) {
+    /// Sorts pieces that can still be in time first, by effective due time; late ones follow. Whether a
+    /// piece is late depends on its own due time: with the effective one, less urgent pieces that were
+    /// late displaced others that were not (0.036 of a loaded day).
+    fn sort_waiting(&mut self, now: Instant) {
         if self.order == Order::Arrival {
             return;
         }
-        let soonest = now + self.spec.call + self.spec.piece.mul_f64(self.usual_pieces);
+        let soonest = now + self.spec.call + self.spec.piece.mul_f64(self.mean_pieces);
         let jobs = &self.jobs;
         self.waiting.sort_by_cached_key(|waiting| {
             let submission = jobs.get(waiting.job).map(|job| &job.submission);
             let late = submission.is_some_and(|submission| submission.due < soonest);
-            (late, submission.map(order_key), waiting.job, waiting.piece)
+            (late, submission.map(effective_due_of), waiting.job, waiting.piece)
         });
     }
 
-    /// The worker and pieces of the call that begins with the first piece that some worker may take.
-    fn best_fill(&self, free: &[WorkerKey], now: Instant) -> Option<(WorkerKey, Vec<usize>)> {
+    /// Returns the worker and the pieces of the call that starts with the first piece for which a worker
+    /// is available.
+    fn choose_call(&self, free: &[WorkerKey], now: Instant) -> Option<(WorkerKey, Vec<usize>)> {
         for (index, waiting) in self.waiting.iter().enumerate() {
-            let held = self.held_until(waiting, now).is_some();
-            let near =
+            let held = self.hold_until(waiting, now).is_some();
+            let preferred =
                 self.jobs.get(waiting.job).and_then(|job| job.submission.preferred_hall.as_ref());
-            let is_near = |key: &&WorkerKey| {
+            let is_preferred = |key: &&WorkerKey| {
                 let worker = &self.workers[**key];
-                near == Some(&worker.target.hall) && !worker.doubtful()
+                preferred == Some(&worker.target.hall) && !worker.last_call_failed()
             };
-            let worker = match free.iter().find(is_near) {
+            let worker = match free.iter().find(is_preferred) {
                 Some(worker) => Some(worker),
                 None if held => None,
                 None => free.first(),
             };
             let Some(worker) = worker else { continue };
-            let pieces = self.fill(*worker, index, now);
+            let pieces = self.select_pieces(*worker, index, now);
             if !pieces.is_empty() {
                 return Some((*worker, pieces));
             }
@@ -140,11 +147,12 @@
         None
     }
 
-    /// Pieces from `first` on that the worker may take, up to a whole call and its room.
-    fn fill(&self, key: WorkerKey, first: usize, now: Instant) -> Vec<usize> {
+    /// Returns the indexes of the pieces, from `first` on, that the worker may take, up to a full call
+    /// and the worker's room.
+    fn select_pieces(&self, key: WorkerKey, first: usize, now: Instant) -> Vec<usize> {
         let worker = &self.workers[key];
-        // One piece is enough to learn whether a worker that failed is back.
-        let most = if worker.doubtful() { 1 } else { self.spec.batch };
+        // One piece is enough to learn whether a worker that failed has recovered.
+        let most = if worker.last_call_failed() { 1 } else { self.spec.batch };
         let mut room = self.usable_room(worker, now);
         let mut taken = Vec::new();
         let begun = self.waiting[first];
@@ -156,9 +164,9 @@
                 continue;
             }
             let Some(job) = self.jobs.get(waiting.job) else { continue };
-            let near = job.submission.preferred_hall.as_ref();
-            let elsewhere = near.is_some_and(|hall| *hall != worker.target.hall);
-            if elsewhere && self.held_until(waiting, now).is_some() {
+            let preferred = job.submission.preferred_hall.as_ref();
+            let elsewhere = preferred.is_some_and(|hall| *hall != worker.target.hall);
+            if elsewhere && self.hold_until(waiting, now).is_some() {
                 continue;
             }
             if job.submission.result_bytes <= room {
@@ -169,55 +177,61 @@
         taken
     }
 
-    /// Room that may be used at a worker; one that holds nothing may take a result of any size.
+    /// Returns the bytes of room that may be used at a worker. A worker that holds nothing may take a
+    /// result of any size up to its whole room.
     fn usable_room(&self, worker: &Worker, now: Instant) -> u64 {
         let used = worker.room_used + worker.foreign_room(now);
         if used == 0 {
             return self.spec.room_bytes;
         }
-        let usable = (self.spec.room_bytes as f64 * self.room_part) as u64;
+        let usable = (self.spec.room_bytes as f64 * self.room_fraction) as u64;
         usable.saturating_sub(used)
     }
 
-    /// Until when a piece waits for a worker near its inputs rather than take any.
-    fn held_until(&self, waiting: &Waiting, now: Instant) -> Option<Instant> {
+    /// Returns until when a piece waits for a worker in its preferred hall instead of taking any; `None`
+    /// if it need not wait.
+    fn hold_until(&self, waiting: &QueuedPiece, now: Instant) -> Option<Instant> {
         let job = self.jobs.get(waiting.job)?;
-        let near = job.submission.preferred_hall.as_ref()?;
+        let preferred = job.submission.preferred_hall.as_ref()?;
         let mut workers = self.workers.values();
-        let is_near = |worker: &Worker| worker.target.hall == *near && !worker.doubtful();
+        let is_preferred =
+            |worker: &Worker| worker.target.hall == *preferred && !worker.last_call_failed();
         if self.order == Order::Arrival
-            || !workers.any(|worker| is_near(worker) && self.is_open(worker, now))
+            || !workers.any(|worker| is_preferred(worker) && self.is_open(worker, now))
         {
             return None;
         }
-        let patience = self.spec.call.mul_f64(NEAR_WAIT);
+        let max_wait = self.spec.call.mul_f64(PREFERRED_HALL_WAIT);
         let by_slack = job.submission.due.checked_sub(self.spec.call * 2)?;
-        let until = (job.since + patience).min(by_slack);
+        let until = (job.submitted + max_wait).min(by_slack);
         (until > now).then_some(until)
     }
 
-    fn begin(&mut self, key: WorkerKey, indexes: Vec<usize>, now: Instant) -> Call {
-        let pieces: Vec<Waiting> = indexes.iter().map(|index| self.waiting[*index]).collect();
+    /// Moves the pieces from the queue to a new call at a worker, whose room they reserve.
+    fn start_call(&mut self, key: WorkerKey, indexes: Vec<usize>, now: Instant) -> Call {
+        let pieces: Vec<QueuedPiece> = indexes.iter().map(|index| self.waiting[*index]).collect();
         for index in indexes.iter().rev() {
             self.waiting.remove(*index);
         }
-        let bytes_of = |w: &Waiting| self.jobs.get(w.job).map_or(0, |j| j.submission.result_bytes);
+        let bytes_of =
+            |w: &QueuedPiece| self.jobs.get(w.job).map_or(0, |j| j.submission.result_bytes);
         let bytes = pieces.iter().map(bytes_of).sum();
         let count = u32::try_from(pieces.len()).unwrap_or(u32::MAX);
-        let expected = (self.spec.call + self.spec.piece * count).max(LEAST_TIME);
-        self.usual_pieces += PIECES_WEIGHT * (f64::from(count) - self.usual_pieces);
-        self.learn_pressed(count);
+        let expected = (self.spec.call + self.spec.piece * count).max(MIN_DURATION);
+        self.mean_pieces += PIECES_WEIGHT * (f64::from(count) - self.mean_pieces);
+        self.learn_backlogged_pieces(count);
         let fetch_time = self.fetch_time(&pieces);
         let worker = &mut self.workers[key];
         let room_before = worker.room_used;
-        worker.at_work += 1;
+        worker.active_calls += 1;
         worker.room_used += bytes;
         let (target, room_used) = (worker.target.clone(), worker.room_used);
         self.reclaim(key);
         let members = pieces.iter().map(|waiting| (waiting.job, waiting.piece)).collect();
-        let since = pieces.iter().filter_map(|w| self.jobs.get(w.job)).map(|job| job.since).min();
+        let since =
+            pieces.iter().filter_map(|w| self.jobs.get(w.job)).map(|job| job.submitted).min();
         let waited = since.map_or(Duration::ZERO, |since| now.saturating_duration_since(since));
-        let call = UnderWay { worker: key, pieces, began: now, expected, bytes, room_before };
+        let call = ActiveCall { worker: key, pieces, began: now, expected, bytes, room_before };
         Call {
             key: self.calls.insert(call),
             target,
@@ -226,25 +240,27 @@
             waited,
             still_waiting: self.waiting.len(),
             fetch_time,
-            timeout: patience(expected),
+            timeout: call_timeout(expected),
         }
     }
 
-    /// Learns how many pieces a call holds while others wait; without such calls it is forgotten.
-    fn learn_pressed(&mut self, count: u32) {
+    /// Updates the moving average of pieces in calls that leave others waiting. Calls that leave none
+    /// move it back to a full call.
+    fn learn_backlogged_pieces(&mut self, count: u32) {
         let full = self.spec.batch as f64;
         let seen = if self.waiting.is_empty() { full } else { f64::from(count) };
-        let before = self.pressed_pieces.unwrap_or(full);
-        self.pressed_pieces = Some(before + PRESSED_WEIGHT * (seen - before));
+        let before = self.backlogged_pieces.unwrap_or(full);
+        self.backlogged_pieces = Some(before + BACKLOGGED_WEIGHT * (seen - before));
     }
 
-    /// Time within which a target that begins a call has fetched the inputs of its pieces.
-    fn fetch_time(&self, pieces: &[Waiting]) -> Option<Duration> {
+    /// Returns the time within which a target that starts a call has fetched the inputs of its pieces;
+    /// `None` if there are none or the link speed is unknown.
+    fn fetch_time(&self, pieces: &[QueuedPiece]) -> Option<Duration> {
         let mut jobs: Vec<JobKey> = pieces.iter().map(|waiting| waiting.job).collect();
         jobs.dedup();
         let submissions = jobs.iter().filter_map(|job| self.submission(*job));
         let bytes: u64 = submissions.map(|submission| submission.input_bytes).sum();
         let time = FETCH_LINKS * bytes as f64 / self.spec.link.filter(|link| *link > 0)? as f64;
-        (bytes > 0).then(|| FETCH_EXTRA + Duration::from_secs_f64(time))
+        (bytes > 0).then(|| FETCH_MARGIN + Duration::from_secs_f64(time))
     }
 }
--- a/components/batching/src/lib.rs
+++ b/components/batching/src/lib.rs
@@ -1,22 +1,23 @@
-//! Fills the calls of a pool with pieces of many requests, in the order of their slack.
+//! Batches the pieces of many requests into the calls of a pool, ordered by slack (the time left until a
+//! piece is due).
 //!
-//! One VM, the owner, does this for a pool on behalf of all. Ownership is a matter of efficiency
-//! only: a piece may be made twice, so two owners at once cost work but break no promise.
+//! One VM, the owner, does this for a pool on behalf of all VMs. Ownership only improves efficiency: a
+//! piece may be made twice, so two owners at the same time duplicate work but break no guarantee.
 
-mod ends;
+mod completion;
 mod filling;
 mod forecast;
 mod pool;
+mod queue;
 mod results;
-mod room;
-mod slack;
+mod room_use;
 mod submission;
 mod worker;
 
 pub use filling::effective_due;
 pub use pool::Pool;
-pub use room::RoomUse;
-pub use slack::Queue;
+pub use queue::Queue;
+pub use room_use::RoomUse;
 pub use submission::{
     Call, CallEnd, CallKey, Finished, JobKey, Order, PendingRelease, PieceOutcome, Submission,
 };
--- a/components/batching/src/pool.rs
+++ b/components/batching/src/pool.rs
@@ -1,4 +1,5 @@
-//! The state of a pool: its workers, what waits, what is under way, and the results that lie at workers.
+//! State of a pool at its owner: workers, waiting pieces, calls in progress, and results stored at
+//! workers.
 
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
@@ -14,42 +15,51 @@
 };
 use crate::worker::{Worker, WorkerKey};
 
-/// Room is scarce at a worker of which more than this part is used: the rest holds the results of two
-/// full calls on the pools seen so far.
-const SCARCE_PART: f64 = 0.5;
-/// Figures of a pool are taken to be no less than this, so that no division is by nothing.
-pub(crate) const LEAST_TIME: Duration = Duration::from_millis(1);
+/// Fraction of a worker's room above which room is scarce. The rest holds the results of two full calls
+/// on the pools observed so far.
+const SCARCE_FRACTION: f64 = 0.5;
+/// Lower bound of the pool's configured times, to avoid division by zero.
+pub(crate) const MIN_DURATION: Duration = Duration::from_millis(1);
 
+/// A submission with unfinished pieces.
 #[derive(Debug)]
 pub(crate) struct Job {
     pub(crate) submission: Submission,
-    pub(crate) since: Instant,
-    pub(crate) left: usize,
+    /// When it was submitted.
+    pub(crate) submitted: Instant,
+    /// Pieces that are not finished.
+    pub(crate) unfinished: usize,
     /// Pieces whose target has not fetched the inputs yet.
     pub(crate) unfetched: usize,
 }
 
+/// A piece that waits or is in a call.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct Waiting {
+pub(crate) struct QueuedPiece {
     pub(crate) job: JobKey,
+    /// Number of the piece in its stage.
     pub(crate) piece: u32,
+    /// Failed tries.
     pub(crate) tries: u32,
     /// Whether its target has fetched the inputs.
     pub(crate) fetched: bool,
 }
 
+/// A call in progress.
 #[derive(Debug)]
-pub(crate) struct UnderWay {
+pub(crate) struct ActiveCall {
     pub(crate) worker: WorkerKey,
-    pub(crate) pieces: Vec<Waiting>,
+    pub(crate) pieces: Vec<QueuedPiece>,
     pub(crate) began: Instant,
+    /// Time that it should take by the pool's configuration.
     pub(crate) expected: Duration,
+    /// Expected size of all results, in bytes.
     pub(crate) bytes: u64,
-    /// Room that other results took as it began.
+    /// Bytes that other results used at the worker when the call started.
     pub(crate) room_before: u64,
 }
 
-/// A pool as its owner sees it.
+/// A pool as seen by its owner.
 #[derive(Debug)]
 pub struct Pool {
     pub(crate) spec: PoolSpec,
@@ -57,22 +67,23 @@
     pub(crate) workers: SlotMap<WorkerKey, Worker>,
     pub(crate) by_id: HashMap<TargetName, WorkerKey>,
     pub(crate) jobs: SlotMap<JobKey, Job>,
-    pub(crate) calls: SlotMap<CallKey, UnderWay>,
-    pub(crate) waiting: Vec<Waiting>,
+    pub(crate) calls: SlotMap<CallKey, ActiveCall>,
+    pub(crate) waiting: Vec<QueuedPiece>,
     pub(crate) results: Results,
+    /// Handles of results to release without a request asking for it.
     pub(crate) orphans: Vec<String>,
-    /// Pieces in a call, as last seen.
-    pub(crate) usual_pieces: f64,
-    /// Pieces in a call that leaves others waiting, as last seen; none was yet if it is not set.
-    pub(crate) pressed_pieces: Option<f64>,
-    /// Part of the workers' room that may be used: how large results are is known about only, so
-    /// that it is learned from those that found none.
-    pub(crate) room_part: f64,
+    /// Moving average of the pieces in a call.
+    pub(crate) mean_pieces: f64,
+    /// Moving average of the pieces in a call that leaves others waiting; `None` before the first call.
+    pub(crate) backlogged_pieces: Option<f64>,
+    /// Fraction of the workers' room that may be used. Result sizes are only estimates, so this is
+    /// learned from pieces that found no room.
+    pub(crate) room_fraction: f64,
     pub(crate) halls: Halls,
 }
 
 impl Pool {
-    /// A pool with no workers and nothing to do.
+    /// Creates a pool without workers or pieces.
     pub fn new(spec: PoolSpec, order: Order) -> Self {
         Pool {
             spec,
@@ -84,24 +95,24 @@
             waiting: Vec::new(),
             results: Results::default(),
             orphans: Vec::new(),
-            usual_pieces: 1.0,
-            pressed_pieces: None,
-            room_part: 1.0,
+            mean_pieces: 1.0,
+            backlogged_pieces: None,
+            room_fraction: 1.0,
             halls: Halls::default(),
         }
     }
 
-    /// Takes new figures.
+    /// Replaces the pool's configuration.
     pub fn set_spec(&mut self, spec: PoolSpec) {
         self.spec = spec;
     }
 
-    /// Time after which a result that nobody gives up runs out.
+    /// Returns the time after which a result that nobody releases expires.
     pub fn result_life(&self) -> Duration {
         self.spec.result_life
     }
 
-    /// Takes the targets of the pool as they are now.
+    /// Replaces the pool's workers by these targets. Workers that remain keep their state.
     pub fn set_workers<'a>(&mut self, targets: impl Iterator<Item = &'a Target>) {
         let mut gone: HashMap<TargetName, WorkerKey> = self.by_id.clone();
         for target in targets {
@@ -120,24 +131,25 @@
         }
     }
 
-    /// Takes which halls are used how: only workers of halls that are open are called.
+    /// Sets the state of the halls: only workers in open halls are called.
     pub fn set_halls(&mut self, halls: Halls) {
         self.halls = halls;
     }
 
-    /// Whether all of its workers are leaving or in halls that operators took out of service, so that
-    /// what waits here can't be made.
+    /// Whether all workers are leaving or in halls that operators took out of service, so that the
+    /// waiting pieces can't be made.
     pub fn is_closed(&self, now: Instant) -> bool {
         !self.workers.is_empty() && self.opens_at(now).is_none()
     }
 
-    /// From when on some worker may be called, as far as it is known.
+    /// Returns the earliest known time at which a worker may be called.
     fn opens_at(&self, now: Instant) -> Option<Instant> {
         let workers = self.workers.values();
         workers.filter_map(|worker| self.halls.opens_at(&worker.target, now)).min()
     }
 
-    /// Ends what waits and has no worker before its time is over, with no try left; gives the pieces.
+    /// Finishes the waiting pieces for which no worker opens before their time is over as
+    /// [`PieceOutcome::Failed`], regardless of the tries left, and returns them.
     pub fn fail_unservable(&mut self, now: Instant) -> Vec<Finished> {
         if self.workers.is_empty() {
             return Vec::new();
@@ -147,15 +159,16 @@
             return Vec::new();
         }
         let jobs = &self.jobs;
-        let (gone, left): (Vec<Waiting>, Vec<Waiting>) = self.waiting.iter().partition(|waiting| {
-            let until = jobs.get(waiting.job).map(|job| job.submission.until);
-            opens.is_none_or(|opens| until.is_none_or(|until| until <= opens))
-        });
+        let (gone, left): (Vec<QueuedPiece>, Vec<QueuedPiece>) =
+            self.waiting.iter().partition(|waiting| {
+                let until = jobs.get(waiting.job).map(|job| job.submission.until);
+                opens.is_none_or(|opens| until.is_none_or(|until| until <= opens))
+            });
         self.waiting = left;
         gone.iter().filter_map(|waiting| self.finish(waiting, PieceOutcome::Failed)).collect()
     }
 
-    /// Submissions of which pieces wait.
+    /// Returns the submissions that have waiting pieces.
     pub fn waiting_submissions(&self) -> impl Iterator<Item = (JobKey, &Submission)> {
         let mut jobs: Vec<JobKey> = self.waiting.iter().map(|waiting| waiting.job).collect();
         jobs.sort_unstable();
@@ -163,54 +176,54 @@
         jobs.into_iter().filter_map(|job| Some((job, self.submission(job)?)))
     }
 
-    /// Ends the waiting pieces of a submission, with what became of them; gives these.
+    /// Finishes the waiting pieces of a submission with this outcome and returns them.
     pub fn finish_waiting(&mut self, job: JobKey, made: &PieceOutcome) -> Vec<Finished> {
         let (gone, left) = self.waiting.iter().partition(|waiting| waiting.job == job);
         self.waiting = left;
-        let gone: Vec<Waiting> = gone;
+        let gone: Vec<QueuedPiece> = gone;
         gone.iter().filter_map(|waiting| self.finish(waiting, made.clone())).collect()
     }
 
-    /// Whether a call is the only one under way at its worker.
+    /// Whether this is the only call in progress at its worker.
     pub fn is_only_call(&self, call: CallKey) -> bool {
         let Some(worker) = self.calls.get(call).map(|call| call.worker) else { return false };
         self.calls.values().filter(|other| other.worker == worker).count() == 1
     }
 
-    /// Whether nothing waits and no call is under way.
+    /// Whether no piece waits and no call is in progress.
     pub fn is_idle(&self) -> bool {
         self.waiting.is_empty() && self.calls.is_empty()
     }
 
-    /// Pieces that wait.
+    /// Returns the number of waiting pieces.
     pub fn waiting_pieces(&self) -> usize {
         self.waiting.len()
     }
 
-    /// Takes pieces.
+    /// Queues the pieces of a submission.
     pub fn submit(&mut self, submission: Submission, now: Instant) -> JobKey {
         let pieces = submission.pieces.clone();
-        let (left, unfetched) = (pieces.len(), pieces.len());
-        let job = self.jobs.insert(Job { submission, since: now, left, unfetched });
-        let waiting = |piece| Waiting { job, piece, tries: 0, fetched: false };
+        let (unfinished, unfetched) = (pieces.len(), pieces.len());
+        let job = self.jobs.insert(Job { submission, submitted: now, unfinished, unfetched });
+        let waiting = |piece| QueuedPiece { job, piece, tries: 0, fetched: false };
         self.waiting.extend(pieces.into_iter().map(waiting));
         job
     }
 
-    /// Forgets a submission that nobody waits for. Pieces at work end by themselves.
+    /// Removes a submission that nobody waits for. Calls in progress are not cancelled.
     pub fn cancel(&mut self, job: JobKey) {
         self.jobs.remove(job);
         self.waiting.retain(|waiting| waiting.job != job);
     }
 
-    /// The submission, while it is not done.
+    /// Returns the submission while it has unfinished pieces.
     pub fn submission(&self, job: JobKey) -> Option<&Submission> {
         self.jobs.get(job).map(|job| &job.submission)
     }
 
-    /// Gives up results; tells which target has to be told of which handles. Their room counts as
-    /// taken until [`Pool::finish_release`] says that the target has heard: a call that overtakes the word
-    /// finds no room.
+    /// Releases results; returns the handles to report to each worker. Their room counts as used until
+    /// [`Pool::finish_release`] records that the worker was told: a call that arrives before that
+    /// message would find no room.
     pub fn release(&mut self, handles: Vec<String>) -> Vec<PendingRelease> {
         let mut by_worker: HashMap<WorkerKey, (Vec<String>, u64)> = HashMap::new();
         for handle in handles {
@@ -226,8 +239,8 @@
         by_worker.into_iter().filter_map(told).collect()
     }
 
-    /// Takes how a target was told that results are given up. Where it may not have heard, they take
-    /// room until they run out.
+    /// Records whether a worker was told of a release. If it may not have been, the results count as
+    /// using room until they expire.
     pub fn finish_release(&mut self, told: &PendingRelease, heard: bool, now: Instant) {
         let Some(key) = self.by_id.get(&told.target.id).copied() else { return };
         if heard {
@@ -237,30 +250,30 @@
         }
     }
 
-    /// Gives up results if their workers' room is scarce, or once it is: they are needed again only
-    /// if what is being made of them fails.
+    /// Releases results if room at their workers is scarce, or once it becomes scarce: they are needed
+    /// again only if the pieces made from them fail.
     pub fn release_if_scarce(&mut self, handles: &[String]) {
         let workers: Vec<WorkerKey> =
             handles.iter().filter_map(|handle| self.results.set_spare(handle)).collect();
         workers.into_iter().for_each(|worker| self.reclaim(worker));
     }
 
-    /// Gives up what a worker's room is too scarce to keep.
+    /// Queues a worker's spare results for release if its room is scarce.
     pub(crate) fn reclaim(&mut self, key: WorkerKey) {
-        let scarce = (self.spec.room_bytes as f64 * SCARCE_PART) as u64;
+        let scarce = (self.spec.room_bytes as f64 * SCARCE_FRACTION) as u64;
         if self.workers.get(key).is_some_and(|worker| worker.room_used > scarce) {
-            self.orphans.extend(self.results.spare_of(key));
+            self.orphans.extend(self.results.spare_at(key));
         }
     }
 
-    /// Gives up results that are to be given up though no request says so: those made after nobody
-    /// waited for them any more, and those for which room is too scarce.
+    /// Releases results without a request asking for it: those completed after nobody waited for them,
+    /// and spare ones at workers whose room is scarce.
     pub fn release_orphans(&mut self) -> Vec<PendingRelease> {
         let orphans = std::mem::take(&mut self.orphans);
         self.release(orphans)
     }
 
-    /// A worker that started again under its id holds nothing of before.
+    /// Drops the state of a worker that restarted under the same id: it no longer holds earlier results.
     fn end_earlier_lifetime(&mut self, target: &Target) {
         let Some(key) = self.by_id.get(&target.id).copied() else { return };
         let known = self.workers.get(key).map(|worker| &worker.target);
@@ -269,18 +282,21 @@
         }
     }
 
+    /// Removes a worker and its results.
     fn drop_worker(&mut self, id: &TargetName, key: WorkerKey) {
         self.by_id.remove(id);
         self.workers.remove(key);
         self.results.drop_worker(key);
     }
 
+    /// Marks bytes of room at a worker as free.
     pub(crate) fn free_room(&mut self, key: WorkerKey, bytes: u64) {
         if let Some(worker) = self.workers.get_mut(key) {
             worker.room_used = worker.room_used.saturating_sub(bytes);
         }
     }
 
+    /// Removes expired results and frees their room.
     pub(crate) fn expire(&mut self, now: Instant) {
         for (key, bytes) in self.results.expire(now) {
             self.free_room(key, bytes);
--- a/components/batching/src/results.rs
+++ b/components/batching/src/results.rs
@@ -1,4 +1,4 @@
-//! Results that lie at their workers and take room there.
+//! Results that are stored at workers and use room there.
 
 use std::collections::HashMap;
 use std::time::Instant;
@@ -6,27 +6,28 @@
 use crate::submission::JobKey;
 use crate::worker::WorkerKey;
 
-/// A result at its worker.
+/// A result stored at a worker.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct Result {
+pub(crate) struct StoredResult {
     pub(crate) worker: WorkerKey,
     /// The submission that it belongs to.
     pub(crate) job: JobKey,
     pub(crate) bytes: u64,
     until: Instant,
-    /// Whether it may be given up when room is scarce.
+    /// Whether it may be released when room is scarce.
     pub(crate) spare: bool,
 }
 
-/// All results that this owner had made and that still take room.
+/// All results made for this owner that still use room.
 #[derive(Debug, Default)]
 pub(crate) struct Results {
-    by_handle: HashMap<String, Result>,
-    /// Results that nobody knows by name: worker, bytes, and when they have run out.
+    by_handle: HashMap<String, StoredResult>,
+    /// Results whose handle is unknown: worker, bytes, and expiry.
     lost: Vec<(WorkerKey, u64, Instant)>,
 }
 
 impl Results {
+    /// Adds a result that a worker stores.
     pub(crate) fn add(
         &mut self,
         handle: &str,
@@ -35,55 +36,59 @@
         bytes: u64,
         until: Instant,
     ) {
-        let result = Result { worker, job, bytes, until, spare: false };
+        let result = StoredResult { worker, job, bytes, until, spare: false };
         self.by_handle.insert(handle.to_owned(), result);
     }
 
-    /// Results that are known by name.
-    pub(crate) fn known(&self) -> impl Iterator<Item = &Result> {
+    /// Returns the results whose handle is known.
+    pub(crate) fn known(&self) -> impl Iterator<Item = &StoredResult> {
         self.by_handle.values()
     }
 
-    /// Bytes of results that nobody knows by name, at some workers.
+    /// Returns the bytes of results whose handle is unknown, at the workers that `at` selects.
     pub(crate) fn lost_bytes(&self, at: impl Fn(WorkerKey) -> bool) -> u64 {
         self.lost.iter().filter(|(key, ..)| at(*key)).map(|(_, bytes, _)| bytes).sum()
     }
 
-    /// Notes results of a call whose answer did not come: they take room until they run out.
+    /// Records results of a call whose answer was lost: they use room until they expire.
     pub(crate) fn add_lost(&mut self, worker: WorkerKey, bytes: u64, until: Instant) {
         self.lost.push((worker, bytes, until));
     }
 
-    /// Takes out a result that is needed no more; gives its worker and size.
+    /// Removes a result that is no longer needed; returns its worker and size.
     pub(crate) fn remove(&mut self, handle: &str) -> Option<(WorkerKey, u64)> {
         self.by_handle.remove(handle).map(|result| (result.worker, result.bytes))
     }
 
-    /// Notes that a result may be given up when room is scarce; gives its worker.
+    /// Marks a result that may be released when room is scarce; returns its worker.
     pub(crate) fn set_spare(&mut self, handle: &str) -> Option<WorkerKey> {
         let result = self.by_handle.get_mut(handle)?;
         result.spare = true;
         Some(result.worker)
     }
 
-    /// Handles of a worker's results that may be given up when room is scarce.
-    pub(crate) fn spare_of(&self, worker: WorkerKey) -> Vec<String> {
+    /// Returns the handles of a worker's results that may be released when room is scarce.
+    pub(crate) fn spare_at(&self, worker: WorkerKey) -> Vec<String> {
         let spare = self.by_handle.iter().filter(|(_, r)| r.spare && r.worker == worker);
         spare.map(|(handle, _)| handle.clone()).collect()
     }
 
-    /// Takes out the results whose life is over; gives their workers and sizes.
+    /// Removes the expired results; returns their workers and sizes.
     pub(crate) fn expire(&mut self, now: Instant) -> Vec<(WorkerKey, u64)> {
-        let over = |result: &Result| result.until <= now;
-        let mut freed: Vec<_> =
-            self.by_handle.values().filter(|r| over(r)).map(|r| (r.worker, r.bytes)).collect();
-        self.by_handle.retain(|_, result| !over(result));
+        let is_expired = |result: &StoredResult| result.until <= now;
+        let mut freed: Vec<_> = self
+            .by_handle
+            .values()
+            .filter(|r| is_expired(r))
+            .map(|r| (r.worker, r.bytes))
+            .collect();
+        self.by_handle.retain(|_, result| !is_expired(result));
         let lost = self.lost.extract_if(.., |(_, _, until)| *until <= now);
         freed.extend(lost.map(|(worker, bytes, _)| (worker, bytes)));
         freed
     }
 
-    /// Takes out all results of a worker that is gone.
+    /// Removes all results of a worker that is gone.
     pub(crate) fn drop_worker(&mut self, worker: WorkerKey) {
         self.by_handle.retain(|_, result| result.worker != worker);
         self.lost.retain(|(of, _, _)| *of != worker);
--- a/components/batching/src/submission.rs
+++ b/components/batching/src/submission.rs
@@ -1,4 +1,4 @@
-//! What is handed to a pool, the calls that it makes, and what comes of them.
+//! Types exchanged with a pool: submissions, the calls that it makes, and their outcomes.
 
 use std::time::{Duration, Instant};
 
@@ -11,17 +11,17 @@
 new_key_type! {
     /// Key of a submission.
     pub struct JobKey;
-    /// Key of a call under way.
+    /// Key of a call in progress.
     pub struct CallKey;
 }
 
-/// How waiting pieces are ordered and matched with workers.
+/// Order of waiting pieces and how they are matched with workers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum Order {
-    /// By slack, with regard to where the inputs lie.
+    /// By slack, preferring workers in the hall of the inputs.
     #[default]
     Slack,
-    /// As they came, to measure against.
+    /// By arrival; a baseline for comparison.
     Arrival,
 }
 
@@ -30,94 +30,94 @@
 pub struct Submission {
     /// The request.
     pub request: RequestId,
-    /// What is the same for these pieces of each attempt at the same request; a VM of an older build does
-    /// not say.
+    /// Identifies the same content in each attempt at the same request; `None` from a VM of an older
+    /// build.
     pub content: Option<Content>,
     /// Index of the stage.
     pub stage: u32,
     /// Numbers of the pieces.
     pub pieces: Vec<u32>,
-    /// Secret of the request; for stages that need no results.
+    /// Secret of the request, for stages that need no results.
     pub key: Option<String>,
     /// Results that each piece needs.
     pub inputs: Vec<String>,
-    /// Bytes of all of them together.
+    /// Size of all inputs together, in bytes.
     pub input_bytes: u64,
-    /// When the results are of no use.
+    /// Time after which the results are useless.
     pub until: Instant,
-    /// When the results are late.
+    /// Time after which the results are late.
     pub due: Instant,
-    /// Urgency, 0 first.
+    /// Urgency; 0 is the most urgent.
     pub urgency: u8,
-    /// About how large a result is.
+    /// Estimated size of a result, in bytes.
     pub result_bytes: u64,
-    /// Where the inputs lie or the results are wanted, if that matters.
+    /// Hall where the inputs are stored or the results are wanted, if that matters.
     pub preferred_hall: Option<HallName>,
 }
 
 /// A call to be made.
 #[derive(Debug, Clone)]
 pub struct Call {
-    /// Its key, to tell how it ended.
+    /// Key with which its end is reported.
     pub key: CallKey,
     /// The target.
     pub target: Target,
-    /// The pieces in it: submission and number.
+    /// The pieces: submission and number.
     pub pieces: Vec<(JobKey, u32)>,
-    /// Room that its results and earlier ones take at the target, in bytes, for the log.
+    /// Bytes of room used at the target by its results and earlier ones, for the log.
     pub room_used: u64,
     /// Longest time that one of its pieces waited, for the log.
     pub waited: Duration,
-    /// Pieces that go on waiting, for the log.
+    /// Pieces that still wait, for the log.
     pub still_waiting: usize,
-    /// Time within which its inputs have been fetched once it has its turn; `None` if that can't be told.
+    /// Time from the start of the call at the target until its inputs are fetched; `None` if unknown.
     pub fetch_time: Option<Duration>,
-    /// After this time it is given up.
+    /// Time after which the call is given up.
     pub timeout: Duration,
 }
 
-/// Results that are to be given up at their worker. Their room counts as taken until it is told how
-/// that went.
+/// Results to be released at a worker. Their room counts as used until
+/// [`Pool::finish_release`](crate::Pool::finish_release) records the outcome.
 #[derive(Debug, Clone)]
 pub struct PendingRelease {
     /// The worker.
     pub target: Target,
-    /// The results.
+    /// Handles of the results.
     pub handles: Vec<String>,
-    /// Room that they take.
+    /// Room that they use, in bytes.
     pub bytes: u64,
 }
 
 /// How a call ended.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum CallEnd {
-    /// With an answer for each piece, in order.
+    /// The target answered; one answer for each piece, in order.
     Answered(Vec<PieceAnswer>),
-    /// The target was full and did not take it.
+    /// The target was full and did not take the call.
     Full,
-    /// The target is gone; another one has its address.
+    /// The target is gone and another one has its address.
     TargetGone,
-    /// The target's hall is out of reach.
+    /// The target's hall is unreachable.
     OutOfReach,
-    /// It failed or took too long.
+    /// The call failed or timed out.
     Failed,
 }
 
-/// Result of a piece.
+/// Outcome of a piece.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum PieceOutcome {
-    /// It lies at its worker under this handle.
+    /// The result is stored at its worker under this handle.
     Stored(String),
-    /// Its time was over.
+    /// The time of the piece was over.
     Late,
     /// An input is gone.
     InputGone,
-    /// It could not be made.
+    /// The piece could not be made.
     Failed,
 }
 
 impl PieceOutcome {
-    /// The result's handle, if there is one.
+    /// Returns the result's handle, if there is one.
     pub fn handle(&self) -> Option<&str> {
         match self {
             PieceOutcome::Stored(handle) => Some(handle),
@@ -126,13 +126,13 @@
     }
 }
 
-/// A piece that is done.
+/// A finished piece.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Finished {
     /// The submission.
     pub job: JobKey,
     /// Number of the piece.
     pub piece: u32,
-    /// What became of it.
+    /// Its outcome.
     pub outcome: PieceOutcome,
 }
--- a/components/batching/src/worker.rs
+++ b/components/batching/src/worker.rs
@@ -1,4 +1,4 @@
-//! A target of a pool, as its owner sees it.
+//! State of a pool's worker (a target) at the owner: load, room, speed and backoff after failures.
 
 use std::time::{Duration, Instant};
 
@@ -10,20 +10,20 @@
     pub struct WorkerKey;
 }
 
-/// Weight of a new call's time in the learned pace.
-const PACE_WEIGHT: f64 = 0.4;
-/// Time out after a first failure; doubles with each failure in a row.
-const FIRST_REST: Duration = Duration::from_millis(400);
-/// Longest time out.
-const LONGEST_REST: Duration = Duration::from_millis(3200);
-/// Pause after a worker was full, which it is only with another owner's calls.
-const FULL_REST: Duration = Duration::from_millis(60);
+/// Weight of a new call's time in the learned slowdown.
+const SLOWDOWN_WEIGHT: f64 = 0.4;
+/// Backoff after the first failure; doubles with each consecutive failure.
+const INITIAL_BACKOFF: Duration = Duration::from_millis(400);
+/// Upper bound of the backoff after failures.
+const MAX_BACKOFF: Duration = Duration::from_millis(3200);
+/// Backoff after a worker was full, which happens only when another owner calls it too.
+const FULL_BACKOFF: Duration = Duration::from_millis(60);
 
-/// Pause after a worker had no room for a result, which another owner had it make.
-const NO_ROOM_REST: Duration = Duration::from_millis(120);
+/// Backoff after a worker had no room for a result because it stores results of another owner.
+const NO_ROOM_BACKOFF: Duration = Duration::from_millis(120);
 
-/// Room that results of others take: those that a call left behind whose answer did not come, and those
-/// of an owner before this one.
+/// Room used by results unknown to this owner: those of calls whose answer was lost, and those of a
+/// previous owner.
 #[derive(Debug, Clone, Copy)]
 struct ForeignRoom {
     bytes: u64,
@@ -31,16 +31,19 @@
     until: Instant,
 }
 
-/// State of a worker.
+/// A worker of a pool.
 #[derive(Debug)]
 pub(crate) struct Worker {
     pub(crate) target: Target,
-    pub(crate) at_work: u32,
+    /// Calls in progress.
+    pub(crate) active_calls: u32,
+    /// Bytes of room used by this owner's calls and results.
     pub(crate) room_used: u64,
-    /// Time that its calls take against what the pool's figures say.
-    pub(crate) pace: f64,
+    /// Moving average of the ratio of a call's time to the time expected from the pool's configuration.
+    pub(crate) slowdown: f64,
+    /// Consecutive failures.
     failures: u32,
-    rests_until: Option<Instant>,
+    backoff_until: Option<Instant>,
     foreign: Option<ForeignRoom>,
 }
 
@@ -48,58 +51,63 @@
     pub(crate) fn new(target: Target) -> Self {
         Worker {
             target,
-            at_work: 0,
+            active_calls: 0,
             room_used: 0,
-            pace: 1.0,
+            slowdown: 1.0,
             failures: 0,
-            rests_until: None,
+            backoff_until: None,
             foreign: None,
         }
     }
 
-    pub(crate) fn may_work(&self, at_once: u32, now: Instant) -> bool {
-        let rests = self.rests_until.is_some_and(|until| now < until);
-        !rests && self.at_work < at_once
+    /// Whether the worker is not in backoff and has fewer than `at_once` calls in progress.
+    pub(crate) fn can_take_call(&self, at_once: u32, now: Instant) -> bool {
+        let in_backoff = self.backoff_until.is_some_and(|until| now < until);
+        !in_backoff && self.active_calls < at_once
     }
 
-    /// Calls a second that it takes by the rate that it names.
-    pub(crate) fn most_calls(&self) -> f64 {
+    /// Returns the calls per second that the worker accepts, from the rate that it advertises.
+    pub(crate) fn max_call_rate(&self) -> f64 {
         self.target.pause.map_or(f64::INFINITY, |pause| 1.0 / pause.as_secs_f64())
     }
 
-    /// When it may work again, if it rests.
-    pub(crate) fn rests_until(&self) -> Option<Instant> {
-        self.rests_until
+    /// Returns when the worker may be called again, if it is in backoff.
+    pub(crate) fn backoff_until(&self) -> Option<Instant> {
+        self.backoff_until
     }
 
-    pub(crate) fn answered(&mut self, took: Duration, expected: Duration) {
+    /// Ends the backoff after an answered call and updates the slowdown.
+    pub(crate) fn record_answer(&mut self, took: Duration, expected: Duration) {
         self.failures = 0;
-        self.rests_until = None;
+        self.backoff_until = None;
         let ratio = took.as_secs_f64() / expected.as_secs_f64().max(f64::EPSILON);
-        self.pace += PACE_WEIGHT * (ratio - self.pace);
+        self.slowdown += SLOWDOWN_WEIGHT * (ratio - self.slowdown);
     }
 
-    pub(crate) fn was_full(&mut self, now: Instant) {
-        self.rests_until = Some(now + FULL_REST);
+    /// Starts a backoff because the worker was full.
+    pub(crate) fn record_full(&mut self, now: Instant) {
+        self.backoff_until = Some(now + FULL_BACKOFF);
     }
 
-    pub(crate) fn had_no_room(&mut self, now: Instant) {
-        self.rests_until = Some(now + NO_ROOM_REST);
+    /// Starts a backoff because the worker had no room for a result.
+    pub(crate) fn record_no_room(&mut self, now: Instant) {
+        self.backoff_until = Some(now + NO_ROOM_BACKOFF);
     }
 
-    pub(crate) fn failed(&mut self, now: Instant) {
-        let rest = FIRST_REST.saturating_mul(1 << self.failures.min(8)).min(LONGEST_REST);
+    /// Starts a backoff that doubles with each consecutive failure.
+    pub(crate) fn record_failure(&mut self, now: Instant) {
+        let backoff = INITIAL_BACKOFF.saturating_mul(1 << self.failures.min(8)).min(MAX_BACKOFF);
         self.failures = self.failures.saturating_add(1);
-        self.rests_until = Some(now + rest);
+        self.backoff_until = Some(now + backoff);
     }
 
-    /// Notes that results that nobody here knows of take `bytes`; they run out one by one within
-    /// `life`, the life of a result.
+    /// Records that results unknown to this owner use `bytes`. They expire evenly within `life`, the
+    /// lifetime of a result.
     pub(crate) fn set_foreign(&mut self, bytes: u64, life: Duration, now: Instant) {
         self.foreign = Some(ForeignRoom { bytes, since: now, until: now + life });
     }
 
-    /// Bytes that such results still take, if as many run out in each part of their life.
+    /// Returns the bytes that unknown results still use, assuming that they expire at a constant rate.
     pub(crate) fn foreign_room(&self, now: Instant) -> u64 {
         let Some(ForeignRoom { bytes, since, until }) = self.foreign else { return 0 };
         let life = (until - since).as_secs_f64().max(f64::EPSILON);
@@ -107,8 +115,8 @@
         (bytes as f64 * left) as u64
     }
 
-    /// Whether its last call failed.
-    pub(crate) fn doubtful(&self) -> bool {
+    /// Whether the worker's last call failed.
+    pub(crate) fn last_call_failed(&self) -> bool {
         self.failures > 0
     }
 }
--- a/components/batching/tests/turns.rs
+++ b/components/batching/tests/fetch_time.rs
@@ -1,6 +1,6 @@
-//! What a pool says of the time in which the inputs of a call are fetched.
+//! Tests of the time within which a pool expects the inputs of a call to be fetched.
 
-// A fixture that can't be set up fails its test.
+// A fixture that can't be set up must fail its test.
 #![allow(clippy::unwrap_used)]
 
 use std::time::{Duration, Instant};
@@ -11,14 +11,14 @@
 
 mod support;
 
-/// Pieces of a call.
+/// Number of pieces of a call.
 const PIECES: u32 = 3;
-/// Time that a call with that many takes.
-const WHOLE: Duration = Duration::from_millis(230);
-/// Bytes that take 2 ms over two links.
+/// Expected time of a call with that many pieces.
+const CALL_TIME: Duration = Duration::from_millis(230);
+/// Size of the inputs; they take 2 ms over two links.
 const INPUT_BYTES: u64 = 1000;
-/// The time that they take at most once the call has its turn.
-const FETCHED: Duration = Duration::from_millis(50);
+/// Upper bound of their expected fetch time.
+const MAX_FETCH_TIME: Duration = Duration::from_millis(50);
 
 fn begin(pool: &mut Pool, now: Instant) -> Call {
     let inputs = vec!["127.0.0.1:9/in".to_owned()];
@@ -33,8 +33,10 @@
 }
 
 #[test]
-fn the_time_counts_from_the_turn_whatever_the_worker_did_before() {
-    for (end, took) in [(None, WHOLE), (None, WHOLE + CALL), (Some(CallEnd::Full), CALL / 20)] {
+fn the_fetch_time_does_not_depend_on_earlier_calls_of_the_worker() {
+    for (end, took) in
+        [(None, CALL_TIME), (None, CALL_TIME + CALL), (Some(CallEnd::Full), CALL / 20)]
+    {
         let now = Instant::now();
         let mut pool = pool(&[worker("m", "a")]);
         let first = begin(&mut pool, now);
@@ -43,7 +45,7 @@
         let call = begin(&mut pool, now + took + CALL);
 
         assert!(
-            call.fetch_time.unwrap() < FETCHED,
+            call.fetch_time.unwrap() < MAX_FETCH_TIME,
             "{end:?} after {took:?}: {:?}",
             call.fetch_time
         );
@@ -51,7 +53,7 @@
 }
 
 #[test]
-fn it_can_not_be_told_where_the_speed_of_links_is_unknown() {
+fn the_fetch_time_is_unknown_if_the_link_speed_is_unknown() {
     let now = Instant::now();
     let mut pool = pool(&[worker("m", "a")]);
     pool.set_spec(intent::PoolSpec { link: None, ..support::spec() });
--- a/components/batching/tests/pool.rs
+++ b/components/batching/tests/pool.rs
@@ -1,6 +1,6 @@
-//! Calls are filled by slack, within the workers' room; what fails is made again or told.
+//! Tests of a pool: filling calls by slack within the workers' room, requeueing failed pieces, and releasing results.
 
-// A fixture that can't be set up fails its test.
+// A fixture that can't be set up must fail its test.
 #![allow(clippy::unwrap_used)]
 
 use std::collections::HashMap;
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn pieces_of_several_requests_share_a_call_the_most_urgent_first() {
+fn pieces_of_several_requests_share_a_call_the_earliest_due_first() {
     let now = Instant::now();
     let mut pool = pool(&[worker("m", "a")]);
     pool.submit(submission("late", 2, now + CALL * 20), now);
@@ -35,11 +35,11 @@
     let call = pool.next_call(now).unwrap();
 
     assert_eq!(requests(&pool, &call), ["soon", "soon", "soon", "late"]);
-    assert!(pool.next_call(now).is_none(), "its only worker is at work");
+    assert!(pool.next_call(now).is_none(), "its only worker is busy");
 }
 
 #[test]
-fn pieces_that_are_late_give_way_to_those_that_can_be_in_time() {
+fn late_pieces_go_after_pieces_that_can_be_in_time() {
     let now = Instant::now();
     let mut pool = pool(&[worker("m", "a")]);
     pool.submit(submission("late", 4, now + CALL / 2), now);
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn results_take_room_until_they_are_given_up_or_run_out() {
+fn results_use_room_until_they_are_released_or_expire() {
     let now = Instant::now();
     let mut pool = pool(&[worker("m", "a")]);
     let large = |id| Submission { result_bytes: 500, ..submission(id, 2, now + CALL * 4) };
@@ -77,7 +77,7 @@
     assert!(pool.next_call(now).is_none(), "no room");
 
     let told = pool.release(vec!["127.0.0.1:9/0".to_owned(), "unknown".to_owned()]);
-    assert!(pool.next_call(now).is_none(), "the worker has not heard yet");
+    assert!(pool.next_call(now).is_none(), "the worker has not been told yet");
     pool.finish_release(&told[0], true, now);
     let call = pool.next_call(now).unwrap();
 
@@ -86,11 +86,15 @@
     assert_eq!(call.pieces.len(), 1);
     pool.call_ended(call.key, CallEnd::Failed, now);
     let later = now + Duration::from_secs(5);
-    assert_eq!(pool.next_call(later).unwrap().pieces.len(), 1, "one to learn whether it is back");
+    assert_eq!(
+        pool.next_call(later).unwrap().pieces.len(),
+        1,
+        "one piece, to learn whether the worker has recovered"
+    );
 }
 
 #[test]
-fn a_failed_call_is_made_again_elsewhere_and_given_up_in_the_end() {
+fn a_failed_call_is_retried_at_another_worker_and_its_pieces_fail_in_the_end() {
     let mut now = Instant::now();
     let mut pool = pool(&[worker("m", "a"), worker("n", "a")]);
     pool.submit(submission("r", 1, now + CALL * 50), now);
@@ -110,7 +114,7 @@
 }
 
 #[test]
-fn what_the_worker_says_of_a_piece_is_told() {
+fn answers_of_a_worker_finish_or_requeue_their_pieces() {
     let now = Instant::now();
     let mut pool = pool(&[worker("m", "a")]);
     pool.submit(submission("r", 4, now + CALL * 4), now);
@@ -121,10 +125,10 @@
 
     let made: Vec<&PieceOutcome> = finished.iter().map(|finished| &finished.outcome).collect();
     assert_eq!(made, [&PieceOutcome::Late, &PieceOutcome::InputGone]);
-    assert!(pool.next_call(now).is_none(), "a worker with no room is left alone for a moment");
+    assert!(pool.next_call(now).is_none(), "a worker without room is in backoff");
     let again = pool.next_call(now + CALL).unwrap();
     let pieces: Vec<u32> = again.pieces.iter().map(|(_, piece)| *piece).collect();
-    assert_eq!(pieces, [2, 3], "no room, and an answer that is missing");
+    assert_eq!(pieces, [2, 3], "no room, and a missing answer");
 }
 
 #[test]
@@ -140,7 +144,7 @@
 }
 
 #[test]
-fn a_worker_with_no_room_costs_no_try() {
+fn a_worker_without_room_costs_no_try() {
     let mut now = Instant::now();
     let mut pool = pool(&[worker("m", "a")]);
     pool.submit(submission("r", 1, now + CALL * 50), now);
@@ -153,7 +157,7 @@
 }
 
 #[test]
-fn results_of_a_request_that_is_gone_are_given_up_at_once() {
+fn results_of_a_cancelled_submission_are_released_at_once() {
     let now = Instant::now();
     let mut pool = pool(&[worker("m", "a")]);
     let job = pool.submit(submission("r", 2, now + CALL * 4), now);
@@ -169,7 +173,7 @@
 }
 
 #[test]
-fn pieces_wait_a_little_for_a_worker_near_their_inputs() {
+fn pieces_wait_for_a_limited_time_for_a_worker_in_the_hall_of_their_inputs() {
     let now = Instant::now();
     let mut pool = pool(&[worker("near", "a"), worker("far", "b")]);
     let near = Some(HallName::new("a").unwrap());
@@ -198,7 +202,7 @@
 }
 
 #[test]
-fn the_queue_counts_what_can_be_in_time_and_the_rate_follows_the_workers() {
+fn the_queue_counts_pieces_that_can_be_in_time_and_the_rate_follows_the_number_of_workers() {
     let now = Instant::now();
     let mut pool = pool(&[worker("m", "a"), worker("n", "a")]);
     pool.submit(submission("late", 3, now), now);
@@ -211,7 +215,7 @@
 }
 
 #[test]
-fn inputs_are_over_when_every_piece_is_at_work_and_has_fetched_them() {
+fn inputs_are_no_longer_needed_once_every_piece_has_fetched_them() {
     let now = Instant::now();
     let mut pool = pool(&[worker("m", "a"), worker("n", "a")]);
     let inputs = vec!["127.0.0.1:9/in".to_owned()];
@@ -227,13 +231,13 @@
         first.fetch_time.is_some_and(|time| time > Duration::from_secs(1)),
         "a second over two links"
     );
-    assert!(early.is_empty(), "two pieces are not at work yet");
+    assert!(early.is_empty(), "two pieces have not fetched them");
     assert_eq!(over, [job]);
-    assert!(pool.inputs_fetched(second.key).is_empty(), "told once");
+    assert!(pool.inputs_fetched(second.key).is_empty(), "reported once");
 }
 
 #[test]
-fn pieces_that_are_made_again_want_their_inputs_again() {
+fn requeued_pieces_need_their_inputs_again() {
     let now = Instant::now();
     let mut pool = pool(&[worker("m", "a"), worker("n", "a")]);
     let inputs = vec!["127.0.0.1:9/in".to_owned()];
@@ -252,7 +256,7 @@
 }
 
 #[test]
-fn less_room_is_used_after_results_found_none() {
+fn less_room_is_used_after_a_result_found_none() {
     let now = Instant::now();
     let mut pool = pool(&[worker("m", "a")]);
     let sized =
@@ -269,7 +273,7 @@
     let later = now + LIFE;
     pool.submit(sized("more", 3), later);
     let one = pool.next_call(later).unwrap();
-    assert_eq!(one.pieces.len(), 4, "an empty worker is asked for all that its room holds");
+    assert_eq!(one.pieces.len(), 4, "an empty worker may use all of its room");
     pool.call_ended(one.key, made(1), later);
     pool.submit(sized("second", 4), later);
     let next = pool.next_call(later + CALL * 9).unwrap();
@@ -277,7 +281,7 @@
 }
 
 #[test]
-fn workers_of_a_hall_out_of_reach_get_no_calls_and_a_call_there_costs_no_try() {
+fn workers_of_an_unreachable_hall_get_no_calls_and_a_call_there_costs_no_try() {
     let now = Instant::now();
     let mut pool = pool(&[worker("m", "a"), worker("n", "b")]);
     let mut halls = Halls::default();
@@ -286,7 +290,7 @@
     for _ in 0..8 {
         pool.set_halls(Halls::default());
         let call = pool.next_call(now).unwrap();
-        assert!(pool.call_ended(call.key, CallEnd::OutOfReach, now).is_empty(), "not given up");
+        assert!(pool.call_ended(call.key, CallEnd::OutOfReach, now).is_empty(), "not failed");
     }
 
     pool.set_halls(halls);
@@ -295,11 +299,11 @@
     assert_eq!(call.target.id.as_str(), "n");
     assert!(pool.submission(job).is_some());
     pool.submit(submission("other", 2, now + CALL * 9), now);
-    assert!(pool.next_call(now).is_none(), "the only worker in reach is at work");
+    assert!(pool.next_call(now).is_none(), "the only reachable worker is busy");
 }
 
 #[test]
-fn pieces_whose_inputs_are_out_of_reach_are_handed_back_as_such() {
+fn waiting_pieces_whose_inputs_are_gone_finish_with_that_outcome() {
     let now = Instant::now();
     let mut pool = pool(&[worker("m", "a")]);
     let job = pool.submit(submission("r", 6, now + CALL * 9), now);
@@ -308,7 +312,7 @@
     let finished = pool.finish_waiting(job, &PieceOutcome::InputGone);
 
     let gone: Vec<u32> = finished.iter().map(|finished| finished.piece).collect();
-    assert_eq!(gone, [4, 5], "those at work end with their call");
+    assert_eq!(gone, [4, 5], "those in a call end with it");
     assert!(finished.iter().all(|finished| finished.outcome == PieceOutcome::InputGone));
     assert_eq!(pool.call_ended(call.key, made(4), now + CALL).len(), 4);
     assert!(pool.is_idle());
@@ -331,12 +335,12 @@
     let when_scarce = pool.release_orphans();
 
     assert!(while_room.is_empty(), "400 of 1,000 bytes are used");
-    assert_eq!(when_scarce.len(), 1, "600 would be");
+    assert_eq!(when_scarce.len(), 1, "600 of 1,000 bytes are used");
     assert_eq!(when_scarce[0].handles, ["127.0.0.1:9/0"]);
 }
 
 #[test]
-fn results_whose_workers_may_not_have_heard_take_room_until_they_run_out() {
+fn results_whose_workers_may_not_know_of_the_release_use_room_until_they_expire() {
     let now = Instant::now();
     let mut pool = pool(&[worker("m", "a")]);
     let large = |id| Submission { result_bytes: 500, ..submission(id, 2, now + CALL * 90) };
@@ -348,12 +352,12 @@
 
     pool.finish_release(&told[0], false, now);
 
-    assert!(pool.next_call(now).is_none(), "it may still be there");
+    assert!(pool.next_call(now).is_none(), "the result may still be stored");
     assert_eq!(pool.next_call(now + LIFE).unwrap().pieces.len(), 2);
 }
 
 #[test]
-fn results_of_a_call_without_an_answer_take_room_until_they_run_out() {
+fn results_of_a_call_without_an_answer_use_room_until_they_expire() {
     let now = Instant::now();
     let mut pool = pool(&[worker("m", "a")]);
     let large = |id| Submission { result_bytes: 300, ..submission(id, 3, now + CALL * 90) };
@@ -362,13 +366,17 @@
 
     pool.call_ended(call.key, CallEnd::Failed, now);
 
-    let rested = now + LIFE / 2;
-    assert!(pool.next_call(rested).is_none(), "all three may have been made there");
-    assert_eq!(pool.next_call(now + LIFE).unwrap().pieces.len(), 1, "one, to learn");
+    let after_backoff = now + LIFE / 2;
+    assert!(pool.next_call(after_backoff).is_none(), "all three results may be stored there");
+    assert_eq!(
+        pool.next_call(now + LIFE).unwrap().pieces.len(),
+        1,
+        "one piece, to learn whether the worker has recovered"
+    );
 }
 
 #[test]
-fn room_that_others_take_is_learned_from_pieces_that_found_none() {
+fn room_used_by_unknown_results_is_learned_from_pieces_that_found_none() {
     let now = Instant::now();
     let mut pool = pool(&[worker("m", "a")]);
     let sized = |id| Submission { result_bytes: 100, ..submission(id, 8, now + CALL * 90) };
@@ -382,14 +390,14 @@
     pool.call_ended(call.key, CallEnd::Answered(made_two.collect()), now);
 
     let soon = pool.next_call(now + LIFE / 4).unwrap();
-    assert_eq!(soon.pieces.len(), 2, "others took about 700 bytes, of which 525 are left");
+    assert_eq!(soon.pieces.len(), 2, "unknown results used about 700 bytes, of which 525 remain");
     pool.call_ended(soon.key, CallEnd::Full, now + LIFE / 4);
     let late = pool.next_call(now + LIFE).unwrap();
-    assert_eq!(late.pieces.len(), 4, "all of it has run out by now");
+    assert_eq!(late.pieces.len(), 4, "all unknown results have expired");
 }
 
 #[test]
-fn a_piece_that_is_late_by_its_own_due_time_yields_however_urgent_it_is() {
+fn a_piece_that_is_late_by_its_own_due_time_goes_last_whatever_its_urgency() {
     let now = Instant::now();
     let mut pool = pool(&[worker("m", "a")]);
     let less_urgent = Submission { urgency: 2, ..submission("late", 4, now + CALL / 2) };
@@ -414,28 +422,28 @@
 }
 
 #[test]
-fn workers_of_an_evacuated_hall_get_no_calls_and_what_is_under_way_there_ends_as_usual() {
+fn workers_of_an_evacuated_hall_get_no_calls_and_calls_in_progress_there_end_as_usual() {
     let now = Instant::now();
     let mut pool = pool(&[worker("m", "a"), worker("n", "b")]);
     pool.submit(submission("r", 1, now + CALL * 9), now);
-    let under_way = pool.next_call(now).unwrap();
+    let in_progress = pool.next_call(now).unwrap();
     let mut halls = Halls::default();
-    halls.evacuate(under_way.target.hall.clone());
+    halls.evacuate(in_progress.target.hall.clone());
 
     pool.set_halls(halls);
     pool.submit(submission("other", 4, now + CALL * 9), now);
     let elsewhere = pool.next_call(now).unwrap();
     let made = vec![PieceAnswer::Made("m/1".to_owned())];
-    let finished = pool.call_ended(under_way.key, CallEnd::Answered(made), now);
+    let finished = pool.call_ended(in_progress.key, CallEnd::Answered(made), now);
 
-    assert_ne!(elsewhere.target.hall, under_way.target.hall);
+    assert_ne!(elsewhere.target.hall, in_progress.target.hall);
     assert_eq!(finished[0].outcome, PieceOutcome::Stored("m/1".to_owned()));
     pool.submit(submission("third", 1, now + CALL * 9), now);
-    assert!(pool.next_call(now).is_none(), "the only worker in service is at work");
+    assert!(pool.next_call(now).is_none(), "the only worker in service is busy");
 }
 
 #[test]
-fn a_pool_whose_workers_are_all_out_of_service_gives_up_what_waits() {
+fn a_pool_whose_workers_are_all_out_of_service_fails_its_waiting_pieces() {
     let now = Instant::now();
     let mut pool = pool(&[worker("m", "a"), worker("n", "b")]);
     let mut halls = Halls::default();
@@ -458,11 +466,11 @@
 }
 
 #[test]
-fn the_rate_follows_what_calls_hold_while_others_wait() {
+fn the_rate_follows_the_size_of_calls_that_leave_pieces_waiting() {
     let now = Instant::now();
     let mut pool = pool(&[worker("m", "a")]);
     let nominal = pool.rate(now);
-    // Results of two thirds of the room leave no room for more than one piece a call.
+    // With results of 600 of 1,000 bytes, a call has room for one piece only.
     let large = Submission { result_bytes: 600, ..submission("r", 40, now + CALL * 900) };
     pool.submit(large, now);
     for number in 0..40 {
@@ -472,7 +480,7 @@
         let made = PieceAnswer::Made(format!("m/{number}"));
         pool.call_ended(call.key, CallEnd::Answered(vec![made]), at + CALL);
     }
-    let pressed = pool.rate(now + LIFE * 60);
+    let backlogged = pool.rate(now + LIFE * 60);
 
     for number in 0..60 {
         let at = now + LIFE * 70 + CALL * number;
@@ -483,12 +491,12 @@
     }
     let free = pool.rate(now + LIFE * 90);
 
-    assert!(pressed < nominal * 0.6, "{pressed} of {nominal}");
+    assert!(backlogged < nominal * 0.6, "{backlogged} of {nominal}");
     assert!(free > nominal * 0.9, "{free} of {nominal}");
 }
 
 #[test]
-fn a_piece_that_fails_its_calls_takes_no_others_with_it_for_long() {
+fn a_piece_that_fails_its_calls_shares_only_two_of_them_with_other_requests() {
     let mut now = Instant::now();
     let workers: Vec<Target> = (0..4).map(|n| worker(&format!("m-{n}"), "a")).collect();
     let mut pool = pool(&workers);
@@ -509,12 +517,12 @@
         }
     }
 
-    assert_eq!(ends["fatal"], 4, "all of its tries");
+    assert_eq!(ends["fatal"], 4, "all tries of the piece");
     assert!(ids[1..].iter().all(|id| ends[*id] == 2), "{ends:?}");
 }
 
 #[test]
-fn a_worker_that_started_again_under_its_id_holds_nothing_of_before() {
+fn a_worker_that_restarted_under_its_id_holds_no_earlier_results() {
     let now = Instant::now();
     let born = |at: u64| Target { born: Some(at), ..worker("m", "a") };
     let mut pool = pool(&[born(1)]);
@@ -523,15 +531,15 @@
     pool.call_ended(call.key, made(4), now);
     let handles: Vec<String> = (0..4).map(|index| format!("127.0.0.1:9/{index}")).collect();
     pool.submit(submission("under-way", 4, now + CALL * 9), now);
-    let under_way = pool.next_call(now).unwrap();
+    let in_progress = pool.next_call(now).unwrap();
 
     pool.set_workers([born(2)].iter());
-    let of_before = pool.release(handles);
-    let again = pool.call_ended(under_way.key, CallEnd::Failed, now);
+    let earlier_releases = pool.release(handles);
+    let again = pool.call_ended(in_progress.key, CallEnd::Failed, now);
     let call = pool.next_call(now).unwrap();
 
-    assert!(of_before.is_empty(), "nothing is given up at the later lifetime");
-    assert!(again.is_empty(), "what was under way is made again");
+    assert!(earlier_releases.is_empty(), "nothing is released at the restarted worker");
+    assert!(again.is_empty(), "the pieces of the call are requeued");
     assert_eq!((call.target.born, call.pieces.len()), (Some(2), 4));
     assert_eq!(call.room_used, 40, "only its own results");
 }
--- a/components/batching/tests/queue.rs
+++ b/components/batching/tests/queue.rs
@@ -1,4 +1,4 @@
-//! Which waiting pieces go before a further one.
+//! Tests of the counts of waiting pieces that precede a new one.
 
 use std::time::Duration;
 
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn all_that_are_more_urgent_go_before() {
+fn all_more_urgent_pieces_go_before() {
     let mut queue = Queue::default();
     (0..8).for_each(|_| queue.add(0, SECOND * 2));
     (0..3).for_each(|_| queue.add(2, SECOND * 2));
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn a_part_that_is_cut_counts_in_part_and_the_last_one_by_half() {
+fn the_last_bucket_counts_by_half() {
     let mut queue = Queue::default();
     (0..10).for_each(|_| queue.add(0, SECOND * 9));
 
@@ -37,16 +37,16 @@
 }
 
 #[test]
-fn what_is_told_is_what_is_understood() {
+fn counts_that_are_exported_and_imported_give_the_same_queue() {
     let mut queue = Queue::default();
     queue.add(0, SECOND / 10);
     queue.add(3, SECOND * 2);
-    let mut heard = Queue::default();
+    let mut imported = Queue::default();
 
-    queue.counts().for_each(|(urgency, counts)| heard.set_counts(urgency, counts));
-    let told_alike = heard == queue;
-    heard.set_counts(9, &[1; 99]);
+    queue.counts().for_each(|(urgency, counts)| imported.set_counts(urgency, counts));
+    let is_same = imported == queue;
+    imported.set_counts(9, &[1; 99]);
 
-    assert!(told_alike);
-    assert_eq!(heard.total(), queue.total() + 8, "counts of a longer list are left out");
+    assert!(is_same);
+    assert_eq!(imported.total(), queue.total() + 8, "counts beyond the last bucket are ignored");
 }
--- a/components/batching/tests/support/mod.rs
+++ b/components/batching/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! A pool with workers, and pieces for it.
+//! Fixtures: a pool with workers, and submissions for it.
 
 use std::time::{Duration, Instant};
 
@@ -6,12 +6,12 @@
 use ids::{HallName, RequestId, ServiceName, TargetName};
 use intent::{PoolSpec, Target};
 
-/// Time of a call.
+/// Configured time of a call.
 pub const CALL: Duration = Duration::from_millis(200);
-/// Life of a result.
+/// Lifetime of a result.
 pub const LIFE: Duration = Duration::from_secs(4);
 
-/// Figures of the pool.
+/// Configuration of the pool.
 pub fn spec() -> PoolSpec {
     PoolSpec {
         at_once: 1,
@@ -25,7 +25,7 @@
     }
 }
 
-/// A worker.
+/// A worker with this id in this hall.
 pub fn worker(id: &str, hall: &str) -> Target {
     Target {
         id: TargetName::new(id).unwrap(),
@@ -49,7 +49,7 @@
     pool
 }
 
-/// Pieces of a request.
+/// A submission of `pieces` pieces that are due at `due`.
 pub fn submission(id: &str, pieces: u32, due: Instant) -> Submission {
     Submission {
         request: RequestId::new(id).unwrap(),
--- a/components/batching/tests/words.rs
+++ b/components/batching/tests/unavailable_workers.rs
@@ -1,6 +1,6 @@
-//! Workers that leave or want to be left alone are not called, and pieces that can't be made in time are told so.
+//! Tests of workers that are leaving or ask not to be called, and of pieces that can't be made in time as a result.
 
-// A fixture that can't be set up fails its test.
+// A fixture that can't be set up must fail its test.
 #![allow(clippy::unwrap_used)]
 
 use std::time::Instant;
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn a_worker_that_wants_to_be_left_alone_is_called_once_it_does_not() {
+fn a_worker_that_asks_not_to_be_called_is_called_once_that_time_is_over() {
     let now = Instant::now();
     let until = now + CALL;
     let mut pool = pool(&[left_alone("m", "a", until)]);
@@ -35,22 +35,22 @@
 }
 
 #[test]
-fn only_pieces_whose_time_is_over_by_then_are_given_up() {
+fn only_pieces_whose_time_ends_before_a_worker_is_available_fail() {
     let now = Instant::now();
     let mut pool = pool(&[leaving("m", "a"), left_alone("n", "a", now + CALL * 2)]);
     let short = Submission { until: now + CALL, ..submission("short", 2, now + CALL) };
     pool.submit(short, now);
     pool.submit(submission("long", 3, now + CALL * 4), now);
 
-    let given_up = pool.fail_unservable(now);
+    let failed = pool.fail_unservable(now);
 
-    assert_eq!(given_up.len(), 2);
-    assert!(given_up.iter().all(|finished| finished.outcome == PieceOutcome::Failed));
+    assert_eq!(failed.len(), 2);
+    assert!(failed.iter().all(|finished| finished.outcome == PieceOutcome::Failed));
     assert_eq!(pool.waiting_pieces(), 3);
 }
 
 #[test]
-fn a_piece_does_not_wait_for_a_worker_near_its_inputs_that_leaves() {
+fn a_piece_does_not_wait_for_an_unavailable_worker_in_the_hall_of_its_inputs() {
     let now = Instant::now();
     let near = |workers: &[Target]| {
         let mut pool = pool(workers);
@@ -67,7 +67,7 @@
     busy.submit(Submission { preferred_hall: hall, ..submission("s", 1, now + CALL * 9) }, now);
     busy.next_call(now).unwrap();
 
-    assert!(busy.next_call(now).is_none(), "it waits for the one that is at work");
+    assert!(busy.next_call(now).is_none(), "it waits for the busy worker in its preferred hall");
     assert_eq!(near(&[leaving("m", "a"), worker("n", "b")]).as_deref(), Some("n"));
     let until = now + CALL;
     assert_eq!(near(&[left_alone("m", "a", until), worker("n", "b")]).as_deref(), Some("n"));
--- a/components/result_leases/src/lib.rs
+++ b/components/result_leases/src/lib.rs
@@ -1,10 +1,11 @@
-//! Leases of results, as the VM keeps them that had the results made (the owner).
+//! Leases on results, kept by the owner: the VM that had the results made.
 //!
-//! A result takes room at its worker until the worker is told that it is given up, or until it runs out. From the
-//! moment at which the owner hands a result to the VM of its request (the holder), the holder gives it up. A lease
-//! says until when the owner relies on that: it ends with the holder's process, with a link on which the result was
-//! lost, and with the request's time. Then the owner gives the result up itself. Plain state, asked with the time
-//! of now.
+//! A result uses room at its worker until the worker is told to release it, or until it expires. Once
+//! the owner has handed a result to the VM of its request (the holder), the holder releases it. A lease
+//! states until when the owner relies on that. It ends with the holder's process, with a link on which
+//! the result was lost, and with the request's time. Then the owner releases the result itself.
+//!
+//! The module does no I/O and reads no clock: the caller passes the current time.
 
 use std::collections::{HashMap, HashSet};
 use std::time::{Duration, Instant};
@@ -12,40 +13,40 @@
 use ids::VmName;
 use slotmap::{SlotMap, new_key_type};
 
-/// Time after a request's end in which its holder gives results up itself.
+/// Time after a request's end during which its holder releases results itself.
 pub const REQUEST_GRACE: Duration = Duration::from_secs(1);
 
 new_key_type! {
-    /// Key of a link from a holder.
+    /// Key of a link from a holder to the owner.
     pub struct LinkKey;
 }
 
-/// One process of a VM: a later process holds nothing of an earlier one.
+/// One process of a VM. A later process holds none of the results of an earlier one.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Holder {
     /// The VM.
     pub vm: VmName,
-    /// The process.
+    /// The incarnation, which identifies the process.
     pub incarnation: u64,
 }
 
-/// Why a lease is over.
+/// Why a lease ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum EndReason {
     /// The request's time is over.
     RequestOver,
     /// The holder's process ended.
     HolderGone,
-    /// The holder lives and does not have it: it was lost with a link.
+    /// The holder is alive but does not have the result: it was lost with a link.
     NotHeld,
 }
 
-/// A result whose lease is over.
+/// A result whose lease ended.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct EndedLease {
-    /// The result.
+    /// Handle of the result.
     pub handle: String,
-    /// Why.
+    /// Why the lease ended.
     pub reason: EndReason,
 }
 
@@ -53,7 +54,7 @@
 struct Link {
     holder: Holder,
     is_up: bool,
-    /// When its leases are over, and why, if that is known.
+    /// When and why its leases end, if known.
     ends: Option<(Instant, EndReason)>,
 }
 
@@ -62,11 +63,11 @@
     link: LinkKey,
     /// End of the request's time.
     until: Instant,
-    /// When the result has run out at its worker.
-    runs_out: Instant,
+    /// When the result expires at its worker.
+    expires: Instant,
 }
 
-/// Leases of the results that an owner handed to other VMs.
+/// Leases on the results that an owner handed to other VMs.
 #[derive(Debug, Default)]
 pub struct Leases {
     links: SlotMap<LinkKey, Link>,
@@ -74,18 +75,18 @@
 }
 
 impl Leases {
-    /// Notes a new link from a holder. Earlier processes of its VM hold nothing any more.
+    /// Adds a link from a holder. Leases of earlier processes of its VM end.
     pub fn link_opened(&mut self, holder: Holder, now: Instant) -> LinkKey {
         for link in self.links.values_mut() {
             if link.holder.vm == holder.vm && link.holder.incarnation != holder.incarnation {
-                link.end_by(now, EndReason::HolderGone);
+                link.end_at(now, EndReason::HolderGone);
             }
         }
         self.links.insert(Link { holder, is_up: true, ends: None })
     }
 
-    /// Takes what a holder has on a new link: all that it holds of this owner. What it was handed on earlier links
-    /// and does not name was lost with them.
+    /// Moves the leases on `handles`, all results that the holder has of this owner, to its new link.
+    /// Other results that it was handed on earlier links were lost with them: their leases end.
     pub fn claimed(&mut self, new: LinkKey, handles: &HashSet<String>, now: Instant) {
         let Some(holder) = self.links.get(new).map(|link| link.holder.clone()) else { return };
         for handle in handles {
@@ -95,25 +96,26 @@
         }
         for (key, link) in &mut self.links {
             if key != new && link.holder == holder {
-                link.end_by(now, EndReason::NotHeld);
+                link.end_at(now, EndReason::NotHeld);
             }
         }
     }
 
-    /// A result is handed to the holder through a link; `until` is the end of the request's time, `runs_out` that of
-    /// the result.
-    pub fn granted(&mut self, link: LinkKey, handle: String, until: Instant, runs_out: Instant) {
-        self.by_handle.insert(handle, Lease { link, until, runs_out });
+    /// Adds a lease on a result that is handed to the holder through a link. `until` is the end of the
+    /// request's time; `expires` is the expiry of the result.
+    pub fn granted(&mut self, link: LinkKey, handle: String, until: Instant, expires: Instant) {
+        self.by_handle.insert(handle, Lease { link, until, expires });
     }
 
-    /// The holder has given results up.
+    /// Removes the leases on results that the holder released.
     pub fn released(&mut self, handles: &[String]) {
         for handle in handles {
             self.by_handle.remove(handle);
         }
     }
 
-    /// The owner gives results up for which there is no room; gives those that are held, by the link of the holder.
+    /// Removes the leases on results that the owner releases for lack of room; returns those that were
+    /// held, by the holder's link.
     pub fn reclaimed(&mut self, handles: &[String]) -> HashMap<LinkKey, Vec<String>> {
         let mut held: HashMap<LinkKey, Vec<String>> = HashMap::new();
         for handle in handles {
@@ -124,61 +126,62 @@
         held
     }
 
-    /// A link ended. The holder may live, and use its results: they are left to it.
+    /// Records that a link ended. The holder may be alive and use its results, so that their leases go
+    /// on.
     pub fn link_ended(&mut self, link: LinkKey) {
         if let Some(link) = self.links.get_mut(link) {
             link.is_up = false;
         }
     }
 
-    /// The process of a holder ended.
+    /// Ends the leases of a holder whose process ended.
     pub fn holder_gone(&mut self, holder: &Holder, now: Instant) {
         for link in self.links.values_mut().filter(|link| link.holder == *holder) {
-            link.end_by(now, EndReason::HolderGone);
+            link.end_at(now, EndReason::HolderGone);
         }
     }
 
-    /// Whether there is no lease, so that none can end.
+    /// Whether there are no leases.
     pub fn is_empty(&self) -> bool {
         self.by_handle.is_empty()
     }
 
-    /// Leases that stand.
+    /// Returns the number of leases.
     pub fn len(&self) -> usize {
         self.by_handle.len()
     }
 
-    /// Takes out the leases that are over; gives their results, but for those that have run out.
+    /// Removes the leases that have ended and returns their results, except expired ones.
     pub fn take_ended(&mut self, now: Instant) -> Vec<EndedLease> {
         let links = &self.links;
-        let over = |lease: &Lease| {
-            let of_link = links.get(lease.link).and_then(|link| link.ends);
-            let of_link = of_link.filter(|(at, _)| *at <= now).map(|(_, reason)| reason);
-            of_link.or((lease.until + REQUEST_GRACE <= now).then_some(EndReason::RequestOver))
+        let end_reason = |lease: &Lease| {
+            let link_end = links.get(lease.link).and_then(|link| link.ends);
+            let link_end = link_end.filter(|(at, _)| *at <= now).map(|(_, reason)| reason);
+            link_end.or((lease.until + REQUEST_GRACE <= now).then_some(EndReason::RequestOver))
         };
         let mut ended = Vec::new();
         self.by_handle.retain(|handle, lease| {
-            if lease.runs_out <= now {
+            if lease.expires <= now {
                 return false;
             }
-            let reason = over(lease);
+            let reason = end_reason(lease);
             ended.extend(reason.map(|reason| EndedLease { handle: handle.clone(), reason }));
             reason.is_none()
         });
-        self.forget_links();
+        self.remove_unused_links();
         ended
     }
 
-    /// Forgets links that ended and through which nothing is held.
-    fn forget_links(&mut self) {
+    /// Removes links that ended and through which nothing is held.
+    fn remove_unused_links(&mut self) {
         let used: HashSet<LinkKey> = self.by_handle.values().map(|lease| lease.link).collect();
         self.links.retain(|key, link| link.is_up || used.contains(&key));
     }
 }
 
 impl Link {
-    /// The first end that is known stands.
-    fn end_by(&mut self, at: Instant, reason: EndReason) {
+    /// Sets the time at which the leases of this link end. The earliest known end applies.
+    fn end_at(&mut self, at: Instant, reason: EndReason) {
         if self.ends.is_none_or(|(known, _)| at < known) {
             self.ends = Some((at, reason));
         }
--- a/components/result_leases/tests/histories.rs
+++ b/components/result_leases/tests/histories.rs
@@ -1,6 +1,7 @@
-//! Random histories of two owners and the VMs of requests, without a network: messages in flight, links that are lost,
-//! processes that end or stand still, owners among those that end. A worker hears of every result within a stated time
-//! after its request ended, unless both VMs that knew it are gone, and of none that a request still uses.
+//! Property test of random histories of two owners and the VMs of requests, without a network: messages
+//! in flight, lost links, processes that end or pause, owners that end. A worker must be told to release
+//! every result within a stated time after its request ended, unless both VMs that knew the result are
+//! gone, and must never be told of a result that a request still uses.
 
 use std::collections::{BTreeMap, BTreeSet, HashSet, VecDeque};
 use std::time::{Duration, Instant};
@@ -10,26 +11,26 @@
 use proptest::{prop_assert_eq, proptest};
 use result_leases::{EndReason, EndedLease, Holder, Leases, LinkKey, REQUEST_GRACE};
 
-/// Time of one step of a history.
+/// Simulated time of one step.
 const STEP: Duration = Duration::from_millis(100);
-/// Steps that a request takes at most.
+/// Upper bound of the steps that a request takes.
 const REQUEST_STEPS: u64 = 40;
-/// Steps after which each side notices that nothing is heard.
-const SILENT_STEPS: u64 = 10;
+/// Steps of silence after which each side closes a link.
+const SILENCE_STEPS: u64 = 10;
 /// Steps until the owner knows that a process ended.
 const PROBE_STEPS: u64 = 3;
-/// Steps that a holder needs to link again, once both sides run.
-const LINK_STEPS: u64 = 5;
+/// Steps that a holder needs to open a new link, once both sides run.
+const RECONNECT_STEPS: u64 = 5;
 
 #[derive(Debug, Clone, Copy)]
 enum Event {
-    /// An owner hands over a result for a request that takes so many steps.
+    /// An owner hands over a result for a request that takes `steps`.
     HandOver {
         owner: usize,
         holder: usize,
         steps: u64,
     },
-    /// An owner's process ends, and another one starts that knows nothing.
+    /// An owner's process ends, and one with no state starts.
     KillOwner {
         owner: usize,
     },
@@ -37,12 +38,12 @@
     Kill {
         holder: usize,
     },
-    /// The holder stands still for so many steps.
+    /// The holder pauses for `steps`.
     Pause {
         holder: usize,
         steps: u64,
     },
-    /// The link to an owner breaks and what is in flight is lost; both sides see it.
+    /// The link to an owner breaks and messages in flight are lost; both sides notice.
     Reset {
         owner: usize,
         holder: usize,
@@ -68,12 +69,12 @@
 const HOLDERS: usize = 3;
 const OWNERS: usize = 2;
 
-/// A holder's way to an owner.
-struct Way {
+/// A holder's connection to an owner.
+struct Connection {
     link: Option<LinkKey>,
-    /// Handed over and not read yet, with the step at which the request ends.
+    /// Results handed over and not read yet, with the step at which the request ends.
     in_flight: VecDeque<(u64, String)>,
-    links_at: u64,
+    reconnects_at: u64,
 }
 
 /// A result that a holder has.
@@ -84,21 +85,21 @@
     ends: u64,
 }
 
-/// A VM that holds results.
-struct Model {
+/// Simulated VM that holds results.
+struct HolderModel {
     incarnation: u64,
-    ways: [Way; OWNERS],
+    connections: [Connection; OWNERS],
     held: BTreeMap<String, Held>,
     paused_until: u64,
     silent_since: Option<u64>,
 }
 
-impl Model {
+impl HolderModel {
     fn new() -> Self {
-        let way = || Way { link: None, in_flight: VecDeque::new(), links_at: 0 };
-        Model {
+        let connection = || Connection { link: None, in_flight: VecDeque::new(), reconnects_at: 0 };
+        HolderModel {
             incarnation: 1,
-            ways: [way(), way()],
+            connections: [connection(), connection()],
             held: BTreeMap::new(),
             paused_until: 0,
             silent_since: None,
@@ -110,17 +111,17 @@
     began: Instant,
     step: u64,
     leases: [Leases; OWNERS],
-    models: Vec<Model>,
-    /// Steps by which a worker must have heard of each result.
+    holders: Vec<HolderModel>,
+    /// The step by which the worker of each result must have been told to release it.
     due: BTreeMap<String, u64>,
-    heard: BTreeSet<String>,
-    /// Results that were taken over though a request used them.
-    wronged: Vec<(String, EndReason)>,
+    released: BTreeSet<String>,
+    /// Results whose release the owner took over while a request used them.
+    released_in_use: Vec<(String, EndReason)>,
     /// Processes that ended, and the step at which the owners know.
     gone: Vec<(u64, Holder)>,
-    /// Results whose owner has ended: their holder alone knows them.
+    /// Results whose owner ended: only their holder knows them.
     orphans: BTreeSet<String>,
-    next: u64,
+    next_number: u64,
 }
 
 impl History {
@@ -129,13 +130,13 @@
             began: Instant::now(),
             step: 0,
             leases: [Leases::default(), Leases::default()],
-            models: (0..HOLDERS).map(|_| Model::new()).collect(),
+            holders: (0..HOLDERS).map(|_| HolderModel::new()).collect(),
             due: BTreeMap::new(),
-            heard: BTreeSet::new(),
-            wronged: Vec::new(),
+            released: BTreeSet::new(),
+            released_in_use: Vec::new(),
             gone: Vec::new(),
             orphans: BTreeSet::new(),
-            next: 0,
+            next_number: 0,
         }
     }
 
@@ -145,7 +146,7 @@
 
     fn holder(&self, index: usize) -> Holder {
         let vm = VmName::new(&format!("vm-{index}")).unwrap_or_else(|e| panic!("{e}"));
-        Holder { vm, incarnation: self.models[index].incarnation }
+        Holder { vm, incarnation: self.holders[index].incarnation }
     }
 
     fn apply(&mut self, event: Event) {
@@ -154,8 +155,8 @@
             Event::KillOwner { owner } => self.kill_owner(owner),
             Event::Kill { holder } => self.kill(holder),
             Event::Pause { holder, steps } => {
-                self.models[holder].paused_until = self.step + steps;
-                self.models[holder].silent_since = Some(self.step);
+                self.holders[holder].paused_until = self.step + steps;
+                self.holders[holder].silent_since = Some(self.step);
             }
             Event::Reset { owner, holder } => self.lose_link(owner, holder),
             Event::Wait { steps } => (0..steps).for_each(|_| self.advance()),
@@ -163,14 +164,14 @@
     }
 
     fn hand_over(&mut self, owner: usize, holder: usize, steps: u64) {
-        let Some(link) = self.models[holder].ways[owner].link else { return };
-        let handle = format!("{owner}-{}", self.next);
-        self.next += 1;
+        let Some(link) = self.holders[holder].connections[owner].link else { return };
+        let handle = format!("{owner}-{}", self.next_number);
+        self.next_number += 1;
         let ends = self.step + steps;
         let until = self.began + STEP * u32::try_from(ends).unwrap_or(u32::MAX);
         let never = self.began + Duration::from_secs(100_000);
         self.leases[owner].granted(link, handle.clone(), until, never);
-        self.models[holder].ways[owner].in_flight.push_back((ends, handle.clone()));
+        self.holders[holder].connections[owner].in_flight.push_back((ends, handle.clone()));
         let grace = (REQUEST_GRACE.as_millis() / STEP.as_millis()) as u64;
         self.due.insert(handle, ends + grace + 1);
     }
@@ -179,40 +180,40 @@
         let ended = self.holder(index);
         (0..OWNERS).for_each(|owner| self.lose_link(owner, index));
         self.gone.push((self.step + PROBE_STEPS, ended));
-        let model = &mut self.models[index];
-        model.incarnation += 1;
-        model.paused_until = 0;
-        model.silent_since = None;
-        let held = std::mem::take(&mut model.held);
+        let holder = &mut self.holders[index];
+        holder.incarnation += 1;
+        holder.paused_until = 0;
+        holder.silent_since = None;
+        let held = std::mem::take(&mut holder.held);
         for handle in held.into_keys().filter(|handle| self.orphans.contains(handle)) {
             self.due.remove(&handle);
         }
     }
 
-    /// What was on its way goes with the owner; what holders have, they give up.
+    /// Ends an owner. Results in flight are lost with it; holders release those that they have.
     fn kill_owner(&mut self, owner: usize) {
         for holder in 0..HOLDERS {
             self.lose_link(owner, holder);
         }
         self.leases[owner] = Leases::default();
         let prefix = format!("{owner}-");
-        let of_it = |handle: &&String| handle.starts_with(&prefix);
-        let known: Vec<String> = self.due.keys().filter(of_it).cloned().collect();
+        let is_from_owner = |handle: &&String| handle.starts_with(&prefix);
+        let known: Vec<String> = self.due.keys().filter(is_from_owner).cloned().collect();
         for handle in known {
-            if self.models.iter().any(|model| model.held.contains_key(&handle)) {
+            if self.holders.iter().any(|holder| holder.held.contains_key(&handle)) {
                 self.orphans.insert(handle);
-            } else if !self.heard.contains(&handle) {
+            } else if !self.released.contains(&handle) {
                 self.due.remove(&handle);
             }
         }
     }
 
     fn lose_link(&mut self, owner: usize, holder: usize) {
-        let way = &mut self.models[holder].ways[owner];
-        if let Some(link) = way.link.take() {
+        let connection = &mut self.holders[holder].connections[owner];
+        if let Some(link) = connection.link.take() {
             self.leases[owner].link_ended(link);
-            way.in_flight.clear();
-            way.links_at = self.step + LINK_STEPS;
+            connection.in_flight.clear();
+            connection.reconnects_at = self.step + RECONNECT_STEPS;
         }
     }
 
@@ -228,83 +229,84 @@
         let ended: Vec<EndedLease> =
             self.leases.iter_mut().flat_map(|leases| leases.take_ended(now)).collect();
         for EndedLease { handle, reason } in ended {
-            let held = |model: &Model| model.held.get(&handle).copied();
-            if self.models.iter().filter_map(held).any(|held| held.ends > step) {
-                self.wronged.push((handle.clone(), reason));
+            let held = |holder: &HolderModel| holder.held.get(&handle).copied();
+            if self.holders.iter().filter_map(held).any(|held| held.ends > step) {
+                self.released_in_use.push((handle.clone(), reason));
             }
-            self.heard.insert(handle);
+            self.released.insert(handle);
         }
     }
 
     fn advance_holder(&mut self, index: usize) {
         let step = self.step;
-        let model = &mut self.models[index];
-        let is_silent = model.silent_since.is_some_and(|since| step >= since + SILENT_STEPS);
-        if step < model.paused_until {
+        let holder = &mut self.holders[index];
+        let is_silent = holder.silent_since.is_some_and(|since| step >= since + SILENCE_STEPS);
+        if step < holder.paused_until {
             if is_silent {
                 (0..OWNERS).for_each(|owner| self.lose_link(owner, index));
             }
             return;
         }
-        model.silent_since = None;
+        holder.silent_since = None;
         for owner in 0..OWNERS {
-            let way = &self.models[index].ways[owner];
-            if way.link.is_none() && way.links_at <= step {
-                self.link_again(owner, index);
+            let connection = &self.holders[index].connections[owner];
+            if connection.link.is_none() && connection.reconnects_at <= step {
+                self.reconnect(owner, index);
             }
             self.read(owner, index);
         }
-        self.give_up(index);
+        self.release_ended(index);
     }
 
     fn read(&mut self, owner: usize, index: usize) {
-        let model = &mut self.models[index];
-        for (ends, handle) in model.ways[owner].in_flight.drain(..) {
-            model.held.insert(handle, Held { owner, ends });
+        let holder = &mut self.holders[index];
+        for (ends, handle) in holder.connections[owner].in_flight.drain(..) {
+            holder.held.insert(handle, Held { owner, ends });
         }
     }
 
-    /// Tells the workers of results whose requests ended, and their owners if they can be reached.
-    fn give_up(&mut self, index: usize) {
+    /// Releases the results whose requests ended: their workers are told, and their owners if they are
+    /// connected.
+    fn release_ended(&mut self, index: usize) {
         let step = self.step;
-        let model = &mut self.models[index];
+        let holder = &mut self.holders[index];
         let (over, left): (BTreeMap<_, _>, BTreeMap<_, _>) =
-            std::mem::take(&mut model.held).into_iter().partition(|(_, held)| held.ends <= step);
-        model.held = left;
+            std::mem::take(&mut holder.held).into_iter().partition(|(_, held)| held.ends <= step);
+        holder.held = left;
         for (handle, held) in over {
-            if model.ways[held.owner].link.is_some() {
+            if holder.connections[held.owner].link.is_some() {
                 self.leases[held.owner].released(std::slice::from_ref(&handle));
             }
-            self.heard.insert(handle);
+            self.released.insert(handle);
         }
     }
 
-    fn link_again(&mut self, owner: usize, index: usize) {
+    fn reconnect(&mut self, owner: usize, index: usize) {
         let (holder, now) = (self.holder(index), self.now());
         let link = self.leases[owner].link_opened(holder, now);
-        let held: HashSet<String> = self.models[index].held.keys().cloned().collect();
+        let held: HashSet<String> = self.holders[index].held.keys().cloned().collect();
         self.leases[owner].claimed(link, &held, now);
-        self.models[index].ways[owner].link = Some(link);
+        self.holders[index].connections[owner].link = Some(link);
     }
 
-    /// Whether only a VM that stands still knows of a result.
-    fn is_out_of_hand(&self, handle: &str) -> bool {
-        let stands_still = |model: &&Model| self.step < model.paused_until;
-        let mut paused = self.models.iter().filter(stands_still);
-        self.orphans.contains(handle) && paused.any(|model| model.held.contains_key(handle))
+    /// Whether only a paused VM knows of a result.
+    fn is_known_only_to_paused(&self, handle: &str) -> bool {
+        let is_paused = |holder: &&HolderModel| self.step < holder.paused_until;
+        let mut paused = self.holders.iter().filter(is_paused);
+        self.orphans.contains(handle) && paused.any(|holder| holder.held.contains_key(handle))
     }
 
     fn overdue(&self) -> Vec<&String> {
         let is_over = |(handle, due): &(&String, &u64)| {
-            let is_heard = self.heard.contains(handle.as_str());
-            **due < self.step && !is_heard && !self.is_out_of_hand(handle)
+            let is_released = self.released.contains(handle.as_str());
+            **due < self.step && !is_released && !self.is_known_only_to_paused(handle)
         };
         self.due.iter().filter(is_over).map(|(handle, _)| handle).collect()
     }
 }
 
-/// What is wrong after a history, if anything is.
-fn problem_of(events: &[Event]) -> Option<String> {
+/// Runs a history and describes the violations, if there are any.
+fn find_violation(events: &[Event]) -> Option<String> {
     let mut history = History::new();
     let mut overdue = Vec::new();
     for event in events {
@@ -314,16 +316,18 @@
     }
     (0..200).for_each(|_| history.advance());
     overdue.extend(history.overdue().into_iter().cloned());
-    let wronged = &history.wronged;
-    let is_clean =
-        overdue.is_empty() && wronged.is_empty() && history.leases.iter().all(Leases::is_empty);
+    let released_in_use = &history.released_in_use;
+    let is_clean = overdue.is_empty()
+        && released_in_use.is_empty()
+        && history.leases.iter().all(Leases::is_empty);
     let left = history.leases.iter().map(Leases::len).sum::<usize>();
-    (!is_clean).then(|| format!("overdue {overdue:?}, in use {wronged:?}, leases {left}"))
+    (!is_clean).then(|| format!("overdue {overdue:?}, in use {released_in_use:?}, leases {left}"))
 }
 
-/// Guards against results that are taken over from a VM which stands still after its link was reset.
+/// A VM that pauses after its link was reset keeps its results: the owner must not take over their
+/// release.
 #[test]
-fn a_vm_that_stands_still_after_a_reset_keeps_its_results() {
+fn a_vm_that_pauses_after_a_reset_keeps_its_results() {
     let events = [
         Event::Reset { owner: 0, holder: 0 },
         Event::Wait { steps: 10 },
@@ -334,14 +338,14 @@
         Event::Wait { steps: 29 },
     ];
 
-    assert_eq!(problem_of(&events), None);
+    assert_eq!(find_violation(&events), None);
 }
 
 proptest! {
     #[test]
-    fn every_result_is_given_up_in_time_and_none_in_use(
+    fn every_result_is_released_in_time_and_none_in_use(
         events in proptest::collection::vec(event(), 1..80),
     ) {
-        prop_assert_eq!(problem_of(&events), None);
+        prop_assert_eq!(find_violation(&events), None);
     }
 }
--- a/components/result_leases/tests/leases.rs
+++ b/components/result_leases/tests/leases.rs
@@ -1,4 +1,4 @@
-//! When the owner of results takes them over from their holder.
+//! When the owner takes over the release of results from their holder.
 
 use std::collections::HashSet;
 use std::time::{Duration, Instant};
@@ -21,17 +21,17 @@
     EndedLease { handle: handle.to_owned(), reason }
 }
 
-/// A link through which one result was handed over, for a request that ends in ten seconds.
-fn granted(leases: &mut Leases, handle: &str, now: Instant) -> LinkKey {
+/// Opens a link and hands over one result through it, for a request that ends in ten seconds.
+fn grant(leases: &mut Leases, handle: &str, now: Instant) -> LinkKey {
     let link = leases.link_opened(holder(1), now);
     leases.granted(link, handle.to_owned(), now + 10 * SECOND, now + 60 * SECOND);
     link
 }
 
 #[test]
-fn a_result_is_left_to_its_holder_while_the_link_stands() {
+fn a_lease_lasts_while_its_link_is_up() {
     let (mut leases, now) = (Leases::default(), Instant::now());
-    granted(&mut leases, "r", now);
+    grant(&mut leases, "r", now);
 
     assert_eq!(leases.take_ended(now + 9 * SECOND), []);
 
@@ -41,11 +41,11 @@
 }
 
 #[test]
-fn a_result_that_its_holder_keeps_past_the_requests_time_is_taken_over() {
+fn a_lease_ends_after_the_requests_time_and_the_grace_period() {
     let (mut leases, now) = (Leases::default(), Instant::now());
-    granted(&mut leases, "r", now);
+    grant(&mut leases, "r", now);
 
-    assert_eq!(leases.take_ended(now + 10 * SECOND), [], "the holder gives it up itself");
+    assert_eq!(leases.take_ended(now + 10 * SECOND), [], "the holder releases it itself");
     let over = leases.take_ended(now + 10 * SECOND + REQUEST_GRACE);
 
     assert_eq!(over, [ended("r", EndReason::RequestOver)]);
@@ -53,9 +53,9 @@
 }
 
 #[test]
-fn a_result_of_a_process_that_ended_is_taken_over_at_once() {
+fn a_lease_ends_at_once_when_the_holders_process_ends() {
     let (mut leases, now) = (Leases::default(), Instant::now());
-    let link = granted(&mut leases, "r", now);
+    let link = grant(&mut leases, "r", now);
     leases.link_ended(link);
 
     leases.holder_gone(&holder(1), now + SECOND);
@@ -64,9 +64,9 @@
 }
 
 #[test]
-fn a_result_of_a_holder_without_a_link_is_left_to_it_until_its_request_is_over() {
+fn a_lease_of_a_holder_without_a_link_lasts_until_its_request_is_over() {
     let (mut leases, now) = (Leases::default(), Instant::now());
-    let link = granted(&mut leases, "r", now);
+    let link = grant(&mut leases, "r", now);
     leases.link_ended(link);
 
     assert_eq!(leases.take_ended(now + 10 * SECOND), []);
@@ -74,9 +74,9 @@
 }
 
 #[test]
-fn results_that_a_holder_claims_on_a_new_link_are_left_to_it_and_others_are_not() {
+fn a_new_link_keeps_the_leases_that_are_claimed_and_ends_the_others() {
     let (mut leases, now) = (Leases::default(), Instant::now());
-    let old = granted(&mut leases, "held", now);
+    let old = grant(&mut leases, "held", now);
     leases.granted(old, "lost".to_owned(), now + 10 * SECOND, now + 60 * SECOND);
     leases.link_ended(old);
 
@@ -89,7 +89,7 @@
 }
 
 #[test]
-fn a_result_that_is_handed_to_a_link_which_the_holder_has_left_is_taken_over_at_once() {
+fn a_lease_granted_on_a_replaced_link_ends_at_once() {
     let (mut leases, now) = (Leases::default(), Instant::now());
     let old = leases.link_opened(holder(1), now);
     let new = leases.link_opened(holder(1), now);
@@ -101,9 +101,9 @@
 }
 
 #[test]
-fn a_later_process_of_the_vm_holds_nothing_of_an_earlier_one() {
+fn a_later_process_of_the_vm_ends_the_leases_of_an_earlier_one() {
     let (mut leases, now) = (Leases::default(), Instant::now());
-    let link = granted(&mut leases, "r", now);
+    let link = grant(&mut leases, "r", now);
     leases.link_ended(link);
 
     let later = leases.link_opened(holder(2), now + SECOND);
@@ -114,7 +114,7 @@
 }
 
 #[test]
-fn a_result_that_has_run_out_is_forgotten() {
+fn the_lease_of_an_expired_result_is_removed() {
     let (mut leases, now) = (Leases::default(), Instant::now());
     let link = leases.link_opened(holder(1), now);
     leases.granted(link, "r".to_owned(), now + 10 * SECOND, now + 2 * SECOND);
@@ -124,9 +124,9 @@
 }
 
 #[test]
-fn a_reclaimed_result_is_told_of_on_the_link_of_its_holder() {
+fn a_reclaimed_result_is_returned_with_the_link_of_its_holder() {
     let (mut leases, now) = (Leases::default(), Instant::now());
-    let link = granted(&mut leases, "r", now);
+    let link = grant(&mut leases, "r", now);
 
     let held = leases.reclaimed(&["r".to_owned(), "nobody's".to_owned()]);
 
