--- a/components/routing/src/api.rs
+++ b/components/routing/src/api.rs
@@ -1,4 +1,4 @@
-//! What the router is asked and what it answers.
+//! Request and answer types of the router.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -13,27 +13,27 @@
 /// A stage's call that needs a slot.
 #[derive(Debug, Clone)]
 pub struct SlotRequest<'a> {
-    /// The configuration under which the request began.
+    /// Revision of the configuration under which the request began.
     pub revision: Revision,
-    /// The service as that configuration has it.
+    /// The service as that configuration defines it.
     pub service: &'a Service,
-    /// Index of the stage.
+    /// Index of the stage in the service.
     pub stage: usize,
-    /// On whose behalf.
+    /// The customer that sent the request.
     pub customer: &'a CustomerName,
-    /// Priority.
+    /// Priority class of the request.
     pub priority: Priority,
-    /// Whether it was refused before and comes back at the time told.
+    /// Whether the request was refused before and returns at the time told.
     pub returning: bool,
-    /// When the whole request must be answered.
+    /// Deadline of the whole request.
     pub deadline: Instant,
-    /// Targets already tried.
+    /// Targets already tried, which are not chosen again.
     pub exclude: Vec<TargetKey>,
     /// Hash of the prompt's prefix, if the call has one.
     pub prefix: Option<u64>,
 }
 
-/// A slot that is held at a target.
+/// A slot at a target, held by a call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Slot {
     /// The target.
@@ -42,98 +42,98 @@
     pub(crate) class: Priority,
 }
 
-/// A target to call, with the slot to do it; the slot must be given back with [`Router::release`].
+/// A target to call and the slot for it, which must be returned with [`Router::release`].
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Grant {
-    /// The slot.
+    /// The slot that the call holds.
     pub slot: Slot,
-    /// Its name.
+    /// Name of the target.
     pub name: TargetName,
-    /// Where to call it.
+    /// Address of the target.
     pub address: SocketAddr,
-    /// Why it was chosen.
+    /// Why the target was chosen, as text.
     pub reason: String,
 }
 
-/// Why no slot is given.
+/// Why no slot is granted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SlotRefusal {
-    /// The stages that follow can't be done before the deadline.
+    /// The expected wait and stage times exceed the time to the deadline.
     TooLate {
-        /// When to ask again.
+        /// Time after which to retry.
         retry_after: Duration,
     },
-    /// Too many wait already.
+    /// The queue of the lane is full.
     QueueFull {
-        /// When to ask again.
+        /// Time after which to retry.
         retry_after: Duration,
     },
     /// No target that the selector allows can be used.
     NoTarget {
-        /// When to ask again.
+        /// Time after which to retry.
         retry_after: Duration,
     },
 }
 
-/// Answer to a [`SlotRequest`].
+/// Answer of the router to a [`SlotRequest`].
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum SlotAnswer {
-    /// Call this target now.
+    /// A slot is granted; the target can be called now.
     Granted(Grant),
-    /// Wait; an [`WaitUpdate`] will follow.
+    /// Wait; a [`WaitUpdate`] will follow.
     Queued(WaitId),
-    /// Give up now.
+    /// No slot is granted; the request must not wait.
     Refused(SlotRefusal),
 }
 
-/// What became of a request that waited.
+/// The end of the wait of a queued request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum WaitUpdate {
-    /// Call this target now.
+    /// A slot is granted; the target can be called now.
     Granted(WaitId, Grant),
-    /// Give up now.
+    /// No slot is granted; the request must not wait.
     Refused(WaitId, SlotRefusal),
 }
 
-/// Whether a request is taken at all.
+/// Whether a request is admitted.
 pub type Admission = Result<(), SlotRefusal>;
 
-/// How a call ended, for what it teaches.
+/// How a call ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CallEnd {
-    /// The whole answer came.
+    /// The whole answer was received.
     Answered,
-    /// The target said that it is too busy and did not run it.
+    /// The target answered that it is too busy, and did not run the call.
     Declined,
-    /// Nothing could be sent.
+    /// Nothing could be sent to the target.
     Unreachable,
-    /// It failed after something was sent.
+    /// The call failed after something was sent.
     Failed,
-    /// Given up by this side, which says nothing about the target.
+    /// Cancelled by this VM, which is no evidence about the target.
     GivenUp,
 }
 
-/// One target's state for the dump.
+/// State of one target, for the dump on the operations page.
 #[derive(Debug, Clone, Serialize)]
 pub struct TargetDump {
-    /// Name.
+    /// Name of the target.
     pub name: TargetName,
     /// Data hall.
     pub hall: HallName,
-    /// Calls under way from here.
+    /// Calls in flight from this VM.
     pub in_flight: u32,
-    /// Calls under way from other VMs, as last heard.
+    /// Calls in flight from other VMs, as last reported by them.
     pub by_peers: u32,
-    /// Slots dealt to this VM.
+    /// Slots assigned to this VM.
     pub dealt: u32,
-    /// Learned limit for all VMs together.
+    /// Adaptive concurrency limit, for all VMs together.
     pub limit: f64,
-    /// Load for each slot.
+    /// Known calls in flight per slot.
     pub load: f64,
-    /// Whether it gets no new work because it leaves.
+    /// Whether the target gets no new calls because it is leaving.
     pub leaving: bool,
-    /// Whether it gets no new work because it failed or was slow.
+    /// Whether the target gets no new calls because it failed or was slow.
     pub ejected: bool,
-    /// Calls since the process started.
+    /// Calls sent to the target since its current declaration was first applied.
     pub calls: u64,
 }
--- a/components/routing/src/choice.rs
+++ b/components/routing/src/choice.rs
@@ -1,4 +1,5 @@
-//! Choice of a target among those that a stage's selector allows.
+//! Choice of a target among those that a stage's selector allows: by prefix affinity, or the less
+//! loaded of two random ones.
 
 use std::time::Instant;
 
@@ -8,27 +9,27 @@
 
 use crate::target::{TargetKey, TargetState};
 
-/// Which decisions are taken.
+/// Routing policy.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum Policy {
-    /// Everything this component offers.
+    /// All decisions of this crate: limits, queues, ejection, admission and affinity.
     #[default]
     Adaptive,
-    /// Round robin with no limits, as a baseline.
+    /// Round robin without limits, as a baseline for comparison.
     RoundRobin,
-    /// First usable in the order of names with no limits, as a baseline.
+    /// First usable target in the order of names, without limits, as a baseline for comparison.
     FirstInOrder,
 }
 
-/// A prefix's home may be this much more loaded than the mean before others get the call.
+/// A prefix's home target gets the call up to this multiple of the mean load.
 const AFFINITY_BOUND: f64 = 1.25;
-/// Load for each slot up to which a prefix's home is always taken.
+/// Load per slot up to which a prefix's home target always gets the call.
 const AFFINITY_FREE_LOAD: f64 = 0.5;
 
-/// A target that may be chosen.
+/// Key and state of a target that may be chosen.
 pub(crate) type Candidate<'a> = (TargetKey, &'a TargetState);
 
-/// Chooses among candidates with room, the own hall's first; says why.
+/// Chooses a candidate, preferring those of the own hall, and returns it with the reason.
 pub(crate) fn choose(
     candidates: &[Candidate<'_>],
     own_hall: &HallName,
@@ -36,10 +37,13 @@
     now: Instant,
     rng: &mut SmallRng,
 ) -> Option<(TargetKey, String)> {
-    let near: Vec<Candidate<'_>> =
+    let same_hall: Vec<Candidate<'_>> =
         candidates.iter().copied().filter(|(_, t)| t.hall == *own_hall).collect();
-    let (among, place) =
-        if near.is_empty() { (candidates, "other hall") } else { (near.as_slice(), "own hall") };
+    let (among, place) = if same_hall.is_empty() {
+        (candidates, "other hall")
+    } else {
+        (same_hall.as_slice(), "own hall")
+    };
     let home = prefix.and_then(|prefix| home_of(among, prefix, now));
     if let Some((key, load)) = home {
         return Some((key, format!("{place}, prefix home, load {load:.2} of {}", among.len())));
@@ -64,7 +68,7 @@
     Some(if b.1 < a.1 { b } else { a })
 }
 
-/// The prefix's home by rendezvous hashing, if it is not loaded beyond the bound.
+/// Home target of the prefix by rendezvous hashing, with its load, if that is within the bounds.
 fn home_of(among: &[Candidate<'_>], prefix: u64, now: Instant) -> Option<(TargetKey, f64)> {
     let (key, home) = among.iter().max_by_key(|(_, t)| rendezvous(prefix, t.name.as_str()))?;
     let total: f64 = among.iter().map(|(_, t)| t.load(now)).sum();
--- a/components/routing/src/ejection.rs
+++ b/components/routing/src/ejection.rs
@@ -1,21 +1,22 @@
-//! Targets that fail or are slow against their peers get no work for a while.
+//! Outlier ejection: targets that fail, or that are slow compared to their peers, get no calls for
+//! a time.
 
 use std::time::{Duration, Instant};
 
-/// Failures or refusals in a row after which a target is ejected.
-const FAILURES: u32 = 3;
-/// First time out; doubles with each ejection in a row.
-const FIRST_TIME: Duration = Duration::from_secs(1);
-/// Longest time out; bounds how long a pool that failed as a whole takes to come back.
-const LONGEST_TIME: Duration = Duration::from_secs(4);
-/// Weight of a new ratio.
+/// Consecutive failures or declined calls after which a target is ejected.
+const EJECTION_FAILURES: u32 = 3;
+/// Duration of the first ejection; doubles with each consecutive ejection.
+const FIRST_EJECTION: Duration = Duration::from_secs(1);
+/// Maximum duration of an ejection; bounds the recovery time of a pool that failed as a whole.
+const MAX_EJECTION: Duration = Duration::from_secs(4);
+/// Weight of a new sample in the mean latency ratio.
 const RATIO_WEIGHT: f64 = 0.2;
-/// A target this many times slower than the median of its peers is ejected.
-pub(crate) const SLOW_AGAINST_PEERS: f64 = 4.0;
-/// Calls before a target's ratio means something.
-const LEAST_CALLS: u32 = 5;
-/// Largest share of the targets of a lane that may be out for slowness.
-pub(crate) const MOST_EJECTED: f64 = 0.34;
+/// A target whose latency ratio exceeds this multiple of the median of its lane is ejected.
+pub(crate) const SLOW_VS_MEDIAN: f64 = 4.0;
+/// Minimum number of calls before a target's latency ratio is used.
+const MIN_CALLS: u32 = 5;
+/// Maximum share of the targets of a lane that may be ejected when one is ejected for slowness.
+pub(crate) const MAX_EJECTED_SHARE: f64 = 0.34;
 
 /// Health of one target as this VM sees it.
 #[derive(Debug, Clone, Copy, Default)]
@@ -23,52 +24,56 @@
     failures: u32,
     calls: u32,
     ratio: f64,
-    until: Option<Instant>,
-    in_a_row: u32,
+    ejected_until: Option<Instant>,
+    consecutive_ejections: u32,
 }
 
 impl Health {
-    /// Whether the target may get work; after its time out it gets it again, as a probe.
-    pub(crate) fn usable(&self, now: Instant) -> bool {
-        self.until.is_none_or(|until| now >= until)
+    /// Whether the target may get calls. After its ejection it gets them again, as a probe.
+    pub(crate) fn is_usable(&self, now: Instant) -> bool {
+        self.ejected_until.is_none_or(|until| now >= until)
     }
 
-    /// When its time out ends.
-    pub(crate) fn until(&self) -> Option<Instant> {
-        self.until
+    /// When its ejection ends or ended; `None` if it is healthy.
+    pub(crate) fn ejected_until(&self) -> Option<Instant> {
+        self.ejected_until
     }
 
-    /// How many times its unloaded time its calls take, if enough are known.
+    /// Mean ratio of call times to the unloaded time, if there are enough calls.
     pub(crate) fn ratio(&self) -> Option<f64> {
-        (self.calls >= LEAST_CALLS).then_some(self.ratio)
+        (self.calls >= MIN_CALLS).then_some(self.ratio)
     }
 
-    pub(crate) fn answered(&mut self, ratio: f64, now: Instant) {
+    /// Counts an answered call with its latency ratio. A call that is not slow ends the probe after
+    /// an ejection.
+    pub(crate) fn record_success(&mut self, ratio: f64, now: Instant) {
         self.failures = 0;
         self.calls = self.calls.saturating_add(1);
         let weight = if self.calls == 1 { 1.0 } else { RATIO_WEIGHT };
         self.ratio += weight * (ratio - self.ratio);
-        if self.usable(now) && ratio < SLOW_AGAINST_PEERS {
-            self.until = None;
-            self.in_a_row = 0;
+        if self.is_usable(now) && ratio < SLOW_VS_MEDIAN {
+            self.ejected_until = None;
+            self.consecutive_ejections = 0;
         }
     }
 
-    /// Counts a failure; ejects after several in a row, at once if it can't be reached.
-    pub(crate) fn failed(&mut self, unreachable: bool, now: Instant) {
+    /// Counts a failure. Ejects the target after several consecutive ones, or at once if it is
+    /// unreachable.
+    pub(crate) fn record_failure(&mut self, unreachable: bool, now: Instant) {
         self.failures += 1;
-        if unreachable || self.failures >= FAILURES {
+        if unreachable || self.failures >= EJECTION_FAILURES {
             self.eject(now);
         }
     }
 
+    /// Ejects the target, unless it is ejected already, and resets its counts.
     pub(crate) fn eject(&mut self, now: Instant) {
-        if !self.usable(now) {
+        if !self.is_usable(now) {
             return;
         }
-        let time = FIRST_TIME * 2u32.saturating_pow(self.in_a_row.min(8));
-        self.until = Some(now + time.min(LONGEST_TIME));
-        self.in_a_row += 1;
+        let time = FIRST_EJECTION * 2u32.saturating_pow(self.consecutive_ejections.min(8));
+        self.ejected_until = Some(now + time.min(MAX_EJECTION));
+        self.consecutive_ejections += 1;
         self.failures = 0;
         self.calls = 0;
         self.ratio = 0.0;
--- a/components/routing/src/learning.rs
+++ b/components/routing/src/feedback.rs
@@ -1,22 +1,24 @@
-//! What a call that ended teaches: stage times, limits, health; and its slot to whoever waits.
+//! Handling of ended calls: updates stage times, concurrency limits and target health, and grants
+//! the released slot to a waiting request.
 
 use std::time::{Duration, Instant};
 
 use ids::{ServiceName, StageName};
 
 use crate::api::{CallEnd, Slot, WaitUpdate};
-use crate::ejection::{MOST_EJECTED, SLOW_AGAINST_PEERS};
+use crate::ejection::{MAX_EJECTED_SHARE, SLOW_VS_MEDIAN};
 use crate::lane::Lane;
 use crate::limit::Signal;
 use crate::router::Router;
 use crate::target::{LoadReport, TargetKey};
 use crate::times::StageTimes;
 
-/// Part of its allowance that a target must be used to for its limit to rise.
-const FILLED: f64 = 0.8;
+/// Share of its allowance that must be in use at a target for its limit to rise.
+const FILLED_SHARE: f64 = 0.8;
 
 impl Router {
-    /// Takes a slot back, learns from the call and serves whoever waits for it.
+    /// Releases a slot, updates the estimates from the call, and grants free slots to waiting
+    /// requests. `report` is the load that the target reported with its answer.
     pub fn release(
         &mut self,
         slot: Slot,
@@ -26,7 +28,7 @@
         report: Option<LoadReport>,
         now: Instant,
     ) -> Vec<WaitUpdate> {
-        let ratio = self.learn_time((service, stage), end, took, now);
+        let ratio = self.record_stage_time((service, stage), end, took, now);
         if end == CallEnd::Answered {
             self.budget.record_success();
         }
@@ -41,27 +43,29 @@
             match end {
                 CallEnd::Answered => {
                     let filled = f64::from(in_flight)
-                        >= FILLED * target.allowance(slot.class, self.busy, now);
-                    target.limit.learn(Signal::Answered { ratio, queued }, filled, now);
-                    target.health.answered(ratio, now);
+                        >= FILLED_SHARE * target.allowance(slot.class, self.busy, now);
+                    target.limit.update(Signal::Answered { ratio, queued }, filled, now);
+                    target.health.record_success(ratio, now);
                 }
                 CallEnd::Declined => {
-                    target.limit.learn(Signal::Declined, true, now);
-                    target.health.failed(false, now);
+                    target.limit.update(Signal::Declined, true, now);
+                    target.health.record_failure(false, now);
                 }
-                CallEnd::Unreachable => target.health.failed(true, now),
-                CallEnd::Failed => target.health.failed(false, now),
+                CallEnd::Unreachable => target.health.record_failure(true, now),
+                CallEnd::Failed => target.health.record_failure(false, now),
                 CallEnd::GivenUp => {}
             }
         }
         if let Some(lane) = self.lanes.get_mut(slot.lane) {
-            lane.usage.released(slot.class, (end == CallEnd::Answered).then_some(took), now);
+            lane.usage.record_release(slot.class, (end == CallEnd::Answered).then_some(took), now);
         }
         self.eject_if_slow(key, now);
         self.serve_lanes_of(key, now)
     }
 
-    fn learn_time(
+    /// Records the time of an answered call. Returns its ratio to the unloaded baseline, and 1 for
+    /// other calls.
+    fn record_stage_time(
         &mut self,
         (service, stage): (&ServiceName, &StageName),
         end: CallEnd,
@@ -74,13 +78,13 @@
         let times = self
             .times
             .entry((service.clone(), stage.clone()))
-            .or_insert_with(|| StageTimes::first(took, now));
+            .or_insert_with(|| StageTimes::new(took, now));
         let ratio = times.ratio(took);
-        times.add(took, now);
+        times.record(took, now);
         ratio
     }
 
-    /// Ejects a target that is much slower than the median of a lane's other targets.
+    /// Ejects a target that is much slower than the median of the targets of one of its lanes.
     fn eject_if_slow(&mut self, key: TargetKey, now: Instant) {
         let Some(ratio) = self.targets.get(key).and_then(|t| t.health.ratio()) else {
             return;
@@ -90,9 +94,9 @@
             let mut ratios: Vec<f64> = states.clone().filter_map(|t| t.health.ratio()).collect();
             ratios.sort_by(f64::total_cmp);
             let median = ratios.get(ratios.len().saturating_sub(1) / 2).copied().unwrap_or(ratio);
-            let out = states.filter(|t| !t.health.usable(now)).count();
-            let room = (out + 1) as f64 <= MOST_EJECTED * lane.targets.len() as f64;
-            ratios.len() > 1 && ratio > SLOW_AGAINST_PEERS * median && room
+            let out = states.filter(|t| !t.health.is_usable(now)).count();
+            let room = (out + 1) as f64 <= MAX_EJECTED_SHARE * lane.targets.len() as f64;
+            ratios.len() > 1 && ratio > SLOW_VS_MEDIAN * median && room
         };
         let slow = self.lanes.values().filter(|l| l.targets.contains(&key)).any(slow_in);
         if slow && let Some(target) = self.targets.get_mut(key) {
--- a/components/routing/src/grants.rs
+++ b/components/routing/src/grants.rs
@@ -1,4 +1,4 @@
-//! Giving slots: to a request at once, or to those that wait as slots come free.
+//! Grants slots: to a new request at once, or to queued requests as slots are released.
 
 use std::time::Instant;
 
@@ -10,9 +10,11 @@
 use crate::lane::{Lane, LaneKey};
 use crate::queue::Waiting;
 use crate::router::Router;
-use crate::target::{HALF_A_SLOT, TargetKey, TargetState};
+use crate::target::{HALF_SLOT, TargetKey, TargetState};
 
 impl Router {
+    /// Takes a slot of one of the lane's targets for a call of the class, unless the free slots are
+    /// kept as headroom for more urgent classes.
     pub(crate) fn grant_from(
         &mut self,
         lane_key: LaneKey,
@@ -23,9 +25,9 @@
     ) -> Option<Grant> {
         let lane = self.lanes.get(lane_key)?;
         let headroom = lane.usage.headroom(class, now);
-        if headroom > 0.0 && !lane.at_floor() {
+        if headroom > 0.0 && !lane.floor_is_due() {
             let idle = self.slots_of(lane, class, now) - self.in_flight(lane);
-            if idle - HALF_A_SLOT < headroom {
+            if idle - HALF_SLOT < headroom {
                 return None;
             }
         }
@@ -33,18 +35,18 @@
             let keys = lane.targets.iter().filter(|key| !exclude.contains(key));
             keys.filter_map(|key| self.targets.get(*key).map(|state| (*key, state)))
         };
-        let free = |t: &TargetState| t.has_room(class, self.busy, now) && t.health.usable(now);
+        let free = |t: &TargetState| t.has_room(class, self.busy, now) && t.health.is_usable(now);
         let mut candidates: Vec<Candidate<'_>> = allowed().filter(|(_, t)| free(t)).collect();
         if candidates.is_empty() {
-            candidates.extend(self.last_resort(lane, allowed(), now));
+            candidates.extend(self.fallback_candidate(lane, allowed(), now));
         }
         let (key, why) = choice::choose(&candidates, &self.hall, prefix, now, &mut self.rng)?;
         self.take_slot(Slot { target: key, lane: lane_key, class }, why)
     }
 
-    /// Where no target has room: one call to the best of them if this VM has none under way in
-    /// the lane, so that no VM is shut out, nor all targets for having failed.
-    fn last_resort<'a>(
+    /// Selects a target when none has room: the best of them, if this VM has no call in flight in
+    /// the lane. So every VM can always make one call, also if all targets are ejected.
+    fn fallback_candidate<'a>(
         &self,
         lane: &Lane,
         allowed: impl Iterator<Item = Candidate<'a>>,
@@ -56,18 +58,19 @@
         }
         let staying = allowed.filter(|(_, t)| !t.leaving);
         staying.min_by(|(_, a), (_, b)| {
-            let out = |t: &TargetState| t.health.until().filter(|until| *until > now);
+            let out = |t: &TargetState| t.health.ejected_until().filter(|until| *until > now);
             out(a).cmp(&out(b)).then_with(|| a.load(now).total_cmp(&b.load(now)))
         })
     }
 
-    fn take_slot(&mut self, slot: Slot, why: String) -> Option<Grant> {
+    fn take_slot(&mut self, slot: Slot, reason: String) -> Option<Grant> {
         let target = self.targets.get_mut(slot.target)?;
         target.in_flight += 1;
         target.calls += 1;
-        Some(Grant { slot, name: target.name.clone(), address: target.address, reason: why })
+        Some(Grant { slot, name: target.name.clone(), address: target.address, reason })
     }
 
+    /// Selects a target by a baseline policy, which has no limits and no queue.
     pub(crate) fn baseline_slot(
         &mut self,
         lane_key: LaneKey,
@@ -75,7 +78,7 @@
         now: Instant,
     ) -> SlotAnswer {
         let refused =
-            SlotAnswer::Refused(SlotRefusal::NoTarget { retry_after: admission::LEAST_COME_BACK });
+            SlotAnswer::Refused(SlotRefusal::NoTarget { retry_after: admission::MIN_RETRY_AFTER });
         let Some(lane) = self.lanes.get(lane_key) else {
             return refused;
         };
@@ -86,7 +89,7 @@
             .filter(|key| self.targets.get(*key).is_some_and(|t| !t.leaving))
             .filter(|key| {
                 self.policy == Policy::RoundRobin
-                    || self.targets.get(*key).is_some_and(|t| t.health.usable(now))
+                    || self.targets.get(*key).is_some_and(|t| t.health.is_usable(now))
             })
             .collect();
         let fresh = usable.iter().filter(|key| !req.exclude.contains(key)).copied();
@@ -97,21 +100,21 @@
         }
         let (index, why) = match self.policy {
             Policy::FirstInOrder => (0, "first in order"),
-            Policy::RoundRobin | Policy::Adaptive => (self.turn % among.len(), "in turn"),
+            Policy::RoundRobin | Policy::Adaptive => (self.next_turn % among.len(), "in turn"),
         };
-        self.turn = self.turn.wrapping_add(1);
+        self.next_turn = self.next_turn.wrapping_add(1);
         let slot = Slot { target: among[index], lane: lane_key, class: req.priority };
         self.take_slot(slot, why.to_owned()).map_or(refused, SlotAnswer::Granted)
     }
 
-    pub(crate) fn count_grant(&mut self, lane: LaneKey, customer: &CustomerName, class: Priority) {
+    pub(crate) fn record_grant(&mut self, lane: LaneKey, customer: &CustomerName, class: Priority) {
         let share = self.shares.get(customer).copied().unwrap_or(1);
         if let Some(lane) = self.lanes.get_mut(lane) {
-            lane.granted(customer, class, share);
+            lane.record_grant(customer, class, share);
         }
     }
 
-    pub(crate) fn serve_all(&mut self, now: Instant) -> Vec<WaitUpdate> {
+    pub(crate) fn serve_all_lanes(&mut self, now: Instant) -> Vec<WaitUpdate> {
         let lanes = self.lanes.iter().filter(|(_, lane)| lane.len() > 0);
         let lanes: Vec<LaneKey> = lanes.map(|(key, _)| key).collect();
         self.serve(&lanes, now)
@@ -124,7 +127,8 @@
         self.serve(&lanes, now)
     }
 
-    /// Gives free slots to those that wait in the lanes, the most urgent head first.
+    /// Grants free slots to requests that wait in the lanes. Of the first requests of all lanes,
+    /// the most urgent one is served first.
     fn serve(&mut self, lanes: &[LaneKey], now: Instant) -> Vec<WaitUpdate> {
         let mut updates = Vec::new();
         let mut open = lanes.to_vec();
@@ -136,7 +140,7 @@
                     if let Some(lane) = self.lanes.get_mut(lane_key) {
                         lane.remove(&waiting);
                     }
-                    self.count_grant(lane_key, &waiting.customer, waiting.priority);
+                    self.record_grant(lane_key, &waiting.customer, waiting.priority);
                     updates.push(WaitUpdate::Granted(waiting.id, grant));
                 }
                 None => drop(open.swap_remove(index)),
--- a/components/routing/src/lane.rs
+++ b/components/routing/src/lane.rs
@@ -1,4 +1,4 @@
-//! The requests that wait for a slot at one set of targets.
+//! Lane: the queue of requests that wait for a slot at one set of targets, with its scheduling.
 
 use std::collections::{BTreeMap, HashMap};
 use std::time::{Duration, Instant};
@@ -12,43 +12,43 @@
 use crate::usage::Usage;
 
 new_key_type! {
-    /// Key of a lane in the router's arena.
+    /// Key of a lane in the router's slot map.
     pub(crate) struct LaneKey;
 }
 
-/// Number of a waiting request.
+/// Id of a waiting request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct WaitId(pub u64);
 
-/// Share of the slots' time that the least urgent class that waits gets in any case, so that long
-/// work finishes.
+/// Minimum share of the slot time for the least urgent class that waits, so that long work
+/// finishes.
 const FLOOR_SHARE: f64 = 0.05;
-/// Most time that this class is given at once, in calls of its own.
-const MOST_FLOOR_CALLS: f64 = 2.0;
+/// Maximum slot time that this class can save up, in calls of its own.
+const MAX_FLOOR_CALLS: f64 = 2.0;
 
-/// Weight of one request in the share of those that come back.
-const SHOWS_WEIGHT: f64 = 0.05;
+/// Weight of one request in the share of refused requests that return.
+const RETURN_RATE_WEIGHT: f64 = 0.05;
 
-/// A queue ordered by class, then by the customer that had least for its share, then by time
-/// left.
+/// A queue ordered by class, then by the customer that was served least for its share, then by the
+/// latest start time.
 #[derive(Debug, Default)]
 pub(crate) struct Lane {
     pub(crate) targets: Vec<TargetKey>,
     classes: BTreeMap<Priority, HashMap<CustomerName, CustomerQueue>>,
     len: usize,
-    /// Slot time that the least urgent class has earned by grants to others, in seconds.
-    floor: f64,
-    /// What each customer was given for its share; the classic start-time fair queue.
-    served: HashMap<CustomerName, f64>,
-    /// The virtual time: what the customer served last had been given.
+    /// Slot time credited to the least urgent class for grants to other classes, in seconds.
+    floor_credit: f64,
+    /// Start tag of each customer, as in start-time fair queuing: grants divided by its share.
+    start_tags: HashMap<CustomerName, f64>,
+    /// Virtual time: the start tag of the customer served last.
     virtual_time: f64,
     pub(crate) usage: Usage,
-    /// Share of the refused requests that come back at the time told.
-    shows: f64,
+    /// Share of the refused requests that return at the time told.
+    return_rate: f64,
 }
 
 impl Lane {
-    /// An empty queue for the targets.
+    /// Creates an empty lane for the targets.
     pub(crate) fn new(targets: Vec<TargetKey>) -> Self {
         Lane { targets, ..Lane::default() }
     }
@@ -62,13 +62,13 @@
         self.len += 1;
     }
 
-    /// The request to serve next, left where it is.
+    /// Returns the request to serve next, without removing it.
     pub(crate) fn head(&self) -> Option<&Waiting> {
         let class = self.next_class()?;
         self.classes.get(&class)?.get(&self.next_customer(class)?)?.head()
     }
 
-    /// Takes the request out of the queue.
+    /// Removes the request from the queue.
     pub(crate) fn remove(&mut self, waiting: &Waiting) -> Option<Waiting> {
         let found = self.queue(waiting.priority, &waiting.customer).remove(waiting);
         self.len -= usize::from(found.is_some());
@@ -79,16 +79,16 @@
         self.classes.entry(class).or_default().entry(customer.clone()).or_default()
     }
 
-    /// Counts one of the customer's requests that was told to come back and has come.
-    pub(crate) fn came_back(&mut self, customer: &CustomerName, class: Priority) {
-        if self.queue(class, customer).came_back() {
-            self.shows += SHOWS_WEIGHT * (1.0 - self.shows);
+    /// Counts the return of one of the customer's refused requests.
+    pub(crate) fn record_return(&mut self, customer: &CustomerName, class: Priority) {
+        if self.queue(class, customer).record_return() {
+            self.return_rate += RETURN_RATE_WEIGHT * (1.0 - self.return_rate);
         }
     }
 
-    /// The time at which a refused request should come back, `earliest` or later: as many are
-    /// told each time as the customer's part of the slots can serve.
-    pub(crate) fn book(
+    /// Schedules the time at which a refused request should return, `earliest` or later. Returns
+    /// are spaced at the rate at which the customer's part of the slots can serve them.
+    pub(crate) fn schedule_return(
         &mut self,
         customer: &CustomerName,
         class: Priority,
@@ -97,26 +97,27 @@
         now: Instant,
     ) -> Instant {
         let sharing = self.others(customer, class) + 1;
-        let left = self.usage.left_for(class, slots, now);
-        let hold = self.usage.hold(class).unwrap_or_default();
+        let left = self.usage.slots_left_for(class, slots, now);
+        let hold = self.usage.mean_hold(class).unwrap_or_default();
         let gap = admission::wait_behind(sharing as f64, left, hold);
-        self.queue(class, customer).book(earliest, gap)
+        self.queue(class, customer).schedule_return(earliest, gap)
     }
 
-    /// Counts a grant to the customer.
-    pub(crate) fn granted(&mut self, customer: &CustomerName, class: Priority, share: u32) {
-        self.count_floor(class);
-        self.usage.granted(class);
-        let start = self.start_of(customer);
+    /// Counts a grant to the customer and advances its start tag by the inverse of its share.
+    pub(crate) fn record_grant(&mut self, customer: &CustomerName, class: Priority, share: u32) {
+        self.update_floor_credit(class);
+        self.usage.record_grant(class);
+        let start = self.start_tag(customer);
         self.virtual_time = self.virtual_time.max(start);
-        self.served.insert(customer.clone(), start + 1.0 / f64::from(share.max(1)));
+        self.start_tags.insert(customer.clone(), start + 1.0 / f64::from(share.max(1)));
     }
 
-    /// Takes out every request that is too late to be of use, and forgets who did not come back.
-    pub(crate) fn take_late(&mut self, now: Instant) -> Vec<Waiting> {
+    /// Removes and returns the requests whose latest start has passed, and removes missed returns.
+    pub(crate) fn take_expired(&mut self, now: Instant) -> Vec<Waiting> {
         for class in self.classes.values_mut() {
-            let missed: usize = class.values_mut().map(|queue| queue.forget_missed(now)).sum();
-            (0..missed).for_each(|_| self.shows -= SHOWS_WEIGHT * self.shows);
+            let missed: usize =
+                class.values_mut().map(|queue| queue.remove_missed_returns(now)).sum();
+            (0..missed).for_each(|_| self.return_rate -= RETURN_RATE_WEIGHT * self.return_rate);
             class.retain(|_, queue| !queue.is_idle());
         }
         let waiting = self.classes.values().flat_map(HashMap::values).flat_map(CustomerQueue::iter);
@@ -124,15 +125,15 @@
         late.into_iter().filter_map(|waiting| self.remove(&waiting)).collect()
     }
 
-    /// Takes out every request.
+    /// Removes and returns every request.
     pub(crate) fn take_all(&mut self) -> Vec<Waiting> {
         self.len = 0;
         let classes = std::mem::take(&mut self.classes).into_values();
         classes.flat_map(HashMap::into_values).flat_map(CustomerQueue::into_waiting).collect()
     }
 
-    /// Time that a new request waits, with `slots` slots in all.
-    pub(crate) fn wait(
+    /// Expected wait of a new request, with `slots` slots in all.
+    pub(crate) fn expected_wait(
         &self,
         customer: &CustomerName,
         class: Priority,
@@ -140,27 +141,27 @@
         slots: f64,
         now: Instant,
     ) -> Duration {
-        let hold = |class: Priority| self.usage.hold(class).unwrap_or_default();
+        let hold = |class: Priority| self.usage.mean_hold(class).unwrap_or_default();
         let urgent = Priority::ALL.into_iter().filter(|c| *c < class);
         let urgent: Duration =
             urgent.map(|c| admission::wait_behind(self.waiting(c) as f64, slots, hold(c))).sum();
-        // Customers are served in turn, so a request waits for those of its own customer that go
-        // before it times the customers that wait.
+        // Customers are served in turn, so the requests of its own customer that go before a new
+        // one count once for each customer that waits.
         let own = self.classes.get(&class).and_then(|c| c.get(customer));
-        let own = own.map_or(0.0, |queue| queue.ahead(returning, start_by, self.shows));
+        let own = own.map_or(0.0, |queue| queue.ahead(returning, start_by, self.return_rate));
         let others = self.others(customer, class) as f64;
-        let left = self.usage.left_for(class, slots, now);
+        let left = self.usage.slots_left_for(class, slots, now);
         urgent + admission::wait_behind(own * (others + 1.0) + others + 1.0, left, hold(class))
     }
 
-    /// Other customers that wait in the class.
+    /// Number of other customers with waiting requests in the class.
     fn others(&self, customer: &CustomerName, class: Priority) -> usize {
         let waits =
             |(name, queue): &(&CustomerName, &CustomerQueue)| *name != customer && queue.len() > 0;
         self.classes.get(&class).map_or(0, |queues| queues.iter().filter(waits).count())
     }
 
-    /// Whether a request of this class or a more urgent one waits.
+    /// Whether a request of this class or of a more urgent one waits.
     pub(crate) fn has_waiting_up_to(&self, class: Priority) -> bool {
         let queues = self.classes.range(..=class).flat_map(|(_, queues)| queues.values());
         queues.into_iter().any(|queue| queue.len() > 0)
@@ -170,20 +171,21 @@
         self.classes.get(&class).map_or(0, |c| c.values().map(CustomerQueue::len).sum())
     }
 
-    /// Whether the next grant goes to the least urgent class that waits.
-    pub(crate) fn at_floor(&self) -> bool {
-        self.least_urgent().is_some_and(|class| self.floor >= self.hold_seconds(class))
+    /// Whether the least urgent class that waits has enough credit for the next grant.
+    pub(crate) fn floor_is_due(&self) -> bool {
+        self.least_urgent().is_some_and(|class| self.floor_credit >= self.hold_seconds(class))
     }
 
-    /// The least urgent class earns a share of the time granted to others, and pays with its own.
-    fn count_floor(&mut self, granted: Priority) {
+    /// Credits the least urgent class with a share of the slot time granted to other classes, and
+    /// debits its own.
+    fn update_floor_credit(&mut self, granted: Priority) {
         let Some(least) = self.least_urgent() else { return };
         let hold = self.hold_seconds(granted);
         if granted == least {
-            self.floor = (self.floor - hold).max(0.0);
+            self.floor_credit = (self.floor_credit - hold).max(0.0);
         } else {
-            let most = MOST_FLOOR_CALLS * self.hold_seconds(least);
-            self.floor = (self.floor + FLOOR_SHARE * hold).min(most);
+            let most = MAX_FLOOR_CALLS * self.hold_seconds(least);
+            self.floor_credit = (self.floor_credit + FLOOR_SHARE * hold).min(most);
         }
     }
 
@@ -191,16 +193,16 @@
         Priority::ALL.into_iter().rfind(|class| self.waiting(*class) > 0)
     }
 
-    /// Time that a call of the class holds its slot; that of the other classes while none of its
-    /// own was seen.
+    /// Mean time in seconds for which a call of the class holds its slot. Without a sample of the
+    /// class it is the longest of the other classes, and 1 second without any sample.
     fn hold_seconds(&self, class: Priority) -> f64 {
-        let known = Priority::ALL.into_iter().filter_map(|c| self.usage.hold(c)).max();
-        let hold = self.usage.hold(class).or(known);
+        let known = Priority::ALL.into_iter().filter_map(|c| self.usage.mean_hold(c)).max();
+        let hold = self.usage.mean_hold(class).or(known);
         hold.map_or(1.0, |hold| hold.as_secs_f64().max(1e-3))
     }
 
     fn next_class(&self) -> Option<Priority> {
-        if self.at_floor() {
+        if self.floor_is_due() {
             return self.least_urgent();
         }
         Priority::ALL.into_iter().find(|class| self.waiting(*class) > 0)
@@ -210,13 +212,13 @@
         let heads = self.classes.get(&class)?.iter();
         let heads = heads.filter_map(|(name, queue)| Some((name, queue.head()?)));
         let first = heads.min_by(|a, b| {
-            let by_share = self.start_of(a.0).total_cmp(&self.start_of(b.0));
+            let by_share = self.start_tag(a.0).total_cmp(&self.start_tag(b.0));
             by_share.then_with(|| a.1.start_by.cmp(&b.1.start_by))
         });
         first.map(|(name, _)| name.clone())
     }
 
-    fn start_of(&self, customer: &CustomerName) -> f64 {
-        self.served.get(customer).copied().unwrap_or(0.0).max(self.virtual_time)
+    fn start_tag(&self, customer: &CustomerName) -> f64 {
+        self.start_tags.get(customer).copied().unwrap_or(0.0).max(self.virtual_time)
     }
 }
--- a/components/routing/src/lib.rs
+++ b/components/routing/src/lib.rs
@@ -1,16 +1,16 @@
-//! Decisions of an entry VM: which target runs a call, how many calls a target gets, in which
-//! order requests wait, when a request is refused and when a call is tried again.
+//! Routing decisions of a VM that accepts requests: which target runs a call, how many calls a
+//! target gets, in which order requests wait, when a request is refused and when a call is retried.
 //!
-//! Everything here is plain state and functions of the time that is passed in; the daemon's
-//! runtime calls them from one thread. `docs/design/routing.md` gives the ways weighed.
+//! The state is plain data, and the time is passed in by the caller; the daemon's runtime calls the
+//! functions from one thread. `docs/design/routing.md` compares the alternatives.
 
 mod admission;
 mod api;
 mod choice;
 mod ejection;
+mod feedback;
 mod grants;
 mod lane;
-mod learning;
 mod limit;
 mod plans;
 mod queue;
--- a/components/routing/src/plans.rs
+++ b/components/routing/src/plans.rs
@@ -1,4 +1,4 @@
-//! Which lane each stage goes by, for the newest configuration and those that requests still use.
+//! Lane of each stage, for the newest configuration and for older ones that requests still use.
 
 use std::collections::{BTreeMap, HashMap, HashSet};
 
@@ -9,19 +9,19 @@
 use crate::lane::LaneKey;
 use crate::target::TargetKey;
 
-/// A stage of a service, and the share of its traffic if it is split.
+/// Service, index of the stage, and index of the traffic share if the stage's traffic is split.
 type StageIndex = (ServiceName, usize, Option<usize>);
 
 /// The lanes of one configuration.
 #[derive(Debug, Default)]
 struct Plan {
     lanes: HashMap<StageIndex, LaneKey>,
-    /// Requests that began under it and have not ended.
-    in_work: usize,
+    /// Requests that began under the configuration and have not ended.
+    active_requests: usize,
 }
 
 /// The lanes of all configurations in use. Stages that select the same targets share a lane, also
-/// across services and revisions, so that their requests wait in one order.
+/// across services and revisions, so that their requests wait in one common queue.
 #[derive(Debug, Default)]
 pub(crate) struct Plans {
     by_revision: BTreeMap<Revision, Plan>,
@@ -29,7 +29,7 @@
 }
 
 impl Plans {
-    /// Adds a configuration; `new_lane` makes a lane for a set of targets that has none yet.
+    /// Adds a configuration; `new_lane` creates a lane for a set of targets that has none yet.
     pub(crate) fn add(
         &mut self,
         revision: Revision,
@@ -57,7 +57,7 @@
         self.by_revision.insert(revision, plan);
     }
 
-    /// The lane of a stage under the request's configuration.
+    /// Returns the lane of a stage in the configuration under which the request began.
     pub(crate) fn lane(
         &self,
         req: &SlotRequest<'_>,
@@ -70,23 +70,24 @@
 
     pub(crate) fn begin(&mut self, revision: Revision) {
         if let Some(plan) = self.by_revision.get_mut(&revision) {
-            plan.in_work += 1;
+            plan.active_requests += 1;
         }
     }
 
-    /// Counts a request's end; says whether its configuration is of no more use.
+    /// Counts the end of a request; returns whether its configuration can be dropped.
     pub(crate) fn end(&mut self, revision: Revision) -> bool {
         let newest = self.by_revision.keys().next_back().copied();
         let Some(plan) = self.by_revision.get_mut(&revision) else { return false };
-        plan.in_work = plan.in_work.saturating_sub(1);
-        plan.in_work == 0 && Some(revision) != newest
+        plan.active_requests = plan.active_requests.saturating_sub(1);
+        plan.active_requests == 0 && Some(revision) != newest
     }
 
-    /// Drops configurations that no request uses, but for the newest; gives the lanes that were
-    /// theirs alone.
+    /// Drops the configurations that no request uses, except the newest, and returns the lanes that
+    /// no remaining configuration uses.
     pub(crate) fn drop_unused(&mut self) -> Vec<LaneKey> {
         let newest = self.by_revision.keys().next_back().copied();
-        self.by_revision.retain(|revision, plan| plan.in_work > 0 || Some(*revision) == newest);
+        self.by_revision
+            .retain(|revision, plan| plan.active_requests > 0 || Some(*revision) == newest);
         let plans = self.by_revision.values();
         let used: HashSet<LaneKey> = plans.flat_map(|p| p.lanes.values()).copied().collect();
         let mut unused = Vec::new();
--- a/components/routing/src/queue.rs
+++ b/components/routing/src/queue.rs
@@ -1,4 +1,5 @@
-//! What waits in a lane for one customer in one class, and what was told to come back.
+//! Queue of one customer's requests of one class in a lane, and the scheduled returns of its
+//! refused requests.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::{Duration, Instant};
@@ -8,10 +9,11 @@
 use crate::lane::WaitId;
 use crate::target::TargetKey;
 
-/// Time after which a request that was told to come back is no longer counted on.
-const GRACE: Duration = Duration::from_millis(500);
-/// Most appointments kept; further refusals are told the last one's time and a gap more.
-const MOST_BOOKED: usize = 4096;
+/// Time after its scheduled return at which a refused request is no longer expected.
+const RETURN_GRACE: Duration = Duration::from_millis(500);
+/// Maximum number of scheduled returns kept. Further refused requests are told the time of the last
+/// one plus one gap.
+const MAX_SCHEDULED_RETURNS: usize = 4096;
 
 /// A request that waits for a slot.
 #[derive(Debug, Clone)]
@@ -19,9 +21,10 @@
     pub(crate) id: WaitId,
     pub(crate) customer: CustomerName,
     pub(crate) priority: Priority,
-    /// When the stage must begin at the latest to be of use.
+    /// Latest time at which the stage can start and still meet the deadline.
     pub(crate) start_by: Instant,
-    /// Whether it comes back at the time told; such requests go before the customer's others.
+    /// Whether the request returns after a refusal, at the time told; such requests go before the
+    /// customer's others.
     pub(crate) returning: bool,
     pub(crate) exclude: Vec<TargetKey>,
     pub(crate) prefix: Option<u64>,
@@ -34,16 +37,16 @@
     }
 }
 
-/// Order in which a customer's requests of one class are served: those that come back, then the
-/// least time left first.
+/// Order in which a customer's requests of one class are served: returning requests first, then by
+/// the latest start time.
 pub(crate) type Order = (bool, Instant, WaitId);
 
-/// One customer's requests of one class.
+/// One customer's waiting requests and scheduled returns of one class.
 #[derive(Debug, Default)]
 pub(crate) struct CustomerQueue {
     waiting: BTreeMap<Order, Waiting>,
-    /// Times told to refused requests, rising.
-    booked: VecDeque<Instant>,
+    /// Return times told to refused requests, in ascending order.
+    scheduled_returns: VecDeque<Instant>,
 }
 
 impl CustomerQueue {
@@ -51,9 +54,9 @@
         self.waiting.len()
     }
 
-    /// Whether nothing waits and nothing is booked any more.
+    /// Whether no request waits and no return is scheduled.
     pub(crate) fn is_idle(&self) -> bool {
-        self.waiting.is_empty() && self.booked.is_empty()
+        self.waiting.is_empty() && self.scheduled_returns.is_empty()
     }
 
     pub(crate) fn push(&mut self, waiting: Waiting) {
@@ -76,33 +79,33 @@
         self.waiting.into_values()
     }
 
-    /// Requests served before a new one: those that wait, and those booked to come back before
-    /// it must begin, of which the share `shows` comes.
-    pub(crate) fn ahead(&self, returning: bool, start_by: Instant, shows: f64) -> f64 {
+    /// Expected number of requests served before a new one: those that wait, and those scheduled
+    /// to return before its latest start, weighted by the share that does return.
+    pub(crate) fn ahead(&self, returning: bool, start_by: Instant, return_rate: f64) -> f64 {
         if returning {
             return self.waiting.values().take_while(|w| w.returning).count() as f64;
         }
-        let booked = self.booked.partition_point(|time| *time <= start_by);
-        self.waiting.len() as f64 + shows * booked as f64
+        let scheduled_returns = self.scheduled_returns.partition_point(|time| *time <= start_by);
+        self.waiting.len() as f64 + return_rate * scheduled_returns as f64
     }
 
-    /// Books the first time from `earliest` on that is a `gap` after the last one.
-    pub(crate) fn book(&mut self, earliest: Instant, gap: Duration) -> Instant {
-        let time = self.booked.back().map_or(earliest, |last| earliest.max(*last + gap));
-        if self.booked.len() < MOST_BOOKED {
-            self.booked.push_back(time);
+    /// Schedules a return at `earliest`, or a `gap` after the last scheduled one if that is later.
+    pub(crate) fn schedule_return(&mut self, earliest: Instant, gap: Duration) -> Instant {
+        let time = self.scheduled_returns.back().map_or(earliest, |last| earliest.max(*last + gap));
+        if self.scheduled_returns.len() < MAX_SCHEDULED_RETURNS {
+            self.scheduled_returns.push_back(time);
         }
         time
     }
 
-    /// One that was told to come back has come; says whether it was booked here.
-    pub(crate) fn came_back(&mut self) -> bool {
-        self.booked.pop_front().is_some()
+    /// Removes the first scheduled return as a request has returned; returns whether there was one.
+    pub(crate) fn record_return(&mut self) -> bool {
+        self.scheduled_returns.pop_front().is_some()
     }
 
-    /// Forgets those that did not come back in time; says how many.
-    pub(crate) fn forget_missed(&mut self, now: Instant) -> usize {
-        let missed = self.booked.partition_point(|time| *time + GRACE < now);
-        self.booked.drain(..missed).count()
+    /// Removes the scheduled returns that were missed; returns how many.
+    pub(crate) fn remove_missed_returns(&mut self, now: Instant) -> usize {
+        let missed = self.scheduled_returns.partition_point(|time| *time + RETURN_GRACE < now);
+        self.scheduled_returns.drain(..missed).count()
     }
 }
--- a/components/routing/src/retry.rs
+++ b/components/routing/src/retry.rs
@@ -1,48 +1,49 @@
-//! How often calls are tried again, as a share of those that succeed.
+//! Retry budget: limits retries to a share of the calls that succeed.
 
 use std::time::Instant;
 
-/// Tries again earned by one success.
-const EARNED: f64 = 0.1;
-/// Most tries again saved up.
-const MOST_SAVED: f64 = 20.0;
-/// Tries again earned by a second, so that a quiet VM can still try again.
-const EARNED_PER_SECOND: f64 = 1.0;
-/// What a VM starts with.
-const AT_START: f64 = 5.0;
+/// Retries that one successful call adds to the budget.
+const RETRIES_PER_SUCCESS: f64 = 0.1;
+/// Maximum number of retries in the budget.
+const MAX_RETRIES: f64 = 20.0;
+/// Retries added per second, so that a VM with few requests can still retry.
+const RETRIES_PER_SECOND: f64 = 1.0;
+/// Retries in the budget when the process starts.
+const INITIAL_RETRIES: f64 = 5.0;
 
-/// A budget of tries; keeps amplification at about 1.1 while everything fails.
+/// Token bucket of retries. It keeps the load from retries at about 1.1 times the requests while
+/// all calls fail.
 #[derive(Debug, Clone, Copy)]
 pub struct RetryBudget {
-    saved: f64,
+    available: f64,
     last: Instant,
 }
 
 impl RetryBudget {
-    /// A budget at the start of the process.
+    /// Creates the budget at the start of the process.
     pub fn new(now: Instant) -> Self {
-        RetryBudget { saved: AT_START, last: now }
+        RetryBudget { available: INITIAL_RETRIES, last: now }
     }
 
-    /// Adds what a success earns.
+    /// Adds the retries for one successful call.
     pub fn record_success(&mut self) {
-        self.saved = (self.saved + EARNED).min(MOST_SAVED);
+        self.available = (self.available + RETRIES_PER_SUCCESS).min(MAX_RETRIES);
     }
 
-    /// Takes one try from the budget, if there is one.
+    /// Takes one retry from the budget; returns whether there was one.
     pub fn try_take(&mut self, now: Instant) -> bool {
         let passed = now.saturating_duration_since(self.last).as_secs_f64();
         self.last = now;
-        self.saved = (self.saved + passed * EARNED_PER_SECOND).min(MOST_SAVED);
-        let allowed = self.saved >= 1.0;
+        self.available = (self.available + passed * RETRIES_PER_SECOND).min(MAX_RETRIES);
+        let allowed = self.available >= 1.0;
         if allowed {
-            self.saved -= 1.0;
+            self.available -= 1.0;
         }
         allowed
     }
 
-    /// Tries left.
+    /// Retries left in the budget.
     pub fn available(&self) -> f64 {
-        self.saved
+        self.available
     }
 }
--- a/components/routing/src/router.rs
+++ b/components/routing/src/router.rs
@@ -1,4 +1,5 @@
-//! The router: all targets and lanes of one VM and the decisions on them.
+//! The router: state of all targets and lanes of one VM, admission of requests, and the queues
+//! in which stage calls wait for a slot.
 
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::time::{Duration, Instant};
@@ -17,15 +18,15 @@
 use crate::queue::Waiting;
 use crate::retry::RetryBudget;
 use crate::shares::{self, Sharer};
-use crate::target::{HALF_A_SLOT, TargetKey, TargetState};
+use crate::target::{HALF_SLOT, TargetKey, TargetState};
 use crate::times::StageTimes;
 
-/// Most requests that wait for the slots of one lane, for each slot.
-const QUEUE_PER_SLOT: f64 = 64.0;
-/// Retries of the baselines, which have no budget.
-const BASELINE_RETRIES: u32 = 3;
+/// Maximum number of requests queued in a lane, per slot of the lane.
+const MAX_QUEUED_PER_SLOT: f64 = 64.0;
+/// Maximum number of retries of a call under the baseline policies, which have no retry budget.
+const MAX_BASELINE_RETRIES: u32 = 3;
 
-/// State and decisions of one VM.
+/// Routing state of one VM: targets, lanes, stage times and the retry budget.
 #[derive(Debug)]
 pub struct Router {
     pub(crate) policy: Policy,
@@ -39,15 +40,15 @@
     pub(crate) times: HashMap<(ServiceName, StageName), StageTimes>,
     pub(crate) budget: RetryBudget,
     pub(crate) next_wait: u64,
-    pub(crate) turn: usize,
+    pub(crate) next_turn: usize,
     pub(crate) own: VmName,
     pub(crate) sharers: Vec<Sharer>,
-    /// VMs that have calls under way, this one included.
+    /// Number of VMs that have calls in flight, this one included.
     pub(crate) busy: usize,
 }
 
 impl Router {
-    /// A router that knows no target yet.
+    /// Creates a router with no targets. `own` is this VM, `seed` seeds the random target choice.
     pub fn new(policy: Policy, own: Sharer, seed: u64, now: Instant) -> Self {
         Router {
             policy,
@@ -64,12 +65,13 @@
             times: HashMap::new(),
             budget: RetryBudget::new(now),
             next_wait: 0,
-            turn: 0,
+            next_turn: 0,
         }
     }
 
-    /// Takes over a configuration; what is known of targets that stay is kept. Requests that
-    /// began under an earlier one go on with its targets.
+    /// Applies a configuration and returns what became of waiting requests. The state of targets
+    /// that stay is kept. Requests that began under an earlier configuration continue with its
+    /// targets.
     pub fn apply(
         &mut self,
         revision: Revision,
@@ -77,13 +79,13 @@
         now: Instant,
     ) -> Vec<WaitUpdate> {
         self.by_name = self.declare_targets(catalogue);
-        self.deal();
+        self.assign_slots();
         self.shares = catalogue.customers.values().map(|c| (c.name.clone(), c.share)).collect();
         let by_name = &self.by_name;
         let lanes = &mut self.lanes;
         self.plans.add(revision, catalogue, by_name, |targets| lanes.insert(Lane::new(targets)));
         let mut updates = self.drop_unused();
-        updates.extend(self.serve_all(now));
+        updates.extend(self.serve_all_lanes(now));
         updates
     }
 
@@ -98,22 +100,23 @@
         declared
     }
 
-    /// Notes that a request began under the configuration, which is kept until it ends.
+    /// Records that a request began under the configuration, which is kept until the request ends.
     pub fn begin_request(&mut self, revision: Revision) {
         self.plans.begin(revision);
     }
 
-    /// Notes that a request ended that began under the configuration.
+    /// Records the end of a request that began under the configuration. Drops the configuration
+    /// if nothing uses it any more, and returns what became of requests still waiting under it.
     pub fn end_request(&mut self, revision: Revision) -> Vec<WaitUpdate> {
         if self.plans.end(revision) { self.drop_unused() } else { Vec::new() }
     }
 
-    /// Drops lanes and targets that no kept configuration has.
+    /// Drops lanes and targets that belong to no kept configuration.
     fn drop_unused(&mut self) -> Vec<WaitUpdate> {
         let mut updates = Vec::new();
         for key in self.plans.drop_unused() {
             if let Some(mut lane) = self.lanes.remove(key) {
-                let refused = SlotRefusal::NoTarget { retry_after: admission::LEAST_COME_BACK };
+                let refused = SlotRefusal::NoTarget { retry_after: admission::MIN_RETRY_AFTER };
                 updates.extend(lane.take_all().iter().map(|w| WaitUpdate::Refused(w.id, refused)));
             }
         }
@@ -123,7 +126,10 @@
         updates
     }
 
-    /// Whether a request should be begun; `req` is one for its first stage.
+    /// Decides whether to start a request; `req` is the slot request of its first stage.
+    ///
+    /// # Errors
+    /// [`SlotRefusal::TooLate`] if the expected waits and stage times exceed the time to the deadline.
     pub fn admit(&mut self, req: &SlotRequest<'_>, now: Instant) -> Admission {
         if self.policy != Policy::Adaptive {
             return Ok(());
@@ -143,14 +149,15 @@
         let retry_after = admission::retry_after(needed, left);
         Err(SlotRefusal::TooLate {
             retry_after: match longest {
-                Some((lane, _)) => self.book(lane, req, retry_after, now),
+                Some((lane, _)) => self.schedule_return(lane, req, retry_after, now),
                 None => retry_after,
             },
         })
     }
 
-    /// Books a time for a refused request, `earliest` from now or later.
-    fn book(
+    /// Schedules the return of a refused request, at least `earliest` from now, and returns the
+    /// time until then.
+    fn schedule_return(
         &mut self,
         lane: LaneKey,
         req: &SlotRequest<'_>,
@@ -159,18 +166,18 @@
     ) -> Duration {
         let slots = self.lanes.get(lane).map_or(1.0, |lane| self.slots_of(lane, req.priority, now));
         let Some(lane) = self.lanes.get_mut(lane) else { return earliest };
-        let time = lane.book(req.customer, req.priority, now + earliest, slots, now);
-        admission::bounded(time.saturating_duration_since(now))
+        let time = lane.schedule_return(req.customer, req.priority, now + earliest, slots, now);
+        admission::clamp_retry_after(time.saturating_duration_since(now))
     }
 
-    /// Finds a slot for a stage's call.
+    /// Grants a slot for a stage's call, queues the request, or refuses it.
     pub fn request_slot(&mut self, req: &SlotRequest<'_>, now: Instant) -> SlotAnswer {
         let Some(stage) = req.service.stages.get(req.stage) else {
             return SlotAnswer::Refused(SlotRefusal::NoTarget { retry_after: Duration::ZERO });
         };
         let share = self.pick_share(stage);
         let Some(lane_key) = self.plans.lane(req, req.stage, share) else {
-            let retry_after = admission::LEAST_COME_BACK;
+            let retry_after = admission::MIN_RETRY_AFTER;
             return SlotAnswer::Refused(SlotRefusal::NoTarget { retry_after });
         };
         if self.policy != Policy::Adaptive {
@@ -179,7 +186,7 @@
         if req.returning
             && let Some(lane) = self.lanes.get_mut(lane_key)
         {
-            lane.came_back(req.customer, req.priority);
+            lane.record_return(req.customer, req.priority);
         }
         let after = self.time_from(req.service, req.stage, now);
         let left = req.deadline.saturating_duration_since(now);
@@ -198,7 +205,7 @@
         now: Instant,
     ) -> SlotAnswer {
         if let Some(lane) = self.lanes.get_mut(lane_key) {
-            lane.usage.asked(req.priority, start_by.saturating_duration_since(now));
+            lane.usage.record_slack(req.priority, start_by.saturating_duration_since(now));
         }
         if let Some(grant) = self.grant_at_once(lane_key, req, now) {
             return SlotAnswer::Granted(grant);
@@ -209,7 +216,7 @@
         }
     }
 
-    /// A slot for a request that need not wait for others of its class.
+    /// Returns a slot if one is free and no request of the same or a more urgent class waits.
     fn grant_at_once(
         &mut self,
         lane_key: LaneKey,
@@ -220,11 +227,11 @@
             return None;
         }
         let grant = self.grant_from(lane_key, req.priority, &req.exclude, req.prefix, now)?;
-        self.count_grant(lane_key, req.customer, req.priority);
+        self.record_grant(lane_key, req.customer, req.priority);
         Some(grant)
     }
 
-    /// Why waiting in the lane would be of no use, if it would not.
+    /// Returns the reason for which the request should not be queued, if there is one.
     fn refusal(
         &mut self,
         lane_key: LaneKey,
@@ -244,10 +251,10 @@
         if !admission::fits(wait, left) {
             let earliest = admission::retry_after(wait, left);
             return Some(SlotRefusal::TooLate {
-                retry_after: self.book(lane_key, req, earliest, now),
+                retry_after: self.schedule_return(lane_key, req, earliest, now),
             });
         }
-        let full = QUEUE_PER_SLOT * self.slots_of(lane, req.priority, now);
+        let full = MAX_QUEUED_PER_SLOT * self.slots_of(lane, req.priority, now);
         let retry_after = admission::retry_after(wait, Duration::ZERO);
         (lane.len() as f64 >= full).then_some(SlotRefusal::QueueFull { retry_after })
     }
@@ -276,20 +283,22 @@
         id
     }
 
-    /// Whether a call may be tried again; counts the try.
+    /// Reports whether a call may be retried after `tries` attempts; a retry that is allowed is
+    /// taken from the retry budget.
     pub fn may_retry(&mut self, tries: u32, now: Instant) -> bool {
         match self.policy {
             Policy::Adaptive => self.budget.try_take(now),
-            Policy::RoundRobin | Policy::FirstInOrder => tries <= BASELINE_RETRIES,
+            Policy::RoundRobin | Policy::FirstInOrder => tries <= MAX_BASELINE_RETRIES,
         }
     }
 
-    /// Refuses whoever waited too long and gives slots that have become usable.
+    /// Refuses waiting requests that can no longer meet their deadline, and grants slots that
+    /// became usable.
     pub fn tick(&mut self, now: Instant) -> Vec<WaitUpdate> {
         let mut updates = Vec::new();
         let keys: Vec<LaneKey> = self.lanes.keys().collect();
         for key in keys {
-            let late = self.lanes.get_mut(key).map(|l| l.take_late(now)).unwrap_or_default();
+            let late = self.lanes.get_mut(key).map(|l| l.take_expired(now)).unwrap_or_default();
             let Some(lane) = self.lanes.get(key) else {
                 continue;
             };
@@ -297,40 +306,40 @@
                 let slots = self.slots_of(lane, waiting.priority, now);
                 let (customer, class) = (&waiting.customer, waiting.priority);
                 let order = (waiting.returning, waiting.start_by);
-                let wait = lane.wait(customer, class, order, slots, now);
+                let wait = lane.expected_wait(customer, class, order, slots, now);
                 let retry_after = admission::retry_after(wait, Duration::ZERO);
                 updates.push(WaitUpdate::Refused(waiting.id, SlotRefusal::TooLate { retry_after }));
             }
         }
-        updates.extend(self.serve_all(now));
+        updates.extend(self.serve_all_lanes(now));
         updates
     }
 
-    /// Marks the targets that are leaving, and no others.
+    /// Sets the leaving mark of every target.
     pub fn set_leaving(&mut self, is_leaving: impl Fn(&TargetName) -> bool) {
         for target in self.targets.values_mut() {
             target.leaving = is_leaving(&target.name);
         }
     }
 
-    /// Sets the VMs that share the targets' slots, this one included.
+    /// Sets the VMs among which the targets' slots are divided, this one included.
     pub fn set_sharers(&mut self, mut sharers: Vec<Sharer>) {
         sharers.sort();
         if sharers != self.sharers {
             self.sharers = sharers;
-            self.deal();
+            self.assign_slots();
         }
     }
 
-    fn deal(&mut self) {
+    fn assign_slots(&mut self) {
         for target in self.targets.values_mut() {
             let of = (&target.name, &target.hall, target.slots);
-            target.dealt = shares::dealt(of, &self.own, &self.sharers);
+            target.assigned = shares::assigned_slots(of, &self.own, &self.sharers);
         }
     }
 
-    /// Sets the calls that other VMs have under way at each target, and how many other VMs have
-    /// any.
+    /// Sets the number of calls that other VMs have in flight at each target, and the number of
+    /// other VMs that have any calls in flight.
     pub fn set_peer_loads(&mut self, calls: impl Fn(&TargetName) -> u32, busy_peers: usize) {
         self.busy = busy_peers + 1;
         for target in self.targets.values_mut() {
@@ -338,39 +347,40 @@
         }
     }
 
-    /// Calls under way from here, by target, where there are any.
+    /// Calls in flight from this VM by target, for targets that have any.
     pub fn own_loads(&self) -> impl Iterator<Item = (&TargetName, u32)> {
         self.targets.values().filter(|t| t.in_flight > 0).map(|t| (&t.name, t.in_flight))
     }
 
-    /// Requests that wait for a slot.
+    /// Number of requests that wait for a slot.
     pub fn waiting(&self) -> usize {
         self.lanes.values().map(Lane::len).sum()
     }
 
-    /// Tries left in the retry budget.
+    /// Retries left in the retry budget.
     pub fn retries_left(&self) -> f64 {
         self.budget.available()
     }
 
-    /// Every target's state.
+    /// Returns the state of every target of the newest configuration.
     pub fn dump(&self, now: Instant) -> Vec<TargetDump> {
         let dump = |t: &TargetState| TargetDump {
             name: t.name.clone(),
             hall: t.hall.clone(),
             in_flight: t.in_flight,
             by_peers: t.by_peers,
-            dealt: t.dealt,
+            dealt: t.assigned,
             limit: t.limit.value(),
             load: t.load(now),
             leaving: t.leaving,
-            ejected: !t.health.usable(now),
+            ejected: !t.health.is_usable(now),
             calls: t.calls,
         };
         self.by_name.values().filter_map(|key| self.targets.get(*key)).map(dump).collect()
     }
 
-    /// The share of the stage's traffic to which a request goes, by the weights.
+    /// Picks the index of a traffic share at random, in proportion to the weights; `None` if the
+    /// stage's traffic is not split.
     fn pick_share(&mut self, stage: &Stage) -> Option<usize> {
         let total: u32 = stage.split.iter().map(|s| s.weight).sum();
         if total == 0 {
@@ -384,42 +394,45 @@
         })
     }
 
-    /// Expected time of the stages from `first` on; 0 for those with no fresh estimate.
+    /// Expected time of the stages from `first` on, with a safety margin. Stages with no fresh
+    /// estimate count as 0.
     fn time_from(&self, service: &Service, first: usize, now: Instant) -> Duration {
         let estimate = |stage: &Stage| {
             let times = self.times.get(&(service.name.clone(), stage.name.clone()))?;
-            (times.age(now) < admission::ESTIMATE_LIFE).then(|| times.expected())
+            (times.age(now) < admission::ESTIMATE_TTL).then(|| times.expected())
         };
         let stages = service.stages.iter().skip(first);
-        stages.filter_map(estimate).sum::<Duration>().mul_f64(admission::MARGIN)
+        stages.filter_map(estimate).sum::<Duration>().mul_f64(admission::TIME_MARGIN)
     }
 
-    /// Time that a new request waits in the lane, as far as can be told.
+    /// Estimated time that a new request waits in the lane.
     fn wait_in(&self, lane: &Lane, req: &SlotRequest<'_>, now: Instant) -> Duration {
         let slots = self.slots_of(lane, req.priority, now);
         let idle = slots - self.in_flight(lane) - lane.usage.headroom(req.priority, now);
-        if !lane.has_waiting_up_to(req.priority) && idle >= HALF_A_SLOT {
+        if !lane.has_waiting_up_to(req.priority) && idle >= HALF_SLOT {
             return Duration::ZERO;
         }
-        lane.wait(req.customer, req.priority, (req.returning, req.deadline), slots, now)
+        lane.expected_wait(req.customer, req.priority, (req.returning, req.deadline), slots, now)
     }
 
-    /// Calls under way from here to the lane's targets.
+    /// Calls in flight from this VM to the lane's targets.
     pub(crate) fn in_flight(&self, lane: &Lane) -> f64 {
         let states = lane.targets.iter().filter_map(|key| self.targets.get(*key));
         f64::from(states.map(|t| t.in_flight).sum::<u32>())
     }
 
-    /// Slots of the lane that this VM may use for the class.
+    /// Slots of the lane that this VM may use for the class, at least 1.
     pub(crate) fn slots_of(&self, lane: &Lane, class: Priority, now: Instant) -> f64 {
         let states = lane.targets.iter().filter_map(|key| self.targets.get(*key));
-        let usable = states.filter(|t| !t.leaving && t.health.usable(now));
+        let usable = states.filter(|t| !t.leaving && t.health.is_usable(now));
         usable.map(|t| t.allowance(class, self.busy, now)).sum::<f64>().max(1.0)
     }
 
+    /// Time until the first ejected target of the lane gets a call again.
     fn next_probe(&self, lane: &Lane, now: Instant) -> Duration {
-        let untils = lane.targets.iter().filter_map(|key| self.targets.get(*key)?.health.until());
+        let untils =
+            lane.targets.iter().filter_map(|key| self.targets.get(*key)?.health.ejected_until());
         let wait = untils.min().map_or(Duration::ZERO, |u| u.saturating_duration_since(now));
-        wait.max(admission::LEAST_COME_BACK)
+        wait.max(admission::MIN_RETRY_AFTER)
     }
 }
--- a/components/routing/src/shares.rs
+++ b/components/routing/src/shares.rs
@@ -1,22 +1,22 @@
-//! How the slots of a target are dealt to the VMs that may use it.
+//! Division of the slots of a target among the VMs that may use it.
 //!
-//! Each VM computes the same deal from the same list of VMs, so that together they give a target
-//! as much as it can run, without asking each other. What others leave idle may be borrowed.
+//! Each VM computes the same division from the same list of VMs. So together they send a target as
+//! much as it can run, without coordination. Slots that others leave idle may be borrowed.
 
 use ids::{HallName, TargetName, VmName};
 
-/// A VM that takes part in the deal.
+/// A VM among those that share the slots of targets.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Sharer {
-    /// Its name.
+    /// Name of the VM.
     pub vm: VmName,
-    /// Its data hall.
+    /// Data hall of the VM.
     pub hall: HallName,
 }
 
-/// Slots of a target dealt to `own`: those of the target's hall get them, or all VMs if that hall
-/// has none. The shares of all VMs add up to `slots`.
-pub(crate) fn dealt(
+/// Number of slots of a target assigned to `own`. The slots are divided among the VMs of the
+/// target's hall, or among all VMs if that hall has none. The shares of all VMs add up to `slots`.
+pub(crate) fn assigned_slots(
     (target, hall, slots): (&TargetName, &HallName, u32),
     own: &VmName,
     sharers: &[Sharer],
@@ -27,7 +27,7 @@
         return 0;
     }
     let count = u32::try_from(among().count()).unwrap_or(u32::MAX);
-    // What does not divide goes to the first by rendezvous hashing, others for each target.
+    // The remainder goes to the first VMs by rendezvous hashing, which differ between targets.
     let place = |vm: &VmName| (place_of(target, vm), vm.clone());
     let own_place = place(own);
     let before = among().filter(|vm| place(vm) < own_place).count();
--- a/components/routing/src/target.rs
+++ b/components/routing/src/target.rs
@@ -1,4 +1,4 @@
-//! What a VM knows of one target.
+//! State of one target as this VM knows it: calls in flight, limit, health and reported load.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -11,23 +11,23 @@
 use crate::limit::Limit;
 
 new_key_type! {
-    /// Key of a target in the router's arena.
+    /// Key of a target in the router's slot map.
     pub struct TargetKey;
 }
 
-/// An allowance is rounded to whole calls, so that fractions even out over the targets.
-pub(crate) const HALF_A_SLOT: f64 = 0.5;
-/// Part of a target's limit that background work does not borrow.
-const BORROW_RESERVE: f64 = 0.25;
-/// A report of load older than this says nothing.
-const REPORT_LIFE: Duration = Duration::from_secs(3);
+/// Half a slot: allowances are rounded to whole calls, so that fractions even out over the targets.
+pub(crate) const HALF_SLOT: f64 = 0.5;
+/// Share of a target's limit that background work does not borrow.
+const BACKGROUND_RESERVE: f64 = 0.25;
+/// Age from which a load report is ignored.
+const REPORT_TTL: Duration = Duration::from_secs(3);
 
-/// A target's own word on its load.
+/// Load that a target reports of itself.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct LoadReport {
-    /// Calls that it runs.
+    /// Calls that it is running.
     pub running: u32,
-    /// Calls that wait at it.
+    /// Calls that wait in its queue.
     pub queued: u32,
 }
 
@@ -40,8 +40,8 @@
     pub(crate) slots: u32,
     pub(crate) in_flight: u32,
     pub(crate) by_peers: u32,
-    /// Slots dealt to this VM.
-    pub(crate) dealt: u32,
+    /// Slots assigned to this VM.
+    pub(crate) assigned: u32,
     pub(crate) limit: Limit,
     pub(crate) health: Health,
     pub(crate) leaving: bool,
@@ -58,7 +58,7 @@
             slots: target.slots,
             in_flight: 0,
             by_peers: 0,
-            dealt: target.slots,
+            assigned: target.slots,
             limit: Limit::new(target.slots),
             health: Health::default(),
             leaving: false,
@@ -67,53 +67,54 @@
         }
     }
 
-    /// Whether the declaration is of this very target, labels aside.
+    /// Whether the declaration has the same address, hall and slots; labels may differ.
     pub(crate) fn is_same(&self, declared: &Target) -> bool {
         self.address == declared.address
             && self.hall == declared.hall
             && self.slots == declared.slots
     }
 
-    /// Calls that this VM may have under way for a class: its own share, and its part of what
-    /// others leave idle, with `busy` VMs that may want it.
+    /// Number of calls that this VM may have in flight for a class: its own share, plus its part
+    /// of the slots that others leave idle, which `busy` VMs may borrow.
     ///
-    /// Background work holds its slots long, and what is known of others is about a second old.
-    /// So it leaves a part of what looks idle, and gives way where others were before it.
+    /// Background work holds its slots long, and the counts of other VMs are about a second old.
+    /// So it leaves a part of the slots that look idle, and its own share shrinks to the free
+    /// slots, though not below one, where other VMs already use more than theirs.
     pub(crate) fn allowance(&self, class: Priority, busy: usize, now: Instant) -> f64 {
         let limit = self.limit.value();
-        let dealt = f64::from(self.dealt) * limit / f64::from(self.slots);
-        let dealt = if self.dealt > 0 { dealt.max(1.0) } else { dealt };
+        let assigned = f64::from(self.assigned) * limit / f64::from(self.slots);
+        let assigned = if self.assigned > 0 { assigned.max(1.0) } else { assigned };
         let free = limit - f64::from(self.others(now));
         let (own, idle) = match class {
             Priority::Background => {
-                let own = if self.dealt > 0 { dealt.min(free.max(1.0)) } else { 0.0 };
-                (own, free - dealt - BORROW_RESERVE * limit)
+                let own = if self.assigned > 0 { assigned.min(free.max(1.0)) } else { 0.0 };
+                (own, free - assigned - BACKGROUND_RESERVE * limit)
             }
-            Priority::Interactive | Priority::Standard => (dealt, free - dealt),
+            Priority::Interactive | Priority::Standard => (assigned, free - assigned),
         };
         own + idle.max(0.0) / busy.max(1) as f64
     }
 
     pub(crate) fn has_room(&self, class: Priority, busy: usize, now: Instant) -> bool {
         let allowance = self.allowance(class, busy, now);
-        !self.leaving && f64::from(self.in_flight) + HALF_A_SLOT <= allowance
+        !self.leaving && f64::from(self.in_flight) + HALF_SLOT <= allowance
     }
 
     pub(crate) fn set_report(&mut self, report: LoadReport, now: Instant) {
         self.report = Some((report, now));
     }
 
-    /// Load for comparison: calls known for each slot.
+    /// Load for comparison: known calls in flight per slot.
     pub(crate) fn load(&self, now: Instant) -> f64 {
         f64::from(self.in_flight + self.others(now)) / f64::from(self.slots)
     }
 
-    /// Calls under way from other VMs.
+    /// Estimated number of calls from other VMs.
     ///
-    /// The own count is exact, the peers' about a second old, the report as late as the target
-    /// makes it, so the larger of the last two stands for what others send.
+    /// The count of this VM is exact, the counts of peers are about a second old, and the load
+    /// report may be late. So the larger of the last two is used.
     fn others(&self, now: Instant) -> u32 {
-        let fresh = self.report.filter(|(_, at)| now.saturating_duration_since(*at) < REPORT_LIFE);
+        let fresh = self.report.filter(|(_, at)| now.saturating_duration_since(*at) < REPORT_TTL);
         let reported = fresh.map_or(0, |(r, _)| r.running + r.queued);
         self.by_peers.max(reported.saturating_sub(self.in_flight))
     }
--- a/components/routing/src/times.rs
+++ b/components/routing/src/times.rs
@@ -1,48 +1,49 @@
-//! Observed times of stages.
+//! Running estimates of how long the calls of a stage take.
 
 use std::time::{Duration, Instant};
 
-/// Weight of a new sample in the mean.
+/// Weight of a new sample in the mean and in the mean deviation.
 const MEAN_WEIGHT: f64 = 0.1;
-/// Weight of a sample below the baseline.
+/// Weight in the baseline of a sample below it.
 const DOWN_WEIGHT: f64 = 0.2;
-/// Weight of a sample above the baseline; small, so that the baseline stays low under load.
+/// Weight in the baseline of a sample above it; small, so that the baseline stays near the
+/// unloaded time under load.
 const UP_WEIGHT: f64 = 0.005;
 
-/// Spreads above the mean that a stage is given.
-const SPREADS: f64 = 2.0;
+/// Number of mean deviations added to the mean for the expected time of a stage.
+const DEVIATIONS: f64 = 2.0;
 
-/// Running mean and unloaded baseline of one stage's times, in seconds.
+/// Running mean, mean deviation and unloaded baseline of one stage's call times, in seconds.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct StageTimes {
     mean: f64,
-    /// Mean distance from the mean.
-    spread: f64,
+    /// Mean absolute deviation from the mean.
+    deviation: f64,
     baseline: f64,
     last: Instant,
 }
 
 impl StageTimes {
-    pub(crate) fn first(took: Duration, now: Instant) -> Self {
+    pub(crate) fn new(took: Duration, now: Instant) -> Self {
         let seconds = took.as_secs_f64();
-        StageTimes { mean: seconds, spread: 0.0, baseline: seconds, last: now }
+        StageTimes { mean: seconds, deviation: 0.0, baseline: seconds, last: now }
     }
 
-    pub(crate) fn add(&mut self, took: Duration, now: Instant) {
+    pub(crate) fn record(&mut self, took: Duration, now: Instant) {
         let seconds = took.as_secs_f64();
-        self.spread += MEAN_WEIGHT * ((seconds - self.mean).abs() - self.spread);
+        self.deviation += MEAN_WEIGHT * ((seconds - self.mean).abs() - self.deviation);
         self.mean += MEAN_WEIGHT * (seconds - self.mean);
         let weight = if seconds < self.baseline { DOWN_WEIGHT } else { UP_WEIGHT };
         self.baseline += weight * (seconds - self.baseline);
         self.last = now;
     }
 
-    /// Time that nearly all take.
+    /// Time within which nearly all calls of the stage end.
     pub(crate) fn expected(&self) -> Duration {
-        Duration::from_secs_f64(self.mean + SPREADS * self.spread)
+        Duration::from_secs_f64(self.mean + DEVIATIONS * self.deviation)
     }
 
-    /// How many times longer than unloaded `took` is.
+    /// Ratio of `took` to the unloaded baseline.
     pub(crate) fn ratio(&self, took: Duration) -> f64 {
         took.as_secs_f64() / self.baseline.max(1e-6)
     }
--- a/components/routing/tests/decisions.rs
+++ b/components/routing/tests/decisions.rs
@@ -1,6 +1,6 @@
-//! The router's decisions, with the time moved by hand.
+//! Tests of the router's decisions on a simulated clock.
 
-// A helper that can't go on fails its test.
+// A failed `expect` in a helper function fails its test.
 #![allow(clippy::expect_used)]
 
 use std::collections::{BTreeMap, HashSet};
@@ -23,7 +23,8 @@
     Sharer { vm: VmName::new(vm).expect("name"), hall: HallName::new(hall).expect("name") }
 }
 
-/// Targets by name, hall and slots, in one pool, and a service of one stage over them.
+/// Builds a catalogue of targets, given by name, hall and slots, and a service `s` with one stage
+/// that selects all of them.
 fn catalogue(targets: &[(&str, &str, u32)]) -> Catalogue {
     let mut text = "customer: {name: small}\n---\ncustomer: {name: large}\n".to_owned();
     for (index, (name, hall, slots)) in targets.iter().enumerate() {
@@ -40,19 +41,19 @@
     catalogue
 }
 
-struct Bench {
+struct Fixture {
     router: Router,
     catalogue: Catalogue,
     now: Instant,
 }
 
-impl Bench {
+impl Fixture {
     fn new(targets: &[(&str, &str, u32)]) -> Self {
         let now = Instant::now();
         let mut router = Router::new(Policy::Adaptive, sharer("vm-1", "hall-a"), 1, now);
         let catalogue = catalogue(targets);
         router.apply(FIRST, &catalogue, now);
-        Bench { router, catalogue, now }
+        Fixture { router, catalogue, now }
     }
 
     fn service(&self) -> &Service {
@@ -130,32 +131,32 @@
 
 #[test]
 fn gives_a_target_no_more_calls_than_it_has_slots() {
-    let mut bench = Bench::new(&[("t1", "hall-a", 2), ("t2", "hall-a", 3)]);
+    let mut fixture = Fixture::new(&[("t1", "hall-a", 2), ("t2", "hall-a", 3)]);
 
-    let targets: Vec<String> = (0..5).map(|_| bench.grant().name.to_string()).collect();
+    let targets: Vec<String> = (0..5).map(|_| fixture.grant().name.to_string()).collect();
 
     let count = |name: &str| targets.iter().filter(|t| *t == name).count();
     assert_eq!((count("t1"), count("t2")), (2, 3));
-    bench.queue("small", Priority::Standard);
+    fixture.queue("small", Priority::Standard);
 }
 
 #[test]
 fn serves_urgent_classes_first_and_the_least_urgent_for_a_twentieth_of_the_time() {
-    let mut bench = Bench::new(&[("t1", "hall-a", 1)]);
-    let mut slot = bench.grant().slot;
+    let mut fixture = Fixture::new(&[("t1", "hall-a", 1)]);
+    let mut slot = fixture.grant().slot;
     let background: Vec<WaitId> =
-        (0..10).map(|_| bench.queue("small", Priority::Background)).collect();
+        (0..10).map(|_| fixture.queue("small", Priority::Background)).collect();
     let urgent: Vec<WaitId> =
-        (0..20).map(|_| bench.queue("small", Priority::Interactive)).collect();
+        (0..20).map(|_| fixture.queue("small", Priority::Interactive)).collect();
 
     // Background calls take four times as long, so one in eighty is a twentieth of the time.
     let mut order = Vec::new();
     for _ in 0..130 {
         let took = if order.last().is_some_and(|id| background.contains(id)) { 40 } else { 10 };
-        let updates = bench.release(slot, CallEnd::Answered, took * MS);
+        let updates = fixture.release(slot, CallEnd::Answered, took * MS);
         order.extend(granted(&updates));
         slot = slot_of(&updates);
-        bench.queue("small", Priority::Interactive);
+        fixture.queue("small", Priority::Interactive);
     }
 
     assert_eq!(order[0], urgent[0]);
@@ -166,16 +167,16 @@
 
 #[test]
 fn a_large_customer_does_not_starve_a_small_one() {
-    let mut bench = Bench::new(&[("t1", "hall-a", 1)]);
-    let mut slot = bench.grant().slot;
+    let mut fixture = Fixture::new(&[("t1", "hall-a", 1)]);
+    let mut slot = fixture.grant().slot;
     for _ in 0..50 {
-        bench.queue("large", Priority::Standard);
+        fixture.queue("large", Priority::Standard);
     }
-    let small: Vec<WaitId> = (0..3).map(|_| bench.queue("small", Priority::Standard)).collect();
+    let small: Vec<WaitId> = (0..3).map(|_| fixture.queue("small", Priority::Standard)).collect();
 
     let mut order = Vec::new();
     for _ in 0..8 {
-        let updates = bench.release(slot, CallEnd::Answered, 10 * MS);
+        let updates = fixture.release(slot, CallEnd::Answered, 10 * MS);
         order.extend(granted(&updates));
         slot = slot_of(&updates);
     }
@@ -185,13 +186,13 @@
 
 #[test]
 fn refuses_at_once_what_cannot_be_done_in_time() {
-    let mut bench = Bench::new(&[("t1", "hall-a", 1)]);
-    let slot = bench.grant().slot;
-    bench.release(slot, CallEnd::Answered, 400 * MS);
-    bench.grant();
+    let mut fixture = Fixture::new(&[("t1", "hall-a", 1)]);
+    let slot = fixture.grant().slot;
+    fixture.release(slot, CallEnd::Answered, 400 * MS);
+    fixture.grant();
 
-    let short = bench.ask("small", Priority::Standard, 300 * MS);
-    let behind = bench.ask("small", Priority::Standard, 600 * MS);
+    let short = fixture.ask("small", Priority::Standard, 300 * MS);
+    let behind = fixture.ask("small", Priority::Standard, 600 * MS);
 
     assert!(matches!(short, SlotAnswer::Refused(SlotRefusal::TooLate { .. })), "{short:?}");
     let SlotAnswer::Refused(SlotRefusal::TooLate { retry_after }) = behind else {
@@ -202,78 +203,79 @@
 
 #[test]
 fn drops_waiting_requests_when_they_can_no_longer_be_in_time() {
-    let mut bench = Bench::new(&[("t1", "hall-a", 1)]);
-    bench.grant();
-    let SlotAnswer::Queued(id) = bench.ask("small", Priority::Standard, 500 * MS) else {
+    let mut fixture = Fixture::new(&[("t1", "hall-a", 1)]);
+    fixture.grant();
+    let SlotAnswer::Queued(id) = fixture.ask("small", Priority::Standard, 500 * MS) else {
         panic!("not queued")
     };
 
-    bench.now += 499 * MS;
-    assert!(bench.router.tick(bench.now).is_empty());
-    bench.now += MS;
-    let updates = bench.router.tick(bench.now);
+    fixture.now += 499 * MS;
+    assert!(fixture.router.tick(fixture.now).is_empty());
+    fixture.now += MS;
+    let updates = fixture.router.tick(fixture.now);
 
     assert!(
         matches!(updates[..], [WaitUpdate::Refused(w, SlotRefusal::TooLate { .. })] if w == id)
     );
-    assert_eq!(bench.router.waiting(), 0);
+    assert_eq!(fixture.router.waiting(), 0);
 }
 
 #[test]
-fn leaves_room_for_urgent_work_that_comes_steadily() {
-    let mut bench = Bench::new(&[("t1", "hall-a", 4)]);
-    // Two slots of interactive work on average for some time.
+fn keeps_headroom_for_steady_urgent_work() {
+    let mut fixture = Fixture::new(&[("t1", "hall-a", 4)]);
+    // Interactive work uses two slots on average.
     for _ in 0..40 {
         let slots: Vec<Slot> = (0..2)
-            .map(|_| match bench.ask("small", Priority::Interactive, 10 * SECOND) {
+            .map(|_| match fixture.ask("small", Priority::Interactive, 10 * SECOND) {
                 SlotAnswer::Granted(grant) => grant.slot,
                 other => panic!("{other:?}"),
             })
             .collect();
-        bench.now += 500 * MS;
+        fixture.now += 500 * MS;
         for slot in slots {
-            bench.release(slot, CallEnd::Answered, 500 * MS);
+            fixture.release(slot, CallEnd::Answered, 500 * MS);
         }
     }
 
     let taken = (0..4)
-        .map(|_| bench.ask("large", Priority::Background, 60 * SECOND))
+        .map(|_| fixture.ask("large", Priority::Background, 60 * SECOND))
         .filter(|a| matches!(a, SlotAnswer::Granted(_)))
         .count();
-    let urgent = bench.ask("small", Priority::Interactive, SECOND);
+    let urgent = fixture.ask("small", Priority::Interactive, SECOND);
 
     assert!((1..=2).contains(&taken), "{taken} of 4 slots went to background work");
     assert!(matches!(urgent, SlotAnswer::Granted(_)), "{urgent:?}");
 }
 
 #[test]
-fn goes_to_another_hall_only_when_its_own_is_full() {
-    let mut bench = Bench::new(&[("near", "hall-a", 2), ("far", "hall-b", 2)]);
+fn uses_another_hall_only_when_its_own_is_full() {
+    let mut fixture = Fixture::new(&[("near", "hall-a", 2), ("far", "hall-b", 2)]);
 
-    let first: Vec<String> = (0..2).map(|_| bench.grant().name.to_string()).collect();
-    let third = bench.grant().name.to_string();
+    let first: Vec<String> = (0..2).map(|_| fixture.grant().name.to_string()).collect();
+    let third = fixture.grant().name.to_string();
 
     assert_eq!(first, ["near", "near"]);
     assert_eq!(third, "far");
 }
 
 #[test]
-fn a_leaving_target_gets_nothing_more() {
-    let mut bench = Bench::new(&[("t1", "hall-a", 4), ("t2", "hall-a", 4)]);
+fn a_leaving_target_gets_no_new_calls() {
+    let mut fixture = Fixture::new(&[("t1", "hall-a", 4), ("t2", "hall-a", 4)]);
     let name = TargetName::new("t1").expect("name");
 
-    bench.router.set_leaving(|target| *target == name);
+    fixture.router.set_leaving(|target| *target == name);
 
-    let targets: HashSet<String> = (0..4).map(|_| bench.grant().name.to_string()).collect();
+    let targets: HashSet<String> = (0..4).map(|_| fixture.grant().name.to_string()).collect();
     assert_eq!(targets, HashSet::from(["t2".to_owned()]));
 }
 
 #[test]
 fn keeps_a_prefix_at_its_home_until_that_is_loaded_beyond_the_bound() {
-    let mut bench = Bench::new(&[("t1", "hall-a", 8), ("t2", "hall-a", 8), ("t3", "hall-a", 8)]);
+    let mut fixture =
+        Fixture::new(&[("t1", "hall-a", 8), ("t2", "hall-a", 8), ("t3", "hall-a", 8)]);
     let mut homes = Vec::new();
     for _ in 0..12 {
-        match bench.ask_with("small", Priority::Standard, 10 * SECOND, Some(7)) {
+        match fixture.ask_with("small", Priority::Standard, 10 * SECOND, Some(7)) {
             SlotAnswer::Granted(grant) => homes.push(grant.name.to_string()),
             other => panic!("{other:?}"),
         }
@@ -286,62 +288,62 @@
 fn ejects_a_slow_target_probes_it_and_never_ejects_most_of_a_pool() {
     let names = ["t1", "t2", "t3", "t4"];
     let targets: Vec<(&str, &str, u32)> = names.iter().map(|n| (*n, "hall-a", 2)).collect();
-    let mut bench = Bench::new(&targets);
-    // t1 and t2 turn ten times slower than the others.
+    let mut fixture = Fixture::new(&targets);
+    // t1 and t2 become ten times slower than the others.
     for round in 0..400 {
-        let grant = bench.grant();
+        let grant = fixture.grant();
         let slow = round > 100 && ["t1", "t2"].contains(&grant.name.as_str());
-        bench.now += 10 * MS;
-        bench.release(grant.slot, CallEnd::Answered, if slow { 200 * MS } else { 20 * MS });
+        fixture.now += 10 * MS;
+        fixture.release(grant.slot, CallEnd::Answered, if slow { 200 * MS } else { 20 * MS });
     }
 
-    let ejected: Vec<&str> = names.iter().copied().filter(|n| bench.dump(n).ejected).collect();
+    let ejected: Vec<&str> = names.iter().copied().filter(|n| fixture.dump(n).ejected).collect();
     assert_eq!(ejected.len(), 1, "a third of four at most: {ejected:?}");
     assert!(["t1", "t2"].contains(&ejected[0]));
-    bench.now += 20 * SECOND;
-    assert!(!bench.dump(ejected[0]).ejected, "it is tried again");
+    fixture.now += 20 * SECOND;
+    assert!(!fixture.dump(ejected[0]).ejected, "it is tried again");
 }
 
 #[test]
-fn tries_a_target_that_can_not_be_reached_at_most_now_and_then() {
-    let mut bench = Bench::new(&[("dead", "hall-a", 4), ("t2", "hall-a", 4)]);
+fn calls_an_unreachable_target_only_as_a_probe() {
+    let mut fixture = Fixture::new(&[("dead", "hall-a", 4), ("t2", "hall-a", 4)]);
     let mut tries = 0;
     for _ in 0..1000 {
-        let grant = bench.grant();
-        bench.now += 10 * MS;
+        let grant = fixture.grant();
+        fixture.now += 10 * MS;
         let dead = grant.name.as_str() == "dead";
         tries += usize::from(dead);
         let end = if dead { CallEnd::Unreachable } else { CallEnd::Answered };
-        bench.release(grant.slot, end, 5 * MS);
+        fixture.release(grant.slot, end, 5 * MS);
     }
-    assert!((1..=5).contains(&tries), "{tries} tries in ten seconds");
+    assert!((1..=5).contains(&tries), "{tries} calls in ten seconds");
 }
 
 #[test]
-fn a_target_that_declines_everything_is_left_alone() {
-    let mut bench = Bench::new(&[("busy", "hall-a", 4), ("t2", "hall-a", 4)]);
+fn ejects_a_target_that_declines_every_call() {
+    let mut fixture = Fixture::new(&[("busy", "hall-a", 4), ("t2", "hall-a", 4)]);
     let mut declined = 0;
     for _ in 0..500 {
-        let grant = bench.grant();
-        bench.now += 10 * MS;
+        let grant = fixture.grant();
+        fixture.now += 10 * MS;
         let busy = grant.name.as_str() == "busy";
         declined += usize::from(busy);
         let end = if busy { CallEnd::Declined } else { CallEnd::Answered };
-        bench.release(grant.slot, end, 5 * MS);
+        fixture.release(grant.slot, end, 5 * MS);
     }
     assert!((3..=10).contains(&declined), "{declined} calls in five seconds");
 }
 
 #[test]
-fn tries_something_even_if_every_target_is_out() {
-    let mut bench = Bench::new(&[("t1", "hall-a", 4), ("t2", "hall-a", 4)]);
+fn grants_a_slot_even_if_every_target_is_ejected() {
+    let mut fixture = Fixture::new(&[("t1", "hall-a", 4), ("t2", "hall-a", 4)]);
     for _ in 0..2 {
-        let grant = bench.grant();
-        bench.release(grant.slot, CallEnd::Unreachable, MS);
+        let grant = fixture.grant();
+        fixture.release(grant.slot, CallEnd::Unreachable, MS);
     }
-    assert!(bench.dump("t1").ejected && bench.dump("t2").ejected);
+    assert!(fixture.dump("t1").ejected && fixture.dump("t2").ejected);
 
-    bench.grant();
+    fixture.grant();
 }
 
 #[test]
@@ -354,71 +356,71 @@
 
 #[test]
 fn lowers_a_limit_on_queues_at_the_target_and_raises_it_again() {
-    let mut bench = Bench::new(&[("t1", "hall-a", 8)]);
+    let mut fixture = Fixture::new(&[("t1", "hall-a", 8)]);
     let (service, stage) =
         (ServiceName::new("s").expect("name"), StageName::new("a").expect("name"));
     let queued = Some(LoadReport { running: 8, queued: 3 });
     for _ in 0..10 {
-        let grant = bench.grant();
-        bench.now += SECOND;
+        let grant = fixture.grant();
+        fixture.now += SECOND;
         let end = CallEnd::Answered;
-        bench.router.release(grant.slot, (&service, &stage), end, 20 * MS, queued, bench.now);
+        fixture.router.release(grant.slot, (&service, &stage), end, 20 * MS, queued, fixture.now);
     }
-    let lowered = bench.dump("t1").limit;
+    let lowered = fixture.dump("t1").limit;
     assert!(lowered < 6.0, "{lowered}");
 
-    bench.now += 10 * SECOND;
+    fixture.now += 10 * SECOND;
     for _ in 0..200 {
-        let slots: Vec<Slot> = (0..bench.dump("t1").limit.round() as usize)
-            .filter_map(|_| match bench.ask("small", Priority::Standard, 10 * SECOND) {
+        let slots: Vec<Slot> = (0..fixture.dump("t1").limit.round() as usize)
+            .filter_map(|_| match fixture.ask("small", Priority::Standard, 10 * SECOND) {
                 SlotAnswer::Granted(grant) => Some(grant.slot),
                 _ => None,
             })
             .collect();
-        bench.now += 20 * MS;
+        fixture.now += 20 * MS;
         for slot in slots {
-            bench.release(slot, CallEnd::Answered, 20 * MS);
+            fixture.release(slot, CallEnd::Answered, 20 * MS);
         }
-        bench.router.tick(bench.now);
+        fixture.router.tick(fixture.now);
     }
-    assert!(bench.dump("t1").limit > lowered + 1.0, "{}", bench.dump("t1").limit);
+    assert!(fixture.dump("t1").limit > lowered + 1.0, "{}", fixture.dump("t1").limit);
 }
 
 #[test]
-fn a_request_in_work_keeps_the_targets_of_its_configuration() {
-    let mut bench = Bench::new(&[("t1", "hall-a", 1)]);
-    bench.router.begin_request(FIRST);
-    let slot = bench.grant().slot;
-    let waiting = bench.queue("small", Priority::Standard);
+fn a_running_request_keeps_the_targets_of_its_configuration() {
+    let mut fixture = Fixture::new(&[("t1", "hall-a", 1)]);
+    fixture.router.begin_request(FIRST);
+    let slot = fixture.grant().slot;
+    let waiting = fixture.queue("small", Priority::Standard);
 
     // The new configuration has neither the target nor the service.
-    let refused = bench.router.apply(Revision(2), &Catalogue::default(), bench.now);
-    let updates = bench.release(slot, CallEnd::Answered, 10 * MS);
+    let refused = fixture.router.apply(Revision(2), &Catalogue::default(), fixture.now);
+    let updates = fixture.release(slot, CallEnd::Answered, 10 * MS);
 
     assert!(refused.is_empty(), "{refused:?}");
     assert_eq!(granted(&updates), [waiting]);
-    bench.release(slot_of(&updates), CallEnd::Answered, 10 * MS);
-    assert!(bench.router.end_request(FIRST).is_empty());
-    let gone = bench.ask("small", Priority::Standard, SECOND);
+    fixture.release(slot_of(&updates), CallEnd::Answered, 10 * MS);
+    assert!(fixture.router.end_request(FIRST).is_empty());
+    let gone = fixture.ask("small", Priority::Standard, SECOND);
     assert!(matches!(gone, SlotAnswer::Refused(SlotRefusal::NoTarget { .. })), "{gone:?}");
 }
 
 #[test]
-fn what_is_known_of_a_target_outlives_a_change_of_its_labels() {
-    let mut bench = Bench::new(&[("t1", "hall-a", 1)]);
-    let slot = bench.grant().slot;
+fn target_state_is_kept_when_a_configuration_declares_the_same_target() {
+    let mut fixture = Fixture::new(&[("t1", "hall-a", 1)]);
+    let slot = fixture.grant().slot;
 
-    bench.router.apply(Revision(2), &bench.catalogue.clone(), bench.now);
+    fixture.router.apply(Revision(2), &fixture.catalogue.clone(), fixture.now);
 
-    assert_eq!(bench.dump("t1").in_flight, 1);
-    bench.release(slot, CallEnd::Answered, MS);
-    assert_eq!(bench.dump("t1").in_flight, 0);
+    assert_eq!(fixture.dump("t1").in_flight, 1);
+    fixture.release(slot, CallEnd::Answered, MS);
+    assert_eq!(fixture.dump("t1").in_flight, 0);
 }
 
 proptest! {
-    /// All VMs together are dealt exactly the slots of each target whose hall has a VM.
+    /// The slots assigned to all VMs add up to the slots of each target.
     #[test]
-    fn vms_are_dealt_exactly_the_slots_of_a_target(
+    fn the_slots_of_a_target_are_divided_among_all_vms(
         halls in proptest::collection::vec(0u8..3, 1..12),
         slots in proptest::collection::vec(1u32..40, 1..6),
     ) {
@@ -446,22 +448,22 @@
         }
     }
 
-    /// Whatever happens, a slot is given only at a target that the selector allows and that was
-    /// not excluded, and every waiting request hears exactly once.
+    /// For any sequence of events, a slot is granted only at a target that the selector allows, and
+    /// every waiting request gets exactly one answer.
     #[test]
-    fn no_slot_leaves_the_allowed_set_and_none_waits_for_ever(
+    fn slots_stay_within_the_allowed_targets_and_every_wait_ends(
         steps in proptest::collection::vec((any::<u8>(), any::<u8>()), 1..200),
     ) {
-        let mut bench = Bench::new(&[("t1", "hall-a", 2), ("t2", "hall-b", 2)]);
+        let mut fixture = Fixture::new(&[("t1", "hall-a", 2), ("t2", "hall-b", 2)]);
         let mut held: Vec<Slot> = Vec::new();
         let mut waiting: HashSet<WaitId> = HashSet::new();
         for (what, which) in steps {
-            bench.now += MS * u32::from(which);
+            fixture.now += MS * u32::from(which);
             let mut updates = Vec::new();
             match what % 6 {
                 0 | 1 => {
                     let class = Priority::ALL[usize::from(which) % 3];
-                    match bench.ask("small", class, MS * u32::from(which) * 20) {
+                    match fixture.ask("small", class, MS * u32::from(which) * 20) {
                         SlotAnswer::Granted(grant) => {
                             prop_assert!(["t1", "t2"].contains(&grant.name.as_str()));
                             held.push(grant.slot);
@@ -473,12 +475,12 @@
                 2 | 3 if !held.is_empty() => {
                     let slot = held.swap_remove(usize::from(which) % held.len());
                     let ends = [CallEnd::Answered, CallEnd::Failed, CallEnd::Declined];
-                    updates = bench.release(slot, ends[usize::from(which) % 3], MS * u32::from(which));
+                    updates = fixture.release(slot, ends[usize::from(which) % 3], MS * u32::from(which));
                 }
                 4 => {
-                    bench.router.set_peer_loads(|_| u32::from(which) % 4, 1);
+                    fixture.router.set_peer_loads(|_| u32::from(which) % 4, 1);
                 }
-                _ => updates = bench.router.tick(bench.now),
+                _ => updates = fixture.router.tick(fixture.now),
             }
             for update in updates {
                 match update {
@@ -489,10 +491,10 @@
                     WaitUpdate::Refused(id, _) => prop_assert!(waiting.remove(&id)),
                 }
             }
-            prop_assert_eq!(bench.router.waiting(), waiting.len());
+            prop_assert_eq!(fixture.router.waiting(), waiting.len());
         }
-        bench.now += 60 * SECOND;
-        let last = bench.router.tick(bench.now);
+        fixture.now += 60 * SECOND;
+        let last = fixture.router.tick(fixture.now);
         prop_assert_eq!(last.len(), waiting.len());
     }
 }
