--- a/components/membership/src/advert.rs
+++ b/components/membership/src/advert.rs
@@ -1,11 +1,11 @@
-//! What VMs say of themselves.
+//! Gossip messages: the advert and heartbeat in which a VM describes itself, and digest entries.
 
 use std::net::SocketAddr;
 
 use ids::{HallName, Incarnation, Revision, TargetName, VmName};
 use serde::Serialize;
 
-/// CRC-32 of a VM's or target's name, by which news name it in few bytes.
+/// CRC-32 of the name of a VM or target, used instead of the name to keep messages small.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize)]
 pub struct NameHash(pub u32);
 
@@ -21,18 +21,18 @@
     }
 }
 
-/// What one VM says of itself.
+/// Description that one VM sends of itself.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct Advert {
-    /// Its name.
+    /// Name of the VM.
     pub vm: VmName,
-    /// Its data hall.
+    /// Data hall of the VM.
     pub hall: HallName,
-    /// Its peer link.
+    /// Address at which it accepts peer connections.
     pub peers: SocketAddr,
-    /// Its operations page.
+    /// Address of its operations page.
     pub operations: SocketAddr,
-    /// What changes while its process runs.
+    /// The part that changes while its process runs.
     pub beat: Heartbeat,
 }
 
@@ -43,42 +43,42 @@
     pub vm: NameHash,
     /// When its process started.
     pub incarnation: Incarnation,
-    /// Rises with each round.
+    /// Sequence number, increased with each round.
     pub sequence: u64,
-    /// Revision in force there.
+    /// Revision of the configuration in force at the VM.
     pub revision: Revision,
-    /// Whether it takes no new work.
+    /// Whether the VM takes no new work.
     pub draining: bool,
-    /// Calls under way from there, by target.
+    /// Calls in flight from the VM, by target.
     pub loads: Vec<(NameHash, u32)>,
-    /// Targets that it knows first hand to leave.
+    /// Targets that told this VM themselves that they are leaving.
     pub leaving: Vec<TargetName>,
 }
 
 impl Heartbeat {
-    /// Order of a VM's beats: later incarnations, then later sequences, are newer.
+    /// Version for comparison: a later incarnation is newer, then a higher sequence number.
     pub fn version(&self) -> (Incarnation, u64) {
         (self.incarnation, self.sequence)
     }
 }
 
-/// How new a VM's news are that somebody has.
+/// Version that a peer knows of one VM.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct DigestEntry {
     /// Hash of the VM's name.
     pub vm: NameHash,
-    /// Incarnation.
+    /// Incarnation that is known.
     pub incarnation: Incarnation,
-    /// Sequence within it.
+    /// Sequence number that is known within the incarnation.
     pub sequence: u64,
 }
 
-/// How long ago an advert's VM was last heard of.
+/// Age class of an advert, by the time since its last update.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum AdvertAge {
-    /// Within the wait for a few rounds.
+    /// The last update came within a few rounds.
     Fresh,
-    /// Longer ago: it may be dead, frozen or cut off.
+    /// The last update is older: the VM may be stopped, stalled or unreachable.
     Stale,
 }
--- a/components/membership/src/lib.rs
+++ b/components/membership/src/lib.rs
@@ -1,6 +1,6 @@
-//! What a VM knows of the other VMs of the fleet.
+//! Gossip membership: what a VM knows of the other VMs of the fleet.
 //!
-//! Each VM tells about itself under a rising sequence number. News travel by exchanges with a
+//! Each VM describes itself under an increasing sequence number. Updates spread by exchanges with a
 //! few random partners; see `docs/design/membership.md`.
 
 mod advert;
--- a/components/membership/src/pacer.rs
+++ b/components/membership/src/pacer.rs
@@ -1,34 +1,36 @@
-//! How often a VM speaks, so that control stays under its share of the network at any size.
+//! Interval of gossip rounds, chosen so that control traffic stays within its bandwidth budget at
+//! any fleet size.
 
 use std::time::Duration;
 
-/// Bytes a second that exchanges may use on a VM, of the 5 KB a second for all control.
-const BUDGET: f64 = 3_500.0;
-/// Shortest time between two rounds.
-const SHORTEST: Duration = Duration::from_millis(500);
-/// Longest time between two rounds; bounds how late a death is seen.
-const LONGEST: Duration = Duration::from_secs(5);
-/// Weight of a round's bytes in the mean.
-const WEIGHT: f64 = 0.2;
+/// Bytes per second that exchanges may use on a VM, out of 5 KB per second for all control traffic.
+const BYTES_PER_SECOND: f64 = 3_500.0;
+/// Minimum time between two rounds.
+const MIN_INTERVAL: Duration = Duration::from_millis(500);
+/// Maximum time between two rounds; bounds how late the failure of a VM is detected.
+const MAX_INTERVAL: Duration = Duration::from_secs(5);
+/// Weight of a new round in the mean number of bytes.
+const MEAN_WEIGHT: f64 = 0.2;
 
-/// Learns the bytes of a round and spaces the rounds.
+/// Computes the interval between rounds from the mean number of bytes of a round.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct RoundPacer {
-    round_bytes: f64,
+    mean_round_bytes: f64,
 }
 
 impl RoundPacer {
-    /// Counts the bytes that one round sent and received, answers to others included.
+    /// Records the bytes sent and received in one round, answers to other VMs included.
     pub fn record_round(&mut self, bytes: u64) {
         let bytes = bytes as f64;
-        if self.round_bytes == 0.0 {
-            self.round_bytes = bytes;
+        if self.mean_round_bytes == 0.0 {
+            self.mean_round_bytes = bytes;
         }
-        self.round_bytes += WEIGHT * (bytes - self.round_bytes);
+        self.mean_round_bytes += MEAN_WEIGHT * (bytes - self.mean_round_bytes);
     }
 
-    /// Time to the next round.
+    /// Time until the next round.
     pub fn interval(&self) -> Duration {
-        Duration::from_secs_f64(self.round_bytes / BUDGET).clamp(SHORTEST, LONGEST)
+        Duration::from_secs_f64(self.mean_round_bytes / BYTES_PER_SECOND)
+            .clamp(MIN_INTERVAL, MAX_INTERVAL)
     }
 }
--- a/components/membership/src/roster.rs
+++ b/components/membership/src/roster.rs
@@ -1,4 +1,4 @@
-//! The adverts of the VMs that were heard of.
+//! Roster: the adverts of the other VMs, their merging by version, and the gossip built from them.
 
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
@@ -9,127 +9,130 @@
 
 use crate::advert::{Advert, AdvertAge, DigestEntry, Heartbeat, NameHash};
 
-/// Rounds that may pass without news before an advert is stale.
+/// Number of rounds without an update after which an advert is stale.
 const STALE_ROUNDS: u32 = 6;
-/// Least time without news before an advert is stale.
-const LEAST_STALE: Duration = Duration::from_secs(3);
-/// An advert unheard of for this long is forgotten.
+/// Minimum time without an update after which an advert is stale.
+const MIN_STALE_AGE: Duration = Duration::from_secs(3);
+/// Time without an update after which an advert is removed.
 const FORGET_AFTER: Duration = Duration::from_secs(60);
-/// Most whole adverts in one answer; the rest follows in later rounds.
-const MOST_OTHERS: usize = 16;
-/// Most VMs of other halls that are kept; those of the own hall are all kept.
-const MOST_FAR: usize = 16;
+/// Maximum number of full adverts in one answer; the rest follows in later rounds.
+const MAX_ADVERTS: usize = 16;
+/// Maximum number of VMs of other halls that are kept; those of the own hall are all kept.
+const MAX_FAR_VMS: usize = 16;
 
+/// An advert and when its last update was received.
 #[derive(Debug)]
 struct Entry {
     advert: Advert,
-    at: Instant,
+    updated_at: Instant,
 }
 
-/// Adverts of the other VMs: of all in the own hall, and of some in other halls.
+/// Adverts of the other VMs: of all VMs in the own hall, and of some in other halls.
 #[derive(Debug)]
 pub struct Roster {
     own: NameHash,
     hall: HallName,
-    heard: BTreeMap<NameHash, Entry>,
+    adverts: BTreeMap<NameHash, Entry>,
 }
 
-/// What somebody with certain knowledge does not know yet.
+/// Updates that a peer with a given digest lacks.
 #[derive(Debug, Default)]
 pub struct Delta {
-    /// VMs that are not known in this incarnation.
+    /// Full adverts of VMs that the peer does not know in this incarnation.
     pub adverts: Vec<Advert>,
-    /// News of VMs that are known.
+    /// Heartbeats of VMs that the peer knows in this incarnation.
     pub heartbeats: Vec<Heartbeat>,
 }
 
 impl Roster {
-    /// A roster of a VM that has heard of nobody.
+    /// Creates an empty roster for the VM `own`.
     pub fn new(own: &VmName, hall: HallName) -> Self {
-        Roster { own: NameHash::of_vm(own), hall, heard: BTreeMap::new() }
+        Roster { own: NameHash::of_vm(own), hall, adverts: BTreeMap::new() }
     }
 
-    /// Takes an advert if it is newer than what is known.
+    /// Stores an advert if it is newer than the known one. Ignores the own advert, and new VMs of
+    /// other halls beyond the maximum.
     pub fn merge(&mut self, advert: Advert, now: Instant) {
         if advert.beat.vm == self.own {
             return;
         }
-        let known = self.heard.get(&advert.beat.vm);
-        let far = || self.heard.values().filter(|e| e.advert.hall != self.hall).count();
-        let full = known.is_none() && advert.hall != self.hall && far() >= MOST_FAR;
+        let known = self.adverts.get(&advert.beat.vm);
+        let far = || self.adverts.values().filter(|e| e.advert.hall != self.hall).count();
+        let full = known.is_none() && advert.hall != self.hall && far() >= MAX_FAR_VMS;
         if !full && known.is_none_or(|old| advert.beat.version() > old.advert.beat.version()) {
-            self.heard.insert(advert.beat.vm, Entry { advert, at: now });
+            self.adverts.insert(advert.beat.vm, Entry { advert, updated_at: now });
         }
     }
 
-    /// Takes news of a VM that is known in this incarnation.
+    /// Applies a heartbeat if it is newer and its VM is known in the same incarnation.
     pub fn merge_heartbeat(&mut self, beat: Heartbeat, now: Instant) {
-        let Some(entry) = self.heard.get_mut(&beat.vm) else { return };
+        let Some(entry) = self.adverts.get_mut(&beat.vm) else { return };
         let same = entry.advert.beat.incarnation == beat.incarnation;
         if same && beat.sequence > entry.advert.beat.sequence {
             entry.advert.beat = beat;
-            entry.at = now;
+            entry.updated_at = now;
         }
     }
 
-    /// How new the news are that this VM has.
+    /// Digest of the roster: the version known of each VM.
     pub fn digest(&self) -> Vec<DigestEntry> {
         let of = |beat: &Heartbeat| DigestEntry {
             vm: beat.vm,
             incarnation: beat.incarnation,
             sequence: beat.sequence,
         };
-        self.heard.values().map(|e| of(&e.advert.beat)).collect()
+        self.adverts.values().map(|e| of(&e.advert.beat)).collect()
     }
 
-    /// What somebody who knows this much should be told.
+    /// Updates for a peer that sent the digest `known`.
     pub fn delta_for(&self, known: &[DigestEntry]) -> Delta {
         let known: HashMap<NameHash, (Incarnation, u64)> =
             known.iter().map(|k| (k.vm, (k.incarnation, k.sequence))).collect();
-        let mut news = Delta::default();
-        for advert in self.heard.values().map(|e| &e.advert) {
+        let mut delta = Delta::default();
+        for advert in self.adverts.values().map(|e| &e.advert) {
             match known.get(&advert.beat.vm) {
                 Some(stamp) if *stamp >= advert.beat.version() => {}
                 Some((incarnation, _)) if *incarnation == advert.beat.incarnation => {
-                    news.heartbeats.push(advert.beat.clone());
+                    delta.heartbeats.push(advert.beat.clone());
                 }
-                _ if news.adverts.len() < MOST_OTHERS => news.adverts.push(advert.clone()),
+                _ if delta.adverts.len() < MAX_ADVERTS => delta.adverts.push(advert.clone()),
                 _ => {}
             }
         }
-        news
+        delta
     }
 
-    /// Adverts with the age of each; `interval` is the time between rounds.
+    /// All adverts, each marked fresh or stale; `interval` is the time between rounds.
     pub fn all(
         &self,
         interval: Duration,
         now: Instant,
     ) -> impl Iterator<Item = (&Advert, AdvertAge)> {
-        let limit = (interval * STALE_ROUNDS).max(LEAST_STALE);
-        self.heard.values().map(move |entry| {
-            let stale = now.saturating_duration_since(entry.at) > limit;
+        let limit = (interval * STALE_ROUNDS).max(MIN_STALE_AGE);
+        self.adverts.values().map(move |entry| {
+            let stale = now.saturating_duration_since(entry.updated_at) > limit;
             (&entry.advert, if stale { AdvertAge::Stale } else { AdvertAge::Fresh })
         })
     }
 
-    /// Fresh adverts.
+    /// Fresh adverts; `interval` is the time between rounds.
     pub fn fresh(&self, interval: Duration, now: Instant) -> impl Iterator<Item = &Advert> {
         self.all(interval, now).filter(|(_, age)| *age == AdvertAge::Fresh).map(|(a, _)| a)
     }
 
-    /// Drops adverts that were not heard of for long.
+    /// Removes adverts that have had no update for a long time.
     pub fn remove_expired(&mut self, now: Instant) {
-        self.heard.retain(|_, e| now.saturating_duration_since(e.at) < FORGET_AFTER);
+        self.adverts.retain(|_, e| now.saturating_duration_since(e.updated_at) < FORGET_AFTER);
     }
 
-    /// Random partners: `near` from the own hall, `far` from the others; stale ones too, so that
-    /// halls find each other again.
+    /// Peer addresses of random gossip partners: up to `near` from the own hall and `far` from
+    /// others. Stale VMs are included, so that halls find each other again after a partition.
     pub fn sample_partners(&self, near: usize, far: usize) -> Vec<SocketAddr> {
         self.sample(near, far, |_| true)
     }
 
-    /// Random VMs that are not known to have `revision`.
+    /// Peer addresses of random VMs whose last known revision is older than `revision`: up to
+    /// `near` from the own hall and `far` from others.
     pub fn sample_without_revision(
         &self,
         revision: Revision,
@@ -141,7 +144,7 @@
 
     fn sample(&self, near: usize, far: usize, fits: impl Fn(&Advert) -> bool) -> Vec<SocketAddr> {
         let mut rng = rand::rng();
-        let adverts = || self.heard.values().map(|e| &e.advert).filter(|a| fits(a));
+        let adverts = || self.adverts.values().map(|e| &e.advert).filter(|a| fits(a));
         let in_hall = adverts().filter(|a| a.hall == self.hall).map(|a| a.peers);
         let mut chosen = in_hall.sample(&mut rng, near);
         let others = adverts().filter(|a| a.hall != self.hall).map(|a| a.peers);
@@ -149,7 +152,7 @@
         chosen
     }
 
-    /// Calls under way from all fresh VMs, by target.
+    /// Sum of the calls in flight from all fresh VMs, by target.
     pub fn loads(&self, interval: Duration, now: Instant) -> HashMap<NameHash, u32> {
         let mut sums = HashMap::new();
         for (target, calls) in self.fresh(interval, now).flat_map(|a| a.beat.loads.iter()) {
@@ -158,8 +161,8 @@
         sums
     }
 
-    /// Whether this VM is one of the `count` of its hall that read the platform for all: those
-    /// with the lowest hashes among the fresh ones that stay.
+    /// Whether this VM is one of the `count` VMs of its hall that read the platform for all others:
+    /// those with the lowest name hashes among the fresh VMs that are not draining.
     pub fn reads_platform(&self, count: usize, interval: Duration, now: Instant) -> bool {
         let fresh = self.fresh(interval, now);
         let staying = fresh.filter(|a| a.hall == self.hall && !a.beat.draining);
--- a/components/membership/tests/roster.rs
+++ b/components/membership/tests/roster.rs
@@ -1,6 +1,6 @@
-//! What a VM keeps, tells and forgets of the others, with the time moved by hand.
+//! Tests of the roster and the round pacer on a simulated clock.
 
-// A helper that can't go on fails its test.
+// A failed `expect` in a helper function fails its test.
 #![allow(clippy::expect_used)]
 
 use std::time::{Duration, Instant};
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn takes_only_newer_news() {
+fn merges_only_newer_adverts_and_heartbeats() {
     let now = Instant::now();
     let mut roster = roster();
     roster.merge(advert("vm-1", "hall-a", 2, 5), now);
@@ -55,14 +55,14 @@
 }
 
 #[test]
-fn never_takes_itself_for_another() {
+fn ignores_its_own_advert() {
     let mut roster = roster();
     roster.merge(advert("own", "hall-a", 1, 1), Instant::now());
     assert!(roster.digest().is_empty());
 }
 
 #[test]
-fn tells_whole_adverts_to_strangers_and_beats_to_acquaintances() {
+fn sends_full_adverts_of_unknown_vms_and_heartbeats_of_known_ones() {
     let now = Instant::now();
     let (mut knows, mut asks) = (roster(), roster());
     knows.merge(advert("vm-1", "hall-a", 1, 5), now);
@@ -77,14 +77,14 @@
     let newer = knows.delta_for(&asks.digest());
     assert_eq!((newer.adverts.len(), newer.heartbeats.len()), (0, 1));
 
-    // A restarted VM may have other addresses, so it is told whole.
+    // A restarted VM may have other addresses, so its full advert is sent.
     knows.merge(advert("vm-1", "hall-a", 2, 1), now);
     let restarted = knows.delta_for(&asks.digest());
     assert_eq!((restarted.adverts.len(), restarted.heartbeats.len()), (1, 0));
 }
 
 #[test]
-fn a_silent_vm_turns_stale_loses_its_loads_and_is_forgotten() {
+fn a_silent_vm_becomes_stale_stops_counting_in_loads_and_is_removed() {
     let now = Instant::now();
     let mut roster = roster();
     roster.merge(advert("vm-1", "hall-a", 1, 1), now);
@@ -126,11 +126,11 @@
 }
 
 #[test]
-fn rounds_are_spaced_by_what_they_cost() {
-    let mut pace = RoundPacer::default();
-    assert_eq!(pace.interval(), Duration::from_millis(500));
-    (0..50).for_each(|_| pace.record_round(7_000));
-    assert_eq!(pace.interval(), Duration::from_secs(2));
-    (0..50).for_each(|_| pace.record_round(1_000_000));
-    assert_eq!(pace.interval(), Duration::from_secs(5));
+fn the_round_interval_follows_the_bytes_per_round() {
+    let mut pacer = RoundPacer::default();
+    assert_eq!(pacer.interval(), Duration::from_millis(500));
+    (0..50).for_each(|_| pacer.record_round(7_000));
+    assert_eq!(pacer.interval(), Duration::from_secs(2));
+    (0..50).for_each(|_| pacer.record_round(1_000_000));
+    assert_eq!(pacer.interval(), Duration::from_secs(5));
 }
