--- a/components/intent/src/entry.rs
+++ b/components/intent/src/entry.rs
@@ -1,4 +1,5 @@
-//! A way in for callers, and what is promised there.
+//! Entries: how requests of callers are matched by host and path, and the limits, latency goals and
+//! services that apply to them.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -7,107 +8,114 @@
 
 use crate::{InvalidIntent, Service};
 
-/// A customer, found by its key.
+/// A customer, identified by its API key.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Customer {
-    /// Name that targets are told.
+    /// Name sent to targets.
     pub name: CustomerName,
-    /// Urgency of all its requests in place of the entry's, 0 first.
+    /// Urgency of all its requests, which replaces the entry's; 0 is the most urgent.
     pub urgency: Option<u8>,
 }
 
-/// A service that gets a share of an entry's requests.
+/// A service that runs a share of an entry's requests.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Share {
-    /// The service.
+    /// Name of the service.
     pub service: ServiceName,
-    /// Weight against the entry's other shares.
+    /// Weight relative to the entry's other shares.
     pub weight: u32,
 }
 
-/// Work to be done in pieces before a request can run.
+/// A stage of work that a pool does in pieces before a request can run.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct EntryStage {
-    /// The pool that does it.
+    /// Service whose pool runs the pieces.
     pub pool: ServiceName,
-    /// Indexes of the stages whose results it needs; all lower than its own.
+    /// Indexes of the stages whose results it needs, all lower than its own index.
     pub needs: Vec<usize>,
-    /// About how large a piece's result is, in bytes.
+    /// Approximate size of the result of a piece, in bytes.
     pub result_bytes: u64,
 }
 
-/// Requests of one host below one path prefix.
+/// A route: the requests for one host under one path prefix, and how they are served.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Entry {
-    /// Name, for logs and metrics.
+    /// Name of the entry in logs and metrics.
     pub name: String,
-    /// Host that callers name.
+    /// Host name in the requests.
     pub host: String,
-    /// Start of the path, slash to slash.
+    /// Prefix of the path, which starts and ends with a slash.
     pub path_prefix: String,
-    /// Whether answers are streams of events.
+    /// Whether answers are event streams.
     pub streams: bool,
     /// Whether a request may run more than once; for a stream, whether it may be resumed.
     pub repeatable: bool,
-    /// Longest time that a request is held.
+    /// Maximum time for which a request is held.
     pub max_duration: Duration,
-    /// Time within which an answer earns its full worth; for a stream, its first event.
+    /// Time within which an answer, or the first event of a stream, has its full value.
     pub latency_goal: Duration,
-    /// Longest pause between events of a stream that is in time.
+    /// Maximum pause between two events of a stream that counts as in time.
     pub max_event_gap: Option<Duration>,
-    /// Urgency, 0 first.
+    /// Urgency of its requests; 0 is the most urgent.
     pub urgency: u8,
     /// The services that run its requests.
     pub shares: Vec<Share>,
-    /// Most targets that one request may be sent to.
+    /// Maximum number of targets to which one request may be sent.
     pub max_attempts: u32,
-    /// Work done before a request runs.
+    /// Stages of work done before a request runs.
     pub stages: Vec<EntryStage>,
-    /// Whether no key is needed.
+    /// Whether callers need no API key.
     pub public: bool,
 }
 
 impl Entry {
+    /// Checks that the entry names at least one service, that its services are defined, and that
+    /// each stage names a pool and needs only earlier stages.
     pub(crate) fn check(
         &self,
         services: &BTreeMap<ServiceName, Service>,
     ) -> Result<(), InvalidIntent> {
-        let unfit =
+        let invalid =
             |problem: String| InvalidIntent { place: format!("entry {}", self.name), problem };
         if self.shares.is_empty() {
-            return Err(unfit("no service runs it".to_owned()));
+            return Err(invalid("expected at least one service, found none".to_owned()));
         }
         if let Some(share) = self.shares.iter().find(|s| !services.contains_key(&s.service)) {
-            return Err(unfit(format!("service {} is not defined", share.service)));
+            return Err(invalid(format!("service {} is not defined", share.service)));
         }
         for (index, stage) in self.stages.iter().enumerate() {
             if services.get(&stage.pool).is_none_or(|service| service.pool.is_none()) {
-                return Err(unfit(format!("stage {index}: {} is no pool", stage.pool)));
+                return Err(invalid(format!(
+                    "stage {index}: service {} is not defined or has no pool",
+                    stage.pool
+                )));
             }
             if let Some(late) = stage.needs.iter().find(|need| **need >= index) {
-                return Err(unfit(format!(
-                    "stage {index} needs stage {late}, which is not before"
+                return Err(invalid(format!(
+                    "stage {index} needs stage {late}, which is not an earlier stage"
                 )));
             }
         }
         Ok(())
     }
 
-    /// The service for a request; the same request always gets the same one.
+    /// Selects the service for a request by the weights of the shares. The same hash always selects
+    /// the same service; `None` if there are no shares.
     pub fn service_for(&self, hash: u64) -> Option<&ServiceName> {
         let total: u64 = self.shares.iter().map(|share| u64::from(share.weight)).sum();
-        let mut left = hash.checked_rem(total).unwrap_or(0);
+        let mut point = hash.checked_rem(total).unwrap_or(0);
         let mut shares = self.shares.iter();
         let found = shares.find(|share| {
             let weight = u64::from(share.weight);
-            let here = left < weight;
-            left = left.saturating_sub(weight);
+            let here = point < weight;
+            point = point.saturating_sub(weight);
             here
         });
         found.or(self.shares.first()).map(|share| &share.service)
     }
 
-    /// Stages whose results no other stage needs, among those that have pieces.
+    /// Indexes of the stages that have pieces and whose results no other stage with pieces needs;
+    /// `pieces` holds the number of pieces of each stage.
     pub fn last_stages(&self, pieces: &[u32]) -> Vec<usize> {
         let has = |index: usize| pieces.get(index).is_some_and(|count| *count > 0);
         let needed = |index: usize| {
--- a/components/intent/src/lib.rs
+++ b/components/intent/src/lib.rs
@@ -1,5 +1,5 @@
-//! What operators want served: entries by host and path, services and their pools or engines,
-//! customers' keys, and the targets that stand behind the services.
+//! The configuration that operators want in force: entries by host and path, services with their
+//! pools or engines, customers by key, and the targets of the services.
 
 mod entry;
 mod service;
@@ -15,25 +15,25 @@
 
 use ids::ServiceName;
 
-/// Bounds on what a caller may send.
+/// Limits on the requests and connections of callers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct CallerBounds {
-    /// Largest head, in bytes.
+    /// Maximum size of a request head, in bytes.
     pub head_bytes: usize,
-    /// Largest body, in bytes.
+    /// Maximum size of a request body, in bytes.
     pub body_bytes: usize,
-    /// Longest wait for a head once its first byte came.
+    /// Maximum time from the first byte of a head to its end.
     pub head_wait: Duration,
-    /// Longest rest of a kept connection.
+    /// Maximum idle time of a connection that is kept open.
     pub idle_wait: Duration,
 }
 
-/// Everything that is in force under one version.
+/// The whole configuration in force under one version.
 #[derive(Debug, Clone)]
 pub struct Intent {
-    /// Rises with each accepted change.
+    /// Version number, increased with each accepted change.
     pub version: u64,
-    /// Bounds on what callers send.
+    /// Limits on what callers send.
     pub bounds: CallerBounds,
     /// Services by name.
     pub services: BTreeMap<ServiceName, Service>,
@@ -42,20 +42,21 @@
     entries: HashMap<String, Vec<Arc<Entry>>>,
 }
 
-/// Why an intent can't be taken.
+/// Error: an intent is inconsistent and cannot be applied.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct InvalidIntent {
-    /// The entry or service at fault.
+    /// The entry at fault, as `entry NAME`.
     pub place: String,
     /// What is wrong.
     pub problem: String,
 }
 
 impl Intent {
-    /// Puts the parts together, checked against each other.
+    /// Builds an intent from its parts and checks the entries against the services.
     ///
     /// # Errors
-    /// [`InvalidIntent`] for an entry without a service, or a stage that names no pool or a later stage.
+    /// [`InvalidIntent`] for an entry that names no service or an undefined one, and for a stage
+    /// that names no pool or needs a stage that is not an earlier one.
     pub fn new(
         version: u64,
         bounds: CallerBounds,
@@ -76,18 +77,18 @@
         Ok(Intent { version, bounds, services, customers, entries: by_host })
     }
 
-    /// The entry for a host and path: of those of the host, the one with the longest prefix.
+    /// The entry of the host with the longest prefix of the path.
     pub fn entry(&self, host: &str, path: &str) -> Option<&Arc<Entry>> {
         let of_host = self.entries.get(host)?;
         of_host.iter().find(|entry| path.starts_with(&entry.path_prefix))
     }
 
-    /// All entries, in no order.
+    /// All entries, in unspecified order.
     pub fn entries(&self) -> impl Iterator<Item = &Arc<Entry>> {
         self.entries.values().flatten()
     }
 
-    /// The service of that name, if it is a pool of pieces.
+    /// The pool of the named service, if the service exists and has one.
     pub fn pool(&self, name: &ServiceName) -> Option<&PoolSpec> {
         self.services.get(name)?.pool.as_ref()
     }
--- a/components/intent/src/service.rs
+++ b/components/intent/src/service.rs
@@ -1,59 +1,59 @@
-//! What runs requests or pieces: plain services, pools and engines.
+//! Services that run requests or pieces of stages: plain services, pools and inference engines.
 
 use std::time::Duration;
 
 use ids::ServiceName;
 
-/// A pool whose targets work on pieces in batches. Figures are for one target.
+/// A pool whose targets run pieces in batches, several pieces to a call. All values are per target.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct PoolSpec {
-    /// Calls at work at once.
+    /// Maximum number of calls that run concurrently.
     pub at_once: u32,
-    /// Calls that may wait.
+    /// Maximum number of calls that wait.
     pub queue: u32,
-    /// Most pieces in a call.
+    /// Maximum number of pieces in a call.
     pub batch: usize,
-    /// About how long a call takes, whatever it holds.
+    /// Approximate time of a call, without its pieces.
     pub call: Duration,
-    /// About how long each piece adds.
+    /// Approximate time that each piece adds to a call.
     pub piece: Duration,
-    /// Room for results, in bytes.
+    /// Space for results, in bytes.
     pub room_bytes: u64,
-    /// How long a result is kept after its call.
+    /// Time for which a result is kept after its call.
     pub result_life: Duration,
-    /// Bytes a second at which a target fetches inputs; `None` if that is not known.
+    /// Bytes per second at which a target fetches inputs; `None` if unknown.
     pub link: Option<u64>,
 }
 
-/// Targets that generate tokens.
+/// An inference engine, whose targets generate tokens. All values are per target.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct EngineSpec {
-    /// Requests at once.
+    /// Number of requests that run concurrently.
     pub slots: u32,
-    /// Tokens that fit in a target's memory, running and cached.
+    /// Number of tokens that fit in a target's memory, those in use and those cached.
     pub memory_tokens: u64,
 }
 
-/// How targets of a service are after a start.
+/// Reduced capacity of the targets of a service after a start.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ColdStart {
-    /// For how long a target is cold.
+    /// Time for which a target is cold.
     pub lasts: Duration,
-    /// Requests a second that a cold target bears.
+    /// Requests per second that a cold target can handle.
     pub per_s: f64,
 }
 
-/// A service.
+/// A service and the capacity of its targets.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Service {
-    /// Unique name.
+    /// Unique name of the service.
     pub name: ServiceName,
-    /// Connections that one target takes from all VMs together.
+    /// Maximum number of connections to one target from all VMs together.
     pub connections: u32,
-    /// Set if its targets work on pieces.
+    /// Set if its targets run pieces in batches.
     pub pool: Option<PoolSpec>,
     /// Set if its targets generate tokens.
     pub engine: Option<EngineSpec>,
-    /// Set if its targets bear fewer requests for some time after a start.
+    /// Set if its targets can handle fewer requests for some time after a start.
     pub cold: Option<ColdStart>,
 }
--- a/components/intent/src/target.rs
+++ b/components/intent/src/target.rs
@@ -1,51 +1,57 @@
-//! A back end in one of its lifetimes.
+//! Targets: back ends of a service, each in one lifetime, that is from one start to the end.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
 use ids::{HallName, ServiceName, TargetName};
 
-/// A target as it tells of itself, in its entry and in its answers. One that starts again is another lifetime:
-/// under another id, or under its id with another time of birth.
+/// A target as it describes itself in its registration and in its answers. A restart begins another
+/// lifetime: under another id, or under the same id with another start time.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Target {
-    /// Its id.
+    /// Id of the target.
     pub id: TargetName,
-    /// When this lifetime began, in milliseconds of the Unix epoch, if it says so.
+    /// Start time of this lifetime in milliseconds since the Unix epoch, if the target states it.
     pub born: Option<u64>,
     /// The service that it belongs to.
     pub service: ServiceName,
-    /// Where it listens.
+    /// Address at which it accepts requests.
     pub address: SocketAddr,
-    /// Its data hall.
+    /// Data hall of the target.
     pub hall: HallName,
-    /// Requests that it works on at once.
+    /// Number of requests that it runs concurrently.
     pub slots: u32,
-    /// Whether it takes no new work because it is about to end. Within a lifetime this is never taken back.
+    /// Whether it takes no new work because it is about to stop. Within a lifetime this is never
+    /// reset.
     pub leaving: bool,
-    /// Until when it wants no work from this VM, as it said when it turned some away; no entry tells it.
+    /// Time until which it wants no work from this VM, as it stated when it declined a request.
+    /// Never part of a registration.
     pub backoff_until: Option<Instant>,
-    /// Until when this VM sends it nothing, since the rate that it takes is used up; no entry tells it.
+    /// Time until which this VM sends it nothing because its request rate is used up. Never part
+    /// of a registration.
     pub rate_limited_until: Option<Instant>,
-    /// Time between two requests of all VMs together by the rate that it takes, if it names one in its answers.
+    /// Interval between two requests of all VMs together, if the target names a request rate in its
+    /// answers.
     pub request_interval: Option<Duration>,
-    /// For how long it was still cold when it wrote this: it bears few requests until then.
+    /// Remaining time for which the target was cold when it wrote its registration. A cold target
+    /// handles few requests.
     pub cold_remaining: Duration,
 }
 
 impl Target {
-    /// What it says of its lifetime as one number, alike at all VMs.
+    /// Identifies its lifetime by one number, the same on all VMs: a hash of id and start time.
     pub fn lifetime_id(&self) -> u64 {
         hashing::combine(hashing::of_text(self.id.as_str()), self.born.unwrap_or_default())
     }
 
-    /// Whether this tells of an earlier lifetime than one of the same id that was known: a write of before the
-    /// target started again may be done after its newer ones.
+    /// Whether this is an earlier lifetime than `known`, which has the same id. A write from before
+    /// a restart may arrive after newer ones.
     pub fn is_earlier_lifetime_than(&self, known: &Target) -> bool {
         matches!((self.born, known.born), (Some(born), Some(known)) if born < known)
     }
 
-    /// Whether this is another lifetime than one of the same id that was known.
+    /// Whether this is another lifetime than `known`, which has the same id. False if either states
+    /// no start time.
     pub fn is_other_lifetime_than(&self, known: &Target) -> bool {
         self.born.is_some() && known.born.is_some() && self.born != known.born
     }
--- a/components/intent/tests/entries.rs
+++ b/components/intent/tests/entries.rs
@@ -1,6 +1,6 @@
-//! Entries are found by host and longest prefix, and are checked before they are taken.
+//! Tests that entries are matched by host and longest prefix, are checked, and split by weight.
 
-// A fixture that can't be set up fails its test.
+// A failed `unwrap` in a fixture fails its test.
 #![allow(clippy::unwrap_used)]
 
 use std::collections::BTreeMap;
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn an_entry_is_refused_with_its_place() {
+fn an_invalid_entry_is_rejected_with_its_name() {
     let unknown = intent_of(vec![entry("/a/", "nowhere")]).unwrap_err();
     assert!(unknown.problem.contains("nowhere"), "{unknown:?}");
 
@@ -95,7 +95,7 @@
 }
 
 #[test]
-fn last_stages_are_those_that_no_stage_with_pieces_needs() {
+fn last_stages_are_needed_by_no_stage_with_pieces() {
     let stage =
         |needs: &[usize]| EntryStage { pool: name("pool"), needs: needs.to_vec(), result_bytes: 1 };
     let mut chain = entry("/a/", "plain");
