--- a/components/membership/src/roster.rs
+++ b/components/membership/src/roster.rs
@@ -91,7 +91,7 @@
         let mut delta = Delta::default();
         for advert in self.adverts.values().map(|e| &e.advert) {
             match known.get(&advert.beat.vm) {
-                Some(stamp) if *stamp >= advert.beat.version() => {}
+                Some(version) if *version >= advert.beat.version() => {}
                 Some((incarnation, _)) if *incarnation == advert.beat.incarnation => {
                     delta.heartbeats.push(advert.beat.clone());
                 }
--- a/components/routing/src/admission.rs
+++ b/components/routing/src/admission.rs
@@ -29,7 +29,7 @@
     clamp_retry_after(needed.saturating_sub(left.mul_f64(MAX_FILL)))
 }
 
-/// Clamps a retry time to the allowed range.
+/// Clamps a retry time, so that it is neither immediate nor too far ahead to be of use.
 pub(crate) fn clamp_retry_after(retry_after: Duration) -> Duration {
     retry_after.clamp(MIN_RETRY_AFTER, MAX_RETRY_AFTER)
 }
--- a/components/routing/src/api.rs
+++ b/components/routing/src/api.rs
@@ -27,7 +27,8 @@
     pub returning: bool,
     /// Deadline of the whole request.
     pub deadline: Instant,
-    /// Targets already tried, which are not chosen again.
+    /// Targets already tried. The adaptive policy does not choose them again, a baseline only if
+    /// no other target is usable.
     pub exclude: Vec<TargetKey>,
     /// Hash of the prompt's prefix, if the call has one.
     pub prefix: Option<u64>,
--- a/components/routing/src/feedback.rs
+++ b/components/routing/src/feedback.rs
@@ -43,7 +43,7 @@
             match end {
                 CallEnd::Answered => {
                     let filled = f64::from(in_flight)
-                        >= FILLED_SHARE * target.allowance(slot.class, self.busy, now);
+                        >= FILLED_SHARE * target.allowance(slot.class, self.busy_vms, now);
                     target.limit.update(Signal::Answered { ratio, queued }, filled, now);
                     target.health.record_success(ratio, now);
                 }
--- a/components/routing/src/grants.rs
+++ b/components/routing/src/grants.rs
@@ -35,7 +35,8 @@
             let keys = lane.targets.iter().filter(|key| !exclude.contains(key));
             keys.filter_map(|key| self.targets.get(*key).map(|state| (*key, state)))
         };
-        let free = |t: &TargetState| t.has_room(class, self.busy, now) && t.health.is_usable(now);
+        let free =
+            |t: &TargetState| t.has_room(class, self.busy_vms, now) && t.health.is_usable(now);
         let mut candidates: Vec<Candidate<'_>> = allowed().filter(|(_, t)| free(t)).collect();
         if candidates.is_empty() {
             candidates.extend(self.fallback_candidate(lane, allowed(), now));
@@ -45,7 +46,7 @@
     }
 
     /// Selects a target when none has room: the best of them, if this VM has no call in flight in
-    /// the lane. So every VM can always make one call, also if all targets are ejected.
+    /// the lane. So no VM is shut out of a lane, even if all its targets are ejected.
     fn fallback_candidate<'a>(
         &self,
         lane: &Lane,
--- a/components/routing/src/lane.rs
+++ b/components/routing/src/lane.rs
@@ -96,7 +96,7 @@
         slots: f64,
         now: Instant,
     ) -> Instant {
-        let sharing = self.others(customer, class) + 1;
+        let sharing = self.other_customers(customer, class) + 1;
         let left = self.usage.slots_left_for(class, slots, now);
         let hold = self.usage.mean_hold(class).unwrap_or_default();
         let gap = admission::wait_behind(sharing as f64, left, hold);
@@ -145,17 +145,17 @@
         let urgent = Priority::ALL.into_iter().filter(|c| *c < class);
         let urgent: Duration =
             urgent.map(|c| admission::wait_behind(self.waiting(c) as f64, slots, hold(c))).sum();
-        // Customers are served in turn, so the requests of its own customer that go before a new
-        // one count once for each customer that waits.
+        // Customers are served in turn, so each request of the same customer that goes before the
+        // new one counts once for every customer that waits.
         let own = self.classes.get(&class).and_then(|c| c.get(customer));
         let own = own.map_or(0.0, |queue| queue.ahead(returning, start_by, self.return_rate));
-        let others = self.others(customer, class) as f64;
+        let others = self.other_customers(customer, class) as f64;
         let left = self.usage.slots_left_for(class, slots, now);
         urgent + admission::wait_behind(own * (others + 1.0) + others + 1.0, left, hold(class))
     }
 
     /// Number of other customers with waiting requests in the class.
-    fn others(&self, customer: &CustomerName, class: Priority) -> usize {
+    fn other_customers(&self, customer: &CustomerName, class: Priority) -> usize {
         let waits =
             |(name, queue): &(&CustomerName, &CustomerQueue)| *name != customer && queue.len() > 0;
         self.classes.get(&class).map_or(0, |queues| queues.iter().filter(waits).count())
--- a/components/routing/src/retry.rs
+++ b/components/routing/src/retry.rs
@@ -11,8 +11,8 @@
 /// Retries in the budget when the process starts.
 const INITIAL_RETRIES: f64 = 5.0;
 
-/// Token bucket of retries. It keeps the load from retries at about 1.1 times the requests while
-/// all calls fail.
+/// Token bucket of retries. It keeps the amplification, that is the calls per request, at about 1.1
+/// while all calls fail.
 #[derive(Debug, Clone, Copy)]
 pub struct RetryBudget {
     available: f64,
--- a/components/routing/src/router.rs
+++ b/components/routing/src/router.rs
@@ -44,7 +44,7 @@
     pub(crate) own: VmName,
     pub(crate) sharers: Vec<Sharer>,
     /// Number of VMs that have calls in flight, this one included.
-    pub(crate) busy: usize,
+    pub(crate) busy_vms: usize,
 }
 
 impl Router {
@@ -55,7 +55,7 @@
             hall: own.hall.clone(),
             own: own.vm.clone(),
             sharers: vec![own],
-            busy: 1,
+            busy_vms: 1,
             rng: SmallRng::seed_from_u64(seed),
             targets: SlotMap::with_key(),
             by_name: BTreeMap::new(),
@@ -138,10 +138,10 @@
         let stages = 0..req.service.stages.len();
         let lanes = stages.filter_map(|stage| self.plans.lane(req, stage, None));
         let waits: Vec<(LaneKey, Duration)> = lanes
-            .filter_map(|key| Some((key, self.wait_in(self.lanes.get(key)?, req, now))))
+            .filter_map(|key| Some((key, self.expected_wait_in(self.lanes.get(key)?, req, now))))
             .collect();
         let waiting: Duration = waits.iter().map(|(_, wait)| *wait).sum();
-        let needed = waiting + self.time_from(req.service, 0, now);
+        let needed = waiting + self.expected_time_from(req.service, 0, now);
         let longest = waits.into_iter().max_by_key(|(_, wait)| *wait);
         if admission::fits(needed, left) {
             return Ok(());
@@ -188,7 +188,7 @@
         {
             lane.record_return(req.customer, req.priority);
         }
-        let after = self.time_from(req.service, req.stage, now);
+        let after = self.expected_time_from(req.service, req.stage, now);
         let left = req.deadline.saturating_duration_since(now);
         if !admission::fits(after, left) {
             let retry_after = admission::retry_after(after, left);
@@ -246,7 +246,7 @@
         if !lane.targets.iter().any(usable) {
             return Some(SlotRefusal::NoTarget { retry_after: self.next_probe(lane, now) });
         }
-        let wait = self.wait_in(lane, req, now);
+        let wait = self.expected_wait_in(lane, req, now);
         let left = start_by.saturating_duration_since(now);
         if !admission::fits(wait, left) {
             let earliest = admission::retry_after(wait, left);
@@ -341,7 +341,7 @@
     /// Sets the number of calls that other VMs have in flight at each target, and the number of
     /// other VMs that have any calls in flight.
     pub fn set_peer_loads(&mut self, calls: impl Fn(&TargetName) -> u32, busy_peers: usize) {
-        self.busy = busy_peers + 1;
+        self.busy_vms = busy_peers + 1;
         for target in self.targets.values_mut() {
             target.by_peers = calls(&target.name);
         }
@@ -396,7 +396,7 @@
 
     /// Expected time of the stages from `first` on, with a safety margin. Stages with no fresh
     /// estimate count as 0.
-    fn time_from(&self, service: &Service, first: usize, now: Instant) -> Duration {
+    fn expected_time_from(&self, service: &Service, first: usize, now: Instant) -> Duration {
         let estimate = |stage: &Stage| {
             let times = self.times.get(&(service.name.clone(), stage.name.clone()))?;
             (times.age(now) < admission::ESTIMATE_TTL).then(|| times.expected())
@@ -406,7 +406,7 @@
     }
 
     /// Estimated time that a new request waits in the lane.
-    fn wait_in(&self, lane: &Lane, req: &SlotRequest<'_>, now: Instant) -> Duration {
+    fn expected_wait_in(&self, lane: &Lane, req: &SlotRequest<'_>, now: Instant) -> Duration {
         let slots = self.slots_of(lane, req.priority, now);
         let idle = slots - self.in_flight(lane) - lane.usage.headroom(req.priority, now);
         if !lane.has_waiting_up_to(req.priority) && idle >= HALF_SLOT {
@@ -425,7 +425,7 @@
     pub(crate) fn slots_of(&self, lane: &Lane, class: Priority, now: Instant) -> f64 {
         let states = lane.targets.iter().filter_map(|key| self.targets.get(*key));
         let usable = states.filter(|t| !t.leaving && t.health.is_usable(now));
-        usable.map(|t| t.allowance(class, self.busy, now)).sum::<f64>().max(1.0)
+        usable.map(|t| t.allowance(class, self.busy_vms, now)).sum::<f64>().max(1.0)
     }
 
     /// Time until the first ejected target of the lane gets a call again.
--- a/components/routing/src/target.rs
+++ b/components/routing/src/target.rs
@@ -84,7 +84,7 @@
         let limit = self.limit.value();
         let assigned = f64::from(self.assigned) * limit / f64::from(self.slots);
         let assigned = if self.assigned > 0 { assigned.max(1.0) } else { assigned };
-        let free = limit - f64::from(self.others(now));
+        let free = limit - f64::from(self.calls_from_others(now));
         let (own, idle) = match class {
             Priority::Background => {
                 let own = if self.assigned > 0 { assigned.min(free.max(1.0)) } else { 0.0 };
@@ -106,14 +106,14 @@
 
     /// Load for comparison: known calls in flight per slot.
     pub(crate) fn load(&self, now: Instant) -> f64 {
-        f64::from(self.in_flight + self.others(now)) / f64::from(self.slots)
+        f64::from(self.in_flight + self.calls_from_others(now)) / f64::from(self.slots)
     }
 
     /// Estimated number of calls from other VMs.
     ///
     /// The count of this VM is exact, the counts of peers are about a second old, and the load
     /// report may be late. So the larger of the last two is used.
-    fn others(&self, now: Instant) -> u32 {
+    fn calls_from_others(&self, now: Instant) -> u32 {
         let fresh = self.report.filter(|(_, at)| now.saturating_duration_since(*at) < REPORT_TTL);
         let reported = fresh.map_or(0, |(r, _)| r.running + r.queued);
         self.by_peers.max(reported.saturating_sub(self.in_flight))
