--- a/components/store_view/src/contact.rs
+++ b/components/store_view/src/contact.rs
@@ -1,112 +1,117 @@
-//! Contact with the platform's store: whether it answers this VM, and whether it answers any.
+//! Tracks whether the platform's store answers this VM, and whether it answers any VM.
 //!
-//! Entries of targets that live may lapse while the store is away, and are kept for some time after its return. That
-//! this VM lost the store does not mean that it was away: a renewal that came late, or a store that turns this VM
-//! away, looks alike from here. Peers say when they were last answered, which tells the two apart: the store was away
-//! if it answered nobody for as long as it takes one VM to miss it, or nobody since this VM lost it.
+//! During an outage of the store the leases of live targets may expire, so their entries are kept for a grace period
+//! after the store's return. A failed call of this VM does not prove an outage: to this VM, a lease that was renewed too
+//! late or a store that rejects only this VM looks the same. Peers report when the store last answered them, which tells
+//! the two apart: the store was down if it answered no VM for `STORE_SILENCE`, or no VM since this VM lost it.
 
 use std::time::{Duration, Instant};
 
-/// Entries that lapsed while the store was away come back within this time of its return, if
-/// their targets live.
+/// Time after the store's return within which live targets register again the entries that expired
+/// during the outage.
 const LAPSE_GRACE: Duration = Duration::from_millis(2100);
-/// Longest silence before an answer and within one. A store answers in milliseconds; what fills a
-/// link of 10 Mbit/s delays it by some hundred.
+/// Longest silence before an answer, and between two reads of one. A store answers within
+/// milliseconds; other traffic that saturates a link of 10 Mbit/s delays it by some hundred.
 pub const SILENCE_TIMEOUT: Duration = Duration::from_millis(900);
-/// The store counts as away when nothing was heard from it for this long.
+/// The store counts as down after this time without an answer.
 const STORE_SILENCE: Duration = Duration::from_millis(2500);
 
-/// Contact with the store.
+/// State of the contact between the store and the VMs.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct StoreContact {
-    last: Option<Instant>,
-    /// When an answer that is being read last brought bytes.
-    bytes: Option<Instant>,
-    /// Since when it is lost.
-    lost: Option<Instant>,
-    /// Whether no peer was answered since then.
-    by_all: bool,
-    /// When it last answered this VM or a peer.
-    answered: Option<Instant>,
-    /// When it first answered one of them after it had been away.
-    back: Option<Instant>,
+    /// When it last answered this VM.
+    last_answer: Option<Instant>,
+    /// When bytes of an answer to this VM last arrived.
+    last_bytes: Option<Instant>,
+    /// Time of the first failed call since the last answer to this VM.
+    lost_since: Option<Instant>,
+    /// Whether calls of this VM fail and no peer was answered since the first one that did.
+    lost_by_all: bool,
+    /// When it last answered any VM.
+    last_answer_to_any: Option<Instant>,
+    /// When it first answered any VM after the latest outage.
+    returned: Option<Instant>,
 }
 
 impl StoreContact {
-    /// A whole answer came from the store; says whether it had been lost.
+    /// Records a complete answer to this VM; returns whether the store had been lost before.
     pub fn record_answer(&mut self, now: Instant) -> bool {
-        self.last = Some(now);
-        if self.is_away(now) {
-            self.back = Some(now);
+        self.last_answer = Some(now);
+        if self.is_down(now) {
+            self.returned = Some(now);
         }
-        self.by_all = false;
-        self.answered = Some(now);
-        self.lost.take().is_some()
+        self.lost_by_all = false;
+        self.last_answer_to_any = Some(now);
+        self.lost_since.take().is_some()
     }
 
-    /// An answer that is being read brought bytes.
+    /// Records that bytes of an answer arrived.
     pub fn record_bytes(&mut self, now: Instant) {
-        self.bytes = Some(now);
+        self.last_bytes = Some(now);
     }
 
-    /// A call to the store failed; says whether it had not been lost before. While another call
-    /// brings bytes the store is not lost.
+    /// Records a failed call to the store; returns whether the store is lost only since this call.
+    /// The failure is ignored while another call receives bytes.
     pub fn record_failure(&mut self, now: Instant) -> bool {
         if self.is_receiving(now) {
             return false;
         }
-        let newly = self.lost.is_none();
+        let newly = self.lost_since.is_none();
         if newly {
-            self.lost = Some(now);
-            self.by_all = true;
+            self.lost_since = Some(now);
+            self.lost_by_all = true;
         }
         newly
     }
 
-    /// Whether an answer is being read.
+    /// Whether bytes of an answer arrived within the last [`SILENCE_TIMEOUT`].
     pub fn is_receiving(&self, now: Instant) -> bool {
-        self.bytes.is_some_and(|at| now.saturating_duration_since(at) < SILENCE_TIMEOUT)
+        self.last_bytes.is_some_and(|at| now.saturating_duration_since(at) < SILENCE_TIMEOUT)
     }
 
-    /// Whether the store is out of reach.
+    /// Whether this VM has lost the store: a call failed since its last answer, or there was no answer
+    /// for `STORE_SILENCE`.
     pub fn is_lost(&self, now: Instant) -> bool {
         let silent = |at: Instant| now.saturating_duration_since(at) > STORE_SILENCE;
-        self.lost.is_some() || self.last.is_none_or(silent)
+        self.lost_since.is_some() || self.last_answer.is_none_or(silent)
     }
 
-    /// How long ago the store was heard.
+    /// Time since the store last answered this VM; `None` if it never did.
     pub fn age(&self, now: Instant) -> Option<Duration> {
-        self.last.map(|at| now.saturating_duration_since(at))
+        self.last_answer.map(|at| now.saturating_duration_since(at))
     }
 
-    /// The store answered a peer.
+    /// Records that the store answered a peer at `at`. Reports older than the last known answer are
+    /// ignored.
     pub fn record_peer_answer(&mut self, at: Instant) {
-        if self.answered.is_some_and(|before| at <= before) {
+        if self.last_answer_to_any.is_some_and(|before| at <= before) {
             return;
         }
-        if self.is_silent(at) {
-            self.back = Some(at);
+        if self.is_silent_to_all(at) {
+            self.returned = Some(at);
         }
-        self.by_all &= self.lost.is_some_and(|lost| at <= lost);
-        self.answered = Some(at);
+        self.lost_by_all &= self.lost_since.is_some_and(|lost| at <= lost);
+        self.last_answer_to_any = Some(at);
     }
 
-    /// Whether the store counts as away.
-    fn is_away(&self, now: Instant) -> bool {
-        self.by_all || self.is_silent(now)
+    /// Whether the store counts as down.
+    fn is_down(&self, now: Instant) -> bool {
+        self.lost_by_all || self.is_silent_to_all(now)
     }
 
-    /// Whether it answered nobody for so long that any VM would have missed it.
-    fn is_silent(&self, now: Instant) -> bool {
-        self.answered.is_some_and(|at| now.saturating_duration_since(at) >= STORE_SILENCE)
+    /// Whether it answered no VM for so long that any VM would have noticed.
+    fn is_silent_to_all(&self, now: Instant) -> bool {
+        self.last_answer_to_any.is_some_and(|at| now.saturating_duration_since(at) >= STORE_SILENCE)
     }
 
-    /// Until when an entry is kept that is heard now to have lapsed: some time after the store's return, or
-    /// after now while it is away; `None` if that is over, so that the entry went with the store in reach. A VM
-    /// that kept entries because it alone had lost the store sent to a target that was gone for 2.8 s after its
-    /// peers knew (`tests/lapses.rs`), where some platforms bear 2 s.
+    /// Until when to keep an entry whose removal is reported now: `LAPSE_GRACE` after the store's return, or
+    /// after `now` while the store is down. `None` if that time is over: the entry expired while the store was
+    /// reachable, and is not kept.
+    ///
+    /// An outage that only this VM sees must not count: a VM that kept entries for that reason sent requests to a
+    /// removed target for 2.8 s after its peers knew of the removal (`tests/lapses.rs`); some platforms tolerate 2 s.
     pub fn grace_until(&self, now: Instant) -> Option<Instant> {
-        let back = if self.is_away(now) { Some(now) } else { self.back };
-        back.map(|at| at + LAPSE_GRACE).filter(|until| *until > now)
+        let returned = if self.is_down(now) { Some(now) } else { self.returned };
+        returned.map(|at| at + LAPSE_GRACE).filter(|until| *until > now)
     }
 }
--- a/components/store_view/src/lib.rs
+++ b/components/store_view/src/lib.rs
@@ -1,5 +1,5 @@
-//! A VM's view of the platform's store: the newest value of each key that it has heard of, from
-//! the store itself or from a peer. A lower revision never replaces a higher one.
+//! A VM's copy of the platform's store: the newest known value of each key, as read from the store
+//! itself or received from a peer. A lower revision never replaces a higher one.
 
 mod contact;
 mod parts;
@@ -13,53 +13,54 @@
 pub use parts::{Assembler, Batch, BatchRequest, Part, Position};
 pub use stall::StallDetector;
 
-/// One key at one revision.
+/// State of one key at one revision.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Item {
     /// The key.
     pub key: String,
     /// The store's revision of this change.
     pub revision: u64,
-    /// The value; `None` if the key was removed.
+    /// The value; `None` if this change removed the key.
     pub value: Option<Bytes>,
 }
 
-/// What a merge changed.
+/// A change of a value in the view.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Change {
-    /// The key has this value now.
+    /// The key was set to this value.
     Put(String, Bytes),
-    /// The key is gone.
+    /// The key was removed.
     Removed(String),
 }
 
-/// The view.
+/// The newest known change of each key, removals included.
 #[derive(Debug, Default)]
 pub struct View {
     items: HashMap<String, Item>,
-    /// The places of `items`, in the order of changes.
+    /// The positions of `items`, in the order of changes.
     order: BTreeSet<Position>,
+    /// Every change up to this revision is known.
     as_of: u64,
 }
 
 impl View {
-    /// Every change up to this revision is known.
+    /// The revision up to which every change is known.
     pub fn as_of(&self) -> u64 {
         self.as_of
     }
 
-    /// Says that every change up to `revision` is known.
+    /// Records that every change up to `revision` is known; a lower revision than before is ignored.
     pub fn advance_to(&mut self, revision: u64) {
         self.as_of = self.as_of.max(revision);
     }
 
-    /// Takes items that are newer than what is known; gives what they changed.
+    /// Applies the items that are newer than what is known, and returns the changes of values.
     pub fn merge(&mut self, items: Vec<Item>) -> Vec<Change> {
-        items.into_iter().filter_map(|item| self.take(item)).collect()
+        items.into_iter().filter_map(|item| self.apply(item)).collect()
     }
 
-    /// Takes a whole listing of the keys that start with `prefix`, read at revision `as_of`: what
-    /// it does not name is gone, unless it was heard of since.
+    /// Applies a complete listing of the keys that start with `prefix`, read at revision `as_of`: a key
+    /// that is not listed was removed, unless a later change to it is known.
     pub fn merge_listing(&mut self, prefix: &str, items: Vec<Item>, as_of: u64) -> Vec<Change> {
         let listed: std::collections::HashSet<&str> =
             items.iter().map(|item| item.key.as_str()).collect();
@@ -80,12 +81,12 @@
         changes
     }
 
-    /// The value of a key.
+    /// The value of a key; `None` if the key is unknown or removed.
     pub fn get(&self, key: &str) -> Option<&Bytes> {
         self.items.get(key)?.value.as_ref()
     }
 
-    /// Keys in force that start with `prefix`.
+    /// Keys that start with `prefix` and have a value, with their values.
     pub fn keys<'a>(&'a self, prefix: &'a str) -> impl Iterator<Item = (&'a str, &'a Bytes)> {
         self.items
             .values()
@@ -93,23 +94,24 @@
             .filter_map(|item| Some((item.key.as_str(), item.value.as_ref()?)))
     }
 
-    fn take(&mut self, item: Item) -> Option<Change> {
+    /// Applies an item if it is newer than what is known; returns what it changed, if anything.
+    fn apply(&mut self, item: Item) -> Option<Change> {
         let known = self.items.get(&item.key);
         if known.is_some_and(|known| known.revision >= item.revision) {
             return None;
         }
-        let had = known.is_some_and(|known| known.value.is_some());
-        let same = known.is_some_and(|known| known.value == item.value);
+        let had_value = known.is_some_and(|known| known.value.is_some());
+        let unchanged = known.is_some_and(|known| known.value == item.value);
         let change = match &item.value {
             Some(value) => Some(Change::Put(item.key.clone(), value.clone())),
-            None if had => Some(Change::Removed(item.key.clone())),
+            None if had_value => Some(Change::Removed(item.key.clone())),
             None => None,
         };
-        let place = Position { revision: item.revision, key: item.key.clone() };
-        if let Some(old) = self.items.insert(place.key.clone(), item) {
+        let position = Position { revision: item.revision, key: item.key.clone() };
+        if let Some(old) = self.items.insert(position.key.clone(), item) {
             self.order.remove(&Position { revision: old.revision, key: old.key });
         }
-        self.order.insert(place);
-        change.filter(|_| !same)
+        self.order.insert(position);
+        change.filter(|_| !unchanged)
     }
 }
--- a/components/store_view/src/parts.rs
+++ b/components/store_view/src/parts.rs
@@ -1,69 +1,77 @@
-//! Hands the view on to a peer in parts of bounded size, so that whatever else the link carries
-//! goes in between: the peer asks for each part, in the order of changes.
+//! Transfers the view to a peer in batches of bounded size.
+//!
+//! The peer requests one batch after the other, in the order of changes, so that other messages on
+//! the link can be sent between two batches.
 
 use bytes::{Bytes, BytesMut};
 
 use crate::{Item, View};
 
-/// A place in the order of changes: by revision, then by key.
+/// Position of a change in the order of changes: by revision, then by key.
 #[derive(Debug, Clone, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Position {
-    /// Revision of a change.
+    /// Revision of the change.
     pub revision: u64,
-    /// Its key.
+    /// Key that was changed.
     pub key: String,
 }
 
 impl Position {
-    /// The place before all changes after `revision`.
+    /// The position that precedes all changes with a revision above `revision`.
     pub fn after(revision: u64) -> Self {
         Position { revision: revision + 1, key: String::new() }
     }
 }
 
-/// What a peer asks for.
+/// A peer's request for the next batch.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct BatchRequest {
-    /// Changes up to here are not asked for.
+    /// Last position that the peer has; only later changes are sent.
     pub after: Position,
-    /// Revision of the next change and how many bytes of it are there already; 0 and 0 if none.
+    /// Revision of a change that the peer has received in part, and how many bytes of its value it
+    /// has; `(0, 0)` if there is none.
     pub partial: (u64, usize),
 }
 
-/// A change, or part of one with a long value.
+/// A change, or a part of one whose value does not fit into one batch.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Part {
-    /// The change; its value holds the bytes from `offset` on.
+    /// The change; its value holds only the bytes of this part, starting at `offset`.
     pub item: Item,
-    /// Where in the value this part begins, in bytes.
+    /// Offset of this part within the whole value, in bytes.
     pub offset: usize,
-    /// Whether the value ends with this part.
+    /// Whether this part is the last one of its value.
     pub ends: bool,
 }
 
-/// Parts that answer an [`BatchRequest`].
+/// Reply to a [`BatchRequest`].
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Batch {
     /// The parts, in the order of changes.
     pub parts: Vec<Part>,
-    /// Whether nothing follows.
+    /// Whether there are no further changes after this batch.
     pub is_last: bool,
 }
 
 impl View {
-    /// The next parts, of at most `most` bytes together, or one byte of progress if that is less.
-    pub fn next_batch(&self, ask: &BatchRequest, most: usize) -> Batch {
-        let (mut parts, mut left) = (Vec::new(), most.max(1));
-        let mut partial = Some(ask.partial);
-        for place in self.order.range(ask.after.clone()..).filter(|place| **place != ask.after) {
-            let Some(item) = self.items.get(&place.key) else { continue };
-            let offset = partial.take().filter(|(rev, _)| *rev == place.revision);
-            let part = part_of(item, offset.map_or(0, |(_, offset)| offset), left);
-            left = left.saturating_sub(cost(&part.item));
+    /// Returns the parts that follow the position in `request`.
+    ///
+    /// Keys and values count towards `max_bytes`, which is treated as 1 if it is 0, so that every
+    /// request makes progress. Only values are cut: the key of the last part may exceed the limit.
+    pub fn next_batch(&self, request: &BatchRequest, max_bytes: usize) -> Batch {
+        let (mut parts, mut remaining) = (Vec::new(), max_bytes.max(1));
+        let mut partial = Some(request.partial);
+        for position in
+            self.order.range(request.after.clone()..).filter(|position| **position != request.after)
+        {
+            let Some(item) = self.items.get(&position.key) else { continue };
+            let offset = partial.take().filter(|(rev, _)| *rev == position.revision);
+            let part = cut_part(item, offset.map_or(0, |(_, offset)| offset), remaining);
+            remaining = remaining.saturating_sub(size_bytes(&part.item));
             let ends = part.ends;
             parts.push(part);
-            if !ends || left == 0 {
-                let last = self.order.last() == Some(place);
+            if !ends || remaining == 0 {
+                let last = self.order.last() == Some(position);
                 return Batch { parts, is_last: ends && last };
             }
         }
@@ -71,22 +79,23 @@
     }
 }
 
-fn part_of(item: &Item, offset: usize, most: usize) -> Part {
+/// Cuts the part of an item that starts at `offset` and has at most `max_bytes` bytes of its value.
+fn cut_part(item: &Item, offset: usize, max_bytes: usize) -> Part {
     let Some(value) = &item.value else {
         return Part { item: item.clone(), offset: 0, ends: true };
     };
     let offset = offset.min(value.len());
-    let end = value.len().min(offset + most);
+    let end = value.len().min(offset + max_bytes);
     let item = Item { value: Some(value.slice(offset..end)), ..item.clone() };
     Part { item, offset, ends: end == value.len() }
 }
 
-/// Bytes that an item is counted as: its key and value.
-fn cost(item: &Item) -> usize {
+/// Bytes of an item that count towards the limit of a batch: its key and value.
+fn size_bytes(item: &Item) -> usize {
     item.key.len() + item.value.as_ref().map_or(0, Bytes::len)
 }
 
-/// Puts the parts together at the peer that asks.
+/// Reassembles changes from parts, on the side that sends the requests.
 #[derive(Debug, Default)]
 pub struct Assembler {
     after: Position,
@@ -94,43 +103,46 @@
 }
 
 impl Assembler {
-    /// Asks for all changes after `revision`.
+    /// Starts with the first change after `revision`.
     pub fn after(revision: u64) -> Self {
         Assembler { after: Position::after(revision), partial: None }
     }
 
-    /// What to ask for next.
+    /// The request for the next batch.
     pub fn next_request(&self) -> BatchRequest {
         let partial =
-            self.partial.as_ref().map_or((0, 0), |(place, buf)| (place.revision, buf.len()));
+            self.partial.as_ref().map_or((0, 0), |(position, buf)| (position.revision, buf.len()));
         BatchRequest { after: self.after.clone(), partial }
     }
 
-    /// Takes a part; gives the change once it is whole. A part that continues nothing that is here
-    /// is dropped: its beginning is asked for next.
+    /// Adds a part and returns the change once its value is complete.
+    ///
+    /// A part that does not continue what was received before is dropped, and the next request asks
+    /// for that change from its first byte.
     pub fn push(&mut self, part: Part) -> Option<Item> {
         let Part { item, offset, ends } = part;
-        let place = Position { revision: item.revision, key: item.key.clone() };
+        let position = Position { revision: item.revision, key: item.key.clone() };
         let Some(value) = item.value else {
-            self.pass(place);
+            self.advance(position);
             return Some(Item { value: None, ..item });
         };
         let mut buf = match self.partial.take() {
-            Some((position, buf)) if position == place && buf.len() == offset => buf,
+            Some((started, buf)) if started == position && buf.len() == offset => buf,
             _ if offset == 0 => BytesMut::new(),
             _ => return None,
         };
         buf.extend_from_slice(&value);
         if !ends {
-            self.partial = Some((place, buf));
+            self.partial = Some((position, buf));
             return None;
         }
-        self.pass(place);
+        self.advance(position);
         Some(Item { value: Some(buf.freeze()), ..item })
     }
 
-    fn pass(&mut self, place: Position) {
+    /// Marks the change at `position` as received.
+    fn advance(&mut self, position: Position) {
         self.partial = None;
-        self.after = place;
+        self.after = position;
     }
 }
--- a/components/store_view/src/stall.rs
+++ b/components/store_view/src/stall.rs
@@ -1,29 +1,31 @@
-//! Whether what this VM knows of the store stands still while peers know more: a watch whose connection fell silent
-//! tells nothing until its longest wait is over, though other calls to the store are answered.
+//! Detects a watch of the store that has stalled: this VM's revision does not advance while peers have a newer one.
+//!
+//! A watch whose connection fell silent reports nothing until its longest wait is over, although other calls to the
+//! store are answered.
 
 use std::time::{Duration, Instant};
 
-/// How long a VM has been behind its peers without learning anything itself.
+/// Tracks for how long this VM has been behind its peers without advancing itself.
 #[derive(Debug, Default)]
 pub struct StallDetector {
-    known: u64,
-    since: Option<Instant>,
+    own_revision: u64,
+    behind_since: Option<Instant>,
 }
 
 impl StallDetector {
-    /// Takes the revisions up to which this VM and the peer that knows most know the store.
+    /// Records the revisions up to which this VM, and the most advanced of its peers, know the store.
     pub fn update(&mut self, own: u64, peers: u64, now: Instant) {
-        let moves = own != self.known;
-        self.known = own;
+        let advanced = own != self.own_revision;
+        self.own_revision = own;
         if peers <= own {
-            self.since = None;
-        } else if moves || self.since.is_none() {
-            self.since = Some(now);
+            self.behind_since = None;
+        } else if advanced || self.behind_since.is_none() {
+            self.behind_since = Some(now);
         }
     }
 
-    /// Whether it has lasted for some time.
+    /// Whether this VM has been behind without advancing for at least `time`.
     pub fn has_stalled_for(&self, time: Duration, now: Instant) -> bool {
-        self.since.is_some_and(|since| now.saturating_duration_since(since) >= time)
+        self.behind_since.is_some_and(|since| now.saturating_duration_since(since) >= time)
     }
 }
--- a/components/store_view/tests/contact.rs
+++ b/components/store_view/tests/contact.rs
@@ -1,14 +1,15 @@
-//! Entries that lapse are kept around outages of the store, and not because this VM alone had lost it.
+//! Tests of the store contact: entries that expire are kept around an outage of the store, but not if only this VM
+//! lost the store.
 
 use std::time::{Duration, Instant};
 
 use store_view::StoreContact;
 
-/// The time after the store's return within which the entries of targets that live are back.
+/// Time after the store's return within which live targets register again.
 const GRACE: Duration = Duration::from_millis(2100);
 const SECOND: Duration = Duration::from_secs(1);
 
-/// Contact that lost the store at `at`, a second after this VM and a peer were last answered.
+/// A contact whose first failed call was at `at`, a second after the store last answered this VM and a peer.
 fn lost(at: Instant) -> StoreContact {
     let mut contact = StoreContact::default();
     contact.record_answer(at - SECOND);
@@ -18,7 +19,7 @@
 }
 
 #[test]
-fn after_an_outage_entries_are_kept_from_the_first_return_on() {
+fn after_an_outage_the_grace_period_starts_with_the_first_answer_to_any_vm() {
     let lost_at = Instant::now() + SECOND;
     let mut contact = lost(lost_at);
     let while_away = contact.grace_until(lost_at + SECOND * 2);
@@ -34,7 +35,7 @@
 }
 
 #[test]
-fn without_peers_its_own_return_counts() {
+fn without_peers_the_grace_period_starts_with_the_first_own_answer() {
     let lost_at = Instant::now() + SECOND;
     let mut contact = lost(lost_at);
     let back = lost_at + SECOND * 4;
@@ -44,7 +45,7 @@
 }
 
 #[test]
-fn an_entry_that_lapses_while_the_store_answers_a_peer_is_not_kept() {
+fn an_entry_that_expires_while_the_store_answers_a_peer_is_not_kept() {
     let lost_at = Instant::now() + SECOND;
     let mut contact = lost(lost_at);
     contact.record_peer_answer(lost_at + SECOND);
@@ -52,12 +53,12 @@
     contact.record_peer_answer(lost_at + SECOND * 3);
     contact.record_answer(lost_at + SECOND * 4);
 
-    assert_eq!(heard_from_peer, None, "told by a peer that has the store");
-    assert_eq!(contact.grace_until(lost_at + SECOND * 4), None, "read by this VM");
+    assert_eq!(heard_from_peer, None, "the removal was reported by a peer that the store answers");
+    assert_eq!(contact.grace_until(lost_at + SECOND * 4), None, "the removal was read by this VM");
 }
 
 #[test]
-fn a_peers_word_that_comes_late_changes_nothing() {
+fn a_late_report_of_an_answer_to_a_peer_is_ignored() {
     let lost_at = Instant::now() + SECOND;
     let mut contact = lost(lost_at);
     contact.record_answer(lost_at + SECOND * 4);
@@ -67,7 +68,7 @@
 }
 
 #[test]
-fn one_that_lapses_with_the_store_in_reach_is_not_kept() {
+fn an_entry_that_expires_while_the_store_is_reachable_is_not_kept() {
     let now = Instant::now();
     let mut contact = StoreContact::default();
     contact.record_answer(now);
@@ -76,7 +77,7 @@
 }
 
 #[test]
-fn a_short_outage_that_only_this_vm_can_tell_of_counts_as_one() {
+fn a_short_outage_that_no_peer_contradicts_counts_as_one() {
     let lost_at = Instant::now() + SECOND;
     let mut contact = lost(lost_at);
     let while_lost = contact.grace_until(lost_at + SECOND / 4);
--- a/components/store_view/tests/view.rs
+++ b/components/store_view/tests/view.rs
@@ -1,4 +1,5 @@
-//! The view takes what is newer, from whomever it comes, and never goes back.
+//! Tests of the view: newer revisions replace older ones, whatever their source, and a peer receives all changes in
+//! batches.
 
 use bytes::Bytes;
 use store_view::{Assembler, Change, Item, Part, View};
@@ -24,7 +25,7 @@
 }
 
 #[test]
-fn a_removed_key_does_not_come_back_by_an_older_word() {
+fn a_removed_key_is_not_restored_by_an_older_revision() {
     let mut view = View::default();
     view.merge(vec![put("a", 5, "x"), removed("a", 7)]);
 
@@ -35,20 +36,20 @@
 }
 
 #[test]
-fn the_same_value_at_a_later_revision_changes_nothing() {
+fn the_same_value_at_a_later_revision_is_no_change_but_is_forwarded() {
     let mut view = View::default();
     view.merge(vec![put("a", 5, "x")]);
 
     assert_eq!(view.merge(vec![put("a", 6, "x")]), vec![]);
     assert_eq!(
-        view.next_batch(&Assembler::after(5).next_request(), MOST).parts.len(),
+        view.next_batch(&Assembler::after(5).next_request(), MAX_BYTES).parts.len(),
         1,
-        "but its revision is passed on"
+        "the new revision must be forwarded to peers"
     );
 }
 
 #[test]
-fn a_listing_removes_what_it_does_not_name_unless_heard_of_since() {
+fn a_listing_removes_keys_that_it_lacks_unless_they_changed_later() {
     let mut view = View::default();
     view.merge(vec![put("t/gone", 3, "x"), put("t/new", 12, "x"), put("other/a", 2, "x")]);
 
@@ -60,40 +61,40 @@
     assert_eq!(view.keys("other/").count(), 1);
 }
 
-/// Bytes of a batch: enough for the small changes of a test.
-const MOST: usize = 100;
+/// Size limit of a batch in bytes; the small changes of these tests fit into one.
+const MAX_BYTES: usize = 100;
 
-/// Asks for batches until one is the last; gives how many there were.
-fn hand_on(view: &View, peer: &mut View, assembly: &mut Assembler, most: usize) -> usize {
+/// Requests batches until the last one; returns their number.
+fn transfer(view: &View, peer: &mut View, assembler: &mut Assembler, max_bytes: usize) -> usize {
     for count in 1.. {
-        let batch = view.next_batch(&assembly.next_request(), most);
-        let whole: Vec<Item> = batch.parts.into_iter().filter_map(|p| assembly.push(p)).collect();
+        let batch = view.next_batch(&assembler.next_request(), max_bytes);
+        let whole: Vec<Item> = batch.parts.into_iter().filter_map(|p| assembler.push(p)).collect();
         peer.merge(whole);
         if batch.is_last {
             return count;
         }
-        assert!(count < 10_000, "it does not end");
+        assert!(count < 10_000, "no last batch after 10,000 batches");
     }
-    unreachable!("the loop ends with the last batch")
+    unreachable!("the loop returns at the last batch")
 }
 
 #[test]
-fn a_peer_is_told_what_it_has_not_heard_of_removals_too() {
+fn a_peer_receives_changes_that_it_lacks_including_removals() {
     let mut view = View::default();
     view.merge(vec![put("a", 5, "x"), put("b", 6, "x"), removed("a", 8)]);
     let mut peer = View::default();
     peer.merge(vec![put("a", 5, "x"), put("b", 6, "x")]);
 
-    hand_on(&view, &mut peer, &mut Assembler::after(6), MOST);
+    transfer(&view, &mut peer, &mut Assembler::after(6), MAX_BYTES);
 
     assert_eq!(peer.get("a"), None);
     assert!(peer.get("b").is_some());
 }
 
 #[test]
-fn a_long_value_comes_whole_in_batches_of_any_size() {
+fn a_long_value_arrives_complete_in_batches_of_any_size() {
     let long = "0123456789".repeat(100);
-    for most in [1, 7, 64, 999, 1000, 1001, 5000] {
+    for max_bytes in [1, 7, 64, 999, 1000, 1001, 5000] {
         let mut view = View::default();
         view.merge(vec![
             put("a", 5, "x"),
@@ -103,52 +104,52 @@
         ]);
         let mut peer = View::default();
 
-        let batches = hand_on(&view, &mut peer, &mut Assembler::after(0), most);
+        let batches = transfer(&view, &mut peer, &mut Assembler::after(0), max_bytes);
 
-        assert_eq!(peer.get("long").map(Bytes::as_ref), Some(long.as_bytes()), "{most}");
-        assert_eq!(peer.keys("").count(), 4, "{most}");
-        assert!(batches >= 1000 / most, "{most}: {batches} batches");
+        assert_eq!(peer.get("long").map(Bytes::as_ref), Some(long.as_bytes()), "limit {max_bytes}");
+        assert_eq!(peer.keys("").count(), 4, "limit {max_bytes}");
+        assert!(batches >= 1000 / max_bytes, "limit {max_bytes}: {batches} batches");
     }
 }
 
 #[test]
-fn a_value_that_changes_meanwhile_is_never_mixed() {
+fn a_value_that_changes_during_a_transfer_is_never_mixed_with_the_old_one() {
     let (old, new) = ("old-".repeat(100), "new-".repeat(90));
     let mut view = View::default();
     view.merge(vec![put("long", 6, &old)]);
     let mut peer = View::default();
-    let mut assembly = Assembler::after(0);
-    let begun = view.next_batch(&assembly.next_request(), 50);
-    begun.parts.into_iter().for_each(|part| assert_eq!(assembly.push(part), None));
+    let mut assembler = Assembler::after(0);
+    let first_batch = view.next_batch(&assembler.next_request(), 50);
+    first_batch.parts.into_iter().for_each(|part| assert_eq!(assembler.push(part), None));
 
     view.merge(vec![put("long", 8, &new)]);
-    hand_on(&view, &mut peer, &mut assembly, 50);
+    transfer(&view, &mut peer, &mut assembler, 50);
 
     assert_eq!(peer.get("long").map(Bytes::as_ref), Some(new.as_bytes()));
 }
 
 #[test]
-fn another_peer_goes_on_where_the_first_one_ended() {
+fn a_transfer_can_continue_with_another_peer() {
     let long = "0123456789".repeat(10);
     let mut view = View::default();
     view.merge(vec![put("a", 5, "x"), put("long", 6, &long)]);
-    let mut assembly = Assembler::after(0);
-    let first = view.next_batch(&assembly.next_request(), 40);
-    let taken: Vec<Option<Item>> = first.parts.into_iter().map(|p| assembly.push(p)).collect();
+    let mut assembler = Assembler::after(0);
+    let first = view.next_batch(&assembler.next_request(), 40);
+    let taken: Vec<Option<Item>> = first.parts.into_iter().map(|p| assembler.push(p)).collect();
 
-    let rest = view.next_batch(&assembly.next_request(), 1000);
+    let rest = view.next_batch(&assembler.next_request(), 1000);
 
     assert_eq!(taken, vec![Some(put("a", 5, "x")), None]);
-    assert_eq!(rest.parts.len(), 1, "what is there is not sent again");
+    assert_eq!(rest.parts.len(), 1, "received parts must not be sent again");
     assert_eq!(rest.parts[0].offset, 38);
-    assert_eq!(assembly.push(rest.parts[0].clone()), Some(put("long", 6, &long)));
+    assert_eq!(assembler.push(rest.parts[0].clone()), Some(put("long", 6, &long)));
 }
 
 #[test]
-fn a_part_that_continues_nothing_is_dropped() {
-    let mut assembly = Assembler::after(0);
+fn a_part_without_its_beginning_is_dropped() {
+    let mut assembler = Assembler::after(0);
     let part = Part { item: put("long", 6, "rest"), offset: 4, ends: true };
 
-    assert_eq!(assembly.push(part), None);
-    assert_eq!(assembly.next_request(), Assembler::after(0).next_request());
+    assert_eq!(assembler.push(part), None);
+    assert_eq!(assembler.next_request(), Assembler::after(0).next_request());
 }
