--- a/components/stopping/src/lib.rs
+++ b/components/stopping/src/lib.rs
@@ -1,8 +1,8 @@
-//! What a process that stops does with the requests that it has, and until when.
+//! Graceful shutdown: which of the requests in work are finished or rejected, and by when.
 //!
-//! A stop begins with a signal and ends with the grace, after which the process is killed. Each request that was
-//! read is answered before: whole, or with a refusal that is true of it, as soon as it is known that it can't be
-//! served in time. Decisions only: times are handed in, nothing is awaited here.
+//! A stop begins with a signal. After the grace period the process is killed. Every request that was read is answered
+//! before then: completely, or, as soon as it is known that it can't be served in time, with an error that states
+//! correctly whether it may have run. This crate only decides: the caller passes the times in, and nothing waits here.
 
 mod plan;
 mod response_time;
--- a/components/stopping/src/plan.rs
+++ b/components/stopping/src/plan.rs
@@ -1,111 +1,118 @@
-//! The times of a stop, and what becomes of a request at each of them.
+//! Schedule of a stop, and the decision for a request at each point in time.
 
 use std::time::{Duration, Instant};
 
-/// Part of the grace after which callers' connections at rest are closed.
-const CLOSING_PART: f64 = 0.55;
-/// Time before the end of the grace at which the process ends by itself: what ends then does not end by a kill.
-const END_MARGIN: Duration = Duration::from_millis(350);
-/// Time before the process ends for answers to get out, beside the processor time that they take.
-const LAST_WRITES: Duration = Duration::from_millis(100);
-/// Processor time for an answer, of a whole core.
-const ANSWER_TIME: Duration = Duration::from_millis(1);
-/// Part of the grace that the last answers take at most.
-const MOST_ANSWERING: u32 = 4;
+/// Fraction of the grace period after which callers' idle connections are closed.
+const IDLE_CLOSE_FRACTION: f64 = 0.55;
+/// Time between the exit of the process and the end of the grace period, so that it exits by itself and is not
+/// killed.
+const EXIT_MARGIN: Duration = Duration::from_millis(350);
+/// Time for writing the final answers before the exit, in addition to the processor time that they take.
+const FINAL_WRITE_TIME: Duration = Duration::from_millis(100);
+/// Processor time of one answer on a whole core.
+const CPU_TIME_PER_ANSWER: Duration = Duration::from_millis(1);
+/// Final answers take at most the grace period divided by this.
+const FINAL_ANSWERS_DIVISOR: u32 = 4;
 
-/// What bounds a stop.
+/// Times and resources that bound a stop.
 #[derive(Debug, Clone, Copy)]
 pub struct Limits {
-    /// Time until balancers and peers have heard; requests are taken until then.
+    /// Time until load balancers and peers have learned of the stop; new requests are accepted until then.
     pub notice: Duration,
-    /// Time after which the process is killed.
+    /// Time from the signal until the process is killed.
     pub grace: Duration,
     /// Cores that the process may use.
     pub cores: f64,
 }
 
-/// How far a request has come.
+/// How far a request has progressed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Progress {
-    /// No target was sent it, or all that were turned it away.
+    /// It was sent to no target, or every target that it was sent to rejected it.
     NotRun,
-    /// A target may run it or may have run it.
+    /// A target may be running it or may have run it.
     MayRun,
-    /// Its caller has the head of its answer.
+    /// The head of its answer was sent to the caller.
     Begun,
 }
 
-/// What becomes of a request in a stop.
+/// What to do with a request during a stop.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum StopDecision {
-    /// It is served on.
+    /// Continue to serve it.
     Continue,
-    /// It is told that it was not run and may come back elsewhere.
+    /// Answer that it was not run, so that the caller may retry it on another VM.
     RejectNotRun,
-    /// It is told that its answer is lost.
+    /// Answer that its result is lost: it may have run.
     ReportLost,
 }
 
-/// The times of a stop.
+/// Schedule of a stop.
 #[derive(Debug, Clone, Copy)]
 pub struct StopPlan {
     began: Instant,
     limits: Limits,
-    lateness: Duration,
+    /// Longest delay of a timer so far.
+    timer_delay: Duration,
 }
 
 impl StopPlan {
-    /// A stop that began at a moment.
+    /// Schedule of a stop that began at `began`.
     pub fn new(began: Instant, limits: Limits) -> Self {
-        StopPlan { began, limits, lateness: Duration::ZERO }
+        StopPlan { began, limits, timer_delay: Duration::ZERO }
     }
 
-    /// Takes how late a timer of this process was: the last answers may be begun that late too.
+    /// Records by how much a timer of this process was late: the final answers may start as late, so they are
+    /// scheduled earlier by the longest delay.
     pub fn record_timer_delay(&mut self, by: Duration) {
-        self.lateness = self.lateness.max(by);
+        self.timer_delay = self.timer_delay.max(by);
     }
 
-    /// Whether requests that come in are still taken.
+    /// Whether new requests are still accepted.
     pub fn takes_requests(&self, now: Instant) -> bool {
         now < self.began + self.limits.notice
     }
 
-    /// When callers' connections at rest are closed.
+    /// When callers' idle connections are closed.
     pub fn closes_idle_at(&self) -> Instant {
-        self.began + self.limits.grace.mul_f64(CLOSING_PART)
+        self.began + self.limits.grace.mul_f64(IDLE_CLOSE_FRACTION)
     }
 
-    /// When the process ends at the latest.
+    /// When the process exits at the latest.
     pub fn exits_at(&self) -> Instant {
-        self.began + self.limits.grace.saturating_sub(END_MARGIN)
+        self.began + self.limits.grace.saturating_sub(EXIT_MARGIN)
     }
 
-    /// When the last requests are told how they end, with so many of them in work.
+    /// When the final answers are written, with `in_work` requests left to answer.
     pub fn final_answers_at(&self, in_work: usize) -> Instant {
         let answers = u32::try_from(in_work).unwrap_or(u32::MAX);
-        let processor = ANSWER_TIME.saturating_mul(answers).div_f64(self.limits.cores);
-        let writing =
-            (LAST_WRITES + self.lateness + processor).min(self.limits.grace / MOST_ANSWERING);
-        let until_end = self.exits_at().saturating_duration_since(self.began);
-        self.began + until_end.saturating_sub(writing)
+        let cpu_time = CPU_TIME_PER_ANSWER.saturating_mul(answers).div_f64(self.limits.cores);
+        let write_time = (FINAL_WRITE_TIME + self.timer_delay + cpu_time)
+            .min(self.limits.grace / FINAL_ANSWERS_DIVISOR);
+        let until_exit = self.exits_at().saturating_duration_since(self.began);
+        self.began + until_exit.saturating_sub(write_time)
     }
 
-    /// Whether a request that takes `expected` from now on can be answered before the process ends.
+    /// Whether a request that takes `expected` from now on ends before the final answers are written.
     pub fn can_serve(&self, expected: Duration, in_work: usize, now: Instant) -> bool {
         now + expected <= self.final_answers_at(in_work)
     }
 
-    /// What becomes of a request; `passing` is the time that it takes at a target, as far as it is known.
+    /// Decides what to do with a request. `response_time` is the expected time from sending it to a target until its
+    /// answer ends; an unknown one counts as zero.
+    ///
+    /// A request that was not run is rejected as soon as it can't finish in time, while another VM can still serve it.
+    /// One that may run is continued until the final answers, since its target may still answer.
     pub fn decide(
         &self,
         progress: Progress,
-        passing: Option<Duration>,
+        response_time: Option<Duration>,
         in_work: usize,
         now: Instant,
     ) -> StopDecision {
-        let can_pass = self.can_serve(passing.unwrap_or_default(), in_work, now);
+        let can_finish = self.can_serve(response_time.unwrap_or_default(), in_work, now);
         match progress {
-            Progress::NotRun if !can_pass => StopDecision::RejectNotRun,
+            Progress::NotRun if !can_finish => StopDecision::RejectNotRun,
             Progress::MayRun if now >= self.final_answers_at(in_work) => StopDecision::ReportLost,
             Progress::NotRun | Progress::MayRun | Progress::Begun => StopDecision::Continue,
         }
--- a/components/stopping/src/response_time.rs
+++ b/components/stopping/src/response_time.rs
@@ -1,13 +1,14 @@
-//! How long a target takes from being sent a request to the end of its answer.
+//! Estimates how long a target takes from being sent a request to the end of its answer.
 
 use std::time::Duration;
 
-/// Weight of a new time in the mean and, doubled, in the deviation: RFC 6298, section 2.
-const WEIGHT: u32 = 8;
-/// Mean deviations by which the bound is above the mean; few requests take longer.
+/// A sample counts by the inverse of this in the mean, and by twice the inverse in the deviation: RFC 6298,
+/// section 2.
+const MEAN_DIVISOR: u32 = 8;
+/// Mean deviations by which the upper bound exceeds the mean; few requests take longer.
 const DEVIATIONS: u32 = 2;
 
-/// Times that requests of one kind take at their targets, as learned.
+/// Smoothed mean and mean deviation of the response times of one kind of request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ResponseTime {
     mean: Duration,
@@ -15,19 +16,20 @@
 }
 
 impl ResponseTime {
-    /// The first time that was seen.
-    pub fn new(took: Duration) -> Self {
-        ResponseTime { mean: took, deviation: took / 2 }
+    /// Starts from a first sample.
+    pub fn new(sample: Duration) -> Self {
+        ResponseTime { mean: sample, deviation: sample / 2 }
     }
 
-    /// Takes another time.
-    pub fn record(&mut self, took: Duration) {
-        let off = self.mean.abs_diff(took);
-        self.deviation = self.deviation * (WEIGHT / 2 - 1) / (WEIGHT / 2) + off / (WEIGHT / 2);
-        self.mean = self.mean * (WEIGHT - 1) / WEIGHT + took / WEIGHT;
+    /// Adds a sample.
+    pub fn record(&mut self, sample: Duration) {
+        let difference = self.mean.abs_diff(sample);
+        self.deviation = self.deviation * (MEAN_DIVISOR / 2 - 1) / (MEAN_DIVISOR / 2)
+            + difference / (MEAN_DIVISOR / 2);
+        self.mean = self.mean * (MEAN_DIVISOR - 1) / MEAN_DIVISOR + sample / MEAN_DIVISOR;
     }
 
-    /// Time that few requests take longer than.
+    /// A time that few requests exceed.
     pub fn upper_bound(&self) -> Duration {
         self.mean + self.deviation * DEVIATIONS
     }
--- a/components/stopping/tests/plan.rs
+++ b/components/stopping/tests/plan.rs
@@ -1,4 +1,4 @@
-//! What becomes of requests in a stop, whatever its times, their number and the VM's size.
+//! Tests of the decisions on requests during a stop, over its times, the number of requests and the VM's cores.
 
 use std::time::{Duration, Instant};
 
@@ -14,27 +14,27 @@
 }
 
 #[test]
-fn a_request_that_no_target_has_is_handed_back_while_another_vm_can_still_serve_it() {
+fn a_request_that_was_not_run_is_rejected_as_soon_as_it_can_not_be_served_in_time() {
     let (plan, began) = plan(1.0);
-    let word = |passing, at| plan.decide(Progress::NotRun, passing, 1, began + at);
+    let decision = |response_time, at| plan.decide(Progress::NotRun, response_time, 1, began + at);
 
-    assert_eq!(word(Some(SECOND * 3), SECOND * 4), StopDecision::Continue);
-    assert_eq!(word(Some(SECOND * 3), SECOND * 5), StopDecision::RejectNotRun);
-    assert_eq!(word(None, SECOND * 7), StopDecision::Continue);
-    assert_eq!(word(None, SECOND * 8 - MS * 350), StopDecision::RejectNotRun);
+    assert_eq!(decision(Some(SECOND * 3), SECOND * 4), StopDecision::Continue);
+    assert_eq!(decision(Some(SECOND * 3), SECOND * 5), StopDecision::RejectNotRun);
+    assert_eq!(decision(None, SECOND * 7), StopDecision::Continue);
+    assert_eq!(decision(None, SECOND * 8 - MS * 350), StopDecision::RejectNotRun);
 }
 
 #[test]
-fn a_silent_target_is_waited_for_until_the_last_answers_are_written() {
+fn a_request_that_may_run_is_continued_until_the_final_answers() {
     let (plan, began) = plan(1.0);
-    let word = |at| plan.decide(Progress::MayRun, Some(SECOND * 3), 1, began + at);
+    let decision = |at| plan.decide(Progress::MayRun, Some(SECOND * 3), 1, began + at);
 
-    assert_eq!(word(SECOND * 7), StopDecision::Continue);
-    assert_eq!(word(SECOND * 8 - MS * 400), StopDecision::ReportLost);
+    assert_eq!(decision(SECOND * 7), StopDecision::Continue);
+    assert_eq!(decision(SECOND * 8 - MS * 400), StopDecision::ReportLost);
 }
 
 #[test]
-fn a_begun_answer_goes_on_until_the_process_ends() {
+fn a_begun_answer_continues_until_the_process_exits() {
     let (plan, began) = plan(1.0);
 
     assert_eq!(plan.decide(Progress::Begun, None, 1, began + SECOND * 8), StopDecision::Continue);
@@ -42,16 +42,19 @@
 }
 
 #[test]
-fn a_small_vm_with_many_requests_begins_earlier_to_answer_them() {
+fn a_vm_with_fewer_cores_starts_its_final_answers_earlier() {
     let (large, began) = plan(1.0);
     let small = StopPlan::new(began, Limits { notice: SECOND, grace: SECOND * 8, cores: 0.12 });
 
     assert!(small.final_answers_at(100) + MS * 700 < large.final_answers_at(100));
-    assert!(small.final_answers_at(1_000_000) >= began + SECOND * 5, "not much of the grace");
+    assert!(
+        small.final_answers_at(1_000_000) >= began + SECOND * 5,
+        "final answers must not take most of the grace period"
+    );
 }
 
 #[test]
-fn a_process_that_runs_late_begins_its_last_answers_that_much_earlier() {
+fn a_process_whose_timers_are_late_starts_its_final_answers_earlier_by_that_delay() {
     let (mut plan, began) = plan(1.0);
     let usual = plan.final_answers_at(1);
 
@@ -60,11 +63,14 @@
 
     assert_eq!(plan.final_answers_at(1), usual - MS * 300);
     plan.record_timer_delay(SECOND * 60);
-    assert!(plan.final_answers_at(1) > began + SECOND * 5, "not much of the grace");
+    assert!(
+        plan.final_answers_at(1) > began + SECOND * 5,
+        "final answers must not take most of the grace period"
+    );
 }
 
 #[test]
-fn the_bound_of_a_passing_time_follows_what_was_seen() {
+fn the_upper_bound_of_a_response_time_follows_the_samples() {
     let mut time = ResponseTime::new(SECOND * 3);
     let first = time.upper_bound();
     (0..100).for_each(|_| time.record(SECOND));
@@ -73,20 +79,20 @@
 
     assert_eq!(first, SECOND * 6);
     assert!(steady < SECOND + MS * 10, "{steady:?}");
-    assert!(time.upper_bound() > SECOND * 2, "half of them take so long: {time:?}");
+    assert!(time.upper_bound() > SECOND * 2, "the bound must cover half of the samples: {time:?}");
 }
 
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(256))]
 
-    /// Nobody is left without a word when the process ends, and nobody is told before the others could still serve.
+    /// When the process exits, every request without a begun answer has been answered, and a decision is final.
     #[test]
-    fn every_request_has_its_word_before_the_process_ends(
+    fn every_request_is_decided_before_the_process_exits(
         grace_ms in 0u64..60_000,
         notice_ms in 0u64..10_000,
         cores in 0.05f64..8.0,
         in_work in 0usize..5_000,
-        passing_ms in 0u64..30_000,
+        response_ms in 0u64..30_000,
         may_run in any::<bool>(),
         late_ms in 0u32..3_000,
     ) {
@@ -99,18 +105,28 @@
         let mut plan = StopPlan::new(began, limits);
         plan.record_timer_delay(MS * late_ms);
         let progress = if may_run { Progress::MayRun } else { Progress::NotRun };
-        let passing = Some(Duration::from_millis(passing_ms));
-        let word = |at| plan.decide(progress, passing, in_work, at);
+        let response_time = Some(Duration::from_millis(response_ms));
+        let decision = |at| plan.decide(progress, response_time, in_work, at);
 
-        prop_assert!(word(plan.exits_at() + MS) != StopDecision::Continue);
+        prop_assert!(decision(plan.exits_at() + MS) != StopDecision::Continue);
         prop_assert!(plan.final_answers_at(in_work) <= plan.exits_at());
-        let said: Vec<StopDecision> = (0..=60u32).map(|part| word(began + limits.grace * part / 60)).collect();
-        let first = said.iter().position(|word| *word != StopDecision::Continue).unwrap_or(said.len());
-        prop_assert!(said[first..].windows(2).all(|pair| pair[0] == pair[1]), "a word holds: {said:?}");
+        let decisions: Vec<StopDecision> =
+            (0..=60u32).map(|step| decision(began + limits.grace * step / 60)).collect();
+        let first = decisions
+            .iter()
+            .position(|decision| *decision != StopDecision::Continue)
+            .unwrap_or(decisions.len());
+        prop_assert!(
+            decisions[first..].windows(2).all(|pair| pair[0] == pair[1]),
+            "a decision must not change: {decisions:?}"
+        );
         if may_run {
-            prop_assert!(!said.contains(&StopDecision::RejectNotRun), "it may have run");
+            prop_assert!(
+                !decisions.contains(&StopDecision::RejectNotRun),
+                "a request that may have run must not be rejected as not run"
+            );
         }
-        let begun = plan.decide(Progress::Begun, passing, in_work, began + limits.grace);
+        let begun = plan.decide(Progress::Begun, response_time, in_work, began + limits.grace);
         prop_assert_eq!(begun, StopDecision::Continue);
     }
 }
