--- a/components/fleet/src/lib.rs
+++ b/components/fleet/src/lib.rs
@@ -1,5 +1,8 @@
-//! The other VMs as one sees them: who is there, whom to link to, who fills the calls of which part of
-//! a pool, and who follows the platform's store. Plain state, asked with the time of now.
+//! One VM's view of the other VMs: which ones are live, which ones to link to, which one owns each part of a
+//! pool, and which ones watch the platform's store.
+//!
+//! The owner of a part collects the pieces that are submitted to it and fills the calls to its workers with them.
+//! This crate holds state only: it does no input or output, and the caller passes the current time in.
 
 mod ownership;
 mod peer;
@@ -20,49 +23,54 @@
 
 use ownership::Ranking;
 
-/// Pause between two heartbeats on a link.
+/// Interval between two heartbeats on a link.
 pub const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(200);
-/// A peer that said nothing for this long gets no work: several heartbeats may be late.
+/// A peer that sent nothing for this long gets no work. Several heartbeats in a row may be late.
 pub const PEER_TIMEOUT: Duration = Duration::from_millis(1000);
-/// A peer counts in the size of the fleet for this long after its last word, since it may have
-/// spent its part of what the fleet shares.
-const REMEMBERED: Duration = Duration::from_secs(20);
-/// Up to so many VMs each one is linked to all others and follows the store itself.
-pub(crate) const FULL_MESH: usize = 10;
-/// A hall whose linked VMs all said nothing for this long may be out of reach: two heartbeats and
-/// half of one.
-const HALL_SILENCE: Duration = Duration::from_millis(500);
-/// A VM that has just come, or has just lost a peer, waits for this long for a link to a better owner
-/// than itself: a dial, and one that is made again. It guards against what was seen before it: of 295 VMs
-/// that had lost power together 72 filled calls of the same 42 workers for two seconds. Its gain is not
-/// shown: none on fleets of 6 to 18 VMs, not measured on larger ones.
+/// A peer counts towards the size of the fleet for this long after it was last heard, since it may have
+/// spent its share of a limit that the fleet divides among its VMs.
+const PEER_RETENTION: Duration = Duration::from_secs(20);
+/// In a fleet of at most this many VMs, each VM links to all others and watches the store itself.
+pub(crate) const FULL_MESH_MAX_VMS: usize = 10;
+/// A hall may be unreachable if all its linked VMs sent nothing for this long: two and a half heartbeat
+/// intervals.
+const HALL_TIMEOUT: Duration = Duration::from_millis(500);
+/// A VM that has just started, or has just lost a peer, waits for this long for a link to a better owner
+/// than itself: time for one dial and one retry.
+///
+/// Without the wait, 72 of 295 VMs that restarted together after a power loss filled calls of the same
+/// 42 workers for two seconds. On fleets of 6 to 18 VMs the wait makes no difference; its effect on larger
+/// ones is unknown.
 pub const SETTLE_TIME: Duration = Duration::from_millis(1200);
 
-/// Halls that are out of reach.
+/// Data halls that can't be reached from this VM.
 pub type UnreachableHalls = BTreeSet<HallName>;
 
-/// All VMs.
+/// What this VM knows of all VMs.
 #[derive(Debug)]
 pub struct Fleet {
     own: VmName,
     own_entry: VmEntry,
-    /// Number of this VM's process.
+    /// Incarnation of this VM's process, which tells it from earlier processes of the same VM.
     pub incarnation: u64,
-    /// VMs that were heard.
+    /// VMs that were heard from over a link, until they were silent for `PEER_RETENTION`.
     pub peers: HashMap<VmName, PeerVm>,
+    /// VMs that the store lists, without this one.
     listed: HashMap<VmName, VmEntry>,
     ranking: Ranking,
-    /// Where the last dial failed.
+    /// Addresses whose last dial failed.
     failed_dials: HashSet<SocketAddr>,
+    /// Time of the last event that may leave the VMs with different links: the start, the first VM that the
+    /// store listed, or the loss of a peer.
     unsettled_since: Instant,
-    /// When a VM last said that it stops.
-    stop_heard: Option<Instant>,
-    /// Halls that are out of reach.
+    /// When a VM last announced that it stops.
+    last_stop_notice: Option<Instant>,
+    /// Halls that are unreachable.
     pub unreachable_halls: UnreachableHalls,
 }
 
 impl Fleet {
-    /// A fleet of which only this VM is known.
+    /// A fleet in which only this VM is known.
     pub fn new(own: VmName, own_entry: VmEntry, incarnation: u64, now: Instant) -> Self {
         Fleet {
             own,
@@ -73,17 +81,17 @@
             ranking: Ranking::default(),
             failed_dials: HashSet::new(),
             unsettled_since: now,
-            stop_heard: None,
+            last_stop_notice: None,
             unreachable_halls: UnreachableHalls::new(),
         }
     }
 
-    /// What this VM writes of itself.
+    /// The entry that this VM writes into the store and sends to its peers.
     pub fn own_entry(&self) -> &VmEntry {
         &self.own_entry
     }
 
-    /// The store lists a VM.
+    /// Records that the store lists a VM.
     pub fn list(&mut self, vm: VmName, entry: VmEntry, now: Instant) {
         if vm == self.own {
             return;
@@ -96,7 +104,7 @@
         self.ranking.clear();
     }
 
-    /// The store lists a VM no more.
+    /// Records that the store no longer lists a VM.
     pub fn unlist(&mut self, vm: &VmName) {
         if let Some(entry) = self.listed.remove(vm) {
             self.failed_dials.remove(&entry.peers);
@@ -104,7 +112,7 @@
         self.ranking.clear();
     }
 
-    /// A peer was heard; `linked` says whether this VM has a link to it that it dialled itself.
+    /// Records that a peer was heard; `linked` says whether this VM has a link to it that it dialled itself.
     pub fn record_heard(&mut self, vm: &VmName, linked: bool, now: Instant) {
         let peer = self.peers.entry(vm.clone()).or_insert_with(|| PeerVm::new(now));
         peer.heard = now;
@@ -115,7 +123,7 @@
         }
     }
 
-    /// A peer said who it is.
+    /// Records the incarnation and the entry that a peer sent of itself.
     pub fn record_identity(&mut self, vm: &VmName, incarnation: u64, entry: Option<VmEntry>) {
         let Some(peer) = self.peers.get_mut(vm) else { return };
         peer.incarnation = incarnation;
@@ -123,18 +131,18 @@
         self.ranking.clear();
     }
 
-    /// A peer said whether it stops; gives whether it does so for the first time.
+    /// Records whether a peer is stopping; returns whether it was not stopping before.
     pub fn record_draining(&mut self, vm: &VmName, draining: bool, now: Instant) -> bool {
         let Some(peer) = self.peers.get_mut(vm) else { return false };
         let newly = draining && !peer.draining;
         peer.draining = draining;
         if newly {
-            self.stop_heard = Some(now);
+            self.last_stop_notice = Some(now);
         }
         newly
     }
 
-    /// The link to a peer ended; `lost` says that it was not this VM which ended it.
+    /// Records the end of the link to a peer; `lost` says that this VM did not close it.
     pub fn record_unlinked(&mut self, vm: &VmName, lost: bool, now: Instant) {
         let Some(peer) = self.peers.get_mut(vm) else { return };
         peer.linked = false;
@@ -144,30 +152,29 @@
         }
     }
 
-    /// A VM could not be linked.
+    /// Records that an address could not be dialled.
     pub fn record_dial_failure(&mut self, address: SocketAddr) {
         self.failed_dials.insert(address);
     }
 
-    /// Whether another VM takes requests, as far as it is known: of VMs that are not linked, as in large fleets, it
-    /// is not.
+    /// Whether another VM may be serving requests. In a large fleet, where not all VMs are linked, this is assumed.
     pub fn others_serve(&self, now: Instant) -> bool {
         let serves = |peer: &PeerVm| peer.is_fresh(now) && !peer.draining && peer.configuration > 0;
         !self.is_full_mesh() || self.peers.values().any(serves)
     }
 
-    /// VMs that serve or did until just now, this one too.
+    /// Number of VMs that are listed or were heard within `PEER_RETENTION`, including this one.
     pub fn size(&self) -> usize {
         let unlisted = self.peers.keys().filter(|vm| !self.listed.contains_key(*vm)).count();
         self.listed.len() + unlisted + 1
     }
 
-    /// Data halls in which VMs stand.
+    /// Data halls of all known VMs, including this one.
     pub fn halls(&self) -> BTreeSet<&HallName> {
         self.known().map(|(_, entry)| &entry.hall).chain([&self.own_entry.hall]).collect()
     }
 
-    /// Pieces on their way to this VM's part of a pool, of peers' requests.
+    /// Pieces of peers' requests that are not submitted yet and will go to this VM's part of a pool.
     pub fn incoming_pieces(&self, pool: &str, split: &Split, now: Instant) -> f64 {
         let part = split.part_of(&self.own_entry.hall);
         let is_of_part = |peer: &&PeerVm| {
@@ -177,30 +184,30 @@
         fresh.filter(is_of_part).filter_map(|peer| peer.coming.get(pool)).sum()
     }
 
-    /// The newest version of the configuration that a peer in touch has in force; 0 if none.
+    /// The newest version of the configuration that a live peer has in force; 0 if there is none.
     pub fn newest_configuration(&self, now: Instant) -> u64 {
         let fresh = self.peers.values().filter(|peer| peer.is_fresh(now));
         fresh.map(|peer| peer.configuration).max().unwrap_or(0)
     }
 
-    /// Forgets peers that were silent for long.
+    /// Forgets peers without a link that were silent for `PEER_RETENTION`.
     pub fn forget_silent(&mut self, now: Instant) {
         let before = self.peers.len();
         self.peers.retain(|_, peer| {
-            peer.linked || now.saturating_duration_since(peer.heard) < REMEMBERED
+            peer.linked || now.saturating_duration_since(peer.heard) < PEER_RETENTION
         });
         if self.peers.len() != before {
             self.ranking.clear();
         }
     }
 
-    /// Whether a peer stands in a hall that is out of reach.
+    /// Whether a peer is in an unreachable hall.
     pub fn is_unreachable(&self, vm: &VmName) -> bool {
         let entry = self.peers.get(vm).and_then(|peer| peer.entry.as_ref());
         entry.is_some_and(|entry| self.unreachable_halls.contains(&entry.hall))
     }
 
-    /// Other halls of which VMs were heard before and none is now.
+    /// Other halls with VMs that were heard within `PEER_RETENTION`, but none within `HALL_TIMEOUT`.
     pub fn silent_halls(&self, now: Instant) -> BTreeSet<HallName> {
         let heard: Vec<(&HallName, bool)> = self
             .peers
@@ -208,22 +215,23 @@
             .filter_map(|peer| {
                 let silence = now.saturating_duration_since(peer.heard);
                 let hall = &peer.entry.as_ref()?.hall;
-                (silence < REMEMBERED).then_some((hall, silence < HALL_SILENCE))
+                (silence < PEER_RETENTION).then_some((hall, silence < HALL_TIMEOUT))
             })
             .filter(|(hall, _)| **hall != self.own_entry.hall)
             .collect();
-        let spoken: BTreeSet<_> = heard.iter().filter(|(_, now)| *now).map(|(h, _)| *h).collect();
-        heard.iter().map(|(hall, _)| *hall).filter(|h| !spoken.contains(h)).cloned().collect()
+        let live_halls: BTreeSet<_> =
+            heard.iter().filter(|(_, now)| *now).map(|(h, _)| *h).collect();
+        heard.iter().map(|(hall, _)| *hall).filter(|h| !live_halls.contains(h)).cloned().collect()
     }
 
-    /// VMs that the store lists or that told of themselves.
+    /// Other VMs that the store lists or that sent their entry.
     fn known(&self) -> impl Iterator<Item = (&VmName, &VmEntry)> {
         let told = self.peers.iter().filter(|(vm, _)| !self.listed.contains_key(*vm));
         let told = told.filter_map(|(vm, peer)| Some((vm, peer.entry.as_ref()?)));
         self.listed.iter().chain(told)
     }
 
-    /// What is known of a VM, this one too.
+    /// The entry of a VM, which may be this one.
     fn entry_of(&self, vm: &VmName) -> Option<&VmEntry> {
         if *vm == self.own {
             return Some(&self.own_entry);
--- a/components/fleet/src/ownership.rs
+++ b/components/fleet/src/ownership.rs
@@ -1,7 +1,7 @@
-//! Who fills the calls of a part of a pool, and whom to link to for that.
+//! Chooses the owner of each part of a pool, and the VMs that this one links to.
 //!
-//! Every VM ranks all others by weighted rendezvous hashing and takes the best that it can reach. VMs
-//! that know the same list choose alike.
+//! Every VM ranks all VMs by weighted rendezvous hashing and chooses the best one that it can reach. VMs that know
+//! the same list and can reach the same VMs choose alike.
 
 use std::cell::RefCell;
 use std::collections::{BTreeSet, HashMap};
@@ -11,57 +11,58 @@
 
 use ids::VmName;
 
-use crate::{FULL_MESH, Fleet, Part, PeerVm, SETTLE_TIME, Split, VmEntry};
+use crate::{FULL_MESH_MAX_VMS, Fleet, Part, PeerVm, SETTLE_TIME, Split, VmEntry};
 
-/// VMs in the order of ownership to which a VM is linked for the part of a pool in which it lies: the
-/// owner, and one that stands ready.
-const OWNER_LINKS: usize = 2;
-/// The same for the other parts, which take what its own has no room for.
-const OTHER_OWNER_LINKS: usize = 1;
-/// In a larger fleet, VMs of each hall to which each one is linked, for news of the store and to see
-/// whether the hall is in reach: more than one, so that a VM that fails is not taken for its hall.
-pub(crate) const HALL_PARTNERS: usize = 2;
-/// Power by which a VM's cores count for ownership: filling calls costs processor time, so that a
-/// VM four times as large should be chosen nearly always.
-const CORES_POWER: i32 = 4;
+/// Number of best-ranked VMs that a VM links to in its own part of a pool: the owner and its successor.
+const OWN_PART_LINKS: usize = 2;
+/// The same for each other part, which takes submissions that its own has no capacity for.
+const OTHER_PART_LINKS: usize = 1;
+/// Number of VMs of each hall that a VM links to in a large fleet, to receive changes of the store and to detect
+/// whether the hall is reachable. More than one, so that the failure of a VM is not taken for that of its hall.
+pub(crate) const LINKS_PER_HALL: usize = 2;
+/// Exponent of a VM's cores in its weight: filling calls costs processor time, so a VM with four times as many
+/// cores should be chosen nearly always.
+const CORES_EXPONENT: i32 = 4;
 
-/// Who fills the calls of a part of a pool.
+/// The VM that fills the calls of a part of a pool.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Owner {
     /// This VM.
     This,
-    /// A peer to which a link stands.
+    /// A peer that this VM is linked to.
     Peer(VmName),
-    /// Not known yet: a better VM than this one is there by all that is known, and is being dialled.
+    /// Not known yet: a better VM than the best linked one is expected to take work soon, or no VM of the part is linked.
     Unknown,
 }
 
-/// VMs by rank for each key, the best one first. Worked out once for each list of VMs: a VM that hears
-/// 294 others five times a second would rank all of them for every heartbeat.
+/// Cache of the VMs by rank for each key, the best one first. It is valid for one list of VMs. Without it, a VM in a
+/// fleet of 295 would rank all of them for every heartbeat: 294 peers send five per second.
 #[derive(Debug, Default)]
 pub(crate) struct Ranking {
     by_key: RefCell<HashMap<RankKey, Rc<[VmName]>>>,
 }
 
-/// What VMs are ranked for, and by what.
+/// Weight and key that VMs are ranked by.
 type RankKey = (Weight, String);
 
-/// What makes a VM come first more often than others.
+/// Property of a VM that raises its rank.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 enum Weight {
+    /// A VM with more cores ranks first more often.
     Cores,
-    Nothing,
+    /// All VMs rank first equally often.
+    Equal,
 }
 
 impl Ranking {
-    /// The list of VMs changed.
+    /// Drops all ranks after a change of the list of VMs.
     pub(crate) fn clear(&mut self) {
         self.by_key.get_mut().clear();
     }
 }
 
 impl Fleet {
-    /// Who fills the calls of a part, to whom this VM can submit.
+    /// The owner of a part, if this VM can submit to it. `draining` says whether this VM is stopping.
     pub fn owner_of(
         &self,
         pool: &str,
@@ -74,8 +75,8 @@
         let mut of_part = ranked.iter().filter(|vm| self.is_in(vm, split, part));
         let mut awaited = false;
         let best = of_part.find(|vm| {
-            let is_owner = self.is_fit(vm, pool, split, draining, now);
-            awaited |= !is_owner && **vm != self.own && self.is_awaited(vm, now);
+            let is_owner = self.can_own(vm, pool, split, draining, now);
+            awaited |= !is_owner && **vm != self.own && self.should_wait_for(vm, now);
             is_owner
         });
         match best {
@@ -87,7 +88,7 @@
         }
     }
 
-    /// VMs that rank before the owner of a part, each with why it is not the owner, for the log.
+    /// VMs that rank before the owner of a part, each with the reason why it is not the owner, for the log.
     pub fn passed_over(
         &self,
         pool: &str,
@@ -98,24 +99,24 @@
     ) -> Vec<String> {
         let ranked = self.ranked(pool);
         let of_part = ranked.iter().filter(|vm| self.is_in(vm, split, part));
-        let unfit = of_part.map_while(|vm| {
+        let ineligible = of_part.map_while(|vm| {
             let why = match () {
-                () if self.is_fit(vm, pool, split, draining, now) => return None,
+                () if self.can_own(vm, pool, split, draining, now) => return None,
                 () if *vm == self.own => "stops",
                 () if self.is_unreachable(vm) => "out of reach",
-                () => self.peers.get(vm).map_or("never heard", |peer| peer.unfit(now)),
+                () => self.peers.get(vm).map_or("never heard", |peer| peer.ineligible_reason(now)),
             };
             Some(format!("{vm}:{why}"))
         });
-        unfit.collect()
+        ineligible.collect()
     }
 
-    /// Addresses to which this VM wants links, given its pools.
+    /// Addresses of the VMs that this VM should be linked to, given its pools.
     pub fn wanted_links<'a>(
         &self,
         pools: impl Iterator<Item = (&'a str, &'a Split)>,
     ) -> BTreeSet<SocketAddr> {
-        if self.known().count() < FULL_MESH {
+        if self.known().count() < FULL_MESH_MAX_VMS {
             return self.known().map(|(_, entry)| entry.peers).collect();
         }
         let mut wanted = BTreeSet::new();
@@ -123,17 +124,17 @@
             let ranked = self.ranked(pool);
             let own_part = split.part_of(&self.own_entry.hall);
             for part in split.parts() {
-                let links = if part == own_part { OWNER_LINKS } else { OTHER_OWNER_LINKS };
+                let links = if part == own_part { OWN_PART_LINKS } else { OTHER_PART_LINKS };
                 let of_part = ranked.iter().filter(|vm| self.is_in(vm, split, part));
                 self.add_best(&mut wanted, of_part, links);
             }
         }
-        self.add_hall_partners(&mut wanted);
+        self.add_hall_links(&mut wanted);
         wanted
     }
 
-    /// Adds the best VMs, and as many that are not known to be silent or to stop: those that are may be
-    /// back any time, and until then others stand in for them.
+    /// Adds the first `links` VMs of a rank, and the first `links` that are not known to be silent or stopping. The
+    /// former may be back at any time; until then the latter replace them.
     fn add_best<'a>(
         &self,
         wanted: &mut BTreeSet<SocketAddr>,
@@ -146,34 +147,39 @@
         wanted.extend(best.chain(live).filter_map(|vm| Some(self.entry_of(vm)?.peers)));
     }
 
-    fn add_hall_partners(&self, wanted: &mut BTreeSet<SocketAddr>) {
+    /// Adds the VMs that this one links to in each hall.
+    fn add_hall_links(&self, wanted: &mut BTreeSet<SocketAddr>) {
         for hall in self.halls() {
-            // Partners in other halls differ from VM to VM, those in the own hall follow the store.
+            // In its own hall a VM links to those that watch the store; in other halls, each VM links to different ones.
             let own = *hall == self.own_entry.hall;
-            let ranked =
-                if own { self.store_followers() } else { self.ranked_alike(self.own.as_str()) };
+            let ranked = if own {
+                self.ranked_watchers()
+            } else {
+                self.ranked_unweighted(self.own.as_str())
+            };
             let of_hall =
                 ranked.iter().filter(|vm| self.entry_of(vm).is_some_and(|e| e.hall == *hall));
-            self.add_best(wanted, of_hall, HALL_PARTNERS);
+            self.add_best(wanted, of_hall, LINKS_PER_HALL);
         }
     }
 
-    /// All VMs, this one too, by their rank for a key and their cores.
+    /// All VMs, including this one, by rank for a key, weighted by their cores.
     pub(crate) fn ranked(&self, key: &str) -> Rc<[VmName]> {
         self.ranked_by(key, Weight::Cores)
     }
 
-    /// Whether this VM is among the first `count` VMs for a key, on which all VMs that know the same
-    /// list agree.
+    /// Whether this VM is among the first `count` VMs by unweighted rank for a key. VMs that know the same list agree
+    /// on these.
     pub fn is_among_first(&self, key: &str, count: usize) -> bool {
-        self.ranked_alike(key).iter().take(count).any(|vm| *vm == self.own)
+        self.ranked_unweighted(key).iter().take(count).any(|vm| *vm == self.own)
     }
 
-    /// The same with cores left out.
-    fn ranked_alike(&self, key: &str) -> Rc<[VmName]> {
-        self.ranked_by(key, Weight::Nothing)
+    /// All VMs, including this one, by rank for a key, with equal weights.
+    fn ranked_unweighted(&self, key: &str) -> Rc<[VmName]> {
+        self.ranked_by(key, Weight::Equal)
     }
 
+    /// All VMs by rank, from the cache if it holds them.
     fn ranked_by(&self, key: &str, weight: Weight) -> Rc<[VmName]> {
         let cache_key = (weight, key.to_owned());
         if let Some(ranked) = self.ranking.by_key.borrow().get(&cache_key) {
@@ -181,7 +187,7 @@
         }
         let weight_of = |entry: &VmEntry| match weight {
             Weight::Cores => entry.cores,
-            Weight::Nothing => 1.0,
+            Weight::Equal => 1.0,
         };
         let own = (&self.own, &self.own_entry);
         let key_hash = hashing::of_text(key);
@@ -196,18 +202,25 @@
         ranked
     }
 
-    /// Whether a VM may own a part: this one unless it is `draining`, another one if work can be handed to it.
-    fn is_fit(&self, vm: &VmName, pool: &str, split: &Split, draining: bool, now: Instant) -> bool {
+    /// Whether a VM can own a part: this one unless it is `draining`, a peer if it takes work.
+    fn can_own(
+        &self,
+        vm: &VmName,
+        pool: &str,
+        split: &Split,
+        draining: bool,
+        now: Instant,
+    ) -> bool {
         if *vm == self.own { !draining } else { self.takes_work(vm, pool, split, now) }
     }
 
+    /// Whether a VM is in a hall of a part.
     fn is_in(&self, vm: &VmName, split: &Split, part: Part) -> bool {
         self.entry_of(vm).is_some_and(|entry| split.part_of(&entry.hall) == part)
     }
 
-    /// Whether work for a pool can be handed to a peer now. One with an older configuration may not
-    /// know the pool, unless it says that it fills its calls: what it was handed would lie there until
-    /// it has the newer one.
+    /// Whether work for a pool can be submitted to a peer now. A peer with an older configuration may not know the
+    /// pool, unless it reports that it fills its calls; pieces submitted to it would wait until it has the newer one.
     fn takes_work(&self, vm: &VmName, pool: &str, split: &Split, now: Instant) -> bool {
         let takes = |peer: &PeerVm| {
             let knows = peer.configuration >= split.since() || peer.pools.contains_key(pool);
@@ -216,32 +229,32 @@
         self.peers.get(vm).is_some_and(takes) && !self.is_unreachable(vm)
     }
 
-    /// Whether a VM that takes no work yet is waited for rather than passed over, so that VMs with links
-    /// to different ones choose alike: for as long as a fleet takes to settle after the start or the loss of
-    /// a VM, and as long after one said that it stops, unless the next one can't be linked. While all VMs of
-    /// a fleet of 59 stopped in turn, three to five filled the calls of one part for ten seconds, each for
-    /// those that were linked to it.
-    fn is_awaited(&self, vm: &VmName, now: Instant) -> bool {
-        let hands_over = is_recent(self.stop_heard, now) && !self.is_silent(vm);
-        self.may_take_work_soon(vm) && (is_recent(Some(self.unsettled_since), now) || hands_over)
+    /// Whether to wait for a VM that takes no work yet rather than to choose the next one, so that VMs with different
+    /// links choose alike. The wait lasts for [`SETTLE_TIME`] after this VM's start or the loss of a peer, and after a
+    /// VM announced that it stops unless the awaited one is known to be silent.
+    ///
+    /// Without the wait for the successor of a stopping VM, three to five VMs filled the calls of one part for ten
+    /// seconds while all VMs of a fleet of 59 stopped in turn, each for the VMs that were linked to it.
+    fn should_wait_for(&self, vm: &VmName, now: Instant) -> bool {
+        let may_succeed = is_recent(self.last_stop_notice, now) && !self.is_silent(vm);
+        self.may_take_work_soon(vm) && (is_recent(Some(self.unsettled_since), now) || may_succeed)
     }
 
-    /// Whether a VM may take work in a moment: it is known from the store only, it was heard over a link
-    /// that it dialled, or it has no configuration yet. That a dial failed says little while all VMs
-    /// start.
+    /// Whether a VM may take work soon: it is known only from the store, it has no link that this VM dialled, or it
+    /// has no configuration yet. Failed dials are ignored, since they say little while all VMs start.
     fn may_take_work_soon(&self, vm: &VmName) -> bool {
         let starts = |peer: &PeerVm| !peer.linked || peer.configuration == 0;
         let may = |peer: &PeerVm| !peer.lost && !peer.draining && starts(peer);
         self.peers.get(vm).is_none_or(may) && !self.is_unreachable(vm)
     }
 
-    /// Whether a VM said that it stops.
+    /// Whether a peer announced that it stops.
     fn is_stopping(&self, vm: &VmName) -> bool {
         self.peers.get(vm).is_some_and(|peer| peer.draining)
     }
 
-    /// Whether a VM can't be linked, or its link was lost and it was not heard since. Nothing is known
-    /// of one that was let go.
+    /// Whether a VM is known to be silent: its last dial failed, its link was lost and it was not heard since, or its
+    /// hall is unreachable. A VM whose link this one closed itself is not known to be silent.
     pub(crate) fn is_silent(&self, vm: &VmName) -> bool {
         let failed = |address| self.failed_dials.contains(address);
         self.peers.get(vm).is_some_and(|peer| peer.lost)
@@ -250,13 +263,13 @@
     }
 }
 
-/// Whether a fleet may not have settled yet since an event.
+/// Whether an event is less than [`SETTLE_TIME`] ago, so that the links between VMs may still be changing.
 fn is_recent(event: Option<Instant>, now: Instant) -> bool {
     event.is_some_and(|at| now.saturating_duration_since(at) < SETTLE_TIME)
 }
 
-/// Weighted rendezvous hashing: the VM with the highest rank owns the key.
+/// Rank of a VM for a key by weighted rendezvous hashing; the VM with the highest rank is first.
 fn rank(key: u64, vm: &VmName, cores: f64) -> f64 {
     let hash = hashing::combine(key, hashing::of_text(vm.as_str()));
-    -cores.powi(CORES_POWER) / hashing::as_part(hash).ln()
+    -cores.powi(CORES_EXPONENT) / hashing::as_part(hash).ln()
 }
--- a/components/fleet/src/peer.rs
+++ b/components/fleet/src/peer.rs
@@ -1,4 +1,4 @@
-//! What a VM knows of another one.
+//! What a VM knows of one of its peers.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -10,81 +10,83 @@
 
 use crate::PEER_TIMEOUT;
 
-/// What a VM writes of itself into the store, and tells its peers.
+/// The entry of a VM in the store, which it also sends to its peers.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct VmEntry {
-    /// Where it takes links.
+    /// Address at which it accepts links from peers.
     pub peers: SocketAddr,
-    /// Its data hall.
+    /// Data hall in which it runs.
     pub hall: HallName,
     /// Cores that it may use.
     pub cores: f64,
 }
 
-/// What a peer told of a pool whose calls it fills.
+/// Load of a pool, as reported by the peer that fills its calls.
 #[derive(Debug, Clone)]
 pub struct PoolLoad {
-    /// Time from submitting a piece to the pool with no queue to its result.
+    /// Time from submitting a piece to its result if no other pieces are queued.
     pub turnaround: Duration,
-    /// Pieces that wait and can be in time.
+    /// Queued pieces that can still be in time.
     pub queue: Queue,
-    /// Pieces that wait and can't: they are made after all others, but take workers and hold inputs.
+    /// Queued pieces that can't be in time any more. They are made after all others, but still occupy workers
+    /// and hold their inputs.
     pub late: f64,
-    /// Pieces on their way from earlier stages.
+    /// Pieces that earlier stages will submit.
     pub coming: f64,
-    /// Pieces that the pool can make in a second.
+    /// Pieces that the pool can make per second.
     pub rate: f64,
-    /// When this was heard.
+    /// When this report was received.
     pub at: Instant,
 }
 
 impl PoolLoad {
-    /// Time until the pool has made all that waits for it now. Without what is late a part with a
-    /// thousand pieces seemed to have nothing to do, and others stood idle.
+    /// Time until the pool has made all pieces that are queued or announced now. Late pieces count: without
+    /// them a part with a thousand late pieces looked idle, while other parts were idle.
     pub fn drain_time(&self) -> Duration {
         self.time_for(self.queue.total() as f64 + self.late + self.coming)
     }
 
-    /// Expected time of a piece that is submitted after `begin`, with `ahead` before it: what is queued
-    /// now has drained since.
+    /// Expected time from submission to result of a piece that is submitted in `begin` from now and has `ahead`
+    /// pieces queued before it now, some of which are made until then.
     pub fn expected_time(&self, begin: Duration, ahead: f64) -> Duration {
         self.time_for(ahead).saturating_sub(begin) + self.turnaround
     }
 
+    /// Time to make `pieces` pieces; a rate below one piece per second counts as one.
     fn time_for(&self, pieces: f64) -> Duration {
         Duration::from_secs_f64(pieces / self.rate.max(1.0))
     }
 }
 
-/// A peer that was heard.
+/// State of a peer that was heard.
 #[derive(Debug)]
 pub struct PeerVm {
-    /// Number of its process.
+    /// Incarnation of its process.
     pub incarnation: u64,
-    /// What it told of itself.
+    /// The entry that it sent of itself.
     pub entry: Option<VmEntry>,
     /// When it was last heard.
     pub heard: Instant,
-    /// Whether the link to it ended since it was last heard: its process may be gone.
+    /// Whether the link to it was lost since it was last heard, so that its process may have ended.
     pub lost: bool,
-    /// Whether this VM dialled it and the link stands.
+    /// Whether a link that this VM dialled is open.
     pub linked: bool,
     /// Whether it is stopping.
     pub draining: bool,
-    /// Revision of the store up to which it knows everything.
+    /// Revision of the store up to which it knows every change.
     pub as_of: u64,
-    /// Whether it follows the store itself and the store answers it.
+    /// Whether it watches the store itself and the store answers it.
     pub watches: bool,
     /// Version of the configuration that it has in force.
     pub configuration: u64,
-    /// Pools whose calls it fills.
+    /// Load of each pool whose calls it fills.
     pub pools: HashMap<String, PoolLoad>,
-    /// Pieces of its requests that are on their way to pools.
+    /// Pieces of its requests that are not submitted yet, for each pool.
     pub coming: HashMap<String, f64>,
 }
 
 impl PeerVm {
-    /// A peer of which nothing is known but that it was heard.
+    /// A peer of which nothing is known except when it was heard.
     pub fn new(heard: Instant) -> Self {
         PeerVm {
             incarnation: 0,
@@ -101,8 +103,8 @@
         }
     }
 
-    /// Why it takes no work, if it does not.
-    pub(crate) fn unfit(&self, now: Instant) -> &'static str {
+    /// Why it takes no work, for a peer that takes none.
+    pub(crate) fn ineligible_reason(&self, now: Instant) -> &'static str {
         match () {
             () if self.lost => "lost",
             () if self.draining => "stops",
@@ -112,7 +114,7 @@
         }
     }
 
-    /// Whether it was heard just now and not lost since.
+    /// Whether it was heard within [`PEER_TIMEOUT`] and its link was not lost since.
     pub fn is_fresh(&self, now: Instant) -> bool {
         !self.lost && now.saturating_duration_since(self.heard) <= PEER_TIMEOUT
     }
--- a/components/fleet/src/spill.rs
+++ b/components/fleet/src/spill.rs
@@ -1,25 +1,30 @@
-//! Which part of a pool gets a submission that could go to another one as well.
+//! Decides whether a submission spills over from its own part of a pool to a less loaded one.
 //!
-//! Every VM hears of the same queues with the same heartbeats. Were all submissions to go to the part
-//! that has least to do as soon as that is worth the way, all VMs would send all of theirs there until
-//! the next heartbeat: of two parts of nine workers one was busy for 0.97 of the time and the other for
-//! 0.3, turn by turn. So only a part of them goes there, more of it the longer the other queue is.
+//! All VMs learn of the same queues with the same heartbeats. If every submission went to the least loaded part
+//! as soon as that is faster, all VMs would send all their submissions there until the next heartbeat, and the
+//! parts would alternate between overload and idleness: of two parts with nine workers each, one was busy for 0.97
+//! of the time and the other for 0.3, in turn. So only a fraction of the submissions spills, which grows with the
+//! lead of the other part.
 
 use std::time::Duration;
 
 use crate::{Owner, PoolLoad};
 
-/// The owner that makes all that waits for it first, and the time for that. One whose workers are all out of
-/// service has nothing to do and makes nothing: what went there would come back refused.
+/// The owner whose queue drains first, and the time until then; `None` if no owner has working workers.
+///
+/// An owner whose workers are all out of service is left out: its queue is empty, but it would reject what is
+/// submitted to it.
 pub fn fastest_owner(loads: impl Iterator<Item = (Owner, PoolLoad)>) -> Option<(Owner, Duration)> {
     let able = loads.filter(|(_, load)| load.rate > 0.0);
     able.map(|(owner, load)| (owner, load.drain_time())).min_by_key(|(_, drain)| *drain)
 }
 
-/// Whether a submission goes to another part than the one it belongs to, whose queues take so long to
-/// drain. `way` is what the other part has to be ahead by, and `draw` is at random from 0 to 1.
-pub fn should_spill(own: Duration, other: Duration, way: Duration, draw: f64) -> bool {
-    let ahead = own.saturating_sub(other + way);
-    let part = ahead.as_secs_f64() / own.as_secs_f64().max(f64::MIN_POSITIVE);
-    draw < part
+/// Whether a submission spills over to another part.
+///
+/// `own` and `other` are the drain times of its own part and of the other one, `margin` is the least lead of the
+/// other part, and `random` is drawn uniformly from 0 to 1.
+pub fn should_spill(own: Duration, other: Duration, margin: Duration, random: f64) -> bool {
+    let lead = own.saturating_sub(other + margin);
+    let fraction = lead.as_secs_f64() / own.as_secs_f64().max(f64::MIN_POSITIVE);
+    random < fraction
 }
--- a/components/fleet/tests/ownership.rs
+++ b/components/fleet/tests/ownership.rs
@@ -1,4 +1,4 @@
-//! How pools are split, who fills the calls of a part, and whom a VM links to.
+//! Tests of the split of pools, the choice of owners and watchers, and the links of a VM.
 
 // A fixture that can't be set up fails its test.
 #![allow(clippy::unwrap_used)]
@@ -25,46 +25,52 @@
     format!("10.0.{}.{}:7", number / 200, number % 200 + 1).parse().unwrap()
 }
 
-/// VM of so many halls, one after the other.
+/// Entry of a VM; VMs are assigned to `halls` halls in turn.
 fn entry(number: usize, halls: usize) -> VmEntry {
     VmEntry { peers: address(number), hall: hall(&format!("hall-{}", number % halls)), cores: 0.5 }
 }
 
-/// What VM `own` of a fleet sees once the store has listed all of it.
+/// The view of VM `own` once the store has listed all VMs of the fleet.
 fn listed(own: usize, vms: usize, halls: usize, now: Instant) -> Fleet {
     let mut fleet = Fleet::new(vm(own), entry(own, halls), 1, now);
     (0..vms).for_each(|number| fleet.list(vm(number), entry(number, halls), now));
     fleet
 }
 
-/// The VM whose place in the order of a part is the given one, by asking VMs that are linked to all.
-fn owner_at(place: usize, split: &Split, of_hall: usize, vms: usize, halls: usize) -> usize {
+/// The VM at the given rank in a part, as chosen by a VM that is linked to all others.
+fn owner_at_rank(rank: usize, split: &Split, of_hall: usize, vms: usize, halls: usize) -> usize {
     let now = Instant::now();
-    let mut left: Vec<usize> = (0..vms).collect();
+    let mut candidates: Vec<usize> = (0..vms).collect();
     let part = split.part_of(&hall(&format!("hall-{of_hall}")));
-    for _ in 0..place {
-        let owner = best_of(&left, split, part, halls, now);
-        left.retain(|number| *number != owner);
+    for _ in 0..rank {
+        let owner = best_of(&candidates, split, part, halls, now);
+        candidates.retain(|number| *number != owner);
     }
-    best_of(&left, split, part, halls, now)
+    best_of(&candidates, split, part, halls, now)
 }
 
-fn best_of(left: &[usize], split: &Split, part: fleet::Part, halls: usize, now: Instant) -> usize {
+fn best_of(
+    candidates: &[usize],
+    split: &Split,
+    part: fleet::Part,
+    halls: usize,
+    now: Instant,
+) -> usize {
     let of_part = |number: &&usize| split.part_of(&entry(**number, halls).hall) == part;
-    let own = *left.iter().find(of_part).unwrap();
+    let own = *candidates.iter().find(of_part).unwrap();
     let mut fleet = Fleet::new(vm(own), entry(own, halls), 1, now);
-    for number in left.iter().filter(|number| **number != own) {
+    for number in candidates.iter().filter(|number| **number != own) {
         fleet.list(vm(*number), entry(*number, halls), now);
         fleet.record_heard(&vm(*number), true, now);
     }
     match fleet.owner_of(POOL, split, part, false, now) {
         Owner::This => own,
-        Owner::Peer(name) => *left.iter().find(|number| vm(**number) == name).unwrap(),
+        Owner::Peer(name) => *candidates.iter().find(|number| vm(**number) == name).unwrap(),
         Owner::Unknown => unreachable!("all VMs are linked"),
     }
 }
 
-/// A pool whose workers make 31 pieces a second each.
+/// A pool whose workers make 31 pieces per second each.
 fn spec() -> PoolSpec {
     PoolSpec {
         at_once: 1,
@@ -78,7 +84,7 @@
     }
 }
 
-/// So many workers in each of so many halls.
+/// The split of a pool with `workers` workers in each of `halls` halls.
 fn split(halls: usize, workers: usize) -> Split {
     let names: Vec<HallName> = (0..halls).map(|number| hall(&format!("hall-{number}"))).collect();
     Split::new(&spec(), names.iter().flat_map(|hall| std::iter::repeat_n(hall, workers)))
@@ -89,15 +95,15 @@
 }
 
 #[test]
-fn a_pool_is_split_by_what_its_workers_make_in_a_second() {
-    // 187, 747, 1,307 and 3,733 pieces a second.
+fn the_number_of_parts_follows_the_rate_of_the_workers() {
+    // Rates: 187, 747, 1,307 and 3,733 pieces per second.
     let counts = [(6, 1), (6, 4), (6, 7), (6, 20)].map(|(halls, each)| parts(&split(halls, each)));
 
     assert_eq!(counts, [1, 1, 2, 3]);
 }
 
 #[test]
-fn a_part_has_two_halls_or_the_whole_pool() {
+fn a_part_has_at_least_two_halls_unless_it_is_the_whole_pool() {
     assert_eq!(parts(&split(3, 100)), 1);
     let split = split(6, 100);
     for part in split.parts() {
@@ -107,7 +113,7 @@
 }
 
 #[test]
-fn a_worker_more_or_less_moves_no_hall_to_another_part() {
+fn the_loss_of_one_worker_does_not_change_the_split() {
     let names: Vec<HallName> = (0..6).map(|number| hall(&format!("hall-{number}"))).collect();
     let full = split(6, 7);
 
@@ -119,7 +125,7 @@
 }
 
 #[test]
-fn a_hall_without_workers_belongs_to_a_part_that_exists() {
+fn a_hall_without_workers_belongs_to_an_existing_part() {
     let split = split(4, 20);
 
     let part = split.part_of(&hall("elsewhere"));
@@ -130,7 +136,7 @@
 #[test]
 fn all_vms_of_a_part_agree_on_its_owner() {
     let (now, split) = (Instant::now(), split(6, 7));
-    let owner = owner_at(0, &split, 0, 60, 6);
+    let owner = owner_at_rank(0, &split, 0, 60, 6);
     let part = split.part_of(&hall("hall-0"));
 
     for own in (0..60).filter(|own| *own != owner) {
@@ -143,10 +149,10 @@
 }
 
 #[test]
-fn a_vm_that_has_just_come_waits_for_the_owner_and_not_for_ever() {
+fn a_new_vm_waits_for_the_owner_for_a_limited_time() {
     let (now, split) = (Instant::now(), split(6, 7));
     let part = split.part_of(&hall("hall-0"));
-    let own = owner_at(5, &split, 0, 60, 6);
+    let own = owner_at_rank(5, &split, 0, 60, 6);
     let fleet = listed(own, 60, 6, now);
 
     let at = |ms: u64| fleet.owner_of(POOL, &split, part, false, now + Duration::from_millis(ms));
@@ -155,10 +161,10 @@
 }
 
 #[test]
-fn an_owner_that_has_no_configuration_yet_is_waited_for() {
+fn a_vm_waits_for_an_owner_that_has_no_configuration_yet() {
     let (now, split) = (Instant::now(), split(6, 7));
     let part = split.part_of(&hall("hall-0"));
-    let [owner, own] = [0, 1].map(|place| owner_at(place, &split, 0, 60, 6));
+    let [owner, own] = [0, 1].map(|rank| owner_at_rank(rank, &split, 0, 60, 6));
     let split = split.first_seen(5);
     let mut fleet = listed(own, 60, 6, now);
     fleet.record_heard(&vm(owner), true, now);
@@ -168,15 +174,16 @@
     };
 
     assert_eq!(owner_at_version(&mut fleet, 0), Owner::Unknown);
-    assert_eq!(owner_at_version(&mut fleet, 4), Owner::This, "it may not know the pool");
+    assert_eq!(owner_at_version(&mut fleet, 4), Owner::This, "the owner may not know the pool");
     assert_eq!(owner_at_version(&mut fleet, 5), Owner::Peer(vm(owner)));
 }
 
 #[test]
-fn a_vm_that_loses_the_owner_and_its_stand_in_waits_for_the_next_one() {
+fn a_vm_that_loses_the_first_two_owners_waits_for_the_third() {
     let (now, split) = (Instant::now(), split(6, 7));
     let part = split.part_of(&hall("hall-0"));
-    let [first, second, third, own] = [0, 1, 2, 9].map(|place| owner_at(place, &split, 0, 60, 6));
+    let [first, second, third, own] =
+        [0, 1, 2, 9].map(|rank| owner_at_rank(rank, &split, 0, 60, 6));
     let mut fleet = listed(own, 60, 6, now);
     let later = now + Duration::from_secs(10);
     for owner in [first, second] {
@@ -190,16 +197,16 @@
     let after = fleet.owner_of(POOL, &split, part, false, later);
 
     assert_eq!(before, Owner::Unknown);
-    assert!(wanted.contains(&address(third)), "the next one is dialled");
-    assert!(wanted.contains(&address(first)), "the first one may come back");
+    assert!(wanted.contains(&address(third)), "the next owner must be dialled");
+    assert!(wanted.contains(&address(first)), "the first owner may come back and must be dialled");
     assert_eq!(after, Owner::Peer(vm(third)));
 }
 
 #[test]
-fn a_vm_that_stops_hands_its_part_to_the_next_one() {
+fn a_stopping_owner_hands_its_part_to_the_next_vm() {
     let (now, split) = (Instant::now(), split(6, 7));
     let part = split.part_of(&hall("hall-0"));
-    let [first, second] = [0, 1].map(|place| owner_at(place, &split, 0, 60, 6));
+    let [first, second] = [0, 1].map(|rank| owner_at_rank(rank, &split, 0, 60, 6));
     let mut fleet = listed(first, 60, 6, now);
     fleet.record_heard(&vm(second), true, now);
 
@@ -208,7 +215,7 @@
 }
 
 #[test]
-fn links_grow_with_parts_and_halls_and_not_with_vms() {
+fn the_number_of_links_does_not_grow_with_the_number_of_vms() {
     let (now, split) = (Instant::now(), split(6, 20));
 
     let links = [60, 295, 370].map(|vms| {
@@ -219,49 +226,53 @@
         most.max().unwrap()
     });
 
-    // Two owners of the own part, one of each other one, two partners a hall.
+    // Two owners in the own part, one in each other part, and two VMs of each hall.
     assert!(links.iter().all(|links| *links <= 16), "{links:?}");
 }
 
-/// Whether a VM of 60 in 6 halls follows the store though it hears one of its hall that does.
-fn watches_beside_one(own: usize, now: Instant) -> bool {
+/// Whether VM `own` of 60 in 6 halls watches the store although it is linked to a VM of its hall that does.
+fn watches_beside_another(own: usize, now: Instant) -> bool {
     let mut fleet = listed(own, 60, 6, now);
-    let heard = vm((own + 6) % 60);
-    fleet.record_heard(&heard, true, now);
-    fleet.peers.get_mut(&heard).unwrap().watches = true;
+    let linked = vm((own + 6) % 60);
+    fleet.record_heard(&linked, true, now);
+    fleet.peers.get_mut(&linked).unwrap().watches = true;
     fleet.must_watch_store(now)
 }
 
 #[test]
-fn two_vms_of_each_hall_follow_the_store_and_the_others_hear_them() {
+fn two_vms_of_each_hall_watch_the_store_and_the_others_rely_on_them() {
     let now = Instant::now();
 
-    let watchers: BTreeSet<usize> = (0..60).filter(|own| watches_beside_one(*own, now)).collect();
+    let watchers: BTreeSet<usize> =
+        (0..60).filter(|own| watches_beside_another(*own, now)).collect();
 
     let of_hall = |hall: usize| watchers.iter().filter(|number| **number % 6 == hall).count();
     assert!((0..6).all(|hall| of_hall(hall) == 2), "{watchers:?}");
 }
 
 #[test]
-fn a_vm_follows_the_store_itself_once_nobody_that_it_hears_does() {
+fn a_vm_watches_the_store_itself_once_no_linked_vm_does() {
     let now = Instant::now();
-    let own = (0..60).find(|own| !watches_beside_one(*own, now)).unwrap();
+    let own = (0..60).find(|own| !watches_beside_another(*own, now)).unwrap();
     let mut fleet = listed(own, 60, 6, now);
-    let heard = vm((own + 6) % 60);
-    fleet.record_heard(&heard, true, now);
-    let set = |fleet: &mut Fleet, watches| fleet.peers.get_mut(&heard).unwrap().watches = watches;
+    let linked = vm((own + 6) % 60);
+    fleet.record_heard(&linked, true, now);
+    let set = |fleet: &mut Fleet, watches| fleet.peers.get_mut(&linked).unwrap().watches = watches;
 
     set(&mut fleet, true);
     assert!(!fleet.must_watch_store(now + Duration::from_millis(900)));
-    assert!(fleet.must_watch_store(now + Duration::from_millis(1100)), "it fell silent");
+    assert!(
+        fleet.must_watch_store(now + Duration::from_millis(1100)),
+        "the linked watcher fell silent"
+    );
     set(&mut fleet, false);
-    assert!(fleet.must_watch_store(now), "the store does not answer it");
+    assert!(fleet.must_watch_store(now), "the store does not answer the linked watcher");
 }
 
 #[test]
-fn links_that_are_let_go_make_nobody_follow_the_store() {
+fn closing_unwanted_links_does_not_start_a_watch() {
     let now = Instant::now();
-    let own = (0..60).find(|own| !watches_beside_one(*own, now)).unwrap();
+    let own = (0..60).find(|own| !watches_beside_another(*own, now)).unwrap();
     let mut fleet = listed(own, 60, 6, now);
     let watcher = vm((own + 6) % 60);
     for other in (0..60).filter(|other| *other != own) {
@@ -275,13 +286,13 @@
 }
 
 #[test]
-fn all_vms_of_a_small_fleet_follow_the_store() {
+fn all_vms_of_a_small_fleet_watch_the_store() {
     let now = Instant::now();
 
     assert!((0..7).all(|own| listed(own, 7, 3, now).must_watch_store(now)));
 }
 
-/// A VM of a settled fleet that is linked to whom it wants, at some time long after its start.
+/// The view of VM `own` of a settled fleet, long after its start and with all wanted links.
 fn settled(own: usize, split: &Split, now: Instant) -> Fleet {
     let mut fleet = listed(own, 60, 6, now - Duration::from_secs(60));
     link_wanted(&mut fleet, own, split, now);
@@ -296,9 +307,9 @@
 }
 
 #[test]
-fn all_vms_choose_the_same_heir_of_an_owner_that_stops() {
+fn all_vms_choose_the_same_successor_of_a_stopping_owner() {
     let (now, split) = (Instant::now(), split(6, 7));
-    let [first, second] = [0, 1].map(|place| owner_at(place, &split, 0, 60, 6));
+    let [first, second] = [0, 1].map(|rank| owner_at_rank(rank, &split, 0, 60, 6));
     let part = split.part_of(&hall("hall-0"));
 
     for own in (0..60).filter(|own| ![first, second].contains(own)) {
@@ -308,16 +319,16 @@
         link_wanted(&mut fleet, own, &split, now);
         let linked = fleet.owner_of(POOL, &split, part, false, now);
 
-        let heir = Owner::Peer(vm(second));
-        assert!(at_once == heir || at_once == Owner::Unknown, "vm-{own}: {at_once:?}");
-        assert_eq!(linked, heir, "vm-{own}");
+        let successor = Owner::Peer(vm(second));
+        assert!(at_once == successor || at_once == Owner::Unknown, "vm-{own}: {at_once:?}");
+        assert_eq!(linked, successor, "vm-{own}");
     }
 }
 
 #[test]
-fn an_heir_that_can_not_be_linked_is_passed_over() {
+fn a_successor_that_can_not_be_dialled_is_skipped() {
     let (now, split) = (Instant::now(), split(6, 7));
-    let [first, second, third] = [0, 1, 2].map(|place| owner_at(place, &split, 0, 60, 6));
+    let [first, second, third] = [0, 1, 2].map(|rank| owner_at_rank(rank, &split, 0, 60, 6));
     let part = split.part_of(&hall("hall-0"));
     let own = (0..60).find(|own| ![first, second, third].contains(own)).unwrap();
     let mut fleet = listed(own, 60, 6, now - Duration::from_secs(60));
@@ -328,12 +339,12 @@
     fleet.record_dial_failure(address(second));
     let after = fleet.owner_of(POOL, &split, part, false, now);
 
-    assert_eq!(before, Owner::Unknown, "a better one is being dialled");
+    assert_eq!(before, Owner::Unknown, "the successor is being dialled");
     assert_eq!(after, Owner::Peer(vm(third)));
 }
 
 #[test]
-fn others_serve_unless_all_that_are_known_stop_or_are_silent() {
+fn other_vms_serve_unless_all_are_stopping_unconfigured_or_silent() {
     let now = Instant::now();
     let serves = |draining: bool, configuration: u64, at: Instant| {
         let mut fleet = listed(0, 2, 1, now);
@@ -344,8 +355,8 @@
     };
 
     assert!(serves(false, 1, now));
-    assert!(!serves(true, 1, now), "it stops too");
-    assert!(!serves(false, 0, now), "it has only started");
-    assert!(!serves(false, 1, now + fleet::PEER_TIMEOUT * 2), "it is silent");
-    assert!(listed(0, 60, 1, now).others_serve(now), "not all are known");
+    assert!(!serves(true, 1, now), "the other VM is stopping too");
+    assert!(!serves(false, 0, now), "the other VM has no configuration yet");
+    assert!(!serves(false, 1, now + fleet::PEER_TIMEOUT * 2), "the other VM is silent");
+    assert!(listed(0, 60, 1, now).others_serve(now), "not all VMs of a large fleet are linked");
 }
--- a/components/fleet/tests/spill.rs
+++ b/components/fleet/tests/spill.rs
@@ -1,4 +1,4 @@
-//! Submissions go to another part of a pool as far as that part is ahead.
+//! Tests of the share of submissions that spills over to a less loaded part of a pool.
 
 // A fixture that can't be set up fails its test.
 #![allow(clippy::unwrap_used)]
@@ -9,12 +9,14 @@
 use fleet::{Owner, PoolLoad, fastest_owner, should_spill};
 use ids::VmName;
 
-const WAY: Duration = Duration::from_millis(240);
+/// Least lead of the other part at which submissions spill.
+const MARGIN: Duration = Duration::from_millis(240);
 
-fn part_spilled(own_ms: u64, other_ms: u64) -> f64 {
+/// Fraction of submissions that spill, for drain times of the own part and of the other one.
+fn spilled_fraction(own_ms: u64, other_ms: u64) -> f64 {
     let (own, other) = (Duration::from_millis(own_ms), Duration::from_millis(other_ms));
     let spilled =
-        (0..1000).filter(|n| should_spill(own, other, WAY, f64::from(*n) / 1000.0)).count();
+        (0..1000).filter(|n| should_spill(own, other, MARGIN, f64::from(*n) / 1000.0)).count();
     spilled as f64 / 1000.0
 }
 
@@ -25,7 +27,7 @@
 }
 
 #[test]
-fn a_part_whose_workers_are_all_out_of_service_is_never_ahead() {
+fn an_owner_without_working_workers_is_never_the_fastest() {
     let loads =
         [owner("full", 400.0, 200.0), owner("closed", 0.0, 0.0), owner("busy", 90.0, 100.0)];
 
@@ -37,38 +39,39 @@
 }
 
 #[test]
-fn nothing_spills_to_a_part_that_is_ahead_by_less_than_the_way() {
-    assert_eq!(part_spilled(0, 0), 0.0);
-    assert_eq!(part_spilled(240, 0), 0.0);
-    assert_eq!(part_spilled(900, 660), 0.0);
-    assert_eq!(part_spilled(500, 2000), 0.0);
+fn nothing_spills_to_a_part_whose_lead_is_not_above_the_margin() {
+    assert_eq!(spilled_fraction(0, 0), 0.0);
+    assert_eq!(spilled_fraction(240, 0), 0.0);
+    assert_eq!(spilled_fraction(900, 660), 0.0);
+    assert_eq!(spilled_fraction(500, 2000), 0.0);
 }
 
 #[test]
-fn the_further_ahead_the_more_spills_and_never_all() {
-    let parts = [part_spilled(300, 0), part_spilled(600, 0), part_spilled(2000, 0)];
+fn the_spilled_fraction_grows_with_the_lead_and_stays_below_one() {
+    let fractions = [spilled_fraction(300, 0), spilled_fraction(600, 0), spilled_fraction(2000, 0)];
 
-    assert_eq!(parts, [0.2, 0.6, 0.88]);
+    assert_eq!(fractions, [0.2, 0.6, 0.88]);
 }
 
-/// Two parts of the same speed, all callers at one: heartbeats tell of the queues with a delay, and the
-/// queues come to differ by little more than the way, without turning over.
+/// Two parts of the same speed, with all callers at one of them. Heartbeats report the queues with a delay. The queues
+/// must come to differ by little more than the margin, without alternating between overload and idleness.
 #[test]
-fn two_parts_share_a_load_that_is_too_much_for_one() {
+fn two_parts_share_a_load_that_exceeds_the_rate_of_one() {
     let (rate, arriving) = (1000.0, 1600.0);
     let tick = Duration::from_millis(50);
     let mut queues = [0.0_f64; 2];
-    let mut told = queues;
+    let mut reported = queues;
     let mut done = 0.0;
 
     for step in 0..400_u32 {
         if step % 4 == 0 {
-            told = queues;
+            reported = queues;
         }
         let drain = |queue: f64| Duration::from_secs_f64(queue / rate);
         for piece in 0..80_u32 {
-            let draw = f64::from((piece * 37 + step * 17) % 80) / 80.0;
-            let to = usize::from(should_spill(drain(told[0]), drain(told[1]), WAY, draw));
+            let random = f64::from((piece * 37 + step * 17) % 80) / 80.0;
+            let to =
+                usize::from(should_spill(drain(reported[0]), drain(reported[1]), MARGIN, random));
             queues[to] += arriving * tick.as_secs_f64() / 80.0;
         }
         for queue in &mut queues {
