--- a/components/peering/src/lib.rs
+++ b/components/peering/src/lib.rs
@@ -1,5 +1,7 @@
-//! Messages and links between VMs, over tonic. The generated code is committed;
-//! `cargo run -p protogen` makes it anew from `proto/peer.proto`.
+//! Messages and gRPC services of the links between VMs.
+//!
+//! [`messages`] is the link on which VMs exchange their state and the catalogue; [`work`] is the link on which they
+//! submit pieces of stages. The generated code is committed; `cargo run -p protogen` regenerates it from `proto/`.
 
 #[allow(missing_docs, clippy::all, clippy::pedantic, unused_qualifications)]
 #[rustfmt::skip]
