--- a/components/fleet/src/ownership.rs
+++ b/components/fleet/src/ownership.rs
@@ -31,7 +31,8 @@
     This,
     /// A peer that this VM is linked to.
     Peer(VmName),
-    /// Not known yet: a better VM than the best linked one is expected to take work soon, or no VM of the part is linked.
+    /// Not known yet: a better VM than the best linked one is expected to take work soon, or no VM of the part is
+    /// linked.
     Unknown,
 }
 
@@ -240,8 +241,8 @@
         self.may_take_work_soon(vm) && (is_recent(Some(self.unsettled_since), now) || may_succeed)
     }
 
-    /// Whether a VM may take work soon: it is known only from the store, it has no link that this VM dialled, or it
-    /// has no configuration yet. Failed dials are ignored, since they say little while all VMs start.
+    /// Whether a VM may take work soon: it is known only from the store, it was heard but has no link that this VM
+    /// dialled, or it has no configuration yet. Lost, stopping and unreachable VMs are excluded. Failed dials are ignored, since they say little while all VMs start.
     fn may_take_work_soon(&self, vm: &VmName) -> bool {
         let starts = |peer: &PeerVm| !peer.linked || peer.configuration == 0;
         let may = |peer: &PeerVm| !peer.lost && !peer.draining && starts(peer);
