--- a/components/fleet/src/ownership.rs
+++ b/components/fleet/src/ownership.rs
@@ -151,7 +151,7 @@
     /// Adds the VMs that this one links to in each hall.
     fn add_hall_links(&self, wanted: &mut BTreeSet<SocketAddr>) {
         for hall in self.halls() {
-            // In its own hall a VM links to those that watch the store; in other halls, each VM links to different ones.
+            // In its own hall a VM links to those that watch the store; in other halls, VMs differ in their links.
             let own = *hall == self.own_entry.hall;
             let ranked = if own {
                 self.ranked_watchers()
@@ -242,7 +242,8 @@
     }
 
     /// Whether a VM may take work soon: it is known only from the store, it was heard but has no link that this VM
-    /// dialled, or it has no configuration yet. Lost, stopping and unreachable VMs are excluded. Failed dials are ignored, since they say little while all VMs start.
+    /// dialled, or it has no configuration yet. Lost, stopping and unreachable VMs are excluded.
+    /// Failed dials are ignored, since they say little while all VMs start.
     fn may_take_work_soon(&self, vm: &VmName) -> bool {
         let starts = |peer: &PeerVm| !peer.linked || peer.configuration == 0;
         let may = |peer: &PeerVm| !peer.lost && !peer.draining && starts(peer);
--- a/components/store_view/src/contact.rs
+++ b/components/store_view/src/contact.rs
@@ -1,9 +1,9 @@
 //! Tracks whether the platform's store answers this VM, and whether it answers any VM.
 //!
 //! During an outage of the store the leases of live targets may expire, so their entries are kept for a grace period
-//! after the store's return. A failed call of this VM does not prove an outage: to this VM, a lease that was renewed too
-//! late or a store that rejects only this VM looks the same. Peers report when the store last answered them, which tells
-//! the two apart: the store was down if it answered no VM for `STORE_SILENCE`, or no VM since this VM lost it.
+//! after the store's return. A failed call of this VM does not prove an outage: to this VM, a lease that was renewed
+//! too late or a store that rejects only this VM looks the same. Peers report when the store last answered them, which
+//! tells the two apart: the store was down if it answered no VM for `STORE_SILENCE`, or no VM since this VM lost it.
 
 use std::time::{Duration, Instant};
 
