--- a/components/selection/src/choice.rs
+++ b/components/selection/src/choice.rs
@@ -1,4 +1,4 @@
-//! What a choice is asked for and what it gives.
+//! Input and output types of the selection of a target.
 
 use std::time::Duration;
 
@@ -7,76 +7,76 @@
 use slotmap::new_key_type;
 
 new_key_type! {
-    /// Key of a target.
+    /// Key of a target. It stays unique when the target is removed and another one is added.
     pub struct TargetKey;
 }
 
-/// Which choice is made.
+/// How a target is selected among the candidates.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum Policy {
-    /// By load, hall, kept prompts and health.
+    /// By lowest cost, from load, hall, cached prompt prefixes and recent failures.
     #[default]
     Adaptive,
-    /// One after the other.
+    /// Each candidate in turn.
     RoundRobin,
-    /// The first in the order of ids.
+    /// The candidate with the lowest id.
     FirstInOrder,
 }
 
-/// How large a call is for an engine.
+/// Size of a call to an inference engine.
 #[derive(Debug, Clone, Default)]
 pub struct CallSize {
-    /// Starts of the prompt, shortest first.
+    /// Prefixes of the prompt, shortest first, as [`prefix_chain`](crate::prefix_chain) returns them.
     pub chain: Vec<(u64, u64)>,
-    /// Tokens of the prompt.
+    /// Length of the prompt in tokens.
     pub prompt_tokens: u64,
-    /// Bytes of inputs by the hall in which they lie.
+    /// Bytes of inputs, by the hall in which they are stored.
     pub inputs: Vec<(HallName, u64)>,
-    /// Tokens that a target's memory holds.
+    /// Capacity of a target's prompt cache in tokens.
     pub memory_tokens: u64,
 }
 
-/// What a call needs.
+/// The call for which a target is selected.
 #[derive(Debug)]
 pub struct SelectionRequest<'a> {
-    /// The service.
+    /// The service that is called.
     pub service: &'a ServiceName,
-    /// Targets already tried.
+    /// Targets that were already tried for this request; none of them is selected.
     pub exclude: &'a [TargetKey],
-    /// Set for engines.
+    /// Size of the call; `None` if the service is not an inference engine.
     pub size: Option<&'a CallSize>,
 }
 
-/// A target that was chosen.
+/// A selected target.
 #[derive(Debug, Clone)]
 pub struct Pick {
-    /// Its key, to tell how the call ended.
+    /// Its key, with which the outcome of the call is reported.
     pub key: TargetKey,
     /// The target.
     pub target: Target,
-    /// Prompt tokens that it has to read.
+    /// Prompt tokens that are probably not in the target's cache, so that it has to process them.
     pub unread_tokens: u64,
-    /// Its cost among the candidates, for the log.
+    /// Its cost as the selection computed it, for the log.
     pub cost: f64,
-    /// Candidates, for the log.
+    /// Number of candidates, for the log.
     pub candidates: usize,
-    /// Age of its load report in milliseconds, for the log.
+    /// Age of its latest load report, for the log; `None` if it sent none.
     pub load_age: Option<Duration>,
 }
 
-/// How a call ended.
+/// How a call to a target ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum TargetOutcome {
-    /// The whole answer came.
+    /// The complete answer was received.
     Answered,
-    /// It answered with a failure of its own.
+    /// The target answered with an error of its own.
     OwnFailure,
-    /// It was too busy.
+    /// The target declined the call because it was too busy.
     Declined,
-    /// Nothing could be sent, or another lifetime stands there.
+    /// Nothing could be sent, or another lifetime of the target listens at its address.
     Unreachable,
-    /// It failed after something was sent.
+    /// The call failed after a part of it was sent.
     Failed,
-    /// Given up by this side.
+    /// This VM gave the call up.
     GivenUp,
 }
--- a/components/selection/src/cost.rs
+++ b/components/selection/src/cost.rs
@@ -1,44 +1,48 @@
-//! What a call would cost at each target: its load, hall and health, and for engines the tokens that it
-//! has to read, in requests at work.
+//! Cost of a call at each candidate target, from load, hall and recent failures, and for inference engines from
+//! the tokens to process.
+//!
+//! The unit is one slot in use, or for engines one request in progress.
 
 use std::time::Instant;
 
 use crate::choice::{CallSize, SelectionRequest, TargetKey};
 use crate::targets::Targets;
 
-/// Cost of a call to another hall, in parts of a slot in use.
+/// Cost of a call to another hall, as a fraction of a slot in use.
 const OTHER_HALL: f64 = 0.25;
-/// Prompt tokens to which a request at work is equal: it slows each step by a few hundredths, which
-/// over an answer is the time in which so many tokens are read. With 40, engines that stand nearly empty read
-/// a tenth less of shared parts again, and a deployment of busy ones loses 0.015 of its loaded days.
+/// Prompt tokens that cost as much as one request in progress. Such a request slows each step of the engine by a
+/// few hundredths, which over an answer is the time to process so many tokens. With 40, nearly idle engines
+/// process a tenth less of shared prefixes again, but a deployment of busy ones loses 0.015 of its loaded days.
 const TOKENS_PER_REQUEST: f64 = 120.0;
-/// Weight of tokens that others have yet to read there against own ones: they cost a wait, but no
-/// work that would be done twice.
-const QUEUED_PART: f64 = 0.3;
-/// Tokens to which a megabyte of results that lie in another hall is equal.
-const TOKENS_PER_FAR_MB: f64 = 500.0;
-/// Part of a prompt's shared tokens that its home by hashing is believed to keep.
-const HOME_BELIEF: f64 = 1.0;
-/// Bytes of a megabyte.
+/// Weight of a token that the target still has to process for other calls, relative to one of this call. It costs
+/// waiting time, but no repeated work.
+const QUEUED_WEIGHT: f64 = 0.3;
+/// Tokens that cost as much as fetching one megabyte of inputs from another hall.
+const TOKENS_PER_REMOTE_MB: f64 = 500.0;
+/// Fraction of a prompt's shared tokens that is assumed to be cached at its home, the target to which rendezvous
+/// hashing assigns it.
+const HOME_CACHED: f64 = 1.0;
+/// Bytes in a megabyte.
 const BYTES_PER_MB: f64 = 1e6;
-/// What a target that fails all its calls costs, in requests at work.
-const FAILING_COST: f64 = 200.0;
+/// Cost of a target that fails all its calls, in requests in progress.
+const FAILURE_COST: f64 = 200.0;
 
 impl Targets {
+    /// Returns the target with the lowest cost.
     pub(crate) fn cheapest(
         &self,
         among: &[TargetKey],
         wanted: &SelectionRequest<'_>,
         now: Instant,
     ) -> Option<TargetKey> {
-        let home = self.home_of(among, wanted);
+        let home = self.prompt_home(among, wanted);
         let costs = among.iter().map(|key| (*key, self.cost(*key, home, wanted, now)));
         costs.min_by(|(_, a), (_, b)| a.total_cmp(b)).map(|(key, _)| key)
     }
 
-    /// The home of a call's prompt, found once for all that are compared: 7 us a choice among 240
-    /// targets, not 1,151 (`saddlerail-load choice`).
-    pub(crate) fn home_of(
+    /// Returns the home of a call's prompt. It is computed once for all candidates: a selection among 240 targets
+    /// takes 7 us, and 1,151 us if each candidate computes it (`saddlerail-load choice`).
+    pub(crate) fn prompt_home(
         &self,
         among: &[TargetKey],
         wanted: &SelectionRequest<'_>,
@@ -46,6 +50,7 @@
         self.home(among, wanted.size?)
     }
 
+    /// Returns the cost of a call at the target `key`; `home` is the home of its prompt.
     pub(crate) fn cost(
         &self,
         key: TargetKey,
@@ -54,30 +59,30 @@
         now: Instant,
     ) -> f64 {
         let known = &self.arena[key];
-        let calls = known.calls_known(now);
-        let failing = known.failing * FAILING_COST;
+        let calls = known.total_calls(now);
+        let failure_cost = known.failure_rate * FAILURE_COST;
         match wanted.size {
             None => {
-                let far = if known.target.hall == self.own_hall { 0.0 } else { OTHER_HALL };
-                let full = (calls + 1.0) / f64::from(known.target.slots);
-                // Nothing waits below one call a slot, so only then load goes before the hall.
-                full.max(far) + far + known.failing
+                let remote = if known.target.hall == self.own_hall { 0.0 } else { OTHER_HALL };
+                let utilization = (calls + 1.0) / f64::from(known.target.slots);
+                // Below one call per slot nothing waits, so the load outweighs the hall only above that.
+                utilization.max(remote) + remote + known.failure_rate
             }
             Some(size) => {
-                let believed = if home == Some(key) { HOME_BELIEF } else { 0.0 };
-                let shared = shared_tokens(size) as f64 * believed;
-                let unread = (known.unread_of(size) as f64 - shared).max(0.0);
-                let far: u64 =
+                let cached_fraction = if home == Some(key) { HOME_CACHED } else { 0.0 };
+                let shared = shared_tokens(size) as f64 * cached_fraction;
+                let unread = (known.uncached_tokens(size) as f64 - shared).max(0.0);
+                let remote: u64 =
                     size.inputs.iter().filter(|(h, _)| *h != known.target.hall).map(|i| i.1).sum();
                 let tokens = unread
-                    + known.unread_known(now) as f64 * QUEUED_PART
-                    + far as f64 / BYTES_PER_MB * TOKENS_PER_FAR_MB;
-                tokens / TOKENS_PER_REQUEST + calls + failing
+                    + known.total_unread(now) as f64 * QUEUED_WEIGHT
+                    + remote as f64 / BYTES_PER_MB * TOKENS_PER_REMOTE_MB;
+                tokens / TOKENS_PER_REQUEST + calls + failure_cost
             }
         }
     }
 
-    /// The target to which the prompt's shared start belongs by rendezvous hashing.
+    /// Returns the target to which rendezvous hashing assigns the shared prefix of the prompt; `None` if it has none.
     pub(crate) fn home(&self, among: &[TargetKey], size: &CallSize) -> Option<TargetKey> {
         let shared = size.chain.len().checked_sub(2)?;
         let (start, _) = size.chain[shared];
@@ -85,7 +90,7 @@
     }
 }
 
-/// Tokens of the prompt before its last part, which is the request's own.
+/// Returns the tokens of the prompt before its last part. That part belongs to this request alone.
 fn shared_tokens(size: &CallSize) -> u64 {
     let before_last = size.chain.len().checked_sub(2);
     before_last.map_or(0, |index| size.chain[index].1)
--- a/components/selection/src/lib.rs
+++ b/components/selection/src/lib.rs
@@ -1,4 +1,4 @@
-//! Which target runs a request, and how many requests may be sent a second time.
+//! Selection of the target for a call, and the budget for retries of the whole fleet.
 
 mod choice;
 mod cost;
--- a/components/selection/src/prefix_cache.rs
+++ b/components/selection/src/prefix_cache.rs
@@ -1,12 +1,13 @@
-//! What an engine probably keeps of prompts, from where this VM sent them.
+//! Estimate of the prompt prefixes that an engine has in its cache, from the prompts that this VM sent to it.
 
 use std::collections::HashMap;
 use std::time::Instant;
 
-/// A start of a prompt: hash of its parts up to here, and its tokens.
+/// The prefixes of a prompt, shortest first: for each, the hash of its parts and its length in tokens.
 pub type Chain = Vec<(u64, u64)>;
 
-/// The starts of a prompt given by its parts, shortest first.
+/// Returns the prefixes of a prompt for `model`, shortest first. `parts` gives the id and the number of tokens
+/// of each part of the prompt.
 pub fn prefix_chain(model: &str, parts: impl Iterator<Item = (u64, u32)>) -> Chain {
     let mut hash = hashing::of_text(model);
     let mut tokens = 0;
@@ -19,33 +20,34 @@
         .collect()
 }
 
-/// Starts of prompts that a target was sent, the least recently used given up first.
+/// Prompt prefixes that were sent to one target. The least recently used ones are evicted first.
 #[derive(Debug, Default)]
 pub(crate) struct PrefixCache {
-    starts: HashMap<u64, (Instant, u64)>,
+    /// By hash of the prefix: when it was last used, and the tokens that it adds to the next shorter one.
+    cached: HashMap<u64, (Instant, u64)>,
     tokens: u64,
 }
 
 impl PrefixCache {
-    /// Tokens of the prompt that are probably kept.
-    pub(crate) fn tokens_of(&self, chain: &[(u64, u64)]) -> u64 {
-        let known = chain.iter().take_while(|(hash, _)| self.starts.contains_key(hash));
+    /// Returns how many leading tokens of the prompt are probably in the target's cache.
+    pub(crate) fn cached_tokens(&self, chain: &[(u64, u64)]) -> u64 {
+        let known = chain.iter().take_while(|(hash, _)| self.cached.contains_key(hash));
         known.last().map_or(0, |(_, tokens)| *tokens)
     }
 
-    /// Notes that the prompt was sent, in a memory of so many tokens.
-    pub(crate) fn note(&mut self, chain: &[(u64, u64)], memory: u64, now: Instant) {
+    /// Records that the prompt was sent to a target whose cache holds `memory` tokens.
+    pub(crate) fn record(&mut self, chain: &[(u64, u64)], memory: u64, now: Instant) {
         let mut before = 0;
         for (hash, tokens) in chain {
             let own = tokens - before;
             before = *tokens;
-            if self.starts.insert(*hash, (now, own)).is_none() {
+            if self.cached.insert(*hash, (now, own)).is_none() {
                 self.tokens += own;
             }
         }
         while self.tokens > memory {
-            let oldest = self.starts.iter().min_by_key(|(_, (at, _))| *at).map(|(hash, _)| *hash);
-            let Some((_, own)) = oldest.and_then(|hash| self.starts.remove(&hash)) else { return };
+            let oldest = self.cached.iter().min_by_key(|(_, (at, _))| *at).map(|(hash, _)| *hash);
+            let Some((_, own)) = oldest.and_then(|hash| self.cached.remove(&hash)) else { return };
             self.tokens -= own;
         }
     }
--- a/components/selection/src/retry_budget.rs
+++ b/components/selection/src/retry_budget.rs
@@ -1,45 +1,46 @@
-//! How many requests may be sent to a second target, so that the whole fleet keeps to a share.
+//! Retry budget: bounds the retries of the whole fleet to a fraction of its requests.
 
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
 
-/// The fleet's budget for one service, in a sliding window.
+/// The fleet's retry budget for one service, over a sliding window.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct FleetRetryRules {
-    /// Repeats for each request.
+    /// Retries allowed per request.
     pub ratio: f64,
-    /// Repeats beside these, for the whole fleet.
+    /// Retries allowed in addition, for the whole fleet in one window.
     pub slack: f64,
-    /// The window.
+    /// Length of the window.
     pub window: Duration,
 }
 
-/// Part of the fleet's budget that the VMs use, so that what they can't know of each other (a VM
-/// that restarted and forgot, another one that joined) stays within it.
-const USED_PART: f64 = 0.5;
+/// Fraction of the fleet's budget that the VMs use. The rest covers what they can't know of each other, such as a
+/// VM that restarted and lost its counts or one that just joined.
+const USED_FRACTION: f64 = 0.5;
 
-/// This VM's part of the budget for one service.
+/// This VM's part of the fleet's retry budget for one service.
 #[derive(Debug, Default)]
 pub struct FleetRetryBudget {
     requests: VecDeque<Instant>,
-    repeats: VecDeque<Instant>,
+    retries: VecDeque<Instant>,
 }
 
 impl FleetRetryBudget {
-    /// Counts a request that a caller sent.
+    /// Counts a request from a caller.
     pub fn record_request(&mut self, now: Instant) {
         self.requests.push_back(now);
     }
 
-    /// Takes a repeat, if one is left; `vms` share the fleet's slack.
+    /// Takes one retry from the budget and returns true, or returns false if none is left. The fleet's slack is
+    /// divided equally among `vms` VMs.
     pub fn try_take(&mut self, rules: &FleetRetryRules, vms: usize, now: Instant) -> bool {
         forget(&mut self.requests, rules.window, now);
-        forget(&mut self.repeats, rules.window, now);
+        forget(&mut self.retries, rules.window, now);
         let shared = rules.slack / vms.max(1) as f64;
-        let allowed = USED_PART * (rules.ratio * self.requests.len() as f64 + shared);
-        let left = (self.repeats.len() as f64) + 1.0 <= allowed;
+        let allowed = USED_FRACTION * (rules.ratio * self.requests.len() as f64 + shared);
+        let left = (self.retries.len() as f64) + 1.0 <= allowed;
         if left {
-            self.repeats.push_back(now);
+            self.retries.push_back(now);
         }
         left
     }
--- a/components/selection/src/target_state.rs
+++ b/components/selection/src/target_state.rs
@@ -1,5 +1,7 @@
-//! What this VM knows of a target: its load by three ways, how it failed, what it probably keeps of
-//! prompts, and whether it is cold.
+//! What this VM knows of one target: its load, its recent failures, the prompt prefixes that it has probably
+//! cached, and whether it is cold.
+//!
+//! The load comes from three sources: calls of this VM, reports of peers, and reports of the target itself.
 
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
@@ -10,55 +12,56 @@
 use crate::choice::{CallSize, TargetOutcome};
 use crate::prefix_cache::PrefixCache;
 
-/// A target's own word on its load counts for this long.
-const LOAD_LIFE: Duration = Duration::from_millis(1500);
-/// Peers' counts are as old as their heartbeats; older ones count for nothing.
-const PEER_LIFE: Duration = Duration::from_millis(1500);
-/// First time out of a target that failed; doubles with each failure in a row.
-const FIRST_REST: Duration = Duration::from_millis(500);
-/// Longest time out.
-const LONGEST_REST: Duration = Duration::from_secs(4);
-/// Failures in a row before a target rests, unless nothing could be sent to it.
-const FAILURES: u32 = 2;
-/// Weight of a target's failures among all its calls.
-const FAILING_WEIGHT: f64 = 0.1;
-
-/// What a peer has under way at a target.
+/// Time for which a target's own load report is used.
+const TARGET_LOAD_TTL: Duration = Duration::from_millis(1500);
+/// Time for which a peer's load report is used. Peers send one with each heartbeat; an older one is ignored.
+const PEER_LOAD_TTL: Duration = Duration::from_millis(1500);
+/// Time for which a target is ejected at first; it doubles with each further consecutive failure.
+const INITIAL_EJECTION: Duration = Duration::from_millis(500);
+/// Longest time for which a target is ejected.
+const MAX_EJECTION: Duration = Duration::from_secs(4);
+/// Consecutive failures that eject a target. If nothing could be sent to it, one is enough.
+const FAILURES_TO_EJECT: u32 = 2;
+/// Weight of the latest call in the moving average of a target's failure rate.
+const FAILURE_RATE_WEIGHT: f64 = 0.1;
+
+/// Calls that a peer has in progress at a target.
 #[derive(Debug, Clone, Copy)]
 struct PeerLoad {
     at: Instant,
     calls: u32,
-    /// Prompt tokens not read yet.
+    /// Prompt tokens of these calls that the target has not processed yet.
     unread: u64,
 }
 
-/// What a target told of its load.
+/// A target's own load report.
 #[derive(Debug, Clone, Copy)]
-struct ToldLoad {
+struct TargetLoad {
     at: Instant,
     running: u32,
     waiting: u32,
 }
 
-/// What is known of a target.
+/// State of one target.
 #[derive(Debug)]
 pub(crate) struct TargetState {
     pub(crate) target: Target,
     /// Hash of its id.
     pub(crate) id_hash: u64,
-    /// Calls under way from here.
+    /// Calls from this VM in progress.
     pub(crate) calls: u32,
-    /// Prompt tokens of these that are not read yet.
+    /// Prompt tokens of these calls that the target has not processed yet.
     pub(crate) unread: u64,
-    /// By the peer's number.
+    /// Latest load report of each peer, by the peer's number.
     peers: HashMap<u64, PeerLoad>,
-    load: Option<ToldLoad>,
+    load: Option<TargetLoad>,
+    /// Consecutive failures.
     failures: u32,
-    /// Part of its calls that failed of late.
-    pub(crate) failing: f64,
-    rests_until: Option<Instant>,
-    pub(crate) kept: PrefixCache,
-    pub(crate) warming: ColdState,
+    /// Moving average of the fraction of calls that failed.
+    pub(crate) failure_rate: f64,
+    ejected_until: Option<Instant>,
+    pub(crate) prefix_cache: PrefixCache,
+    pub(crate) cold_state: ColdState,
 }
 
 impl TargetState {
@@ -71,91 +74,94 @@
             peers: HashMap::new(),
             load: None,
             failures: 0,
-            failing: 0.0,
-            rests_until: None,
-            kept: PrefixCache::default(),
-            warming: ColdState::default(),
+            failure_rate: 0.0,
+            ejected_until: None,
+            prefix_cache: PrefixCache::default(),
+            cold_state: ColdState::default(),
         }
     }
 
-    /// A call from here ended.
-    pub(crate) fn ended(&mut self, end: TargetOutcome, now: Instant) {
+    /// Records the end of a call from this VM.
+    pub(crate) fn record_outcome(&mut self, end: TargetOutcome, now: Instant) {
         self.calls = self.calls.saturating_sub(1);
         let failed = matches!(
             end,
             TargetOutcome::OwnFailure | TargetOutcome::Failed | TargetOutcome::Unreachable
         );
         if end != TargetOutcome::GivenUp {
-            self.failing += FAILING_WEIGHT * (f64::from(u8::from(failed)) - self.failing);
+            self.failure_rate +=
+                FAILURE_RATE_WEIGHT * (f64::from(u8::from(failed)) - self.failure_rate);
         }
         match end {
             TargetOutcome::Answered => self.recover(),
-            TargetOutcome::Unreachable => self.failed(1, now),
-            TargetOutcome::Failed => self.failed(FAILURES, now),
+            TargetOutcome::Unreachable => self.record_failure(1, now),
+            TargetOutcome::Failed => self.record_failure(FAILURES_TO_EJECT, now),
             TargetOutcome::OwnFailure | TargetOutcome::Declined | TargetOutcome::GivenUp => {}
         }
     }
 
-    /// A call was given up because nothing came of it.
-    pub(crate) fn was_silent(&mut self, now: Instant) {
-        self.failing += FAILING_WEIGHT * (1.0 - self.failing);
-        self.failed(FAILURES, now);
+    /// Records that a call was given up because the target did not answer.
+    pub(crate) fn record_timeout(&mut self, now: Instant) {
+        self.failure_rate += FAILURE_RATE_WEIGHT * (1.0 - self.failure_rate);
+        self.record_failure(FAILURES_TO_EJECT, now);
     }
 
-    /// It told its load.
-    pub(crate) fn told_load(&mut self, running: u32, waiting: u32, now: Instant) {
-        self.load = Some(ToldLoad { at: now, running, waiting });
+    /// Records a load report of the target.
+    pub(crate) fn record_target_load(&mut self, running: u32, waiting: u32, now: Instant) {
+        self.load = Some(TargetLoad { at: now, running, waiting });
     }
 
-    /// A peer told what it has under way here.
-    pub(crate) fn peer_load(&mut self, peer: u64, calls: u32, unread: u64, now: Instant) {
+    /// Records a peer's load report for this target.
+    pub(crate) fn record_peer_load(&mut self, peer: u64, calls: u32, unread: u64, now: Instant) {
         self.peers.insert(peer, PeerLoad { at: now, calls, unread });
     }
 
-    /// Whether it rests after failures.
-    pub(crate) fn rests(&self, now: Instant) -> bool {
-        self.rests_until.is_some_and(|until| now < until)
+    /// Whether the target is ejected after failures.
+    pub(crate) fn is_ejected(&self, now: Instant) -> bool {
+        self.ejected_until.is_some_and(|until| now < until)
     }
 
     fn recover(&mut self) {
         self.failures = 0;
-        self.rests_until = None;
+        self.ejected_until = None;
     }
 
-    fn failed(&mut self, before_rest: u32, now: Instant) {
+    fn record_failure(&mut self, to_eject: u32, now: Instant) {
         self.failures += 1;
-        if let Some(beyond) = self.failures.checked_sub(before_rest) {
-            let rest = FIRST_REST.saturating_mul(1 << beyond.min(8)).min(LONGEST_REST);
-            self.rests_until = Some(now + rest);
+        if let Some(beyond) = self.failures.checked_sub(to_eject) {
+            let ejection = INITIAL_EJECTION.saturating_mul(1 << beyond.min(8)).min(MAX_EJECTION);
+            self.ejected_until = Some(now + ejection);
         }
     }
 
-    /// Calls under way from all VMs: own ones are exact, others come late by two ways, of which
-    /// the higher one counts.
-    pub(crate) fn calls_known(&self, now: Instant) -> f64 {
+    /// Returns the calls in progress from all VMs. The count of this VM is exact. Those of others arrive late, from
+    /// the peers and from the target; the higher sum is used.
+    pub(crate) fn total_calls(&self, now: Instant) -> f64 {
         let peers: u32 = self.fresh_peers(now).map(|peer| peer.calls).sum();
-        let told = self.load.filter(|told| now.saturating_duration_since(told.at) < LOAD_LIFE);
-        let told = told.map_or(0, |told| told.running + told.waiting);
-        f64::from((self.calls + peers).max(told))
+        let reported = self
+            .load
+            .filter(|reported| now.saturating_duration_since(reported.at) < TARGET_LOAD_TTL);
+        let reported = reported.map_or(0, |reported| reported.running + reported.waiting);
+        f64::from((self.calls + peers).max(reported))
     }
 
-    /// Prompt tokens of all VMs' calls that are not read yet.
-    pub(crate) fn unread_known(&self, now: Instant) -> u64 {
+    /// Returns the prompt tokens of all VMs' calls that the target has not processed yet.
+    pub(crate) fn total_unread(&self, now: Instant) -> u64 {
         self.unread + self.fresh_peers(now).map(|peer| peer.unread).sum::<u64>()
     }
 
     fn fresh_peers(&self, now: Instant) -> impl Iterator<Item = PeerLoad> {
-        let fresh = move |peer: &PeerLoad| now.saturating_duration_since(peer.at) < PEER_LIFE;
+        let fresh = move |peer: &PeerLoad| now.saturating_duration_since(peer.at) < PEER_LOAD_TTL;
         self.peers.values().copied().filter(fresh)
     }
 
-    /// Prompt tokens of a call that it has to read.
-    pub(crate) fn unread_of(&self, size: &CallSize) -> u64 {
-        size.prompt_tokens.saturating_sub(self.kept.tokens_of(&size.chain))
+    /// Returns the prompt tokens of a call that are probably not cached at the target.
+    pub(crate) fn uncached_tokens(&self, size: &CallSize) -> u64 {
+        size.prompt_tokens.saturating_sub(self.prefix_cache.cached_tokens(&size.chain))
     }
 
-    /// Age of its load report.
+    /// Returns the age of the target's latest load report.
     pub(crate) fn load_age(&self, now: Instant) -> Option<Duration> {
-        self.load.map(|told| now.saturating_duration_since(told.at))
+        self.load.map(|reported| now.saturating_duration_since(reported.at))
     }
 }
--- a/components/selection/src/targets.rs
+++ b/components/selection/src/targets.rs
@@ -1,4 +1,4 @@
-//! The targets that this VM knows, and the choice among them.
+//! The targets that this VM knows, and the selection among them.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -12,7 +12,7 @@
 use crate::choice::{CallSize, Pick, Policy, SelectionRequest, TargetKey, TargetOutcome};
 use crate::target_state::TargetState;
 
-/// All targets.
+/// All known targets with their state.
 #[derive(Debug)]
 pub struct Targets {
     policy: Policy,
@@ -22,11 +22,12 @@
     by_service: HashMap<ServiceName, Vec<TargetKey>>,
     by_address: HashMap<SocketAddr, TargetKey>,
     halls: Halls,
+    /// Counter with which round robin and samples start at another target each time.
     turn: usize,
 }
 
 impl Targets {
-    /// No targets yet.
+    /// Creates an empty set of targets.
     pub fn new(policy: Policy, own_hall: HallName) -> Self {
         Targets {
             policy,
@@ -40,8 +41,8 @@
         }
     }
 
-    /// Adds a target, or takes what it says of itself now. Nothing that was known of an earlier lifetime
-    /// holds for a later one under the same id.
+    /// Adds a target or updates its description. If it is a later lifetime under the same id, the state of the
+    /// earlier one is dropped.
     pub fn upsert(&mut self, target: Target, now: Instant) {
         if self.get(&target.id).is_some_and(|known| target.is_reborn_since(known)) {
             self.remove(&target.id);
@@ -50,59 +51,60 @@
         let cold = target.cold;
         if let Some(key) = self.by_id.get(&id).copied() {
             self.arena[key].target = target;
-            self.arena[key].warming.set_remaining(cold, now);
+            self.arena[key].cold_state.set_remaining(cold, now);
             self.by_address.insert(address, key);
             return;
         }
         let key = self.arena.insert(TargetState::new(target));
-        self.arena[key].warming.set_remaining(cold, now);
+        self.arena[key].cold_state.set_remaining(cold, now);
         self.by_address.insert(address, key);
         self.by_id.insert(id, key);
         self.by_service.entry(service).or_default().push(key);
     }
 
-    /// Takes a target out.
+    /// Removes a target and returns its description.
     pub fn remove(&mut self, id: &TargetName) -> Option<Target> {
         let key = self.by_id.remove(id)?;
         let known = self.arena.remove(key)?;
         if let Some(keys) = self.by_service.get_mut(&known.target.service) {
             keys.retain(|other| *other != key);
         }
-        // Another target may have its address by now.
+        // Another target may have taken over its address.
         if self.by_address.get(&known.target.address) == Some(&key) {
             self.by_address.remove(&known.target.address);
         }
         Some(known.target)
     }
 
-    /// Targets of a service.
+    /// Returns the targets of a service.
     pub fn of_service(&self, service: &ServiceName) -> impl Iterator<Item = &Target> {
         let keys = self.by_service.get(service).map(Vec::as_slice).unwrap_or_default();
         keys.iter().filter_map(|key| self.arena.get(*key)).map(|known| &known.target)
     }
 
-    /// The service of a target.
+    /// Returns the service of a target.
     pub fn service_of(&self, id: &TargetName) -> Option<&ServiceName> {
         self.arena.get(*self.by_id.get(id)?).map(|known| &known.target.service)
     }
 
-    /// A target by its id.
+    /// Returns a target by its id.
     pub fn get(&self, id: &TargetName) -> Option<&Target> {
         self.arena.get(*self.by_id.get(id)?).map(|known| &known.target)
     }
 
-    /// The target that listens at an address.
+    /// Returns the target that listens at an address.
     pub fn at_address(&self, address: SocketAddr) -> Option<&Target> {
         let key = self.by_address.get(&address)?;
         self.arena.get(*key).map(|known| &known.target)
     }
 
-    /// The hall of whatever listens at an address.
+    /// Returns the hall of the target that listens at an address.
     pub fn hall_at(&self, address: SocketAddr) -> Option<&HallName> {
         self.at_address(address).map(|target| &target.hall)
     }
 
-    /// The hall of the target to which a prompt's shared start belongs.
+    /// Returns the hall of the target to which rendezvous hashing assigns the prompt's shared prefix, among the
+    /// targets that may be sent requests now.
     pub fn home_hall(
         &self,
         service: &ServiceName,
@@ -115,28 +117,28 @@
         Some(self.arena[self.home(&among, size)?].target.hall.clone())
     }
 
-    /// Takes which halls are used how.
+    /// Sets the state of the halls.
     pub fn set_halls(&mut self, halls: Halls) {
         self.halls = halls;
     }
 
-    /// The targets of a hall may have turned cold without a word yet; `lasts` gives for how long those
-    /// of a service are cold.
+    /// Treats all targets of a hall as cold, since they may have become cold without having reported it yet.
+    /// `cold_time` gives for how long targets of a service are cold.
     pub fn assume_cold(
         &mut self,
         hall: &HallName,
-        lasts: impl Fn(&ServiceName) -> Option<Duration>,
+        cold_time: impl Fn(&ServiceName) -> Option<Duration>,
         now: Instant,
     ) {
         for known in self.arena.values_mut().filter(|known| known.target.hall == *hall) {
-            if let Some(time) = lasts(&known.target.service) {
-                known.warming.assume_cold(time, now);
+            if let Some(time) = cold_time(&known.target.service) {
+                known.cold_state.assume_cold(time, now);
             }
         }
     }
 
-    /// Works out anew what this VM may send each cold target within a second, from the target and the number
-    /// of targets of its service; gives how many are cold.
+    /// Recomputes how many requests per second this VM may send to each cold target. `share` computes it from the
+    /// target and the number of targets of its service. Returns the number of cold targets.
     pub fn update_cold_shares(
         &mut self,
         share: impl Fn(&Target, usize) -> u32,
@@ -145,35 +147,36 @@
         let by_service = &self.by_service;
         let share =
             |target: &Target| share(target, by_service.get(&target.service).map_or(0, Vec::len));
-        let cold = self.arena.values_mut().filter(|known| known.warming.is_cold(now));
-        cold.map(|known| known.warming.set_share(share(&known.target))).count()
+        let cold = self.arena.values_mut().filter(|known| known.cold_state.is_cold(now));
+        cold.map(|known| known.cold_state.set_share(share(&known.target))).count()
     }
 
-    /// Number of targets of a service.
+    /// Returns the number of targets of a service.
     fn count_of(&self, service: &ServiceName) -> usize {
         self.by_service.get(service).map_or(0, Vec::len)
     }
 
-    /// Whether a service has targets of which none may be sent anything: all are leaving or in halls
-    /// that operators took out of service.
+    /// Whether a service has targets but none of them accepts requests: all are leaving or in halls that operators
+    /// took out of service.
     pub fn is_closed(&self, service: &ServiceName, now: Instant) -> bool {
         self.count_of(service) > 0 && self.opens_at(service, now).is_none()
     }
 
-    /// Targets of a service that name the rate which they take.
+    /// Returns the targets of a service that announced a rate limit.
     pub fn rate_limited(&self, service: &ServiceName) -> Vec<TargetKey> {
         let keys = self.by_service.get(service).map(Vec::as_slice).unwrap_or_default();
         keys.iter().copied().filter(|key| self.arena[*key].target.pause.is_some()).collect()
     }
 
-    /// From when on some target of a service may be sent work, as far as it is known: now, or once one does
-    /// not want to be left alone any more.
+    /// Returns the earliest time at which some target of a service may be sent requests: now, or when the first
+    /// backoff or rate limit ends. `None` if no such time is known.
     pub fn opens_at(&self, service: &ServiceName, now: Instant) -> Option<Instant> {
         let targets = self.of_service(service);
         targets.filter_map(|target| self.halls.opens_at(target, now)).min()
     }
 
-    /// Takes what a target says of itself in answers; false if it is not known.
+    /// Updates the state that a target announced in its answers: departure, backoff and rate limit. Returns false
+    /// if the target is unknown.
     pub fn update_announced(&mut self, said: &Target) -> bool {
         let known = self.by_id.get(&said.id).and_then(|key| self.arena.get_mut(*key));
         let Some(TargetState { target, .. }) = known else { return false };
@@ -184,7 +187,7 @@
         true
     }
 
-    /// Addresses of some targets of a hall, others with each look.
+    /// Returns the addresses of at most `most` targets of a hall, starting at another one with each call.
     pub fn sample_of_hall(&mut self, hall: &HallName, most: usize) -> Vec<SocketAddr> {
         let of_hall = self.arena.values().filter(|known| known.target.hall == *hall);
         let all: Vec<SocketAddr> = of_hall.map(|known| known.target.address).collect();
@@ -193,13 +196,13 @@
         all.iter().cycle().skip(first).take(most.min(all.len())).copied().collect()
     }
 
-    /// Targets of a hall.
+    /// Returns the targets of a hall.
     pub fn of_hall(&self, hall: &HallName) -> impl Iterator<Item = &Target> {
         let targets = self.arena.values().map(|known| &known.target);
         targets.filter(move |target| target.hall == *hall)
     }
 
-    /// Number of targets.
+    /// Returns the number of targets.
     pub fn len(&self) -> usize {
         self.arena.len()
     }
@@ -209,7 +212,8 @@
         self.arena.is_empty()
     }
 
-    /// Chooses a target and counts the call there; [`Targets::record_outcome`] must follow.
+    /// Selects a target and counts the call there. The caller must report the end of the call with
+    /// [`Targets::record_outcome`].
     pub fn pick(&mut self, wanted: &SelectionRequest<'_>, now: Instant) -> Option<Pick> {
         let keys = self.by_service.get(wanted.service)?;
         let untried = keys.iter().copied().filter(|key| !wanted.exclude.contains(key));
@@ -228,15 +232,15 @@
             }
         }?;
         self.turn = self.turn.wrapping_add(1);
-        let home = self.home_of(&among, wanted);
+        let home = self.prompt_home(&among, wanted);
         let cost = self.cost(chosen, home, wanted, now);
         let known = &mut self.arena[chosen];
-        let unread = wanted.size.map_or(0, |size| known.unread_of(size));
+        let unread = wanted.size.map_or(0, |size| known.uncached_tokens(size));
         known.calls += 1;
-        known.warming.record_request(now);
+        known.cold_state.record_request(now);
         known.unread += unread;
         if let Some(size) = wanted.size {
-            known.kept.note(&size.chain, size.memory_tokens, now);
+            known.prefix_cache.record(&size.chain, size.memory_tokens, now);
         }
         Some(Pick {
             key: chosen,
@@ -248,58 +252,58 @@
         })
     }
 
-    /// The prompt of a call was read.
+    /// Records that the target has processed the prompt of a call.
     pub fn record_prompt_read(&mut self, key: TargetKey, unread: u64) {
         if let Some(known) = self.arena.get_mut(key) {
             known.unread = known.unread.saturating_sub(unread);
         }
     }
 
-    /// A call ended.
+    /// Records the end of a call.
     pub fn record_outcome(&mut self, key: TargetKey, end: TargetOutcome, now: Instant) {
         if let Some(known) = self.arena.get_mut(key) {
-            known.ended(end, now);
+            known.record_outcome(end, now);
         }
     }
 
-    /// A call was given up because nothing came of it.
+    /// Records that a call was given up because the target did not answer.
     pub fn record_timeout(&mut self, key: TargetKey, now: Instant) {
         if let Some(known) = self.arena.get_mut(key) {
-            known.was_silent(now);
+            known.record_timeout(now);
         }
     }
 
-    /// A target told its load.
+    /// Records a load report of a target.
     pub fn record_target_load(&mut self, key: TargetKey, running: u32, waiting: u32, now: Instant) {
         if let Some(known) = self.arena.get_mut(key) {
-            known.told_load(running, waiting, now);
+            known.record_target_load(running, waiting, now);
         }
     }
 
-    /// A peer told of its calls under way.
+    /// Records the calls that a peer has in progress: by target, their number and unprocessed prompt tokens.
     pub fn record_peer_load(&mut self, peer: u64, loads: &[(TargetName, u32, u64)], now: Instant) {
         for (id, calls, unread) in loads {
             if let Some(known) = self.by_id.get(id).and_then(|key| self.arena.get_mut(*key)) {
-                known.peer_load(peer, *calls, *unread, now);
+                known.record_peer_load(peer, *calls, *unread, now);
             }
         }
     }
 
-    /// Calls under way from here, by target.
+    /// Returns this VM's calls in progress: by target, their number and unprocessed prompt tokens.
     pub fn own_load(&self) -> impl Iterator<Item = (&TargetName, u32, u64)> {
         let busy = self.arena.values().filter(|known| known.calls > 0);
         busy.map(|known| (&known.target.id, known.calls, known.unread))
     }
 
-    /// Whether a target may be sent a request if no other one is left.
+    /// Whether a target may be sent a request if no better one is left.
     fn is_allowed(&self, known: &TargetState, now: Instant) -> bool {
-        self.halls.eligibility(&known.target, now).is_allowed() && known.warming.may_send(now)
+        self.halls.eligibility(&known.target, now).is_allowed() && known.cold_state.may_send(now)
     }
 
-    /// Whether a target may be sent a request.
+    /// Whether a target may be sent a request without restriction.
     fn is_open(&self, known: &TargetState, now: Instant) -> bool {
         self.halls.eligibility(&known.target, now) == Eligibility::Open
-            && known.warming.may_send(now)
-            && !known.rests(now)
+            && known.cold_state.may_send(now)
+            && !known.is_ejected(now)
     }
 }
--- a/components/selection/tests/choice.rs
+++ b/components/selection/tests/choice.rs
@@ -1,4 +1,4 @@
-//! The choice of a target, what failures teach, and the fleet's budget of repeats.
+//! Selection of a target, ejection after failures, and the fleet's retry budget.
 
 // A fixture that can't be set up fails its test.
 #![allow(clippy::unwrap_used)]
@@ -37,8 +37,8 @@
     }
 }
 
-/// What a target says of itself in answers.
-fn said(id: &str, leaving: bool, left_alone_until: Option<Instant>) -> Target {
+/// A target with the state that it announced in its answers.
+fn announcing(id: &str, leaving: bool, left_alone_until: Option<Instant>) -> Target {
     Target { leaving, left_alone_until, ..target(id, "a") }
 }
 
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn the_own_hall_comes_first_until_it_is_full() {
+fn own_hall_is_preferred_until_its_slots_are_full() {
     let now = Instant::now();
     let mut targets = targets(&[("near", "a"), ("far", "b")]);
 
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn a_leaving_target_gets_nothing() {
+fn leaving_target_is_not_selected() {
     let now = Instant::now();
     let mut targets = targets(&[("one", "a")]);
     targets.upsert(Target { leaving: true, ..target("one", "a") }, now);
@@ -81,7 +81,7 @@
 }
 
 #[test]
-fn a_target_that_can_not_be_reached_rests_and_comes_back() {
+fn unreachable_target_is_ejected_and_then_used_again() {
     let now = Instant::now();
     let mut targets = targets(&[("near", "a"), ("far", "b")]);
     let first = pick(&mut targets, &[], now).unwrap();
@@ -96,18 +96,21 @@
 }
 
 #[test]
-fn targets_that_all_rest_are_used_all_the_same() {
+fn ejected_targets_are_used_if_no_other_is_left() {
     let now = Instant::now();
     let mut targets = targets(&[("one", "a")]);
     let first = pick(&mut targets, &[], now).unwrap();
     targets.record_outcome(first.key, TargetOutcome::Unreachable, now);
 
     assert!(pick(&mut targets, &[], now).is_some());
-    assert!(pick(&mut targets, &[first.key], now).is_none(), "but not one that was tried");
+    assert!(
+        pick(&mut targets, &[first.key], now).is_none(),
+        "a target that was tried is not selected again"
+    );
 }
 
 #[test]
-fn what_peers_and_the_target_tell_of_load_counts_while_it_is_fresh() {
+fn load_reports_count_until_they_expire() {
     let now = Instant::now();
     let mut targets = targets(&[("one", "a"), ("two", "a")]);
     let one = TargetName::new("one").unwrap();
@@ -115,11 +118,11 @@
 
     assert_eq!(name(&pick(&mut targets, &[], now).unwrap()), "two");
     let later = now + Duration::from_secs(10);
-    assert_eq!(name(&pick(&mut targets, &[], later).unwrap()), "one", "the word is too old");
+    assert_eq!(name(&pick(&mut targets, &[], later).unwrap()), "one", "the report has expired");
 }
 
 #[test]
-fn prompts_with_a_shared_start_go_to_one_home() {
+fn prompts_with_a_shared_prefix_go_to_the_same_target() {
     let now = Instant::now();
     let mut targets = targets(&[("e1", "a"), ("e2", "a"), ("e3", "b"), ("e4", "b")]);
     let mut homes = Vec::new();
@@ -140,7 +143,7 @@
 }
 
 #[test]
-fn a_smaller_memory_forgets_the_oldest_start() {
+fn full_prefix_cache_evicts_the_oldest_prefix() {
     let now = Instant::now();
     let mut targets = targets(&[("e1", "a")]);
     let size = |id: u64| CallSize {
@@ -156,13 +159,13 @@
     };
 
     assert_eq!(unread(1, now), 60);
-    assert_eq!(unread(1, now + Duration::from_millis(1)), 0, "kept");
+    assert_eq!(unread(1, now + Duration::from_millis(1)), 0, "cached");
     assert_eq!(unread(2, now + Duration::from_millis(2)), 60);
-    assert_eq!(unread(1, now + Duration::from_millis(3)), 60, "gave way to the second");
+    assert_eq!(unread(1, now + Duration::from_millis(3)), 60, "evicted by the second");
 }
 
 #[test]
-fn the_vms_together_keep_to_the_budget_of_repeats_at_every_moment() {
+fn fleet_stays_within_the_retry_budget_in_every_window() {
     let rules = FleetRetryRules { ratio: 0.2, slack: 54.0, window: Duration::from_secs(10) };
     let begin = Instant::now();
     let vms = 6;
@@ -175,7 +178,7 @@
         let budget = &mut budgets[step as usize % vms];
         budget.record_request(begin + at);
         requests.push(at);
-        // Every call fails, and each VM tries as often as it may.
+        // Every call fails, and each VM retries as often as its budget allows.
         while budget.try_take(&rules, vms, begin + at) {
             repeats.push(at);
         }
@@ -192,20 +195,20 @@
 }
 
 #[test]
-fn an_address_belongs_to_the_last_target_that_took_it() {
+fn address_belongs_to_the_last_target_that_registered_it() {
     let mut targets = targets(&[("old", "a"), ("new", "b")]);
     let address = "127.0.0.1:9".parse().unwrap();
     assert_eq!(targets.hall_at(address), Some(&hall("b")));
 
     targets.remove(&TargetName::new("old").unwrap());
-    assert_eq!(targets.hall_at(address), Some(&hall("b")), "the other one keeps it");
+    assert_eq!(targets.hall_at(address), Some(&hall("b")), "the other target keeps the address");
 
     targets.remove(&TargetName::new("new").unwrap());
     assert_eq!(targets.hall_at(address), None);
 }
 
 #[test]
-fn targets_of_a_hall_out_of_reach_are_chosen_when_no_other_is_left() {
+fn targets_in_an_unreachable_hall_are_selected_only_if_no_other_is_left() {
     let now = Instant::now();
     let mut targets = targets(&[("near", "a"), ("far", "b")]);
     let mut halls = Halls::default();
@@ -220,7 +223,7 @@
 }
 
 #[test]
-fn targets_of_an_evacuated_hall_get_nothing_even_if_no_other_is_left() {
+fn targets_in_an_evacuated_hall_are_never_selected() {
     let now = Instant::now();
     let mut targets = targets(&[("near", "a"), ("far", "b")]);
     let mut halls = Halls::default();
@@ -239,7 +242,7 @@
 }
 
 #[test]
-fn a_service_is_closed_once_all_halls_of_its_targets_are_evacuated() {
+fn service_is_closed_once_all_halls_of_its_targets_are_evacuated() {
     let now = Instant::now();
     let mut targets = targets(&[("near", "a"), ("far", "b")]);
     let mut halls = Halls::default();
@@ -252,11 +255,11 @@
     assert!(!closed_by_one);
     assert!(targets.is_closed(&service(), now));
     let unknown = ServiceName::new("unknown").unwrap();
-    assert!(!targets.is_closed(&unknown, now), "nothing is known of it");
+    assert!(!targets.is_closed(&unknown, now), "an unknown service is not closed");
 }
 
 #[test]
-fn a_cold_target_gets_this_vms_share_and_the_others_the_rest() {
+fn cold_target_gets_only_this_vms_share() {
     let now = Instant::now();
     let mut targets = targets(&[("warm", "a")]);
     let cold = Target { cold: Duration::from_secs(3), ..target("cold", "a") };
@@ -276,7 +279,7 @@
 }
 
 #[test]
-fn a_request_for_which_only_cold_targets_of_other_vms_are_left_finds_none() {
+fn cold_target_without_a_share_for_this_vm_is_not_selected() {
     let now = Instant::now();
     let mut targets = Targets::new(Policy::Adaptive, hall("a"));
     targets.upsert(Target { cold: Duration::from_secs(3), ..target("cold", "a") }, now);
@@ -287,7 +290,7 @@
 }
 
 #[test]
-fn targets_of_a_hall_that_is_taken_back_are_taken_to_be_cold() {
+fn targets_of_a_restored_hall_are_assumed_to_be_cold() {
     let now = Instant::now();
     let mut targets = targets(&[("near", "a"), ("far", "b")]);
 
@@ -300,7 +303,7 @@
 }
 
 #[test]
-fn a_target_that_started_again_under_its_id_has_no_past() {
+fn restarted_target_has_no_state_of_its_earlier_lifetime() {
     let (mut targets, now) = (Targets::new(Policy::Adaptive, hall("a")), Instant::now());
     let born = |at: u64| Target { born: Some(at), ..target("one", "a") };
     targets.upsert(born(1), now);
@@ -311,7 +314,7 @@
 
     targets.upsert(born(2), now);
     let again = pick(&mut targets, &[first.key], now).unwrap();
-    // A call to the lifetime before ends after the next one is known.
+    // A call to the earlier lifetime ends after the later one became known.
     targets.record_outcome(same.key, TargetOutcome::Failed, now);
 
     assert_eq!(same.key, first.key);
@@ -322,18 +325,18 @@
 }
 
 #[test]
-fn what_a_target_says_of_itself_keeps_requests_from_it_also_as_the_last_one() {
+fn target_that_announced_departure_or_backoff_is_not_selected_even_as_the_last_one() {
     let now = Instant::now();
     let until = now + Duration::from_secs(1);
     let mut targets = targets(&[("near", "a"), ("far", "b")]);
     let id = |name: &str| TargetName::new(name).unwrap();
     let wanted = SelectionRequest { service: &service(), exclude: &[], size: None };
 
-    assert!(targets.update_announced(&said("near", true, None)));
+    assert!(targets.update_announced(&announcing("near", true, None)));
     let other = targets.pick(&wanted, now).unwrap();
-    targets.update_announced(&said("far", false, Some(until)));
-    // A later word is not shorter, whichever is heard last.
-    targets.update_announced(&said("far", false, None));
+    targets.update_announced(&announcing("far", false, Some(until)));
+    // An answer without a backoff does not cancel one that was announced before.
+    targets.update_announced(&announcing("far", false, None));
     let none = targets.pick(&wanted, now);
 
     assert_eq!(other.target.id, id("far"));
@@ -341,7 +344,7 @@
     assert_eq!(targets.opens_at(&service(), now), Some(until));
     assert!(!targets.is_closed(&service(), now));
     assert_eq!(targets.pick(&wanted, until).unwrap().target.id, id("far"));
-    targets.update_announced(&said("far", true, None));
+    targets.update_announced(&announcing("far", true, None));
     assert!(targets.is_closed(&service(), until));
-    assert!(!targets.update_announced(&said("unknown", true, None)));
+    assert!(!targets.update_announced(&announcing("unknown", true, None)));
 }
