--- a/components/quarantine/src/crash.rs
+++ b/components/quarantine/src/crash.rs
@@ -1,21 +1,21 @@
-//! What is known of a request that ended targets: which lifetimes, and which of them don't count.
+//! Crashes of targets during a request: which lifetimes ended, and which of them no longer count.
 
 use std::fmt;
 
 use crate::RequestDigest;
 
-/// What a target says of one of its lifetimes: its id and the time of its birth, hashed.
+/// Hash of a target's id and of the start time that it reports.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Birth(pub u64);
 
 /// One lifetime of a target.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Lifetime {
-    /// What the target said of it, or of an earlier one.
+    /// Id and start time that the target reported, possibly for an earlier lifetime.
     pub birth: Birth,
-    /// Ends that were known of this birth when work was sent: a target that takes work after its end is
-    /// another lifetime, also where its word of that has not come. Without the platform's store it does
-    /// not come at all.
+    /// Number of ends known for this birth when the request was sent. A target that accepts requests after its end
+    /// is another lifetime, even if its new start time is not known yet. While the platform's store is unavailable,
+    /// the new start time does not arrive at all.
     pub ends_before: u32,
 }
 
@@ -26,7 +26,7 @@
 }
 
 impl Lifetime {
-    /// Reads what its text shows; `None` if it is no lifetime.
+    /// Parses the displayed form; `None` if `text` is not a lifetime.
     pub fn parse(text: &str) -> Option<Self> {
         let (birth, ends_before) = text.split_once('.')?;
         let birth = Birth(u64::from_str_radix(birth, 16).ok()?);
@@ -34,35 +34,35 @@
     }
 }
 
-/// A lifetime of a target ended while it was at work on a request. VMs tell each other of these; what is
-/// sent twice counts once, and in any order the same comes out.
+/// The end of a target's lifetime while it ran a request. VMs exchange these. Merging them is idempotent and does
+/// not depend on their order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct Crash {
-    /// The request.
+    /// Digest of the request.
     pub digest: RequestDigest,
     /// The lifetime that ended.
     pub lifetime: Lifetime,
-    /// It does not count: the request ran to a good end elsewhere, or an operator released it. Once said,
-    /// this stays so.
+    /// Whether the crash no longer counts, because the request completed elsewhere or an operator released it. Once
+    /// set, it stays set.
     pub cleared: bool,
 }
 
-/// Lifetimes kept of one request: more than any limit that operators may set.
-const MOST_LIFETIMES: usize = 16;
+/// Most lifetimes that are kept for one request; more than any crash limit that operators may set.
+const MAX_LIFETIMES: usize = 16;
 
 /// The crashes of one request.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct Crashes(Vec<(Lifetime, bool)>);
 
 impl Crashes {
-    /// Takes one; false if it says nothing new.
-    pub(crate) fn take(&mut self, lifetime: Lifetime, cleared: bool) -> bool {
+    /// Merges one crash; returns false if it changes nothing.
+    pub(crate) fn merge(&mut self, lifetime: Lifetime, cleared: bool) -> bool {
         if let Some((_, known)) = self.0.iter_mut().find(|(known, _)| *known == lifetime) {
             let newly_cleared = cleared && !*known;
             *known |= cleared;
             return newly_cleared;
         }
-        if self.0.len() >= MOST_LIFETIMES {
+        if self.0.len() >= MAX_LIFETIMES {
             let Some(index) = self.0.iter().position(|(_, cleared)| *cleared) else { return false };
             self.0.remove(index);
         }
@@ -70,7 +70,7 @@
         true
     }
 
-    /// Lifetimes that count.
+    /// Returns the lifetimes that count, which are those not cleared.
     pub(crate) fn counted(&self) -> impl Iterator<Item = Lifetime> {
         self.0.iter().filter(|(_, cleared)| !cleared).map(|(lifetime, _)| *lifetime)
     }
--- a/components/quarantine/src/lib.rs
+++ b/components/quarantine/src/lib.rs
@@ -1,6 +1,8 @@
-//! Requests that end every target which runs them. Such a request comes back, under a new id and at any
-//! VM, so that neither the tries of an attempt nor the failures of a target show it. Here stands what is
-//! the same request, what counts as evidence, and who is refused; plain state, asked with the time of now.
+//! Quarantine of requests that crash every target which runs them.
+//!
+//! Callers retry such a request under a new id and at any VM, so neither the tries of one attempt nor the failures of
+//! one target reveal it. This crate decides which attempts are the same request, which crashes count as evidence,
+//! and which requests are refused. It is plain state without I/O; each call gets the current time.
 
 mod crash;
 mod recent_completions;
--- a/components/quarantine/src/recent_completions.rs
+++ b/components/quarantine/src/recent_completions.rs
@@ -1,17 +1,17 @@
-//! Contents that a target ran to a good end of late.
+//! Requests that recently completed at a target.
 
 use std::collections::{HashMap, VecDeque};
 use std::time::{Duration, Instant};
 
 use crate::RequestDigest;
 
-/// Contents that are remembered, 80 KB; the oldest goes first.
-const MOST: usize = 2048;
-/// Time for which they are remembered: longer than the time limits of requests, so that one that is sent
-/// again and again is always among them, and short, so that one that begins to end targets is not spared.
-const LIFE: Duration = Duration::from_secs(30);
+/// Most completions that are remembered, which takes 80 KB. The oldest is evicted first.
+const MAX_COMPLETIONS: usize = 2048;
+/// Time for which a completion is remembered. It is longer than the time limits of requests, so that a request that
+/// is sent repeatedly is always present, and short enough that one which starts to crash targets is not exempt.
+const TTL: Duration = Duration::from_secs(30);
 
-/// Contents that ended well of late, at this VM.
+/// Requests that recently completed at this VM.
 #[derive(Debug, Default)]
 pub(crate) struct RecentCompletions {
     at: HashMap<RequestDigest, Instant>,
@@ -19,25 +19,25 @@
 }
 
 impl RecentCompletions {
-    /// Notes that one ended well.
-    pub(crate) fn note(&mut self, content: RequestDigest, now: Instant) {
-        self.at.insert(content, now);
-        self.order.push_back((now, content));
-        while self.order.len() > MOST {
+    /// Records that a request completed.
+    pub(crate) fn record(&mut self, digest: RequestDigest, now: Instant) {
+        self.at.insert(digest, now);
+        self.order.push_back((now, digest));
+        while self.order.len() > MAX_COMPLETIONS {
             self.drop_oldest();
         }
     }
 
-    /// Whether one ended well of late.
-    pub(crate) fn has(&self, content: &RequestDigest, now: Instant) -> bool {
-        self.at.get(content).is_some_and(|at| now.saturating_duration_since(*at) < LIFE)
+    /// Whether a request completed recently.
+    pub(crate) fn contains(&self, digest: &RequestDigest, now: Instant) -> bool {
+        self.at.get(digest).is_some_and(|at| now.saturating_duration_since(*at) < TTL)
     }
 
     fn drop_oldest(&mut self) {
-        let Some((at, content)) = self.order.pop_front() else { return };
-        // It may have ended well again since.
-        if self.at.get(&content) == Some(&at) {
-            self.at.remove(&content);
+        let Some((at, digest)) = self.order.pop_front() else { return };
+        // A later completion of the same request replaced this one.
+        if self.at.get(&digest) == Some(&at) {
+            self.at.remove(&digest);
         }
     }
 }
--- a/components/quarantine/src/request_digest.rs
+++ b/components/quarantine/src/request_digest.rs
@@ -1,34 +1,34 @@
-//! What makes two attempts the same request: everything but the id of the attempt.
+//! Digest that identifies a request. Two attempts are the same request if they differ in nothing but the attempt id.
 
 use std::fmt;
 
 use sha2::{Digest, Sha256};
 
-/// Bytes of a digest that are kept: 128 bits, so that no caller finds another customer's digest.
+/// Bytes of the SHA-256 digest that are kept: 128 bits, so that no caller can construct another customer's digest.
 const DIGEST_BYTES: usize = 16;
 
-/// What a caller asks, whatever the attempt's id.
+/// The parts of a request that identify it; the attempt id is not among them.
 #[derive(Debug, Clone, Copy)]
 pub struct RequestParts<'a> {
-    /// The method.
+    /// The HTTP method.
     pub method: &'a str,
     /// The host, in lower case and without its port.
     pub host: &'a str,
-    /// Path and query.
+    /// The path and the query.
     pub path: &'a str,
-    /// The customer; `None` where no key is needed.
+    /// The customer; `None` if the service needs no API key.
     pub customer: Option<&'a str>,
     /// The body.
     pub body: &'a [u8],
 }
 
-/// Two attempts with the same content ask the same on behalf of the same customer.
+/// Digest of a request. Attempts with the same digest make the same request for the same customer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct RequestDigest([u8; DIGEST_BYTES]);
 
 impl RequestDigest {
-    /// The content of a request. SHA-256, since whoever could make two requests look alike could have
-    /// another one refused; each field goes in with its length, so that none runs into the next.
+    /// Computes the digest of a request. It is SHA-256, since whoever could make two requests collide could have the
+    /// other one refused. Each field is preceded by its length, so that bytes can't move from one field to the next.
     pub fn of(asked: &RequestParts<'_>) -> Self {
         let mut hasher = Sha256::new();
         let mut add = |field: &[u8]| {
@@ -44,8 +44,8 @@
         RequestDigest::from_digest(&hasher.finalize())
     }
 
-    /// The content of the pieces of a stage: what ends the targets that make them, or does not, says nothing
-    /// of the request itself.
+    /// Returns the digest for the pieces of a stage of this request. It is separate from that of the request, since
+    /// whether a piece crashes its targets says nothing about the request itself.
     pub fn for_stage(&self, stage: u32) -> Self {
         let mut hasher = Sha256::new();
         hasher.update(self.0);
@@ -59,17 +59,17 @@
         RequestDigest(kept)
     }
 
-    /// The content's bytes, as VMs tell them each other.
+    /// Returns the digest's bytes, as VMs send them to each other.
     pub fn to_bytes(&self) -> [u8; DIGEST_BYTES] {
         self.0
     }
 
-    /// Reads what [`RequestDigest::to_bytes`] gave; `None` if the length differs.
+    /// Reads the bytes from [`RequestDigest::to_bytes`]; `None` if the length is wrong.
     pub fn from_bytes(bytes: &[u8]) -> Option<Self> {
         bytes.try_into().ok().map(RequestDigest)
     }
 
-    /// Reads what its text shows; `None` if it is no content.
+    /// Parses the displayed form, 32 hexadecimal digits; `None` if `text` is not a digest.
     pub fn parse(text: &str) -> Option<Self> {
         let number = u128::from_str_radix(text, 16).ok()?;
         (text.len() == 2 * DIGEST_BYTES).then(|| RequestDigest(number.to_be_bytes()))
--- a/components/quarantine/src/table.rs
+++ b/components/quarantine/src/table.rs
@@ -1,8 +1,9 @@
-//! Which requests have ended targets, which of them are refused, and what the VMs tell each other.
+//! Records of requests that crashed targets, of those that are refused, and of the changes that VMs exchange.
 //!
-//! A request that ended enough targets is refused everywhere. At an engine dozens of requests are at work at
-//! once and end with it; what tells them from the one that ended it: they do not meet several targets' ends
-//! with no good end before, between or after, and one good end anywhere clears them.
+//! A request that crashed enough targets is refused at all VMs. An inference engine runs dozens of requests at once,
+//! and all of them fail when it crashes. The one that caused the crash is told from these bystanders by completions:
+//! a bystander does not meet several crashes without completing before, between or after them, and one completion
+//! at any VM clears it.
 
 use std::collections::{HashMap, VecDeque};
 use std::time::{Duration, Instant};
@@ -11,178 +12,181 @@
 use crate::recent_completions::RecentCompletions;
 use crate::{Birth, Crash, Lifetime, RequestDigest};
 
-/// Requests that are kept; the one with the fewest crashes, and of these the oldest, goes first. An engine
-/// that ends has 64 requests at work.
-const MOST_RECORDS: usize = 1024;
-/// Changes that are kept for VMs that are linked later; all of the records' own with room to spare.
-const MOST_CHANGES: usize = 4096;
-/// A connection that broke counts as a crash if its target's end is known within this time: three
-/// heartbeats of a target's entry, after which the platform takes it out.
-const LOSS_LIFE: Duration = Duration::from_secs(6);
-/// Losses that wait for word of their target.
-const MOST_LOSSES: usize = 1024;
+/// Most requests that are kept. The one with the fewest crashes is evicted first, and of several such the oldest. An
+/// engine that crashes has 64 requests in progress.
+const MAX_RECORDS: usize = 1024;
+/// Most changes that are kept for VMs that link later. All changes of the kept records fit, with room to spare.
+const MAX_CHANGES: usize = 4096;
+/// A lost connection counts as a crash if the end of its target becomes known within this time. It is three
+/// heartbeats of a target's entry, after which the platform removes the entry.
+const LOSS_TTL: Duration = Duration::from_secs(6);
+/// Most lost connections that are kept until the state of their target is known.
+const MAX_LOSSES: usize = 1024;
 
 /// When a request is refused, and for how long.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Rules {
-    /// Targets that it ended.
+    /// Crashed lifetimes from which on a request is refused.
     pub crashes: usize,
-    /// Time from the last of these on, or from its last return.
+    /// How long it is refused after its last crash or its last retry, whichever is later.
     pub duration: Duration,
 }
 
 #[derive(Debug)]
 struct Record {
     crashes: Crashes,
-    /// When the last crash became known, or the request last returned.
+    /// When the last crash became known or the request was last refused.
     last: Instant,
+    /// How often this VM refused it.
     refused: u64,
-    /// Whether this VM is to write it into the store.
+    /// Whether this VM still has to write it to the store.
     unwritten: bool,
 }
 
-/// A connection that broke under a request.
+/// A connection that was lost during a request.
 #[derive(Debug, Clone, Copy)]
 struct Loss {
-    content: RequestDigest,
+    digest: RequestDigest,
     lifetime: Lifetime,
     at: Instant,
 }
 
-/// Ends known of one birth.
+/// Known ends of lifetimes of one birth.
 #[derive(Debug, Clone, Copy)]
 struct Ends {
     count: u32,
     last: Instant,
 }
 
-/// A request that is refused, as operators see it.
+/// A refused request, as it is shown to operators and stored.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RefusedRequest {
-    /// The request.
+    /// Digest of the request.
     pub digest: RequestDigest,
-    /// Lifetimes of targets that it ended.
+    /// Lifetimes of targets that it crashed.
     pub ended: Vec<Lifetime>,
-    /// Time until it is forgotten.
+    /// Time until it is no longer refused.
     pub left: Duration,
     /// How often this VM refused it.
     pub refusals: u64,
 }
 
-/// How far into the changes a peer was sent them.
+/// Position in the sequence of changes up to which a peer has received them.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct Cursor(u64);
 
-/// What a VM knows of requests that end targets.
+/// What one VM knows of requests that crash targets.
 #[derive(Debug)]
 pub struct Quarantine {
     rules: Rules,
     records: HashMap<RequestDigest, Record>,
     losses: VecDeque<Loss>,
     ends: HashMap<Birth, Ends>,
-    completed: RecentCompletions,
-    /// What became known, in order.
+    completions: RecentCompletions,
+    /// Crashes in the order in which they became known.
     changes: VecDeque<Crash>,
-    /// Changes before these.
+    /// Number of changes that were dropped before the first one kept.
     changes_dropped: u64,
 }
 
 impl Quarantine {
-    /// Nothing known yet.
+    /// Creates an empty quarantine.
     pub fn new(rules: Rules) -> Self {
         Quarantine {
             rules,
             records: HashMap::new(),
             losses: VecDeque::new(),
             ends: HashMap::new(),
-            completed: RecentCompletions::default(),
+            completions: RecentCompletions::default(),
             changes: VecDeque::new(),
             changes_dropped: 0,
         }
     }
 
-    /// The lifetime to which work is sent now, of a target with this birth.
+    /// Returns the lifetime to which a request is sent now at a target with this birth.
     pub fn current_lifetime(&self, birth: Birth) -> Lifetime {
         let ends_before = self.ends.get(&birth).map_or(0, |ends| ends.count);
         Lifetime { birth, ends_before }
     }
 
-    /// A connection to a target broke under a request: a crash, if the target turns out to have ended.
-    pub fn connection_lost(&mut self, content: RequestDigest, lifetime: Lifetime, now: Instant) {
-        let is_old = |loss: &Loss| now.saturating_duration_since(loss.at) > LOSS_LIFE;
-        while self.losses.front().is_some_and(is_old) || self.losses.len() >= MOST_LOSSES {
+    /// Records that the connection to a target was lost during a request. It counts as a crash if the target's end
+    /// becomes known in time.
+    pub fn connection_lost(&mut self, digest: RequestDigest, lifetime: Lifetime, now: Instant) {
+        let is_old = |loss: &Loss| now.saturating_duration_since(loss.at) > LOSS_TTL;
+        while self.losses.front().is_some_and(is_old) || self.losses.len() >= MAX_LOSSES {
             self.losses.pop_front();
         }
-        self.losses.push_back(Loss { content, lifetime, at: now });
+        self.losses.push_back(Loss { digest, lifetime, at: now });
     }
 
-    /// A lifetime of a target ended; gives what is new of it.
+    /// Records that a lifetime of a target ended; returns the crashes that are new.
     pub fn lifetime_ended(&mut self, lifetime: Lifetime, now: Instant) -> Vec<Crash> {
-        self.end_where(|other| *other == lifetime, now)
+        self.end_lifetimes(|other| *other == lifetime, now)
     }
 
-    /// A target with this birth is gone; gives what is new of it.
+    /// Records that a target with this birth is gone, whichever its lifetime; returns the crashes that are new.
     pub fn target_gone(&mut self, birth: Birth, now: Instant) -> Vec<Crash> {
-        self.end_where(|lifetime| lifetime.birth == birth, now)
+        self.end_lifetimes(|lifetime| lifetime.birth == birth, now)
     }
 
-    fn end_where(&mut self, is_of_it: impl Fn(&Lifetime) -> bool, now: Instant) -> Vec<Crash> {
-        let is_old = |loss: &Loss| now.saturating_duration_since(loss.at) > LOSS_LIFE;
-        let (of_it, others) = self.losses.drain(..).partition(|loss| is_of_it(&loss.lifetime));
+    fn end_lifetimes(&mut self, has_ended: impl Fn(&Lifetime) -> bool, now: Instant) -> Vec<Crash> {
+        let is_old = |loss: &Loss| now.saturating_duration_since(loss.at) > LOSS_TTL;
+        let (ended, others) = self.losses.drain(..).partition(|loss| has_ended(&loss.lifetime));
         self.losses = others;
-        let lost: VecDeque<Loss> = of_it;
+        let lost: VecDeque<Loss> = ended;
         let crashes = lost.iter().filter(|loss| !is_old(loss)).map(|loss| Crash {
-            digest: loss.content,
+            digest: loss.digest,
             lifetime: loss.lifetime,
-            cleared: self.completed.has(&loss.content, now),
+            cleared: self.completions.contains(&loss.digest, now),
         });
         let crashes: Vec<Crash> = crashes.collect();
-        let new: Vec<Crash> = crashes.into_iter().filter(|crash| self.take(*crash, now)).collect();
+        let new: Vec<Crash> =
+            crashes.into_iter().filter(|crash| self.merge_crash(*crash, now)).collect();
         for crash in &new {
-            self.want_written(&crash.digest);
+            self.mark_unwritten(&crash.digest);
         }
         new
     }
 
-    /// A target ran a request to a good end, so that it is none that ends every target.
-    pub fn request_completed(&mut self, content: RequestDigest, now: Instant) {
-        self.completed.note(content, now);
-        self.clear(&content, now);
+    /// Records that a target completed a request, which clears the request of its crashes.
+    pub fn request_completed(&mut self, digest: RequestDigest, now: Instant) {
+        self.completions.record(digest, now);
+        self.clear(&digest, now);
     }
 
-    /// Releases a request: what it ended so far counts no more. False if nothing was known of it.
-    pub fn clear(&mut self, content: &RequestDigest, now: Instant) -> bool {
-        let Some(record) = self.records.get(content) else { return false };
+    /// Releases a request: its crashes so far no longer count. Returns false if none counted.
+    pub fn clear(&mut self, digest: &RequestDigest, now: Instant) -> bool {
+        let Some(record) = self.records.get(digest) else { return false };
         let counted: Vec<Lifetime> = record.crashes.counted().collect();
         for lifetime in &counted {
-            self.take(Crash { digest: *content, lifetime: *lifetime, cleared: true }, now);
+            self.merge_crash(Crash { digest: *digest, lifetime: *lifetime, cleared: true }, now);
         }
         !counted.is_empty()
     }
 
-    /// Takes what a peer or the store knows; gives what is new.
+    /// Merges crashes from a peer or the store; returns those that are new.
     pub fn merge(&mut self, crashes: &[Crash], now: Instant) -> Vec<Crash> {
         let mut new = Vec::new();
         for crash in crashes {
-            // Whoever saw that lifetime end saw it for this VM's requests as well.
+            // The end of that lifetime applies to connections that this VM lost as well.
             new.extend(self.lifetime_ended(crash.lifetime, now));
-            let cleared = crash.cleared || self.completed.has(&crash.digest, now);
+            let cleared = crash.cleared || self.completions.contains(&crash.digest, now);
             let crash = Crash { cleared, ..*crash };
-            if self.take(crash, now) {
+            if self.merge_crash(crash, now) {
                 new.push(crash);
             }
         }
         new
     }
 
-    /// Whether any request ended a target: only then others need to be looked up.
+    /// Whether any request has a record. If not, callers can skip the lookup.
     pub fn has_records(&self) -> bool {
         !self.records.is_empty()
     }
 
-    /// For how long a request is refused, if it is.
-    pub fn refused_for(&self, content: &RequestDigest, now: Instant) -> Option<Duration> {
-        let record = self.records.get(content)?;
+    /// Returns how much longer a request is refused; `None` if it is not refused.
+    pub fn refused_for(&self, digest: &RequestDigest, now: Instant) -> Option<Duration> {
+        let record = self.records.get(digest)?;
         if record.crashes.counted().count() < self.rules.crashes {
             return None;
         }
@@ -190,51 +194,51 @@
         (!left.is_zero()).then_some(left)
     }
 
-    /// Counts that this VM refused a request. It is kept for as long as it returns.
-    pub fn note_refusal(&mut self, content: &RequestDigest, now: Instant) {
-        if let Some(record) = self.records.get_mut(content) {
+    /// Counts that this VM refused a request. Each refusal extends the time for which it is refused.
+    pub fn note_refusal(&mut self, digest: &RequestDigest, now: Instant) {
+        if let Some(record) = self.records.get_mut(digest) {
             record.refused += 1;
             record.last = now;
             record.unwritten = true;
         }
     }
 
-    /// The store tells of a request anew, since it still returns.
-    pub fn renew(&mut self, content: &RequestDigest, now: Instant) {
-        if let Some(record) = self.records.get_mut(content) {
+    /// Restarts the time for which a request is refused, because its entry in the store was renewed.
+    pub fn renew(&mut self, digest: &RequestDigest, now: Instant) {
+        if let Some(record) = self.records.get_mut(digest) {
             record.last = now;
         }
     }
 
-    /// Refused requests that this VM is to write into the store.
+    /// Returns the refused requests that this VM still has to write to the store.
     pub fn unwritten(&self, now: Instant) -> Vec<RefusedRequest> {
         let all = self.records.iter().filter(|(_, record)| record.unwritten);
-        all.filter_map(|(content, record)| self.refused_of(content, record, now)).collect()
+        all.filter_map(|(digest, record)| self.refused_of(digest, record, now)).collect()
     }
 
-    /// A request stands in the store.
-    pub fn mark_written(&mut self, content: &RequestDigest) {
-        if let Some(record) = self.records.get_mut(content) {
+    /// Records that a request was written to the store.
+    pub fn mark_written(&mut self, digest: &RequestDigest) {
+        if let Some(record) = self.records.get_mut(digest) {
             record.unwritten = false;
         }
     }
 
-    /// All requests that are refused, in the order of their contents.
+    /// Returns all refused requests, ordered by digest.
     pub fn refused(&self, now: Instant) -> Vec<RefusedRequest> {
         let all = self.records.iter();
         let mut refused: Vec<RefusedRequest> =
-            all.filter_map(|(content, record)| self.refused_of(content, record, now)).collect();
+            all.filter_map(|(digest, record)| self.refused_of(digest, record, now)).collect();
         refused.sort_unstable_by_key(|refused| refused.digest);
         refused
     }
 
-    /// Requests that ended a target and may be bystanders.
+    /// Returns the number of requests with at least one crash that counts, refused or not. Most are bystanders.
     pub fn suspect_count(&self) -> usize {
         let counts = |record: &&Record| record.crashes.counted().next().is_some();
         self.records.values().filter(counts).count()
     }
 
-    /// What became known after a cursor, and the cursor after that.
+    /// Returns the changes after a cursor, and the cursor after these.
     pub fn changes_after(&self, cursor: Cursor) -> (Vec<Crash>, Cursor) {
         let from = cursor.0.saturating_sub(self.changes_dropped);
         let from = usize::try_from(from).unwrap_or(usize::MAX).min(self.changes.len());
@@ -242,7 +246,7 @@
         (self.changes.range(from..).copied().collect(), Cursor(up_to))
     }
 
-    /// Forgets what is over.
+    /// Removes records and ends that are older than the rules' duration.
     pub fn remove_expired(&mut self, now: Instant) {
         let lasts = self.rules.duration;
         self.ends.retain(|_, ends| now.saturating_duration_since(ends.last) < lasts);
@@ -252,36 +256,36 @@
             let known = &self.records;
             self.changes_dropped += self.changes.len() as u64;
             self.changes.retain(|crash| known.contains_key(&crash.digest));
-            // What is left is sent again to all peers: it says nothing new to them.
+            // The remaining changes are sent to all peers again, where they change nothing.
         }
     }
 
     fn refused_of(
         &self,
-        content: &RequestDigest,
+        digest: &RequestDigest,
         record: &Record,
         now: Instant,
     ) -> Option<RefusedRequest> {
-        let left = self.refused_for(content, now)?;
+        let left = self.refused_for(digest, now)?;
         let ended = record.crashes.counted().collect();
-        Some(RefusedRequest { digest: *content, ended, left, refusals: record.refused })
+        Some(RefusedRequest { digest: *digest, ended, left, refusals: record.refused })
     }
 
-    fn want_written(&mut self, content: &RequestDigest) {
-        if let Some(record) = self.records.get_mut(content) {
+    fn mark_unwritten(&mut self, digest: &RequestDigest) {
+        if let Some(record) = self.records.get_mut(digest) {
             record.unwritten = true;
         }
     }
 
-    /// Takes a crash; false if it says nothing new.
-    fn take(&mut self, crash: Crash, now: Instant) -> bool {
+    /// Merges a crash; returns false if it changes nothing.
+    fn merge_crash(&mut self, crash: Crash, now: Instant) -> bool {
         if !self.records.contains_key(&crash.digest) {
-            self.make_room();
+            self.evict_least_suspect();
         }
         let new =
             || Record { crashes: Crashes::default(), last: now, refused: 0, unwritten: false };
         let record = self.records.entry(crash.digest).or_insert_with(new);
-        if !record.crashes.take(crash.lifetime, crash.cleared) {
+        if !record.crashes.merge(crash.lifetime, crash.cleared) {
             return false;
         }
         if !crash.cleared {
@@ -290,7 +294,7 @@
         let ends = self.ends.entry(crash.lifetime.birth).or_insert(Ends { count: 0, last: now });
         ends.count = ends.count.max(crash.lifetime.ends_before.saturating_add(1));
         ends.last = now;
-        if self.changes.len() >= MOST_CHANGES {
+        if self.changes.len() >= MAX_CHANGES {
             self.changes.pop_front();
             self.changes_dropped += 1;
         }
@@ -298,16 +302,16 @@
         true
     }
 
-    fn make_room(&mut self) {
-        if self.records.len() < MOST_RECORDS {
+    fn evict_least_suspect(&mut self) {
+        if self.records.len() < MAX_RECORDS {
             return;
         }
-        let least = self
+        let least_suspect = self
             .records
             .iter()
             .min_by_key(|(_, record)| (record.crashes.counted().count(), record.last));
-        if let Some(content) = least.map(|(content, _)| *content) {
-            self.records.remove(&content);
+        if let Some(digest) = least_suspect.map(|(digest, _)| *digest) {
+            self.records.remove(&digest);
         }
     }
 }
--- a/components/quarantine/tests/request_digest.rs
+++ b/components/quarantine/tests/request_digest.rs
@@ -1,8 +1,8 @@
-//! What is the same request.
+//! Which attempts count as the same request, and the encodings of a digest.
 
 use quarantine::{RequestDigest, RequestParts};
 
-const ASKED: RequestParts<'_> = RequestParts {
+const PARTS: RequestParts<'_> = RequestParts {
     method: "POST",
     host: "h.example",
     path: "/drafts/?n=1",
@@ -11,33 +11,33 @@
 };
 
 #[test]
-fn each_part_counts_and_none_runs_into_the_next() {
+fn every_part_changes_the_digest() {
     let others = [
-        RequestParts { method: "PUT", ..ASKED },
-        RequestParts { host: "h2.example", ..ASKED },
-        RequestParts { path: "/drafts/?n=2", ..ASKED },
-        RequestParts { path: "/drafts/?n=1q", customer: Some("uipu"), ..ASKED },
-        RequestParts { customer: Some("other"), ..ASKED },
-        RequestParts { customer: None, ..ASKED },
-        RequestParts { customer: Some(""), ..ASKED },
-        RequestParts { body: b"a body.", ..ASKED },
+        RequestParts { method: "PUT", ..PARTS },
+        RequestParts { host: "h2.example", ..PARTS },
+        RequestParts { path: "/drafts/?n=2", ..PARTS },
+        RequestParts { path: "/drafts/?n=1q", customer: Some("uipu"), ..PARTS },
+        RequestParts { customer: Some("other"), ..PARTS },
+        RequestParts { customer: None, ..PARTS },
+        RequestParts { customer: Some(""), ..PARTS },
+        RequestParts { body: b"a body.", ..PARTS },
     ];
 
     let same =
-        RequestDigest::of(&ASKED) == RequestDigest::of(&RequestParts { body: b"a body", ..ASKED });
-    let contents: std::collections::HashSet<RequestDigest> =
-        others.iter().chain([&ASKED]).map(RequestDigest::of).collect();
+        RequestDigest::of(&PARTS) == RequestDigest::of(&RequestParts { body: b"a body", ..PARTS });
+    let digests: std::collections::HashSet<RequestDigest> =
+        others.iter().chain([&PARTS]).map(RequestDigest::of).collect();
 
     assert!(same);
-    assert_eq!(contents.len(), others.len() + 1);
+    assert_eq!(digests.len(), others.len() + 1);
 }
 
 #[test]
-fn what_is_shown_or_told_is_read_again() {
-    let content = RequestDigest::of(&ASKED);
+fn digest_round_trips_through_text_and_bytes() {
+    let digest = RequestDigest::of(&PARTS);
 
-    assert_eq!(RequestDigest::parse(&content.to_string()), Some(content));
-    assert_eq!(RequestDigest::from_bytes(&content.to_bytes()), Some(content));
+    assert_eq!(RequestDigest::parse(&digest.to_string()), Some(digest));
+    assert_eq!(RequestDigest::from_bytes(&digest.to_bytes()), Some(digest));
     assert_eq!(RequestDigest::parse("12"), None);
     assert_eq!(RequestDigest::from_bytes(&[0; 15]), None);
 }
--- a/components/quarantine/tests/table.rs
+++ b/components/quarantine/tests/table.rs
@@ -1,4 +1,5 @@
-//! Who is refused, whatever the order in which VMs hear of it; no network, time as it is given.
+//! Which requests are refused, independent of the order in which VMs learn of crashes. Without network and with
+//! simulated time.
 
 use std::time::{Duration, Instant};
 
@@ -6,10 +7,10 @@
 use quarantine::{Birth, Crash, Cursor, Lifetime, Quarantine, RequestDigest, RequestParts, Rules};
 
 const RULES: Rules = Rules { crashes: 3, duration: Duration::from_secs(600) };
-/// Time within which peers hear of each other's changes: a heartbeat and its way.
-const HEARD: Duration = Duration::from_millis(250);
+/// Time after which a peer has received a change: one heartbeat and its transmission.
+const PROPAGATION: Duration = Duration::from_millis(250);
 
-fn content(number: usize) -> RequestDigest {
+fn digest(number: usize) -> RequestDigest {
     let path = format!("/{number}");
     RequestDigest::of(&RequestParts {
         method: "POST",
@@ -29,20 +30,20 @@
     Lifetime { birth: Birth(birth), ends_before: 0 }
 }
 
-/// A target ends under one request.
+/// Crashes a target during one request.
 fn crash(vm: &mut Quarantine, of: RequestDigest, birth: u64, now: Instant) -> Vec<Crash> {
     vm.connection_lost(of, lifetime(birth), now);
     vm.lifetime_ended(lifetime(birth), now)
 }
 
-/// Tells one VM all that another one knows.
-fn tell(to: &mut Quarantine, from: &Quarantine, now: Instant) {
+/// Sends one VM all changes of another one.
+fn send_changes(to: &mut Quarantine, from: &Quarantine, now: Instant) {
     to.merge(&from.changes_after(Cursor::default()).0, now);
 }
 
 #[test]
-fn three_targets_are_enough_and_two_are_not() {
-    let (mut vm, fatal, now) = (vm(), content(0), Instant::now());
+fn request_is_refused_after_three_crashes_and_not_after_two() {
+    let (mut vm, fatal, now) = (vm(), digest(0), Instant::now());
 
     crash(&mut vm, fatal, 1, now);
     crash(&mut vm, fatal, 2, now);
@@ -53,12 +54,12 @@
 
     assert_eq!((after_two, same_again), (None, None));
     assert_eq!(vm.refused_for(&fatal, now), Some(RULES.duration));
-    assert_eq!(vm.refused_for(&content(1), now), None);
+    assert_eq!(vm.refused_for(&digest(1), now), None);
 }
 
 #[test]
-fn a_broken_connection_alone_is_no_crash() {
-    let (mut vm, cut, now) = (vm(), content(0), Instant::now());
+fn lost_connection_alone_is_not_a_crash() {
+    let (mut vm, cut, now) = (vm(), digest(0), Instant::now());
 
     (1..=5).for_each(|birth| vm.connection_lost(cut, lifetime(birth), now));
 
@@ -67,31 +68,31 @@
     let late = now + Duration::from_secs(7);
     assert!(
         vm.lifetime_ended(lifetime(1), late).is_empty(),
-        "it ended long after it broke off the answer"
+        "the target ended long after the connection was lost"
     );
 }
 
 #[test]
-fn three_vms_that_saw_one_end_each_refuse_it_once_they_have_told_each_other() {
-    let (fatal, now) = (content(0), Instant::now());
+fn vms_that_saw_one_crash_each_refuse_the_request_after_exchanging_them() {
+    let (fatal, now) = (digest(0), Instant::now());
     let mut vms = [vm(), vm(), vm()];
     for (number, vm) in (1..).zip(&mut vms) {
         crash(vm, fatal, number, now);
     }
 
-    // A chain of links: the first hears of the last by way of the second.
+    // The VMs are linked in a chain: the first learns of the third through the second.
     let [first, second, third] = &mut vms;
-    tell(second, third, now);
-    tell(first, second, now);
-    tell(second, first, now);
-    tell(third, second, now);
+    send_changes(second, third, now);
+    send_changes(first, second, now);
+    send_changes(second, first, now);
+    send_changes(third, second, now);
 
     assert!(vms.iter().all(|vm| vm.refused_for(&fatal, now).is_some()));
 }
 
 #[test]
-fn a_target_that_takes_work_after_its_end_is_another_lifetime() {
-    let (mut vm, mut peer, fatal, now) = (vm(), vm(), content(0), Instant::now());
+fn target_that_accepts_requests_after_its_end_is_another_lifetime() {
+    let (mut vm, mut peer, fatal, now) = (vm(), vm(), digest(0), Instant::now());
 
     for _ in 0..3 {
         let sent_to = vm.current_lifetime(Birth(7));
@@ -99,7 +100,7 @@
         vm.connection_lost(fatal, sent_to, now);
         vm.lifetime_ended(sent_to, now);
     }
-    tell(&mut peer, &vm, now);
+    send_changes(&mut peer, &vm, now);
 
     assert!(vm.refused_for(&fatal, now).is_some());
     assert!(peer.refused_for(&fatal, now).is_some());
@@ -107,40 +108,40 @@
 }
 
 #[test]
-fn a_good_end_anywhere_clears_what_was_at_work_beside_it() {
-    let (hot, now) = (content(0), Instant::now());
+fn completion_at_any_vm_clears_a_bystander() {
+    let (bystander, now) = (digest(0), Instant::now());
     let (mut one, mut other) = (vm(), vm());
-    (1..=3).for_each(|lifetime| drop(crash(&mut one, hot, lifetime, now)));
-    assert!(one.refused_for(&hot, now).is_some());
-    tell(&mut other, &one, now);
+    (1..=3).for_each(|lifetime| drop(crash(&mut one, bystander, lifetime, now)));
+    assert!(one.refused_for(&bystander, now).is_some());
+    send_changes(&mut other, &one, now);
 
-    other.request_completed(hot, now);
-    tell(&mut one, &other, now);
-    // The store, or a VM that did not hear of it, tells of them once more.
-    one.merge(&[Crash { digest: hot, lifetime: lifetime(2), cleared: false }], now);
+    other.request_completed(bystander, now);
+    send_changes(&mut one, &other, now);
+    // The store, or a VM that did not learn of the completion, reports a crash again.
+    one.merge(&[Crash { digest: bystander, lifetime: lifetime(2), cleared: false }], now);
 
-    assert_eq!(one.refused_for(&hot, now), None);
-    assert_eq!(other.refused_for(&hot, now), None);
+    assert_eq!(one.refused_for(&bystander, now), None);
+    assert_eq!(other.refused_for(&bystander, now), None);
 }
 
 #[test]
-fn a_request_that_ends_well_all_the_time_is_spared_when_many_targets_end_at_once() {
-    let (mut vm, hot, now) = (vm(), content(0), Instant::now());
-    vm.request_completed(hot, now);
+fn recently_completed_request_is_not_refused_when_many_targets_crash() {
+    let (mut vm, bystander, now) = (vm(), digest(0), Instant::now());
+    vm.request_completed(bystander, now);
 
     let later = now + Duration::from_secs(5);
-    (1..=8).for_each(|lifetime| drop(crash(&mut vm, hot, lifetime, later)));
-    let spared = vm.refused_for(&hot, later);
+    (1..=8).for_each(|lifetime| drop(crash(&mut vm, bystander, lifetime, later)));
+    let spared = vm.refused_for(&bystander, later);
     let much_later = now + Duration::from_secs(60);
-    (11..=13).for_each(|lifetime| drop(crash(&mut vm, hot, lifetime, much_later)));
+    (11..=13).for_each(|lifetime| drop(crash(&mut vm, bystander, lifetime, much_later)));
 
     assert_eq!(spared, None);
-    assert!(vm.refused_for(&hot, much_later).is_some(), "it ended well long ago");
+    assert!(vm.refused_for(&bystander, much_later).is_some(), "its completion was long ago");
 }
 
 #[test]
-fn a_request_is_kept_for_as_long_as_it_returns_and_then_forgotten() {
-    let (mut vm, fatal, now) = (vm(), content(0), Instant::now());
+fn request_is_kept_while_it_is_retried_and_then_removed() {
+    let (mut vm, fatal, now) = (vm(), digest(0), Instant::now());
     (1..=3).for_each(|lifetime| drop(crash(&mut vm, fatal, lifetime, now)));
 
     let before_end = now + RULES.duration - Duration::from_secs(1);
@@ -157,8 +158,8 @@
 }
 
 #[test]
-fn what_a_peer_was_told_is_not_told_again_until_something_is_new() {
-    let (mut vm, fatal, now) = (vm(), content(0), Instant::now());
+fn changes_after_a_cursor_are_only_the_new_ones() {
+    let (mut vm, fatal, now) = (vm(), digest(0), Instant::now());
     crash(&mut vm, fatal, 1, now);
 
     let (first, told) = vm.changes_after(Cursor::default());
@@ -170,38 +171,38 @@
 }
 
 #[test]
-fn a_flood_of_suspects_pushes_no_refused_request_out() {
-    let (mut vm, fatal, now) = (vm(), content(0), Instant::now());
+fn many_suspects_do_not_evict_a_refused_request() {
+    let (mut vm, fatal, now) = (vm(), digest(0), Instant::now());
     (1..=3).for_each(|lifetime| drop(crash(&mut vm, fatal, lifetime, now)));
 
     for number in 1..5000 {
         let at = now + Duration::from_millis(number as u64);
-        crash(&mut vm, content(number), 100 + number as u64, at);
+        crash(&mut vm, digest(number), 100 + number as u64, at);
     }
 
     assert!(vm.refused_for(&fatal, now).is_some());
     assert!(vm.suspect_count() <= 1024);
 }
 
-/// What happens next in a fleet: (what, VM, request, target).
+/// One event in a fleet: (kind, VM, request, target).
 type Step = (u8, usize, usize, usize);
 
 fn steps() -> impl Strategy<Value = Vec<Step>> {
     prop::collection::vec((any::<u8>(), 0..5usize, 0..6usize, 0..4usize), 1..120)
 }
 
-/// A fleet of five VMs on a ring before four targets; request 0 ends whatever runs it, the others end with
-/// it when they are at work there and else end well.
+/// Five VMs, linked in a ring, and four targets. Request 0 crashes whatever target runs it. The others fail if they
+/// are in progress at that target and complete otherwise.
 struct Fleet {
     vms: Vec<Quarantine>,
-    /// Births of the targets so far.
-    births: [u64; 4],
-    at_work: Vec<(usize, RequestDigest, usize)>,
+    /// Number of restarts of each target.
+    restarts: [u64; 4],
+    in_progress: Vec<(usize, RequestDigest, usize)>,
     now: Instant,
     crashes: usize,
-    /// Sends of request 0 by a VM that had had time to hear of its third end.
+    /// Sends of request 0 by a VM that had enough time to learn of its third crash.
     late_sends: usize,
-    third_end: Option<Instant>,
+    third_crash: Option<Instant>,
     refused_others: usize,
 }
 
@@ -209,47 +210,47 @@
     fn new() -> Self {
         Fleet {
             vms: (0..5).map(|_| vm()).collect(),
-            births: [0; 4],
-            at_work: Vec::new(),
+            restarts: [0; 4],
+            in_progress: Vec::new(),
             now: Instant::now(),
             crashes: 0,
             late_sends: 0,
-            third_end: None,
+            third_crash: None,
             refused_others: 0,
         }
     }
 
     fn lifetime(&self, target: usize) -> Lifetime {
-        lifetime(target as u64 * 1000 + self.births[target])
+        lifetime(target as u64 * 1000 + self.restarts[target])
     }
 
-    fn step(&mut self, (what, vm, request, target): Step) {
-        match what % 4 {
+    fn step(&mut self, (kind, vm, request, target): Step) {
+        match kind % 4 {
             0 | 1 => self.send(vm, request, target),
             2 => self.finish(target),
-            _ => self.beat(),
+            _ => self.heartbeat(),
         }
     }
 
     fn send(&mut self, vm: usize, request: usize, target: usize) {
-        let of = content(request);
+        let of = digest(request);
         if self.vms[vm].refused_for(&of, self.now).is_some() {
             self.refused_others += usize::from(request != 0);
             return;
         }
-        self.at_work.push((vm, of, target));
+        self.in_progress.push((vm, of, target));
         if request == 0 {
-            // Word goes half round the ring, a heartbeat for each link.
-            let heard = self.third_end.is_some_and(|at| self.now > at + HEARD * 3);
-            self.late_sends += usize::from(heard);
+            // A change travels half round the ring and needs one heartbeat per link.
+            let is_known = self.third_crash.is_some_and(|at| self.now > at + PROPAGATION * 3);
+            self.late_sends += usize::from(is_known);
             self.end(target);
         }
     }
 
     fn end(&mut self, target: usize) {
         let lifetime = self.lifetime(target);
-        let (ended, others) = self.at_work.drain(..).partition(|(_, _, at)| *at == target);
-        self.at_work = others;
+        let (ended, others) = self.in_progress.drain(..).partition(|(_, _, at)| *at == target);
+        self.in_progress = others;
         let ended: Vec<(usize, RequestDigest, usize)> = ended;
         for (vm, of, _) in &ended {
             self.vms[*vm].connection_lost(*of, lifetime, self.now);
@@ -257,26 +258,26 @@
         for (vm, _, _) in &ended {
             self.vms[*vm].lifetime_ended(lifetime, self.now);
         }
-        self.births[target] += 1;
+        self.restarts[target] += 1;
         self.crashes += 1;
         if self.crashes == RULES.crashes {
-            self.third_end = Some(self.now);
+            self.third_crash = Some(self.now);
         }
     }
 
-    /// What is at work at a target ends well.
+    /// All requests in progress at a target complete.
     fn finish(&mut self, target: usize) {
-        let (done, others) = self.at_work.drain(..).partition(|(_, _, at)| *at == target);
-        self.at_work = others;
+        let (done, others) = self.in_progress.drain(..).partition(|(_, _, at)| *at == target);
+        self.in_progress = others;
         let done: Vec<(usize, RequestDigest, usize)> = done;
         for (vm, of, _) in done {
             self.vms[vm].request_completed(of, self.now);
         }
     }
 
-    /// A heartbeat: each VM tells both neighbours all that it knows.
-    fn beat(&mut self) {
-        self.now += HEARD;
+    /// One heartbeat: each VM sends all its changes to both neighbours.
+    fn heartbeat(&mut self) {
+        self.now += PROPAGATION;
         let told: Vec<Vec<Crash>> =
             self.vms.iter().map(|vm| vm.changes_after(Cursor::default()).0).collect();
         let count = self.vms.len();
@@ -289,7 +290,7 @@
 
 proptest! {
     #[test]
-    fn once_the_word_is_out_nothing_reaches_a_target(steps in steps()) {
+    fn no_vm_sends_a_request_after_learning_of_its_third_crash(steps in steps()) {
         let mut fleet = Fleet::new();
 
         steps.into_iter().for_each(|step| fleet.step(step));
@@ -298,7 +299,7 @@
     }
 
     #[test]
-    fn in_whatever_order_it_is_told_the_same_comes_out(
+    fn merging_crashes_does_not_depend_on_order(
         told in prop::collection::vec((0..3usize, 0..6u64, any::<bool>()), 0..40),
         seed in any::<u64>(),
     ) {
@@ -306,7 +307,7 @@
         let crashes: Vec<Crash> = told
             .iter()
             .map(|(of, birth, cleared)| Crash {
-                digest: content(*of),
+                digest: digest(*of),
                 lifetime: lifetime(*birth),
                 cleared: *cleared,
             })
@@ -325,9 +326,9 @@
         third.merge(&shuffled, now);
 
         for number in 0..3 {
-            let refused = one.refused_for(&content(number), now);
-            assert_eq!(refused, other.refused_for(&content(number), now));
-            assert_eq!(refused, third.refused_for(&content(number), now));
+            let refused = one.refused_for(&digest(number), now);
+            assert_eq!(refused, other.refused_for(&digest(number), now));
+            assert_eq!(refused, third.refused_for(&digest(number), now));
         }
     }
 }
