--- a/components/eligibility/src/backoffs.rs
+++ b/components/eligibility/src/backoffs.rs
@@ -1,4 +1,4 @@
-//! Targets that turned work of this VM away and said for how long they want none.
+//! Targets that declined work of this VM and told it for how long to back off.
 
 use std::collections::HashMap;
 use std::time::Instant;
@@ -7,13 +7,14 @@
 
 use crate::Lifetime;
 
-/// Until when targets want no work from this VM, by lifetime: an entry that lapses and comes back does not end it.
+/// Ends of the backoffs that targets asked of this VM, by lifetime. A backoff continues if the target's entry lapses
+/// and comes back within the lifetime.
 #[derive(Debug, Default)]
 pub struct Backoffs(HashMap<Lifetime, Instant>);
 
 impl Backoffs {
-    /// Takes a target's word. Of several the one that lasts longest holds: they may have been said to calls
-    /// of which one overtook the other. Says whether it is left alone for longer than before.
+    /// Records a backoff. The longest of several applies, since they may come from answers of which one overtook the
+    /// other. Returns whether the target's backoff got longer.
     pub fn record(&mut self, lifetime: Lifetime, until: Instant) -> bool {
         let known = self.0.get(&lifetime).copied();
         let is_longer = known.is_none_or(|known| until > known);
@@ -23,18 +24,18 @@
         is_longer
     }
 
-    /// Until when a target wants no work, if it said so.
+    /// Returns until when a target asked for no work, if it did.
     pub fn until(&self, target: &Target) -> Option<Instant> {
         self.0.get(&Lifetime::from(target)).copied()
     }
 
-    /// Lifetimes that want no work now.
+    /// Returns the lifetimes whose backoff has not ended, and when it ends.
     pub fn all(&self, now: Instant) -> impl Iterator<Item = (&Lifetime, Instant)> {
-        let words = self.0.iter().map(|(lifetime, until)| (lifetime, *until));
-        words.filter(move |(_, until)| *until > now)
+        let backoffs = self.0.iter().map(|(lifetime, until)| (lifetime, *until));
+        backoffs.filter(move |(_, until)| *until > now)
     }
 
-    /// Forgets what is over.
+    /// Removes the backoffs that have ended.
     pub fn remove_expired(&mut self, now: Instant) {
         self.0.retain(|_, until| *until > now);
     }
--- a/components/eligibility/src/change_log.rs
+++ b/components/eligibility/src/change_log.rs
@@ -1,16 +1,16 @@
-//! What changed, in the order in which it became known, so that each peer is told each change once.
+//! Log of changes in the order in which they became known, with cursors by which each peer is sent each change once.
 
 use std::collections::VecDeque;
 
-/// How far into a log of changes a peer was told.
+/// Position in a change log up to which a peer has received the changes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct ChangeCursor(u64);
 
-/// The latest changes.
+/// The latest changes. Owners bound its length by dropping the first ones.
 #[derive(Debug)]
 pub(crate) struct ChangeLog<T> {
     changes: VecDeque<T>,
-    /// Changes dropped from the start.
+    /// Number of changes dropped from the start.
     dropped: u64,
 }
 
@@ -39,12 +39,12 @@
         Some(first)
     }
 
-    /// All changes that are kept, the earliest first.
+    /// Returns all changes that are kept, the earliest first.
     pub(crate) fn all(&self) -> impl Iterator<Item = &T> {
         self.changes.iter()
     }
 
-    /// Changes after a cursor, and the cursor after these.
+    /// Returns the changes after a cursor, and the cursor after these.
     pub(crate) fn after(&self, cursor: ChangeCursor) -> (impl Iterator<Item = &T>, ChangeCursor) {
         let from = usize::try_from(cursor.0.saturating_sub(self.dropped)).unwrap_or(usize::MAX);
         let up_to = self.dropped + self.changes.len() as u64;
--- a/components/eligibility/src/departures.rs
+++ b/components/eligibility/src/departures.rs
@@ -1,7 +1,7 @@
-//! Lifetimes of targets that said in an answer that they leave. The platform's store may tell the same much
-//! later, or not at all while it is out of reach.
+//! Lifetimes of targets that announced in an answer that they are leaving. The platform's store may report the same
+//! much later, or not at all while it is unreachable.
 //!
-//! Words are merged: within a lifetime none is taken back, whichever source is heard first, and a later
+//! Announcements from all sources are merged. Within a lifetime none is revoked, whichever arrives first. A later
 //! lifetime of the same target starts without any.
 
 use std::collections::HashMap;
@@ -12,18 +12,19 @@
 
 use crate::change_log::{ChangeCursor, ChangeLog};
 
-/// A word is kept for this long after the target said it last: the longest lease that the store grants, so that
-/// the entry of a target that ended has lapsed by then.
-const LIFE: Duration = Duration::from_secs(600);
-/// Most words kept, the latest: some 100 bytes each, for five times the targets of the largest fleet.
-const MOST: usize = 4096;
+/// Time for which a departure is kept after its last announcement. It is the longest lease that the store grants, so
+/// that the entry of a target that ended has lapsed by then.
+const DEPARTURE_TTL: Duration = Duration::from_secs(600);
+/// Most departures that are kept; the oldest are evicted. It is five times the number of targets of the largest
+/// fleet, at about 100 bytes each.
+const MAX_DEPARTURES: usize = 4096;
 
-/// One lifetime of a target, as it tells of itself.
+/// One lifetime of a target, from its start to its end, as the target identifies it.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Lifetime {
     /// The target.
     pub target: TargetName,
-    /// When it began, in milliseconds of the Unix epoch, if the target says so.
+    /// Start time in milliseconds since the Unix epoch, if the target reports it.
     pub born: Option<u64>,
 }
 
@@ -33,80 +34,85 @@
     }
 }
 
-/// Word that a target leaves.
+/// Announcement that a target is leaving.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Departure {
-    /// Who leaves.
+    /// The lifetime that is leaving.
     pub lifetime: Lifetime,
-    /// When the target last said so to any VM, by the clock of this one.
+    /// When the target last announced it to any VM, by the clock of this VM.
     pub announced_at: Instant,
 }
 
-/// What a VM knows of targets that leave, beside their entries.
+/// Departures that targets announced in answers, in addition to those in their entries in the store.
 #[derive(Debug, Default)]
 pub struct Departures {
-    said: HashMap<Lifetime, Instant>,
+    /// When each lifetime last announced its departure.
+    announced_at: HashMap<Lifetime, Instant>,
     /// Lifetimes in the order in which they became known.
     order: ChangeLog<Lifetime>,
 }
 
 impl Departures {
-    /// Takes a word that the target said at `said`; whether it is the first one of its lifetime.
-    pub fn record(&mut self, lifetime: Lifetime, said: Instant, now: Instant) -> bool {
-        if is_old(said, now) {
+    /// Records that a target announced its departure at `announced_at`. Returns whether it is the first announcement of
+    /// its lifetime.
+    pub fn record(&mut self, lifetime: Lifetime, announced_at: Instant, now: Instant) -> bool {
+        if is_old(announced_at, now) {
             return false;
         }
-        if let Some(known) = self.said.get_mut(&lifetime) {
-            *known = said.max(*known);
+        if let Some(known) = self.announced_at.get_mut(&lifetime) {
+            *known = announced_at.max(*known);
             return false;
         }
-        if self.order.len() >= MOST {
-            self.drop_first();
+        if self.order.len() >= MAX_DEPARTURES {
+            self.evict_first();
         }
         self.order.push(lifetime.clone());
-        self.said.insert(lifetime, said);
+        self.announced_at.insert(lifetime, announced_at);
         true
     }
 
-    /// When a target said that it leaves; `None` if this lifetime has not.
+    /// Returns when a target last announced that it is leaving; `None` if this lifetime has not.
     pub fn announced_at(&self, target: &Target) -> Option<Instant> {
-        self.said.get(&Lifetime::from(target)).copied()
+        self.announced_at.get(&Lifetime::from(target)).copied()
     }
 
-    /// All words, in the order in which they became known.
+    /// Returns all departures, in the order in which they became known.
     pub fn all(&self) -> impl Iterator<Item = Departure> {
-        self.order.all().filter_map(|lifetime| self.of(lifetime))
+        self.order.all().filter_map(|lifetime| self.departure_of(lifetime))
     }
 
-    /// Words that became known after a cursor, and the cursor after these.
+    /// Returns the departures that became known after a cursor, and the cursor after these.
     pub fn changes_after(&self, cursor: ChangeCursor) -> (Vec<Departure>, ChangeCursor) {
         let (lifetimes, up_to) = self.order.after(cursor);
-        (lifetimes.filter_map(|lifetime| self.of(lifetime)).collect(), up_to)
+        (lifetimes.filter_map(|lifetime| self.departure_of(lifetime)).collect(), up_to)
     }
 
-    /// Forgets words that are too old.
+    /// Removes departures that are too old.
     pub fn remove_expired(&mut self, now: Instant) {
         while self
             .order
             .first()
-            .and_then(|first| self.said.get(first))
+            .and_then(|first| self.announced_at.get(first))
             .is_some_and(|at| is_old(*at, now))
         {
-            self.drop_first();
+            self.evict_first();
         }
     }
 
-    fn of(&self, lifetime: &Lifetime) -> Option<Departure> {
-        Some(Departure { lifetime: lifetime.clone(), announced_at: *self.said.get(lifetime)? })
+    fn departure_of(&self, lifetime: &Lifetime) -> Option<Departure> {
+        Some(Departure {
+            lifetime: lifetime.clone(),
+            announced_at: *self.announced_at.get(lifetime)?,
+        })
     }
 
-    fn drop_first(&mut self) {
+    fn evict_first(&mut self) {
         if let Some(first) = self.order.drop_first() {
-            self.said.remove(&first);
+            self.announced_at.remove(&first);
         }
     }
 }
 
-fn is_old(said: Instant, now: Instant) -> bool {
-    now.saturating_duration_since(said) >= LIFE
+fn is_old(announced_at: Instant, now: Instant) -> bool {
+    now.saturating_duration_since(announced_at) >= DEPARTURE_TTL
 }
--- a/components/eligibility/src/halls.rs
+++ b/components/eligibility/src/halls.rs
@@ -1,4 +1,4 @@
-//! What the state of its data hall, and what it says of itself, allow a target to be sent.
+//! Eligibility of a target for new work, from the state of its data hall and from what the target announced.
 
 use std::collections::BTreeSet;
 use std::time::Instant;
@@ -6,20 +6,20 @@
 use ids::HallName;
 use intent::Target;
 
-/// Whether a target may be sent new work, as far as its own words and its hall tell.
+/// Whether a target may be sent new work, by its own announcements and the state of its hall.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Eligibility {
-    /// It may.
+    /// It may be sent new work.
     Open,
-    /// Its hall does not answer: it is tried only where nothing else is left.
+    /// Its hall does not answer; the target is tried only if no other one is left.
     OutOfReach,
     /// Operators took its hall out of service.
     Evacuated,
-    /// It wants no work from this VM for some time.
+    /// It asked this VM to back off, and that time has not ended.
     BackedOff,
-    /// It takes a rate from all VMs together, which is used up for now.
+    /// Its rate limit for all VMs together is used up for now.
     Limited,
-    /// It is about to end.
+    /// It is about to shut down.
     Leaving,
 }
 
@@ -30,7 +30,7 @@
     }
 }
 
-/// Data halls whose targets are not used as others are.
+/// Data halls that are out of reach or taken out of service.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Halls {
     out_of_reach: BTreeSet<HallName>,
@@ -38,7 +38,8 @@
 }
 
 impl Halls {
-    /// What a target may be sent now. What operators and the target say goes before what this VM observes.
+    /// Returns the eligibility of a target. Decisions of operators and announcements of the target take precedence over
+    /// what this VM observes.
     pub fn eligibility(&self, target: &Target, now: Instant) -> Eligibility {
         match () {
             () if target.leaving => Eligibility::Leaving,
@@ -52,8 +53,8 @@
         }
     }
 
-    /// From when on a target may be sent work: now, or once it does not want to be left alone any more and takes
-    /// more by its rate; `None` if nothing tells that it may be again.
+    /// Returns when a target may be sent new work: now, or when both its backoff and its rate limit allow it. `None` if
+    /// it is leaving or evacuated, so that no time is known.
     pub fn opens_at(&self, target: &Target, now: Instant) -> Option<Instant> {
         match self.eligibility(target, now) {
             Eligibility::Open | Eligibility::OutOfReach => Some(now),
@@ -64,22 +65,22 @@
         }
     }
 
-    /// Halls that operators took out of service.
+    /// Returns the halls that operators took out of service.
     pub fn evacuated(&self) -> &BTreeSet<HallName> {
         &self.evacuated
     }
 
-    /// Sets the halls that this VM does not reach.
+    /// Sets the halls that this VM can't reach.
     pub fn set_out_of_reach(&mut self, halls: BTreeSet<HallName>) {
         self.out_of_reach = halls;
     }
 
-    /// Takes a hall out of service; false if it was out already.
+    /// Takes a hall out of service; returns false if it already was.
     pub fn evacuate(&mut self, hall: HallName) -> bool {
         self.evacuated.insert(hall)
     }
 
-    /// Takes a hall back into service; false if it was in service.
+    /// Puts a hall back into service; returns false if it was in service.
     pub fn restore(&mut self, hall: &HallName) -> bool {
         self.evacuated.remove(hall)
     }
--- a/components/eligibility/src/lib.rs
+++ b/components/eligibility/src/lib.rs
@@ -1,8 +1,8 @@
-//! Whether a target may be sent new work now: the one answer that every choice of a target asks for,
-//! whether for a request, a stream that is resumed, a piece or a retry.
+//! Decides whether a target may be sent new work now. Every selection of a target uses it, whether for a request, a
+//! resumed stream, a piece or a retry.
 //!
-//! Work that is under way ends where it is, and results that lie at a target may be fetched from it,
-//! whatever is said here.
+//! It does not affect work in progress, which finishes at its target, or results stored at a target, which may still
+//! be fetched.
 
 mod backoffs;
 mod change_log;
--- a/components/eligibility/src/rates.rs
+++ b/components/eligibility/src/rates.rs
@@ -1,9 +1,9 @@
-//! Rates that targets name in their answers as the most that they take, and which of them holds.
+//! Rate limits that targets announce in their answers, and the one that applies to each target.
 //!
-//! Answers overtake each other; a rate falls, rises, and ends with an answer that names none. An answer was given
-//! between the moment at which its call was sent and the one at which its head was heard. It therefore ends
-//! whatever was heard before its call was sent, and nothing else; of rates that may be as late as each other the
-//! lowest holds. The same comes out in any order, with repeats, and at whoever is told.
+//! Answers overtake each other. A limit falls, rises, and ends with an answer that announces none. An answer was
+//! produced at some time between the sending of its call and the receipt of its head. It therefore supersedes the limits
+//! that were received before its call was sent, and no others. Of the limits that remain, the lowest applies. Merging
+//! observations is commutative and idempotent, so all VMs that have the same observations get the same result.
 
 use std::collections::{BTreeMap, HashMap};
 use std::time::{Duration, Instant};
@@ -13,181 +13,187 @@
 use crate::Lifetime;
 use crate::change_log::{ChangeCursor, ChangeLog};
 
-/// What is known of a lifetime is kept for this long after its last answer: longer than any need seen, and than
-/// a target that nobody dares to ask is left to itself.
-const LIFE: Duration = Duration::from_secs(600);
-/// Most changes kept to be told, the latest: one for each target of the largest fleet.
-const MOST_CHANGES: usize = 1024;
-/// Thousandths of a request, in which rates are compared.
-const PARTS: f64 = 1000.0;
-/// The lowest rate that is held to: a target that names less is asked once in twenty seconds all the same, since
-/// only its answers tell that the need is over.
-const LEAST_PER_S: f64 = 0.05;
-/// The highest rate that is counted; a target that names more takes whatever comes.
-const MOST_PER_S: f64 = 1e6;
-
-/// The requests a second that a target takes from all VMs together.
+/// Time for which the observations of a lifetime are kept after its last answer. It is longer than targets were seen
+/// to need a limit, and longer than a target goes without a request because of its limit.
+const RATE_TTL: Duration = Duration::from_secs(600);
+/// Most changes that are kept for peers; the oldest are dropped. One for each target of the largest fleet.
+const MAX_CHANGES: usize = 1024;
+/// Number of units in one request per second. Rates are stored and compared in thousandths of a request.
+const UNITS_PER_REQUEST: f64 = 1000.0;
+/// Lowest rate limit, in requests per second. A target that announces less still gets a request every twenty
+/// seconds, since only its answers tell when the limit ends.
+const MIN_PER_S: f64 = 0.05;
+/// Highest rate limit, in requests per second. A target that announces more is effectively unlimited.
+const MAX_PER_S: f64 = 1e6;
+
+/// Requests per second that a target accepts from all VMs together.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RateLimit {
     thousandths: u64,
 }
 
 impl RateLimit {
-    /// A rate in requests a second; `None` for what is no rate: a negative number, or none at all.
+    /// Creates a limit from requests per second, clamped to the lowest and highest limit. `None` if `per_s` is negative
+    /// or not a number.
     pub fn new(per_s: f64) -> Option<Self> {
         let is_rate = per_s >= 0.0;
-        let per_s = per_s.clamp(LEAST_PER_S, MOST_PER_S);
-        is_rate.then_some(RateLimit { thousandths: (per_s * PARTS).round() as u64 })
+        let per_s = per_s.clamp(MIN_PER_S, MAX_PER_S);
+        is_rate.then_some(RateLimit { thousandths: (per_s * UNITS_PER_REQUEST).round() as u64 })
     }
 
-    /// Requests a second.
+    /// Returns the requests per second.
     pub fn per_s(self) -> f64 {
-        self.thousandths as f64 / PARTS
+        self.thousandths as f64 / UNITS_PER_REQUEST
     }
 }
 
-/// What an answer said of its target's rate.
+/// The rate limit that one answer announced.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct RateObservation {
-    /// The rate; `None` if the answer named none.
+    /// The limit; `None` if the answer announced none.
     pub limit: Option<RateLimit>,
     /// When the call was sent.
     pub sent: Instant,
-    /// When the answer's head was heard.
-    pub heard: Instant,
+    /// When the head of the answer was received.
+    pub received: Instant,
 }
 
-/// What some sightings of one lifetime amount to.
+/// Merged observations of one lifetime.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct RateObservations {
-    /// When the latest call was sent that was answered.
-    after: Option<Instant>,
-    /// Rates that may still hold, and when each was last heard; none of these was before `after`.
-    heard: BTreeMap<RateLimit, Instant>,
+    /// When the latest answered call was sent.
+    latest_sent: Option<Instant>,
+    /// Limits that may still apply, and when each was last received; none was received before `latest_sent`.
+    limits: BTreeMap<RateLimit, Instant>,
 }
 
 impl RateObservations {
-    /// A belief as it was told: see [`RateObservations::latest_sent`] and [`RateObservations::limits`].
+    /// Creates observations from the values of [`RateObservations::latest_sent`] and [`RateObservations::limits`].
     pub fn from_parts(
-        after: Option<Instant>,
-        heard: impl Iterator<Item = (RateLimit, Instant)>,
+        latest_sent: Option<Instant>,
+        limits: impl Iterator<Item = (RateLimit, Instant)>,
     ) -> Self {
-        let mut belief = RateObservations { after, heard: BTreeMap::new() };
-        heard.for_each(|(limit, at)| belief.hear(limit, at));
-        belief.prune();
-        belief
+        let mut observations = RateObservations { latest_sent, limits: BTreeMap::new() };
+        limits.for_each(|(limit, at)| observations.record_limit(limit, at));
+        observations.prune();
+        observations
     }
 
-    /// Takes what an answer said.
-    pub fn record(&mut self, sighting: RateObservation) {
-        self.after = self.after.max(Some(sighting.sent));
-        if let Some(limit) = sighting.limit {
-            self.hear(limit, sighting.heard);
+    /// Records the observation from one answer.
+    pub fn record(&mut self, observation: RateObservation) {
+        self.latest_sent = self.latest_sent.max(Some(observation.sent));
+        if let Some(limit) = observation.limit {
+            self.record_limit(limit, observation.received);
         }
         self.prune();
     }
 
-    /// Takes all that another one amounts to.
+    /// Merges the observations of another VM.
     pub fn merge(&mut self, other: &RateObservations) {
-        self.after = self.after.max(other.after);
-        other.heard.iter().for_each(|(limit, at)| self.hear(*limit, *at));
+        self.latest_sent = self.latest_sent.max(other.latest_sent);
+        other.limits.iter().for_each(|(limit, at)| self.record_limit(*limit, *at));
         self.prune();
     }
 
-    /// The rate that holds; `None` if the target takes whatever comes, as far as is known.
+    /// Returns the limit that applies; `None` if none is known.
     pub fn limit(&self) -> Option<RateLimit> {
-        self.heard.keys().next().copied()
+        self.limits.keys().next().copied()
     }
 
-    /// When the latest call was sent that was answered.
+    /// Returns when the latest answered call was sent.
     pub fn latest_sent(&self) -> Option<Instant> {
-        self.after
+        self.latest_sent
     }
 
-    /// Rates that may hold, and when each was last heard.
+    /// Returns the limits that may apply, lowest first, and when each was last received.
     pub fn limits(&self) -> impl Iterator<Item = (RateLimit, Instant)> {
-        self.heard.iter().map(|(limit, at)| (*limit, *at))
+        self.limits.iter().map(|(limit, at)| (*limit, *at))
     }
 
-    fn hear(&mut self, limit: RateLimit, at: Instant) {
-        let last = self.heard.entry(limit).or_insert(at);
+    fn record_limit(&mut self, limit: RateLimit, at: Instant) {
+        let last = self.limits.entry(limit).or_insert(at);
         *last = at.max(*last);
     }
 
     fn prune(&mut self) {
-        let after = self.after;
-        self.heard.retain(|_, at| after.is_none_or(|after| *at >= after));
+        let latest_sent = self.latest_sent;
+        self.limits.retain(|_, at| latest_sent.is_none_or(|sent| *at >= sent));
     }
 
     fn is_old(&self, now: Instant) -> bool {
-        let last = self.heard.values().copied().chain(self.after).max();
-        last.is_none_or(|last| now.saturating_duration_since(last) >= LIFE)
+        let last = self.limits.values().copied().chain(self.latest_sent).max();
+        last.is_none_or(|last| now.saturating_duration_since(last) >= RATE_TTL)
     }
 }
 
-/// How the rate of a lifetime changed.
+/// Change of the limit that applies to a lifetime.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct RateChange {
-    /// The rate that held before.
+    /// The limit that applied before.
     pub before: Option<RateLimit>,
-    /// The rate that holds now.
+    /// The limit that applies now.
     pub now: Option<RateLimit>,
 }
 
 #[derive(Debug, Default)]
-struct Beliefs {
-    /// From this VM's own answers; only these are told to others, so that no two VMs keep a word alive between
-    /// them.
+struct TargetRates {
+    /// From answers to this VM. Only these are sent to peers; otherwise two VMs could keep an outdated limit alive by
+    /// sending it back and forth.
     own: RateObservations,
-    /// From these and what peers heard themselves.
+    /// From answers to this VM and from the peers' own observations.
     all: RateObservations,
-    /// Until when this VM sends it nothing, since the rate is used up.
+    /// Until when this VM sends no requests to the target, because the limit is used up.
     held_until: Option<Instant>,
 }
 
-/// What a VM knows of the rates that targets name, by lifetime.
+/// Rate limits that this VM knows, by lifetime of the target.
 #[derive(Debug, Default)]
 pub struct RateLimits {
-    known: HashMap<Lifetime, Beliefs>,
-    /// Lifetimes of which this VM's own answers changed the rate that holds.
+    known: HashMap<Lifetime, TargetRates>,
+    /// Lifetimes whose limit was changed by an answer to this VM.
     changes: ChangeLog<Lifetime>,
 }
 
 impl RateLimits {
-    /// Takes what an answer to this VM said; gives the change of the rate that holds, if there is one.
-    pub fn record(&mut self, lifetime: Lifetime, sighting: RateObservation) -> Option<RateChange> {
-        let beliefs = self.known.entry(lifetime.clone()).or_default();
-        beliefs.own.record(sighting);
-        let change = beliefs.change(|all| all.record(sighting))?;
-        if self.changes.len() >= MOST_CHANGES {
+    /// Records the observation from an answer to this VM; returns the change of the limit that applies, if any.
+    pub fn record(
+        &mut self,
+        lifetime: Lifetime,
+        observation: RateObservation,
+    ) -> Option<RateChange> {
+        let rates = self.known.entry(lifetime.clone()).or_default();
+        rates.own.record(observation);
+        let change = rates.change(|all| all.record(observation))?;
+        if self.changes.len() >= MAX_CHANGES {
             self.changes.drop_first();
         }
         self.changes.push(lifetime);
         Some(change)
     }
 
-    /// Takes what a peer heard itself; gives the change of the rate that holds, if there is one.
+    /// Merges a peer's own observations; returns the change of the limit that applies, if any.
     pub fn merge_peer(
         &mut self,
         lifetime: Lifetime,
-        told: &RateObservations,
+        observations: &RateObservations,
     ) -> Option<RateChange> {
-        self.known.entry(lifetime).or_default().change(|all| all.merge(told))
+        self.known.entry(lifetime).or_default().change(|all| all.merge(observations))
     }
 
-    /// This VM sends a target nothing before `until`, since the rate that holds for it is used up.
+    /// Stops requests from this VM to a target until `until`, because its limit is used up.
     pub fn hold_until(&mut self, lifetime: &Lifetime, until: Instant) {
-        if let Some(beliefs) = self.known.get_mut(lifetime) {
-            beliefs.held_until = Some(until);
+        if let Some(rates) = self.known.get_mut(lifetime) {
+            rates.held_until = Some(until);
         }
     }
 
-    /// Until when this VM sends a target nothing, since its rate is used up.
+    /// Returns until when this VM sends no requests to a target, because its limit is used up.
     pub fn held_until(&self, target: &Target) -> Option<Instant> {
         self.known.get(&Lifetime::from(target))?.held_until
     }
 
-    /// What this VM heard itself of lifetimes whose rate changed after a cursor, and the cursor after these.
+    /// Returns this VM's own observations of the lifetimes whose limit changed after a cursor, and the cursor after
+    /// these.
     pub fn changes_after(
         &self,
         cursor: ChangeCursor,
@@ -199,45 +205,45 @@
         (lifetimes.filter_map(own).collect(), up_to)
     }
 
-    /// The rate that holds for a target.
+    /// Returns the limit that applies to a target.
     pub fn limit(&self, target: &Target) -> Option<RateLimit> {
         self.limit_of(&Lifetime::from(target))
     }
 
-    /// The rate that holds for a lifetime.
+    /// Returns the limit that applies to a lifetime.
     pub fn limit_of(&self, lifetime: &Lifetime) -> Option<RateLimit> {
         self.known.get(lifetime)?.all.limit()
     }
 
-    /// What this VM's own answers say of a lifetime.
+    /// Returns this VM's own observations of a lifetime.
     pub fn own_observations(&self, lifetime: &Lifetime) -> Option<&RateObservations> {
-        self.known.get(lifetime).map(|beliefs| &beliefs.own)
+        self.known.get(lifetime).map(|rates| &rates.own)
     }
 
-    /// Lifetimes with a rate that holds, and when it was last heard.
+    /// Returns the lifetimes to which a limit applies, the limit, and when it was last received.
     pub fn all(&self) -> impl Iterator<Item = (&Lifetime, RateLimit, Instant)> {
-        let first = |(lifetime, beliefs)| {
-            let beliefs: &Beliefs = beliefs;
-            let (limit, at) = beliefs.all.limits().next()?;
+        let first = |(lifetime, rates)| {
+            let rates: &TargetRates = rates;
+            let (limit, at) = rates.all.limits().next()?;
             Some((lifetime, limit, at))
         };
         self.known.iter().filter_map(first)
     }
 
-    /// Forgets lifetimes of which nothing was heard for long.
+    /// Removes the lifetimes whose observations are too old.
     pub fn remove_expired(&mut self, now: Instant) {
-        self.known.retain(|_, beliefs| !beliefs.all.is_old(now));
+        self.known.retain(|_, rates| !rates.all.is_old(now));
     }
 }
 
-impl Beliefs {
-    fn change(&mut self, take: impl FnOnce(&mut RateObservations)) -> Option<RateChange> {
+impl TargetRates {
+    fn change(&mut self, apply: impl FnOnce(&mut RateObservations)) -> Option<RateChange> {
         let before = self.all.limit();
-        take(&mut self.all);
+        apply(&mut self.all);
         let now = self.all.limit();
         let is_change = before != now;
         if is_change {
-            // It was worked out by the rate before.
+            // The hold was computed from the previous limit.
             self.held_until = None;
         }
         is_change.then_some(RateChange { before, now })
--- a/components/eligibility/src/token_buckets.rs
+++ b/components/eligibility/src/token_buckets.rs
@@ -1,60 +1,62 @@
-//! Permits to send one request to a target that named the rate which it takes from all VMs together.
+//! Token buckets that enforce the rate limit which a target announced for all VMs together.
 //!
-//! One VM holds the account of a target, and the others ask it. An account fills by the rate, whoever asks. It
-//! starts with a debt, so that a VM that takes an account over from another one hands out nothing twice.
+//! One VM holds the bucket of a target, and the others ask that VM for permits to send one request each. A bucket
+//! refills at the limit, whoever asks. A new bucket starts with a debt, so that a VM that takes it over from another one
+//! does not grant the same permits again.
 
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
 
 use crate::{Lifetime, RateLimit};
 
-/// Permits that are saved up, so that requests which come in bunches use what the target allows; the part by time
-/// serves high rates, the other one low ones.
-const SAVED: f64 = 2.0;
-/// Time for which the rate is saved up beside these.
-const SAVED_FOR: Duration = Duration::from_millis(250);
-/// A new account hands out nothing for this long: another VM may hold it still, or none asked yet. A peer that says
-/// nothing is taken for gone after as long.
-const TAKEN_OVER: Duration = Duration::from_secs(1);
-/// An account that nobody asked for this long is forgotten: it starts anew, which costs a wait.
-const LIFE: Duration = Duration::from_secs(60);
+/// Permits that a bucket accumulates, so that bursts of requests can use what the target allows. This constant part
+/// serves low rates, [`BURST_TIME`] high ones.
+const BURST: f64 = 2.0;
+/// Time over which a bucket accumulates permits at its rate, in addition to [`BURST`].
+const BURST_TIME: Duration = Duration::from_millis(250);
+/// Time for which a new bucket grants nothing. Another VM may still hold the target's bucket, or no VM has asked for
+/// a permit yet. A silent peer is considered gone after the same time.
+const HANDOVER: Duration = Duration::from_secs(1);
+/// Time after which an unused bucket is removed. A bucket that is created again starts with its debt, so the next
+/// request has to wait.
+const IDLE_TTL: Duration = Duration::from_secs(60);
 
-/// Whether one request may be sent.
+/// Answer to the question whether one request may be sent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Decision {
-    /// It may be, after this time; nobody else gets the same permit.
+    /// It may be sent after this time. The permit is reserved for it.
     Granted(Duration),
-    /// It may not be in the time that it can wait; asked again after this time it might.
+    /// It may not be sent in the time that it can wait. Another attempt after this time may succeed.
     Denied(Duration),
 }
 
 #[derive(Debug)]
-struct Account {
-    /// Permits that are left; below nothing for those that were promised.
+struct TokenBucket {
+    /// Permits that are left; negative if some were granted in advance.
     permits: f64,
-    at: Instant,
+    refilled_at: Instant,
 }
 
-impl Account {
-    fn fill(&mut self, limit: RateLimit, now: Instant) {
-        let time = now.saturating_duration_since(self.at).as_secs_f64();
-        let most = SAVED + limit.per_s() * SAVED_FOR.as_secs_f64();
-        self.permits = (self.permits + limit.per_s() * time).min(most);
-        self.at = now;
+impl TokenBucket {
+    fn refill(&mut self, limit: RateLimit, now: Instant) {
+        let time = now.saturating_duration_since(self.refilled_at).as_secs_f64();
+        let capacity = BURST + limit.per_s() * BURST_TIME.as_secs_f64();
+        self.permits = (self.permits + limit.per_s() * time).min(capacity);
+        self.refilled_at = now;
     }
 
-    /// Time until one whole permit is left.
+    /// Returns the time until one whole permit is left.
     fn wait(&self, limit: RateLimit) -> Duration {
         Duration::from_secs_f64((1.0 - self.permits).max(0.0) / limit.per_s())
     }
 }
 
-/// The accounts that this VM holds, by lifetime.
+/// The token buckets that this VM holds, by lifetime of the target.
 #[derive(Debug, Default)]
-pub struct TokenBuckets(HashMap<Lifetime, Account>);
+pub struct TokenBuckets(HashMap<Lifetime, TokenBucket>);
 
 impl TokenBuckets {
-    /// Asks for a permit for a request that can wait for `within`.
+    /// Requests a permit for a request that can wait for `within`.
     pub fn acquire(
         &mut self,
         lifetime: &Lifetime,
@@ -62,41 +64,47 @@
         within: Duration,
         now: Instant,
     ) -> Decision {
-        let account = self.filled(lifetime, limit, now);
-        let wait = account.wait(limit);
+        let bucket = self.refilled(lifetime, limit, now);
+        let wait = bucket.wait(limit);
         if wait > within {
             return Decision::Denied(wait - within);
         }
-        account.permits -= 1.0;
+        bucket.permits -= 1.0;
         Decision::Granted(wait)
     }
 
-    /// Counts what is sent without asking; gives the time until the next permit is left.
+    /// Counts a request that is sent without a permit; returns the time until the next permit is left.
     pub fn consume(&mut self, lifetime: &Lifetime, limit: RateLimit, now: Instant) -> Duration {
-        let account = self.filled(lifetime, limit, now);
-        account.permits -= 1.0;
-        account.wait(limit)
+        let bucket = self.refilled(lifetime, limit, now);
+        bucket.permits -= 1.0;
+        bucket.wait(limit)
     }
 
-    /// Time until a permit is left.
+    /// Returns the time until a permit is left.
     pub fn wait(&mut self, lifetime: &Lifetime, limit: RateLimit, now: Instant) -> Duration {
-        self.filled(lifetime, limit, now).wait(limit)
+        self.refilled(lifetime, limit, now).wait(limit)
     }
 
-    /// Forgets the account of a lifetime: the next one starts with its debt.
+    /// Removes the bucket of a lifetime. A new one starts with its debt.
     pub fn remove(&mut self, lifetime: &Lifetime) {
         self.0.remove(lifetime);
     }
 
-    /// Forgets accounts that nobody asks for.
+    /// Removes the buckets that are no longer used.
     pub fn remove_expired(&mut self, now: Instant) {
-        self.0.retain(|_, account| now.saturating_duration_since(account.at) < LIFE);
+        self.0.retain(|_, bucket| now.saturating_duration_since(bucket.refilled_at) < IDLE_TTL);
     }
 
-    fn filled(&mut self, lifetime: &Lifetime, limit: RateLimit, now: Instant) -> &mut Account {
-        let begun = || Account { permits: -limit.per_s() * TAKEN_OVER.as_secs_f64(), at: now };
-        let account = self.0.entry(lifetime.clone()).or_insert_with(begun);
-        account.fill(limit, now);
-        account
+    fn refilled(
+        &mut self,
+        lifetime: &Lifetime,
+        limit: RateLimit,
+        now: Instant,
+    ) -> &mut TokenBucket {
+        let new_bucket =
+            || TokenBucket { permits: -limit.per_s() * HANDOVER.as_secs_f64(), refilled_at: now };
+        let bucket = self.0.entry(lifetime.clone()).or_insert_with(new_bucket);
+        bucket.refill(limit, now);
+        bucket
     }
 }
--- a/components/eligibility/tests/cold.rs
+++ b/components/eligibility/tests/cold.rs
@@ -1,5 +1,5 @@
-//! No cold target is sent more than it bears, by fleets of any size that agree on who is there and by
-//! fleets of which two halves know only of themselves.
+//! A cold target never gets more requests than its bound, from fleets of any size whose VMs all know each other and
+//! from fleets that are partitioned into two halves.
 
 use std::time::{Duration, Instant};
 
@@ -10,11 +10,11 @@
 const SECOND: Duration = Duration::from_secs(1);
 
 /// Requests that the whole fleet may send a cold target in a second.
-fn borne(bound: ColdBound) -> usize {
+fn tolerated(bound: ColdBound) -> usize {
     (bound.per_s * bound.overshoot + bound.slack) as usize
 }
 
-/// The senders for a target among some VMs, as they find them: the first by hash.
+/// The senders for a target among some VMs, as each VM determines them: the first ones by rendezvous hashing.
 fn senders(target: u64, vms: &[u64], count: usize) -> Vec<u64> {
     let mut ranked = vms.to_vec();
     ranked.sort_by_key(|vm| std::cmp::Reverse(hashing::combine(target, *vm)));
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn shares_of_fleets_from_six_to_370_vms() {
+fn shares_for_fleets_from_six_to_370_vms() {
     let shared = |vms, targets| {
         let ColdShare { senders, per_sender } = cold_share(BOUND, vms, targets);
         (senders, per_sender)
@@ -33,35 +33,35 @@
     assert_eq!(shared(59, 90), (2, 5));
     assert_eq!(shared(295, 240), (3, 3));
     assert_eq!(shared(370, 740), (2, 5));
-    // Few targets: many VMs send one request each, lest most find none.
+    // With few targets many VMs send one request each, or else most VMs would have no target.
     assert_eq!(shared(59, 4), (10, 1));
     assert_eq!(shared(1, 1), (1, 10));
 }
 
 #[test]
-fn a_target_that_bears_next_to_nothing_still_gets_a_request() {
+fn target_with_a_very_low_bound_still_gets_one_request() {
     let least = ColdBound { per_s: 0.5, overshoot: 1.0, slack: 0.0 };
 
     assert_eq!(cold_share(least, 59, 90), ColdShare { senders: 1, per_sender: 1 });
 }
 
 #[test]
-fn what_a_target_says_and_what_is_assumed_of_it_both_make_it_cold() {
+fn target_is_cold_while_reported_or_assumed() {
     let now = Instant::now();
-    let mut told = ColdState::default();
-    told.set_remaining(SECOND, now);
+    let mut reported = ColdState::default();
+    reported.set_remaining(SECOND, now);
     let mut assumed = ColdState::default();
     assumed.assume_cold(SECOND * 2, now);
-    // Its own word, which may be older than what is assumed, does not end that.
+    // The target's report may be older than the assumption and does not end it.
     assumed.set_remaining(Duration::ZERO, now);
 
-    assert!(told.is_cold(now) && !told.is_cold(now + SECOND));
+    assert!(reported.is_cold(now) && !reported.is_cold(now + SECOND));
     assert!(assumed.is_cold(now + SECOND) && !assumed.is_cold(now + SECOND * 2));
     assert!(!ColdState::default().is_cold(now));
 }
 
 #[test]
-fn requests_that_it_was_sent_just_before_it_turned_cold_count() {
+fn requests_sent_just_before_it_became_cold_count() {
     let now = Instant::now();
     let mut warming = ColdState::default();
     warming.set_share(2);
@@ -76,10 +76,10 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(64))]
 
-    /// Every VM wants to send all that it has to the cold targets of a hall that is back, at any time;
-    /// at each target any second holds no more than the bound, with the fleet split in two as well.
+    /// Every VM sends as much as it may to the cold targets of a restored hall. No target gets more than the bound in
+    /// any second, even if the fleet is partitioned into two halves.
     #[test]
-    fn no_second_holds_more_than_the_bound(
+    fn no_second_exceeds_the_bound(
         vms in 1_usize..400,
         cold in 1_usize..40,
         split in any::<bool>(),
@@ -98,12 +98,12 @@
                 }
             }
             arrivals.sort_unstable();
-            prop_assert!(fullest_second(&arrivals) <= borne(BOUND));
+            prop_assert!(fullest_second(&arrivals) <= tolerated(BOUND));
         }
     }
 }
 
-/// When the requests of a VM arrive that has one every few milliseconds.
+/// Arrival times of the requests of a VM that has one to send every few milliseconds.
 fn sends(per_sender: u32, begin: Instant, seed: u64) -> Vec<Instant> {
     let mut warming = ColdState::default();
     warming.set_remaining(SECOND * 3, begin);
@@ -113,8 +113,8 @@
         let at = begin + Duration::from_millis(step * 5);
         if warming.may_send(at) {
             warming.record_request(at);
-            let way = Duration::from_millis(hashing::combine(seed, step) % 100);
-            arrivals.push(at + way);
+            let delay = Duration::from_millis(hashing::combine(seed, step) % 100);
+            arrivals.push(at + delay);
         }
     }
     arrivals
--- a/components/eligibility/tests/departures.rs
+++ b/components/eligibility/tests/departures.rs
@@ -1,4 +1,4 @@
-//! Words of targets that leave or want to be left alone are merged: the same comes out in any order.
+//! Merging of departures and backoffs that targets announce; the result does not depend on their order.
 
 // A fixture that can't be set up fails its test.
 #![allow(clippy::unwrap_used)]
@@ -12,9 +12,9 @@
 use intent::Target;
 use proptest::prelude::{Just, ProptestConfig, Strategy, any, prop_assert_eq, proptest};
 
-/// Longer than any word is kept.
+/// Longer than any departure is kept.
 const LONG: Duration = Duration::from_secs(601);
-/// More lifetimes than are kept.
+/// More lifetimes than a VM keeps.
 const MANY: u64 = 5000;
 const SECOND: Duration = Duration::from_secs(1);
 
@@ -27,13 +27,14 @@
 }
 
 fn sorted(departures: &Departures) -> Vec<(Lifetime, Instant)> {
-    let mut all: Vec<_> = departures.all().map(|word| (word.lifetime, word.announced_at)).collect();
+    let mut all: Vec<_> =
+        departures.all().map(|departure| (departure.lifetime, departure.announced_at)).collect();
     all.sort();
     all
 }
 
 #[test]
-fn a_word_holds_for_its_lifetime_only() {
+fn departure_applies_to_its_lifetime_only() {
     let now = Instant::now();
     let mut departures = Departures::default();
 
@@ -46,22 +47,22 @@
 }
 
 #[test]
-fn a_peers_word_keeps_none_alive() {
-    let heard = Instant::now();
+fn peers_do_not_keep_an_expired_departure_alive() {
+    let received = Instant::now();
     let (mut first, mut second) = (Departures::default(), Departures::default());
-    first.record(lifetime(None), heard, heard);
-    second.record(lifetime(None), heard, heard + LONG / 2);
+    first.record(lifetime(None), received, received);
+    second.record(lifetime(None), received, received + LONG / 2);
 
-    first.remove_expired(heard + LONG);
-    for Departure { lifetime, announced_at: said } in second.all().collect::<Vec<_>>() {
-        first.record(lifetime, said, heard + LONG);
+    first.remove_expired(received + LONG);
+    for Departure { lifetime, announced_at } in second.all().collect::<Vec<_>>() {
+        first.record(lifetime, announced_at, received + LONG);
     }
 
-    assert_eq!(first.all().count(), 0, "two VMs would tell each other for ever");
+    assert_eq!(first.all().count(), 0, "otherwise two VMs would send it to each other forever");
 }
 
 #[test]
-fn each_change_is_told_once_and_the_oldest_give_way() {
+fn each_departure_is_sent_once_and_the_oldest_are_evicted() {
     let now = Instant::now();
     let mut departures = Departures::default();
     departures.record(lifetime(Some(0)), now, now);
@@ -73,7 +74,7 @@
     let (nothing, _) = departures.changes_after(cursor);
 
     assert_eq!(first.len(), 1);
-    assert_eq!(then.len(), departures.all().count(), "what gave way is not told any more");
+    assert_eq!(then.len(), departures.all().count(), "evicted departures are not sent");
     assert!(then.len() < MANY as usize);
     assert_eq!(then.last().unwrap().lifetime, lifetime(Some(MANY - 1)));
     assert!(nothing.is_empty());
@@ -81,21 +82,21 @@
 }
 
 #[test]
-fn the_word_that_lasts_longest_holds() {
+fn longest_backoff_applies() {
     let now = Instant::now();
-    let mut left_alone = Backoffs::default();
+    let mut backoffs = Backoffs::default();
 
-    assert!(left_alone.record(lifetime(None), now + SECOND * 2));
-    assert!(!left_alone.record(lifetime(None), now + SECOND), "it was overtaken");
+    assert!(backoffs.record(lifetime(None), now + SECOND * 2));
+    assert!(!backoffs.record(lifetime(None), now + SECOND), "a shorter backoff changes nothing");
 
-    assert_eq!(left_alone.until(&target(None)), Some(now + SECOND * 2));
-    assert_eq!(left_alone.until(&target(Some(1))), None);
-    assert_eq!(left_alone.all(now).count(), 1);
-    left_alone.remove_expired(now + SECOND * 2);
-    assert_eq!(left_alone.until(&target(None)), None);
+    assert_eq!(backoffs.until(&target(None)), Some(now + SECOND * 2));
+    assert_eq!(backoffs.until(&target(Some(1))), None);
+    assert_eq!(backoffs.all(now).count(), 1);
+    backoffs.remove_expired(now + SECOND * 2);
+    assert_eq!(backoffs.until(&target(None)), None);
 }
 
-fn words() -> impl Strategy<Value = Vec<(u64, u64)>> {
+fn announcements() -> impl Strategy<Value = Vec<(u64, u64)>> {
     proptest::collection::vec((0u64..6, 0u64..60), 1..40)
 }
 
@@ -103,33 +104,33 @@
     #![proptest_config(ProptestConfig::with_cases(256))]
 
     #[test]
-    fn the_same_comes_out_in_any_order(
-        (words, shuffled) in words().prop_flat_map(|words| {
-            (Just(words.clone()), Just(words).prop_shuffle())
+    fn merging_departures_does_not_depend_on_order(
+        (announcements, shuffled) in announcements().prop_flat_map(|announcements| {
+            (Just(announcements.clone()), Just(announcements).prop_shuffle())
         }),
         split in any::<proptest::sample::Index>(),
     ) {
         let start = Instant::now();
         let now = start + SECOND * 60;
-        let said = |after: &u64| start + SECOND * u32::try_from(*after).unwrap();
-        let merged = |words: &[(u64, u64)]| {
+        let announced_at = |after: &u64| start + SECOND * u32::try_from(*after).unwrap();
+        let merged = |announcements: &[(u64, u64)]| {
             let mut departures = Departures::default();
-            for (born, after) in words {
-                departures.record(lifetime(Some(*born)), said(after), now);
+            for (born, after) in announcements {
+                departures.record(lifetime(Some(*born)), announced_at(after), now);
             }
             departures
         };
-        let (one, other) = (merged(&words), merged(&shuffled));
-        // The same by a peer that heard a part, twice.
+        let (one, other) = (merged(&announcements), merged(&shuffled));
+        // A peer that has one part merges the other part twice.
         let (here, there) = shuffled.split_at(split.index(shuffled.len()));
-        let mut told = merged(here);
+        let mut peer = merged(here);
         for _ in 0..2 {
-            for Departure { lifetime, announced_at: said } in merged(there).all() {
-                told.record(lifetime, said, now);
+            for Departure { lifetime, announced_at } in merged(there).all() {
+                peer.record(lifetime, announced_at, now);
             }
         }
 
         prop_assert_eq!(sorted(&one), sorted(&other));
-        prop_assert_eq!(sorted(&one), sorted(&told));
+        prop_assert_eq!(sorted(&one), sorted(&peer));
     }
 }
--- a/components/eligibility/tests/halls.rs
+++ b/components/eligibility/tests/halls.rs
@@ -1,4 +1,4 @@
-//! What the state of its hall and its own entry allow a target to be sent.
+//! Eligibility of a target by the state of its hall and by its own announcements.
 
 // A fixture that can't be set up fails its test.
 #![allow(clippy::unwrap_used)]
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn only_what_is_open_or_out_of_reach_may_be_sent_anything() {
+fn only_open_and_out_of_reach_targets_are_allowed() {
     let allowed = [
         (Eligibility::Open, true),
         (Eligibility::OutOfReach, true),
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn what_operators_say_goes_before_what_is_observed() {
+fn evacuation_and_departure_take_precedence_over_reachability() {
     let now = Instant::now();
     let mut halls = Halls::default();
     halls.set_out_of_reach([hall("a")].into());
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn an_evacuation_counts_once_and_ends_once() {
+fn evacuating_and_restoring_a_hall_report_whether_it_changed() {
     let now = Instant::now();
     let mut halls = Halls::default();
 
@@ -61,24 +61,28 @@
 }
 
 #[test]
-fn a_target_that_wants_to_be_left_alone_opens_again_by_itself() {
+fn target_opens_again_when_its_backoff_ends() {
     let now = Instant::now();
     let until = now + Duration::from_secs(1);
     let mut halls = Halls::default();
-    let wants = Target { left_alone_until: Some(until), ..target("a") };
-    let leaving = Target { leaving: true, ..wants.clone() };
+    let backed_off = Target { left_alone_until: Some(until), ..target("a") };
+    let leaving = Target { leaving: true, ..backed_off.clone() };
 
-    assert_eq!(halls.eligibility(&wants, now), Eligibility::BackedOff);
-    assert_eq!(halls.opens_at(&wants, now), Some(until));
-    assert_eq!(halls.eligibility(&wants, until), Eligibility::Open);
-    assert_eq!(halls.opens_at(&wants, until), Some(until));
+    assert_eq!(halls.eligibility(&backed_off, now), Eligibility::BackedOff);
+    assert_eq!(halls.opens_at(&backed_off, now), Some(until));
+    assert_eq!(halls.eligibility(&backed_off, until), Eligibility::Open);
+    assert_eq!(halls.opens_at(&backed_off, until), Some(until));
     assert_eq!(halls.opens_at(&leaving, now), None);
     halls.set_out_of_reach([hall("a")].into());
-    assert_eq!(halls.eligibility(&wants, now), Eligibility::BackedOff, "also as the last one left");
+    assert_eq!(
+        halls.eligibility(&backed_off, now),
+        Eligibility::BackedOff,
+        "the backoff outweighs the unreachable hall"
+    );
 }
 
 #[test]
-fn a_target_at_its_rate_is_sent_nothing_until_it_takes_more() {
+fn target_at_its_rate_limit_opens_again_when_the_limit_allows() {
     let now = Instant::now();
     let (halls, until) = (Halls::default(), now + Duration::from_secs(1));
     let limited = Target { limited_until: Some(until), ..target("a") };
@@ -89,5 +93,5 @@
     assert_eq!(halls.opens_at(&limited, now), Some(until));
     assert_eq!(halls.eligibility(&limited, until), Eligibility::Open);
     assert_eq!(halls.eligibility(&both, now), Eligibility::BackedOff);
-    assert_eq!(halls.opens_at(&both, now), Some(later), "whichever lasts longer");
+    assert_eq!(halls.opens_at(&both, now), Some(later), "the later end counts");
 }
--- a/components/eligibility/tests/rates.rs
+++ b/components/eligibility/tests/rates.rs
@@ -1,4 +1,5 @@
-//! Rates that targets name are merged: the same comes out in any order, and the latest word holds.
+//! Merging of the rate limits that targets announce: the result does not depend on the order, and the latest
+//! announcement applies.
 
 // A fixture that can't be set up fails its test.
 #![allow(clippy::unwrap_used)]
@@ -26,52 +27,56 @@
     Target { born: Some(born), ..support::target("a") }
 }
 
-/// An answer to a call sent and heard so many milliseconds after the start.
-fn sighting(start: Instant, limit: Option<f64>, sent: u64, heard: u64) -> RateObservation {
+/// Observation from an answer; `sent` and `received` are milliseconds after the start.
+fn observation(start: Instant, limit: Option<f64>, sent: u64, received: u64) -> RateObservation {
     let at = |ms| start + Duration::from_millis(ms);
-    RateObservation { limit: limit.map(rate), sent: at(sent), heard: at(heard) }
+    RateObservation { limit: limit.map(rate), sent: at(sent), received: at(received) }
 }
 
-fn belief(sightings: &[RateObservation]) -> RateObservations {
-    let mut belief = RateObservations::default();
-    sightings.iter().for_each(|sighting| belief.record(*sighting));
-    belief
+fn merged(observations: &[RateObservation]) -> RateObservations {
+    let mut merged = RateObservations::default();
+    observations.iter().for_each(|observation| merged.record(*observation));
+    merged
 }
 
 #[test]
-fn what_is_no_rate_is_none_and_the_others_are_held_within_bounds() {
+fn invalid_rates_are_rejected_and_valid_ones_are_clamped() {
     let read = |per_s: f64| RateLimit::new(per_s).map(RateLimit::per_s);
 
     assert_eq!(read(1.0), Some(1.0));
     assert_eq!(read(0.25), Some(0.25));
-    assert_eq!(read(0.0), Some(0.05), "it is asked now and then, or the end would not be heard");
+    assert_eq!(
+        read(0.0),
+        Some(0.05),
+        "a target with rate zero still gets some requests, which show when the limit ends"
+    );
     assert_eq!(read(1e300), Some(1e6));
     assert_eq!(read(-1.0), None);
     assert_eq!(read(f64::NAN), None);
 }
 
 #[test]
-fn an_answer_ends_what_was_heard_before_its_call_was_sent() {
+fn answer_supersedes_limits_received_before_its_call_was_sent() {
     let start = Instant::now();
-    let named = sighting(start, Some(1.0), 0, 10);
+    let named = observation(start, Some(1.0), 0, 10);
 
-    let later = belief(&[named, sighting(start, None, 20, 30)]);
-    let overtaken = belief(&[named, sighting(start, None, 5, 30)]);
-    let raised = belief(&[named, sighting(start, Some(4.0), 20, 30)]);
-    let either = belief(&[named, sighting(start, Some(4.0), 5, 30)]);
+    let later = merged(&[named, observation(start, None, 20, 30)]);
+    let overtaken = merged(&[named, observation(start, None, 5, 30)]);
+    let raised = merged(&[named, observation(start, Some(4.0), 20, 30)]);
+    let either = merged(&[named, observation(start, Some(4.0), 5, 30)]);
 
     assert_eq!(later.limit(), None);
-    assert_eq!(overtaken.limit(), Some(rate(1.0)), "which answer is the later one is not known");
+    assert_eq!(overtaken.limit(), Some(rate(1.0)), "it is unknown which answer is the later one");
     assert_eq!(raised.limit(), Some(rate(4.0)));
     assert_eq!(either.limit(), Some(rate(1.0)));
 }
 
 #[test]
-fn a_later_lifetime_is_clean() {
+fn limit_does_not_apply_to_a_later_lifetime() {
     let start = Instant::now();
     let mut limits = RateLimits::default();
 
-    let change = limits.record(lifetime(1), sighting(start, Some(2.0), 0, 1)).unwrap();
+    let change = limits.record(lifetime(1), observation(start, Some(2.0), 0, 1)).unwrap();
 
     assert_eq!((change.before, change.now), (None, Some(rate(2.0))));
     assert_eq!(limits.limit(&target(1)), Some(rate(2.0)));
@@ -82,20 +87,20 @@
 }
 
 #[test]
-fn what_peers_told_is_not_told_on() {
+fn observations_of_peers_are_not_forwarded() {
     let start = Instant::now();
     let mut limits = RateLimits::default();
 
-    let change = limits.merge_peer(lifetime(1), &belief(&[sighting(start, Some(2.0), 0, 1)]));
+    let change = limits.merge_peer(lifetime(1), &merged(&[observation(start, Some(2.0), 0, 1)]));
 
     assert_eq!(change.unwrap().now, Some(rate(2.0)));
     assert_eq!(limits.own_observations(&lifetime(1)).unwrap(), &RateObservations::default());
 }
 
-type Words = Vec<(Option<u8>, u64, u64)>;
+type Announcements = Vec<(Option<u8>, u64, u64)>;
 
-/// Rates, when each call was sent, and how long its answer took, in milliseconds.
-fn words() -> impl Strategy<Value = Words> {
+/// Announced limits, when each call was sent, and how long its answer took, in milliseconds.
+fn announcements() -> impl Strategy<Value = Announcements> {
     proptest::collection::vec((proptest::option::of(1u8..5), 0u64..500, 0u64..100), 1..40)
 }
 
@@ -103,52 +108,53 @@
     #![proptest_config(ProptestConfig::with_cases(256))]
 
     #[test]
-    fn the_same_comes_out_in_any_order_and_at_whoever_is_told(
-        (words, shuffled) in words().prop_flat_map(|words| {
-            (Just(words.clone()), Just(words).prop_shuffle())
+    fn merging_observations_does_not_depend_on_order_or_receiver(
+        (announcements, shuffled) in announcements().prop_flat_map(|announcements| {
+            (Just(announcements.clone()), Just(announcements).prop_shuffle())
         }),
         split in any::<proptest::sample::Index>(),
     ) {
         let start = Instant::now();
-        let sightings = |words: &Words| -> Vec<RateObservation> {
+        let observations = |announcements: &Announcements| -> Vec<RateObservation> {
             let of = |(limit, sent, took): &(Option<u8>, u64, u64)| {
-                sighting(start, limit.map(f64::from), *sent, sent + took)
+                observation(start, limit.map(f64::from), *sent, sent + took)
             };
-            words.iter().map(of).collect()
+            announcements.iter().map(of).collect()
         };
-        let (one, other) = (sightings(&words), sightings(&shuffled));
+        let (one, other) = (observations(&announcements), observations(&shuffled));
         let (here, there) = other.split_at(split.index(other.len()));
-        let mut told = belief(here);
+        let mut peer = merged(here);
         for _ in 0..2 {
-            let there = belief(there);
-            told.merge(&RateObservations::from_parts(there.latest_sent(), there.limits()));
+            let there = merged(there);
+            peer.merge(&RateObservations::from_parts(there.latest_sent(), there.limits()));
         }
 
-        prop_assert_eq!(&belief(&one), &belief(&other));
-        prop_assert_eq!(&belief(&one), &told);
+        prop_assert_eq!(&merged(&one), &merged(&other));
+        prop_assert_eq!(&merged(&one), &peer);
     }
 
-    /// A target that names a rate for a while: whoever was answered last, by a call sent after the change,
-    /// believes what it says then.
+    /// A target announces changing limits. The limit that a VM derives is never above the one that the target announced
+    /// in its latest answer.
     #[test]
-    fn the_belief_is_never_above_what_the_target_said_last(
-        words in words(),
+    fn limit_is_never_above_the_latest_announced_one(
+        announcements in announcements(),
         changes in proptest::collection::vec(proptest::option::of(1u8..5), 6),
     ) {
         let start = Instant::now();
-        // What the target says at each moment; an answer is given somewhere between its sending and its hearing.
-        let says = |at: u64| changes[(at / 100).min(5) as usize];
-        let mut seen = RateObservations::default();
+        // The limit that the target announces at each time. An answer is produced between the sending of its call and
+        // the receipt of the answer.
+        let announced = |at: u64| changes[(at / 100).min(5) as usize];
+        let mut rates = RateObservations::default();
         let mut last = None;
-        for (_, sent, took) in words {
+        for (_, sent, took) in announcements {
             let given = sent + took / 2;
-            let limit = says(given).map(f64::from);
-            seen.record(sighting(start, limit, sent, sent + took));
-            last = last.max(Some((given, says(given))));
+            let limit = announced(given).map(f64::from);
+            rates.record(observation(start, limit, sent, sent + took));
+            last = last.max(Some((given, announced(given))));
         }
 
-        let said = last.and_then(|(_, limit)| limit).map(|limit| rate(f64::from(limit)));
-        let holds = seen.limit();
-        prop_assert!(said.is_none() || holds.is_some_and(|holds| Some(holds) <= said), "{holds:?} {said:?}");
+        let expected = last.and_then(|(_, limit)| limit).map(|limit| rate(f64::from(limit)));
+        let limit = rates.limit();
+        prop_assert!(expected.is_none() || limit.is_some_and(|limit| Some(limit) <= expected), "limit {limit:?}, expected {expected:?}");
     }
 }
--- a/components/eligibility/tests/support/mod.rs
+++ b/components/eligibility/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! Targets that tests of this component ask about.
+//! Targets for the tests of this crate.
 
 // A fixture that can't be set up fails its test.
 #![allow(clippy::unwrap_used)]
@@ -8,7 +8,7 @@
 use ids::{HallName, ServiceName, TargetName};
 use intent::Target;
 
-/// A target of a hall that says nothing of itself.
+/// Returns a target in a hall that has announced nothing.
 pub fn target(hall: &str) -> Target {
     Target {
         id: TargetName::new("t").unwrap(),
--- a/components/eligibility/tests/token_buckets.rs
+++ b/components/eligibility/tests/token_buckets.rs
@@ -1,4 +1,4 @@
-//! Permits: never more than a rate allows, whoever asks, and nearly all that it allows.
+//! Token buckets grant no more permits than the rate limit allows, whoever asks, and nearly all of these.
 
 // A fixture that can't be set up fails its test.
 #![allow(clippy::unwrap_used)]
@@ -9,12 +9,12 @@
 use ids::TargetName;
 use proptest::prelude::{ProptestConfig, prop_assert, proptest};
 
-/// The span in which what a target gets is counted.
-const SPAN: Duration = Duration::from_secs(4);
-/// For how long requests come.
+/// Window in which the requests to a target are counted.
+const WINDOW: Duration = Duration::from_secs(4);
+/// Time for which requests arrive.
 const LOAD: Duration = Duration::from_secs(40);
-/// For how long two VMs may hold an account after one fell silent, or a link was lost.
-const BOTH: Duration = Duration::from_secs(1);
+/// Time for which two VMs may both hold a bucket after one became silent or a link was lost.
+const OVERLAP: Duration = Duration::from_secs(1);
 
 fn lifetime() -> Lifetime {
     Lifetime { target: TargetName::new("t").unwrap(), born: None }
@@ -24,30 +24,30 @@
     RateLimit::new(per_s).unwrap()
 }
 
-/// What a target bears within the span.
-fn borne(per_s: f64) -> usize {
-    (1.5 * per_s * SPAN.as_secs_f64() + 5.0) as usize
+/// Requests that a target tolerates within the window.
+fn tolerated(per_s: f64) -> usize {
+    (1.5 * per_s * WINDOW.as_secs_f64() + 5.0) as usize
 }
 
-fn most_within(span: Duration, sent: &[Instant]) -> usize {
+fn most_within(window: Duration, sent: &[Instant]) -> usize {
     let within =
-        |first: &Instant| sent.iter().filter(|at| (*first..*first + span).contains(at)).count();
+        |first: &Instant| sent.iter().filter(|at| (*first..*first + window).contains(at)).count();
     sent.iter().map(within).max().unwrap_or(0)
 }
 
 #[test]
-fn an_account_starts_with_a_debt_and_fills_by_the_rate() {
+fn bucket_starts_with_a_debt_and_refills_at_the_rate() {
     let start = Instant::now();
-    let mut accounts = TokenBuckets::default();
+    let mut buckets = TokenBuckets::default();
     let mut ask = |after: u64| {
         let at = start + Duration::from_millis(after);
-        accounts.acquire(&lifetime(), rate(2.0), Duration::ZERO, at)
+        buckets.acquire(&lifetime(), rate(2.0), Duration::ZERO, at)
     };
 
     assert_eq!(ask(0), Decision::Denied(Duration::from_millis(1500)));
     assert_eq!(ask(1500), Decision::Granted(Duration::ZERO));
     assert!(matches!(ask(1600), Decision::Denied(_)));
-    // Two and a half are saved up, however long nobody asked.
+    // The bucket holds at most two and a half permits, however long nobody asked.
     assert_eq!(ask(30_000), Decision::Granted(Duration::ZERO));
     assert_eq!(ask(30_000), Decision::Granted(Duration::ZERO));
     assert_eq!(ask(30_250), Decision::Granted(Duration::ZERO));
@@ -55,11 +55,11 @@
 }
 
 #[test]
-fn a_request_that_can_wait_gets_the_next_permit_for_itself() {
+fn request_that_can_wait_reserves_the_next_permit() {
     let start = Instant::now();
-    let mut accounts = TokenBuckets::default();
+    let mut buckets = TokenBuckets::default();
     let mut ask =
-        |within| accounts.acquire(&lifetime(), rate(2.0), Duration::from_millis(within), start);
+        |within| buckets.acquire(&lifetime(), rate(2.0), Duration::from_millis(within), start);
 
     assert_eq!(ask(2200), Decision::Granted(Duration::from_millis(1500)));
     assert_eq!(ask(2200), Decision::Granted(Duration::from_secs(2)));
@@ -67,35 +67,35 @@
 }
 
 #[test]
-fn what_is_sent_without_asking_is_counted() {
+fn requests_sent_without_a_permit_are_counted() {
     let now = Instant::now();
-    let mut accounts = TokenBuckets::default();
+    let mut buckets = TokenBuckets::default();
 
-    assert_eq!(accounts.consume(&lifetime(), rate(1.0), now), Duration::from_secs(3));
-    assert_eq!(accounts.wait(&lifetime(), rate(1.0), now), Duration::from_secs(3));
-    accounts.remove_expired(now + LOAD * 2);
-    assert_eq!(accounts.wait(&lifetime(), rate(1.0), now), Duration::from_secs(2));
+    assert_eq!(buckets.consume(&lifetime(), rate(1.0), now), Duration::from_secs(3));
+    assert_eq!(buckets.wait(&lifetime(), rate(1.0), now), Duration::from_secs(3));
+    buckets.remove_expired(now + LOAD * 2);
+    assert_eq!(buckets.wait(&lifetime(), rate(1.0), now), Duration::from_secs(2));
 }
 
-/// When each VM begins to hold the account, and until when it is asked: for a while also by those who have not heard
-/// of the next one.
+/// When each VM begins to hold the bucket, and until when it is asked. For a while it is still asked by VMs that have
+/// not learned of the next holder.
 fn holders(pauses: &[u64]) -> Vec<(Duration, Duration)> {
     let mut begins = vec![Duration::ZERO];
     for pause in pauses {
         let last = begins[begins.len() - 1];
         begins.push(last + Duration::from_millis(*pause));
     }
-    let ends = begins.iter().skip(1).map(|next| *next + BOTH).chain([LOAD * 2]);
+    let ends = begins.iter().skip(1).map(|next| *next + OVERLAP).chain([LOAD * 2]);
     begins.iter().copied().zip(ends).collect()
 }
 
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(64))]
 
-    /// VMs ask in any order while the account goes from one VM to the next, each time with a while in which some
-    /// ask the one before.
+    /// VMs ask in any order while the bucket is handed over from one VM to the next. After each handover some VMs ask
+    /// the previous holder for a while.
     #[test]
-    fn a_target_gets_what_it_bears_and_nearly_all_that_it_takes(
+    fn target_never_gets_more_than_it_tolerates_and_nearly_its_full_rate(
         per_s in 0.2f64..60.0,
         pauses in proptest::collection::vec(1u64..2000, 64),
         handovers in proptest::collection::vec(1000u64..15_000, 0..8),
@@ -104,9 +104,9 @@
         let start = Instant::now();
         let (limit, within) = (rate(per_s), Duration::from_millis(patience));
         let holders = holders(&handovers);
-        let mut accounts: Vec<TokenBuckets> = holders.iter().map(|_| TokenBuckets::default()).collect();
+        let mut buckets: Vec<TokenBuckets> = holders.iter().map(|_| TokenBuckets::default()).collect();
         let mut sent = Vec::new();
-        // Twice as many ask as are allowed.
+        // Requests arrive at twice the rate limit.
         let mean = Duration::from_secs_f64(0.5 / per_s);
         let (mut at, mut asked) = (Duration::ZERO, 0);
         while at < LOAD {
@@ -115,16 +115,16 @@
             let asks = |(begin, end): &(Duration, Duration)| (*begin..*end).contains(&at);
             let held: Vec<usize> = (0..holders.len()).filter(|n| asks(&holders[*n])).collect();
             let holder = held[asked % held.len()];
-            let decision = accounts[holder].acquire(&lifetime(), limit, within, start + at);
+            let decision = buckets[holder].acquire(&lifetime(), limit, within, start + at);
             if let Decision::Granted(wait) = decision {
                 sent.push(start + at + wait);
             }
         }
         sent.sort_unstable();
 
-        let most = most_within(SPAN, &sent);
-        prop_assert!(most <= borne(per_s), "{most} where {} are borne", borne(per_s));
-        // Each handover costs the debt of a new account, and what had been saved up at the one before.
+        let most = most_within(WINDOW, &sent);
+        prop_assert!(most <= tolerated(per_s), "{most} sent, {} tolerated", tolerated(per_s));
+        // Each handover costs the debt of a new bucket and the permits accumulated in the previous one.
         let handed_over = handovers.len() as f64;
         let held = LOAD.as_secs_f64() - 1.0 - handed_over;
         let allowed = (per_s * held.max(0.0) * 0.85 - handed_over - 2.0).max(0.0);
--- a/gateway/src/target_words.rs
+++ b/gateway/src/target_words.rs
@@ -90,7 +90,7 @@
             return;
         }
     };
-    let sighting = RateObservation { limit, sent, heard: now() };
+    let sighting = RateObservation { limit, sent, received: now() };
     let changed = app.hub.with(|shared, now| shared.take_rate(target, sighting, now));
     if changed {
         rates_changed(app);
