--- a/components/eligibility/src/rates.rs
+++ b/components/eligibility/src/rates.rs
@@ -1,9 +1,9 @@
 //! Rate limits that targets announce in their answers, and the one that applies to each target.
 //!
 //! Answers overtake each other. A limit falls, rises, and ends with an answer that announces none. An answer was
-//! produced at some time between the sending of its call and the receipt of its head. It therefore supersedes the limits
-//! that were received before its call was sent, and no others. Of the limits that remain, the lowest applies. Merging
-//! observations is commutative and idempotent, so all VMs that have the same observations get the same result.
+//! produced at some time between the sending of its call and the receipt of its head. It therefore supersedes the
+//! limits that were received before its call was sent, and no others. Of the limits that remain, the lowest applies.
+//! Merging observations is commutative and idempotent, so all VMs with the same observations get the same result.
 
 use std::collections::{BTreeMap, HashMap};
 use std::time::{Duration, Instant};
--- a/components/eligibility/src/token_buckets.rs
+++ b/components/eligibility/src/token_buckets.rs
@@ -1,8 +1,8 @@
 //! Token buckets that enforce the rate limit which a target announced for all VMs together.
 //!
 //! One VM holds the bucket of a target, and the others ask that VM for permits to send one request each. A bucket
-//! refills at the limit, whoever asks. A new bucket starts with a debt, so that a VM that takes it over from another one
-//! does not grant the same permits again.
+//! refills at the limit, whoever asks. A new bucket starts with a debt, so that a VM that takes it over from another
+//! one does not grant the same permits again.
 
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
--- a/components/eligibility/tests/rates.rs
+++ b/components/eligibility/tests/rates.rs
@@ -155,6 +155,6 @@
 
         let expected = last.and_then(|(_, limit)| limit).map(|limit| rate(f64::from(limit)));
         let limit = rates.limit();
-        prop_assert!(expected.is_none() || limit.is_some_and(|limit| Some(limit) <= expected), "limit {limit:?}, expected {expected:?}");
+        prop_assert!(expected.is_none() || limit.is_some_and(|limit| Some(limit) <= expected), "{limit:?} {expected:?}");
     }
 }
--- a/components/quarantine/src/table.rs
+++ b/components/quarantine/src/table.rs
@@ -1,7 +1,7 @@
 //! Records of requests that crashed targets, of those that are refused, and of the changes that VMs exchange.
 //!
 //! A request that crashed enough targets is refused at all VMs. An inference engine runs dozens of requests at once,
-//! and all of them fail when it crashes. The one that caused the crash is told from these bystanders by completions:
+//! and all of them fail when it crashes. The one that caused the crash differs from these bystanders by completions:
 //! a bystander does not meet several crashes without completing before, between or after them, and one completion
 //! at any VM clears it.
 
--- a/components/quarantine/tests/table.rs
+++ b/components/quarantine/tests/table.rs
@@ -146,9 +146,9 @@
 
     let before_end = now + RULES.duration - Duration::from_secs(1);
     vm.note_refusal(&fatal, before_end);
-    let kept = now + RULES.duration + Duration::from_secs(1);
-    vm.remove_expired(kept);
-    let still = vm.refused_for(&fatal, kept);
+    let later = now + RULES.duration + Duration::from_secs(1);
+    vm.remove_expired(later);
+    let still = vm.refused_for(&fatal, later);
     let over = before_end + RULES.duration + Duration::from_secs(1);
     vm.remove_expired(over);
 
@@ -162,10 +162,10 @@
     let (mut vm, fatal, now) = (vm(), digest(0), Instant::now());
     crash(&mut vm, fatal, 1, now);
 
-    let (first, told) = vm.changes_after(Cursor::default());
-    let (nothing, told) = vm.changes_after(told);
+    let (first, cursor) = vm.changes_after(Cursor::default());
+    let (nothing, cursor) = vm.changes_after(cursor);
     crash(&mut vm, fatal, 2, now);
-    let (second, _) = vm.changes_after(told);
+    let (second, _) = vm.changes_after(cursor);
 
     assert_eq!((first.len(), nothing.len(), second.len()), (1, 0, 1));
 }
@@ -278,12 +278,12 @@
     /// One heartbeat: each VM sends all its changes to both neighbours.
     fn heartbeat(&mut self) {
         self.now += PROPAGATION;
-        let told: Vec<Vec<Crash>> =
+        let changes: Vec<Vec<Crash>> =
             self.vms.iter().map(|vm| vm.changes_after(Cursor::default()).0).collect();
         let count = self.vms.len();
         for (index, vm) in self.vms.iter_mut().enumerate() {
-            vm.merge(&told[(index + 1) % count], self.now);
-            vm.merge(&told[(index + count - 1) % count], self.now);
+            vm.merge(&changes[(index + 1) % count], self.now);
+            vm.merge(&changes[(index + count - 1) % count], self.now);
         }
     }
 }
@@ -300,11 +300,11 @@
 
     #[test]
     fn merging_crashes_does_not_depend_on_order(
-        told in prop::collection::vec((0..3usize, 0..6u64, any::<bool>()), 0..40),
+        reports in prop::collection::vec((0..3usize, 0..6u64, any::<bool>()), 0..40),
         seed in any::<u64>(),
     ) {
         let now = Instant::now();
-        let crashes: Vec<Crash> = told
+        let crashes: Vec<Crash> = reports
             .iter()
             .map(|(of, birth, cleared)| Crash {
                 digest: digest(*of),
