--- a/components/catalogue/src/check.rs
+++ b/components/catalogue/src/check.rs
@@ -1,4 +1,4 @@
-//! Checks of a whole catalogue before it is accepted.
+//! Validation of a complete catalogue before it is accepted.
 
 use std::collections::BTreeSet;
 
@@ -6,15 +6,16 @@
 
 use crate::{Catalogue, Selector, Service, Stage};
 
-/// Most stages of a service.
+/// Maximum number of stages in a service.
 pub const MAX_STAGES: usize = 16;
-/// Most slots of a target.
+/// Maximum number of slots of a target.
 pub const MAX_SLOTS: u32 = 4096;
 
-/// Checks what no single document can show: names that repeat, selectors that match nothing.
+/// Validates value ranges and the rules that span documents, such as unique names and addresses and
+/// selectors that match at least one target.
 ///
 /// # Errors
-/// `BadInput` for the first fault, with the object and field as its place.
+/// `BadInput` for the first problem, with the object and field as its place.
 pub fn check(catalogue: &Catalogue) -> Result<()> {
     catalogue.services.values().try_for_each(|s| check_service(catalogue, s))?;
     check_targets(catalogue)?;
--- a/components/catalogue/src/diff.rs
+++ b/components/catalogue/src/diff.rs
@@ -1,4 +1,4 @@
-//! What one catalogue has that another has not.
+//! Differences between two catalogues.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -7,39 +7,40 @@
 
 use crate::{Catalogue, Document, ObjectKey};
 
-/// What happened to an object.
+/// Kind of difference.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum ChangeKind {
-    /// It is new.
+    /// The object is new.
     Added,
-    /// It was there with other content.
+    /// The object had other content before.
     Changed,
-    /// It is gone.
+    /// The object no longer exists.
     Removed,
 }
 
-/// One object that differs.
+/// A difference in one object.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct Change {
-    /// What happened.
+    /// Kind of difference of the object.
     pub kind: ChangeKind,
-    /// To which object.
+    /// Object that differs.
     pub object: ObjectKey,
 }
 
 impl fmt::Display for Change {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let sign = match self.kind {
+        let symbol = match self.kind {
             ChangeKind::Added => '+',
             ChangeKind::Changed => '~',
             ChangeKind::Removed => '-',
         };
-        write!(f, "{sign} {}", self.object)
+        write!(f, "{symbol} {}", self.object)
     }
 }
 
-/// The objects that differ, by key.
+/// Lists the objects that differ: the removed ones first, then the added and changed ones, each
+/// sorted by key.
 pub fn diff(before: &Catalogue, after: &Catalogue) -> Vec<Change> {
     let index = |c: &Catalogue| -> BTreeMap<ObjectKey, Document> {
         c.documents().map(|d| (d.key(), d)).collect()
@@ -49,7 +50,7 @@
         .keys()
         .filter(|key| !after.contains_key(*key))
         .map(|key| Change { kind: ChangeKind::Removed, object: key.clone() });
-    let others = after.iter().filter_map(|(key, document)| {
+    let added_or_changed = after.iter().filter_map(|(key, document)| {
         let kind = match before.get(key) {
             None => ChangeKind::Added,
             Some(old) if old != document => ChangeKind::Changed,
@@ -57,5 +58,5 @@
         };
         Some(Change { kind, object: key.clone() })
     });
-    removed.chain(others).collect()
+    removed.chain(added_or_changed).collect()
 }
--- a/components/catalogue/src/documents.rs
+++ b/components/catalogue/src/documents.rs
@@ -1,4 +1,5 @@
-//! Operators' YAML: one object a document, its kind as the only key.
+//! YAML documents of the configuration: one object per document, with its kind as the only
+//! top-level key.
 
 use std::fmt;
 
@@ -7,27 +8,27 @@
 
 use crate::{Customer, Service, Target};
 
-/// One object as operators write it.
+/// One object of the configuration, as written in YAML.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Document {
-    /// A pipeline.
+    /// A pipeline of stages.
     Service(Service),
-    /// A back end.
+    /// A target (back end).
     Target(Target),
-    /// Somebody on whose behalf requests come.
+    /// A customer (tenant) on whose behalf requests are made.
     Customer(Customer),
 }
 
-/// Kinds of objects.
+/// Kind of a configuration object.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum ObjectKind {
-    /// A pipeline.
+    /// A pipeline of stages.
     Service,
-    /// A back end.
+    /// A target (back end).
     Target,
-    /// Somebody on whose behalf requests come.
+    /// A customer (tenant) on whose behalf requests are made.
     Customer,
 }
 
@@ -36,7 +37,7 @@
     pub const ALL: [ObjectKind; 3] =
         [ObjectKind::Service, ObjectKind::Target, ObjectKind::Customer];
 
-    /// The kind's name in YAML and on the command line.
+    /// Name of the kind in YAML and on the command line.
     pub fn as_str(self) -> &'static str {
         match self {
             ObjectKind::Service => "service",
@@ -46,10 +47,10 @@
     }
 }
 
-/// Kind and name of an object.
+/// Identifies an object by its kind and name.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ObjectKey {
-    /// Kind.
+    /// Kind of the object.
     pub kind: ObjectKind,
     /// Name, unique within the kind.
     pub name: String,
@@ -73,21 +74,21 @@
 }
 
 impl Document {
-    /// Kind and name.
+    /// The key that identifies the object.
     pub fn key(&self) -> ObjectKey {
         let (kind, name) = match self {
-            Document::Service(x) => (ObjectKind::Service, x.name.as_str()),
-            Document::Target(x) => (ObjectKind::Target, x.name.as_str()),
-            Document::Customer(x) => (ObjectKind::Customer, x.name.as_str()),
+            Document::Service(object) => (ObjectKind::Service, object.name.as_str()),
+            Document::Target(object) => (ObjectKind::Target, object.name.as_str()),
+            Document::Customer(object) => (ObjectKind::Customer, object.name.as_str()),
         };
         ObjectKey { kind, name: name.to_owned() }
     }
 }
 
-/// Reads the documents of one YAML text.
+/// Parses a YAML text of one or more documents.
 ///
 /// # Errors
-/// `BadInput` with line and column of the first thing that can't be taken.
+/// `BadInput` with line and column of the first problem.
 pub fn parse_documents(text: &str) -> Result<Vec<Document>> {
     serde_saphyr::from_multiple::<Document>(text).map_err(|e| {
         let place =
@@ -96,10 +97,10 @@
     })
 }
 
-/// One object as operators write it.
+/// Writes one object as a YAML document.
 ///
 /// # Errors
-/// `BadInput` if the object can't be written as YAML.
+/// `BadInput` if the object can't be serialized.
 pub fn to_yaml(document: &Document) -> Result<String> {
     serde_saphyr::to_string(document)
         .map_err(|e| Error::bad_input(document.key().to_string(), e.to_string()))
--- a/components/catalogue/src/lib.rs
+++ b/components/catalogue/src/lib.rs
@@ -1,7 +1,8 @@
-//! What operators declare: services with stages, targets, customers, labels and selectors.
+//! The configuration that operators declare: services with stages, targets, customers, labels and
+//! selectors.
 //!
-//! A [`Catalogue`] is one revision's whole content. It is checked before it is accepted, so the
-//! rest of the system can rely on every name that it mentions.
+//! A [`Catalogue`] is the complete configuration of one revision. It is validated before it is
+//! accepted, so the rest of the system can rely on every name in it.
 
 mod check;
 mod diff;
@@ -20,19 +21,19 @@
 use serde::{Deserialize, Serialize};
 use sha2::{Digest, Sha256};
 
-/// A pipeline that callers ask for by name.
+/// A pipeline of stages that callers request by name.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Service {
-    /// Name in the caller's URL.
+    /// Name, which is part of the URL that callers use.
     pub name: ServiceName,
-    /// Labels of the service itself.
+    /// Labels of the service.
     #[serde(default, skip_serializing_if = "Labels::is_empty")]
     pub labels: Labels,
-    /// Priority of a request that names none.
+    /// Priority of requests that don't name one.
     #[serde(default)]
     pub priority: Priority,
-    /// The stages, in the order in which they run; each takes the output of the one before.
+    /// Stages in order of execution; each receives the output of the previous one.
     pub stages: Vec<Stage>,
 }
 
@@ -40,70 +41,73 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Stage {
-    /// Name, unique within the service; also the path at the target.
+    /// Name, unique within the service; also part of the request path at the target.
     pub name: StageName,
-    /// Labels of the stage itself.
+    /// Labels of the stage.
     #[serde(default, skip_serializing_if = "Labels::is_empty")]
     pub labels: Labels,
-    /// Which targets may run the stage.
+    /// Selects the targets that may run the stage.
     pub select: Selector,
-    /// Shares of the traffic by further labels, for a rollout; empty means no split.
+    /// Weighted split of the traffic over targets with further labels, for a rollout; empty means
+    /// no split.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub split: Vec<Share>,
-    /// Whether the target may stream the stage's output; only for the last stage.
+    /// Whether the target may stream the stage's output; only allowed for the last stage.
     #[serde(default)]
     pub streams: bool,
 }
 
-/// A part of a stage's traffic that goes to targets with further labels.
+/// A part of a stage's traffic, sent to those of its targets that have further labels.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Share {
-    /// Weight against the other shares of the stage.
+    /// Weight relative to the other shares of the stage.
     pub weight: u32,
-    /// Which of the stage's targets.
+    /// Selects targets among those of the stage.
     pub select: Selector,
 }
 
-/// A back end that runs calls of stages.
+/// A target (back end) that runs calls of stages.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Target {
     /// Unique name.
     pub name: TargetName,
-    /// The data hall it stands in.
+    /// Data hall of the target.
     pub hall: HallName,
-    /// IP number and port.
+    /// IP address and port.
     pub address: SocketAddr,
-    /// Labels that selectors match.
+    /// Labels that selectors are matched against.
     #[serde(default, skip_serializing_if = "Labels::is_empty")]
     pub labels: Labels,
-    /// Calls that it can run at once, as its owner says; the learned limit starts from it.
+    /// Number of concurrent calls, as declared by the target's owner; the initial value of the
+    /// learned concurrency limit.
     #[serde(default = "default_slots")]
     pub slots: u32,
-    /// The condition in which an engine should be, such as its model and version; the holder of
-    /// its hall's lease sees to it. Empty for targets that take no orders.
+    /// Desired state of the target's engine, such as its model and version. The VM that holds the
+    /// lease of the target's hall sends orders to reach it. Empty for targets that accept no
+    /// orders.
     #[serde(default, skip_serializing_if = "Labels::is_empty")]
     pub wanted: Labels,
-    /// Whether the target refuses orders with a lower fence than it has seen.
+    /// Whether the target refuses orders with a lower fencing token than the highest it has seen.
     #[serde(default, skip_serializing_if = "std::ops::Not::not")]
     pub checks_fence: bool,
 }
 
-/// Slots of a target that names none.
+/// Value of [`Target::slots`] if the target doesn't declare it.
 pub const DEFAULT_SLOTS: u32 = 4;
 
 fn default_slots() -> u32 {
     DEFAULT_SLOTS
 }
 
-/// Somebody on whose behalf requests come.
+/// A customer (tenant) on whose behalf requests are made.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Customer {
     /// Unique name.
     pub name: CustomerName,
-    /// Share of what is scarce, against the other customers.
+    /// Share of scarce capacity, relative to the other customers.
     #[serde(default = "default_share")]
     pub share: u32,
 }
@@ -112,7 +116,7 @@
     1
 }
 
-/// Everything in force under one revision.
+/// Complete configuration of one revision.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Catalogue {
@@ -128,16 +132,16 @@
 }
 
 impl Catalogue {
-    /// Adds the document, in place of the one with the same kind and name.
+    /// Adds the document and replaces one of the same kind and name.
     pub fn put(&mut self, document: Document) {
         match document {
-            Document::Service(x) => drop(self.services.insert(x.name.clone(), x)),
-            Document::Target(x) => drop(self.targets.insert(x.name.clone(), x)),
-            Document::Customer(x) => drop(self.customers.insert(x.name.clone(), x)),
+            Document::Service(object) => drop(self.services.insert(object.name.clone(), object)),
+            Document::Target(object) => drop(self.targets.insert(object.name.clone(), object)),
+            Document::Customer(object) => drop(self.customers.insert(object.name.clone(), object)),
         }
     }
 
-    /// Takes the object out; says whether it was there.
+    /// Removes the object; returns whether it existed.
     pub fn remove(&mut self, key: &ObjectKey) -> bool {
         match key.kind {
             ObjectKind::Service => {
@@ -152,7 +156,7 @@
         }
     }
 
-    /// All objects, services first, by name.
+    /// All objects: services, targets, then customers, each sorted by name.
     pub fn documents(&self) -> impl Iterator<Item = Document> + '_ {
         let services = self.services.values().cloned().map(Document::Service);
         let targets = self.targets.values().cloned().map(Document::Target);
@@ -160,12 +164,13 @@
         services.chain(targets).chain(customers)
     }
 
-    /// Targets that may run the stage.
+    /// The targets that may run the stage.
     pub fn targets_of<'a>(&'a self, stage: &'a Stage) -> impl Iterator<Item = &'a Target> {
         self.targets.values().filter(|t| stage.select.matches(&t.labels))
     }
 
-    /// SHA-256 over the canonical JSON, in hexadecimal.
+    /// SHA-256 digest of the catalogue's JSON, in hexadecimal. The maps are sorted, so equal
+    /// catalogues have equal digests.
     pub fn digest(&self) -> String {
         let json = serde_json::to_vec(self).unwrap_or_default();
         Sha256::digest(json).iter().map(|b| format!("{b:02x}")).collect()
--- a/components/catalogue/tests/documents.rs
+++ b/components/catalogue/tests/documents.rs
@@ -1,4 +1,4 @@
-//! Operators' files: what is accepted, and what is refused with which words.
+//! Tests which configuration files are accepted, and with which message others are refused.
 
 use std::path::Path;
 
@@ -11,27 +11,28 @@
     Ok(catalogue)
 }
 
-/// Each file holds the expected message behind `# expect: ` in its first line.
+/// Checks that the file is refused. Its first line holds a part of the expected message, after
+/// `# expect: `.
 fn refused(path: &Path) -> datatest_stable::Result<()> {
     let text = std::fs::read_to_string(path)?;
     let expected = text.lines().next().and_then(|l| l.strip_prefix("# expect: "));
-    let expected = expected.ok_or("no expectation in the first line")?;
+    let expected = expected.ok_or("no `# expect: ` in the first line")?;
 
-    let told = catalogue_of(&text).err().ok_or("was accepted")?.to_string();
+    let message = catalogue_of(&text).err().ok_or("was accepted")?.to_string();
 
-    assert!(told.contains(expected), "expected {expected}, told {told}");
+    assert!(message.contains(expected), "expected {expected}, found {message}");
     Ok(())
 }
 
-/// What is accepted comes back the same from its own YAML.
+/// Checks that the file is accepted, and that the catalogue written as YAML and read again is equal.
 fn accepted(path: &Path) -> datatest_stable::Result<()> {
     let catalogue = catalogue_of(&std::fs::read_to_string(path)?)?;
 
     let written: Result<Vec<String>, _> = catalogue.documents().map(|d| to_yaml(&d)).collect();
-    let again = catalogue_of(&written?.join("---\n"))?;
+    let reread = catalogue_of(&written?.join("---\n"))?;
 
-    assert_eq!(again, catalogue);
-    assert_eq!(again.digest(), catalogue.digest());
+    assert_eq!(reread, catalogue);
+    assert_eq!(reread.digest(), catalogue.digest());
     Ok(())
 }
 
--- a/components/store_client/src/claims.rs
+++ b/components/store_client/src/claims.rs
@@ -1,7 +1,7 @@
-//! Claims on callers' own request ids, for requests that may not be repeated.
+//! Claims on callers' request ids, which ensure that a non-repeatable request runs at most once.
 //!
-//! A claim is created once and never taken over: whoever creates it may run the request, all
-//! others are told that the id is taken. See `docs/design/at-most-once.md`.
+//! A claim is created once and never transferred. Only the submission that created it may run the
+//! request; all others are refused because the id is taken. See `docs/design/at-most-once.md`.
 
 use errors::{Error, Result};
 use ids::{Incarnation, RequestId, VmName};
@@ -10,80 +10,80 @@
 use crate::CLAIM_PREFIX;
 use crate::store::{Store, WriteOutcome};
 
-/// How far a claimed request is.
+/// State of a claimed request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum ClaimState {
-    /// It runs, or its VM died while it ran.
+    /// The request is running, or its VM stopped while it was running.
     Open,
-    /// It was refused before anything ran and never will run.
+    /// The request was refused before any stage ran and will never run.
     Refused,
-    /// It ended; its caller was told how.
+    /// The request ended and the result was sent to its caller.
     Ended,
 }
 
-/// A claim as the store holds it.
+/// A claim as stored, in JSON.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Claim {
-    /// The VM that may run the request.
+    /// VM that may run the request.
     pub vm: VmName,
-    /// Its incarnation.
+    /// Incarnation of that VM.
     pub incarnation: Incarnation,
-    /// Tells this submission from another one at the same VM.
+    /// Random number that distinguishes this submission from others at the same VM.
     pub nonce: u64,
-    /// How far it is.
+    /// State of the request.
     pub state: ClaimState,
-    /// When it was made, in milliseconds of Unix time.
+    /// Creation time, in milliseconds of Unix time.
     pub at: u64,
 }
 
-/// Claims `id` for a submission; `Err` holds the claim that was there before.
+/// Claims `id` for a submission. The inner `Err` holds the claim that already exists.
 ///
 /// # Errors
-/// `StoreUnavailable` if it can't be known whether the claim was made; nothing may run then.
+/// `StoreUnavailable` if it is not known whether the claim was created; the request must not run then.
 pub fn claim(
     store: &Store,
     id: &RequestId,
     vm: &VmName,
     incarnation: Incarnation,
 ) -> Result<std::result::Result<Claim, Claim>> {
-    let mine = Claim {
+    let own_claim = Claim {
         vm: vm.clone(),
         incarnation,
         nonce: rand::random(),
         state: ClaimState::Open,
         at: ids::unix_millis(),
     };
-    let json = serde_json::to_vec(&mine).unwrap_or_default();
-    match store.put(&key_of(id), 0, &json) {
-        WriteOutcome::Done { .. } => Ok(Ok(mine)),
+    let json = serde_json::to_vec(&own_claim).unwrap_or_default();
+    match store.put(&claim_key(id), 0, &json) {
+        WriteOutcome::Done { .. } => Ok(Ok(own_claim)),
         WriteOutcome::Refused(problem) => Err(Error::StoreUnavailable(problem)),
         WriteOutcome::Conflict { .. } | WriteOutcome::Unknown(_) => match read_claim(store, id)? {
-            Some(found) if found == mine => Ok(Ok(mine)),
+            Some(found) if found == own_claim => Ok(Ok(own_claim)),
             Some(found) => Ok(Err(found)),
-            None => Err(Error::StoreUnavailable("the claim was not made".to_owned())),
+            None => Err(Error::StoreUnavailable("the claim was not created".to_owned())),
         },
     }
 }
 
-/// The claim on `id`, if there is one.
+/// Reads the claim on `id`; `None` if there is none.
 ///
 /// # Errors
-/// `StoreUnavailable` if the store did not answer or holds something else.
+/// `StoreUnavailable` if the store did not answer or the value is not a claim.
 pub fn read_claim(store: &Store, id: &RequestId) -> Result<Option<Claim>> {
     let decode = |value: &[u8]| {
         serde_json::from_slice(value)
             .map_err(|e| Error::StoreUnavailable(format!("claim {id}: {e}")))
     };
-    store.get(&key_of(id))?.map(|entry| decode(&entry.value)).transpose()
+    store.get(&claim_key(id))?.map(|entry| decode(&entry.value)).transpose()
 }
 
-/// Writes how a claimed request ended; says whether that is certain.
-pub fn close_claim(store: &Store, id: &RequestId, mine: &Claim, state: ClaimState) -> bool {
-    let closed = Claim { state, ..mine.clone() };
+/// Closes a claim with the final state of its request; returns whether the write is confirmed.
+pub fn close_claim(store: &Store, id: &RequestId, own_claim: &Claim, state: ClaimState) -> bool {
+    let closed = Claim { state, ..own_claim.clone() };
     let json = serde_json::to_vec(&closed).unwrap_or_default();
-    // A claim is written once at version 1 and closed once, by its holder only.
-    match store.put(&key_of(id), 1, &json) {
+    // Creating a claim makes version 1, and only its holder writes it once more, to close it.
+    match store.put(&claim_key(id), 1, &json) {
         WriteOutcome::Done { .. } => true,
         WriteOutcome::Refused(_) => false,
         WriteOutcome::Conflict { .. } | WriteOutcome::Unknown(_) => {
@@ -92,6 +92,6 @@
     }
 }
 
-fn key_of(id: &RequestId) -> String {
+fn claim_key(id: &RequestId) -> String {
     format!("{CLAIM_PREFIX}{id}")
 }
--- a/components/store_client/src/head.rs
+++ b/components/store_client/src/head.rs
@@ -1,7 +1,8 @@
-//! The head of the configuration: which catalogue is in force, and how a change is accepted.
+//! The configuration head: the record of the catalogue in force, and the protocol that changes it.
 //!
-//! A change writes its catalogue under a key of its own, then swaps the head. Only the swap
-//! accepts. The head lists the ids of recent changes, so a lost answer is settled by reading.
+//! A change writes its catalogue as a snapshot under a key of its own, then replaces the head with
+//! a compare-and-swap. Only the swap accepts the change. The head lists the ids of recent changes,
+//! so after a lost response the result can be found by reading the head.
 
 use catalogue::{Catalogue, diff};
 use errors::{Error, Result};
@@ -11,35 +12,36 @@
 use crate::store::{Entry, Store, WriteOutcome};
 use crate::{HEAD_KEY, SNAPSHOT_PREFIX};
 
-/// Change ids that the head remembers.
+/// Maximum number of change ids listed in the head.
 pub const MAX_RECENT_CHANGES: usize = 64;
-/// Revisions kept for `history` and `rollback`.
-const KEPT_REVISIONS: u64 = 32;
-/// Readings of the head after a lost answer.
-const SETTLE_TRIES: usize = 3;
+/// Number of revisions whose snapshots are kept for `history` and `rollback`.
+const RETAINED_REVISIONS: u64 = 32;
+/// Maximum number of reads of the head after a lost response.
+const MAX_HEAD_READS: usize = 3;
 
-/// What the store holds under the head's key.
+/// The configuration head, stored as JSON under [`HEAD_KEY`].
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Head {
     /// The accepted revision.
     pub revision: Revision,
-    /// Digest of its catalogue.
+    /// Digest of that revision's catalogue.
     pub digest: String,
-    /// Key of its catalogue.
+    /// Key of that revision's catalogue.
     pub snapshot: String,
-    /// Ids of the latest accepted changes with the revision each made, newest first.
+    /// Ids of the latest accepted changes and the revision that each created, newest first.
     pub recent: Vec<(String, Revision)>,
 }
 
-/// Key of the catalogue that a change wrote.
+/// Key of the catalogue written by a change.
 pub fn snapshot_key(revision: Revision, change_id: &str) -> String {
     format!("{SNAPSHOT_PREFIX}{revision}-{change_id}")
 }
 
-/// The head and the version of its key; revision 0 and version 0 before the first change.
+/// Reads the head and the version of its key; both revision and version are 0 before the first
+/// change.
 ///
 /// # Errors
-/// `StoreUnavailable` if the store did not answer or holds something else.
+/// `StoreUnavailable` if the store did not answer or the value is not a head.
 pub fn read_head(store: &Store) -> Result<(Head, u64)> {
     match store.get(HEAD_KEY)? {
         Some(entry) => Ok((decode_head(&entry)?, entry.version)),
@@ -47,19 +49,20 @@
     }
 }
 
-/// The head that an entry under its key holds.
+/// Decodes the head from its entry.
 ///
 /// # Errors
-/// `StoreUnavailable` if it holds something else.
+/// `StoreUnavailable` if the value is not a head.
 pub fn decode_head(entry: &Entry) -> Result<Head> {
     serde_json::from_slice(&entry.value)
-        .map_err(|e| Error::StoreUnavailable(format!("{HEAD_KEY} holds no head: {e}")))
+        .map_err(|e| Error::StoreUnavailable(format!("{HEAD_KEY} is not a valid head: {e}")))
 }
 
-/// The catalogue that `head` points to, its digest checked.
+/// Reads the catalogue that `head` refers to and verifies its digest.
 ///
 /// # Errors
-/// `StoreUnavailable` if the store did not answer, or the value is missing or not what the head says.
+/// `StoreUnavailable` if the store did not answer, or the value is missing, invalid or has another digest
+/// than the head states.
 pub fn read_catalogue(store: &Store, head: &Head) -> Result<Catalogue> {
     if head.revision == Revision(0) {
         return Ok(Catalogue::default());
@@ -67,19 +70,23 @@
     let missing = || Error::StoreUnavailable(format!("{} is missing", head.snapshot));
     let entry = store.get(&head.snapshot)?.ok_or_else(missing)?;
     let catalogue: Catalogue = serde_json::from_slice(&entry.value).map_err(|e| {
-        Error::StoreUnavailable(format!("{} holds no catalogue: {e}", head.snapshot))
+        Error::StoreUnavailable(format!("{} is not a valid catalogue: {e}", head.snapshot))
     })?;
     if catalogue.digest() != head.digest {
-        return Err(Error::StoreUnavailable(format!("{} has another digest", head.snapshot)));
+        return Err(Error::StoreUnavailable(format!(
+            "{} does not match the digest in the head",
+            head.snapshot
+        )));
     }
     Ok(catalogue)
 }
 
-/// Tries to make `after` the catalogue in force, in place of `base`, read with `base_version`.
+/// Tries to put the catalogue `after` in force. `base` is the head on which the change is based and
+/// `base_version` the version of its key; `before` is its catalogue.
 ///
 /// # Errors
-/// `ChangeRefused` if another change came first, `ChangeUnknown` if the answer was lost and the
-/// head can't be read back, `StoreUnavailable` if nothing was changed.
+/// `ChangeRefused` if another change was accepted first; `ChangeUnknown` if the response was lost
+/// and reading the head does not show the result; `StoreUnavailable` if nothing was changed.
 pub fn publish(
     store: &Store,
     (base, base_version): (&Head, u64),
@@ -93,35 +100,39 @@
         revision,
         digest: after.digest(),
         snapshot: snapshot.clone(),
-        recent: remember(&base.recent, change_id, revision),
+        recent: prepend_change(&base.recent, change_id, revision),
     };
     write_snapshot(store, &snapshot, after)?;
     let json = serde_json::to_vec(&head).unwrap_or_default();
     match store.put(HEAD_KEY, base_version, &json) {
         WriteOutcome::Done { .. } => {
-            drop_old(store, base, revision);
+            delete_expired_snapshot(store, base, revision);
             Ok(revision)
         }
         WriteOutcome::Conflict { .. } => {
-            // A lost first answer followed by a retry inside the platform also ends here.
+            // The platform may have retried a write of this change whose first response was lost, so
+            // a conflict does not mean that another change won.
             match revision_of_change(store, change_id)? {
                 Some(revision) => Ok(revision),
                 None => {
-                    forget_snapshot(store, &snapshot);
-                    Err(refused(store, before))
+                    delete_snapshot(store, &snapshot);
+                    Err(change_refused(store, before))
                 }
             }
         }
         WriteOutcome::Refused(problem) => {
-            forget_snapshot(store, &snapshot);
+            delete_snapshot(store, &snapshot);
             Err(Error::StoreUnavailable(problem))
         }
-        WriteOutcome::Unknown(problem) => settle_lost(store, change_id, base_version, &problem)?
-            .ok_or_else(|| refused_or_unknown(store, before, base_version, change_id, problem)),
+        WriteOutcome::Unknown(problem) => {
+            resolve_lost_write(store, change_id, base_version, &problem)?.ok_or_else(|| {
+                change_refused_or_unknown(store, before, base_version, change_id, problem)
+            })
+        }
     }
 }
 
-/// The revision that the change made; `None` if it is not among the recent accepted ones.
+/// The revision created by a change; `None` if it is not among the recently accepted changes.
 ///
 /// # Errors
 /// `StoreUnavailable` if the head can't be read.
@@ -130,34 +141,34 @@
     Ok(head.recent.iter().find(|(id, _)| id == change_id).map(|(_, revision)| *revision))
 }
 
-fn settle_lost(
+fn resolve_lost_write(
     store: &Store,
     change_id: &str,
     base_version: u64,
     problem: &str,
 ) -> Result<Option<Revision>> {
-    let unknown = |why: &str| Error::ChangeUnknown {
+    let unknown = |detail: &str| Error::ChangeUnknown {
         change_id: change_id.to_owned(),
-        problem: format!("{problem}; {why}"),
+        problem: format!("{problem}; {detail}"),
     };
-    let mut last = String::new();
-    for _ in 0..SETTLE_TRIES {
+    let mut last_problem = String::new();
+    for _ in 0..MAX_HEAD_READS {
         match read_head(store) {
             Ok((head, version)) => {
-                let made = head.recent.iter().find(|(id, _)| id == change_id);
-                if made.is_some() || version != base_version {
-                    return Ok(made.map(|(_, revision)| *revision));
+                let accepted = head.recent.iter().find(|(id, _)| id == change_id);
+                if accepted.is_some() || version != base_version {
+                    return Ok(accepted.map(|(_, revision)| *revision));
                 }
-                // Still the old version: the write may be under way yet.
-                "the head has not moved so far".clone_into(&mut last);
+                // The version is unchanged, but the write may still be in flight.
+                "the head is unchanged so far".clone_into(&mut last_problem);
             }
-            Err(e) => last = e.to_string(),
+            Err(e) => last_problem = e.to_string(),
         }
     }
-    Err(unknown(&last))
+    Err(unknown(&last_problem))
 }
 
-fn refused_or_unknown(
+fn change_refused_or_unknown(
     store: &Store,
     before: &Catalogue,
     base_version: u64,
@@ -165,24 +176,27 @@
     problem: String,
 ) -> Error {
     match read_head(store) {
-        Ok((_, version)) if version != base_version => refused(store, before),
+        Ok((_, version)) if version != base_version => change_refused(store, before),
         _ => Error::ChangeUnknown { change_id: change_id.to_owned(), problem },
     }
 }
 
-fn refused(store: &Store, before: &Catalogue) -> Error {
-    let now = read_head(store).and_then(|(head, _)| Ok((read_catalogue(store, &head)?, head)));
-    match now {
+fn change_refused(store: &Store, before: &Catalogue) -> Error {
+    let current = read_head(store).and_then(|(head, _)| Ok((read_catalogue(store, &head)?, head)));
+    match current {
         Ok((catalogue, head)) => {
             let changes: Vec<String> =
                 diff(before, &catalogue).iter().map(|change| format!("  {change}")).collect();
             Error::ChangeRefused { revision: head.revision.0, changes: changes.join("\n") }
         }
-        Err(e) => Error::ChangeRefused { revision: 0, changes: format!("  (not readable: {e})") },
+        Err(e) => Error::ChangeRefused {
+            revision: 0,
+            changes: format!("  (the accepted change can't be read: {e})"),
+        },
     }
 }
 
-fn remember(
+fn prepend_change(
     recent: &[(String, Revision)],
     change_id: &str,
     revision: Revision,
@@ -196,10 +210,10 @@
     match store.put(key, 0, &json) {
         WriteOutcome::Done { .. } => Ok(()),
         WriteOutcome::Conflict { .. } => {
-            Err(Error::bad_input("change id", "this id was used for another change"))
+            Err(Error::bad_input("change id", "this id was already used for another change"))
         }
         WriteOutcome::Refused(problem) => Err(Error::StoreUnavailable(problem)),
-        // The key is ours alone, so reading it back settles the write.
+        // Only this change writes the key, so reading it back shows whether the write took effect.
         WriteOutcome::Unknown(problem) => match store.get(key)? {
             Some(entry) if entry.value == json => Ok(()),
             _ => Err(Error::StoreUnavailable(problem)),
@@ -207,16 +221,16 @@
     }
 }
 
-fn forget_snapshot(store: &Store, key: &str) {
+fn delete_snapshot(store: &Store, key: &str) {
     if let Ok(Some(entry)) = store.get(key) {
         store.delete(key, entry.version);
     }
 }
 
-fn drop_old(store: &Store, base: &Head, revision: Revision) {
-    let oldest = Revision(revision.0.saturating_sub(KEPT_REVISIONS));
-    let gone = base.recent.iter().find(|(_, r)| *r == oldest);
-    if let Some((id, old)) = gone {
-        forget_snapshot(store, &snapshot_key(*old, id));
+fn delete_expired_snapshot(store: &Store, base: &Head, revision: Revision) {
+    let oldest = Revision(revision.0.saturating_sub(RETAINED_REVISIONS));
+    let expired = base.recent.iter().find(|(_, r)| *r == oldest);
+    if let Some((id, old)) = expired {
+        delete_snapshot(store, &snapshot_key(*old, id));
     }
 }
--- a/components/store_client/src/lease.rs
+++ b/components/store_client/src/lease.rs
@@ -1,4 +1,4 @@
-//! Leases with a fence that rises with each new holding.
+//! Leases with fencing tokens, which increase with each grant that is not a renewal.
 
 use std::time::{Duration, Instant};
 
@@ -7,33 +7,35 @@
 
 use crate::store::Store;
 
-/// A lease that is held, as far as its holder can know.
+/// A granted lease, as known to its holder.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct HeldLease {
-    /// Number of this holding; every later holding has a higher one.
+    /// Fencing token; renewals keep it, and each later grant has a higher one.
     pub fence: u64,
-    /// When it ends unless renewed, counted from before the store was asked.
+    /// When the lease expires unless renewed. It is computed from the time before the request was
+    /// sent, so it is never later than the expiry in the store.
     pub until: Instant,
 }
 
 #[derive(Deserialize)]
-struct Granted {
+struct LeaseResponse {
     fence: u64,
 }
 
-/// Takes or renews the lease `name` for `ttl`; `None` if another holds it.
+/// Acquires or renews the lease `name` for `ttl`; `None` if another holder has it.
 ///
 /// # Errors
-/// `StoreUnavailable` if it can't be known whether it is held; then it must be taken as not held.
+/// `StoreUnavailable` if it is not known whether the lease was granted; the caller must then act as if
+/// it were not.
 pub fn acquire_lease(
     store: &Store,
     name: &str,
     holder: &str,
     ttl: Duration,
 ) -> Result<Option<HeldLease>> {
-    let asked = Instant::now();
+    let requested_at = Instant::now();
     let Some(body) = store.put_lease(name, holder, ttl)? else { return Ok(None) };
-    let granted: Granted = serde_json::from_slice(&body)
+    let response: LeaseResponse = serde_json::from_slice(&body)
         .map_err(|e| Error::StoreUnavailable(format!("lease {name}: {e}")))?;
-    Ok(Some(HeldLease { fence: granted.fence, until: asked + ttl }))
+    Ok(Some(HeldLease { fence: response.fence, until: requested_at + ttl }))
 }
--- a/components/store_client/src/lib.rs
+++ b/components/store_client/src/lib.rs
@@ -1,4 +1,7 @@
-//! Client of the platform's key-value service and VM list, and the head of the configuration.
+//! Client of the platform's key-value service and VM list.
+//!
+//! It also defines what is kept there: the head of the configuration, leases and claims on request
+//! ids.
 
 mod claims;
 mod head;
@@ -13,9 +16,9 @@
 pub use lease::{HeldLease, acquire_lease};
 pub use store::{Entry, ListedVm, Store, VmState, WriteOutcome};
 
-/// Key of the head of the configuration.
+/// Key of the configuration head.
 pub const HEAD_KEY: &str = "saddlerail/head";
-/// Keys below this acquire_lease one catalogue each.
+/// Prefix of the keys that hold one catalogue each.
 pub const SNAPSHOT_PREFIX: &str = "saddlerail/catalogues/";
-/// Keys below this acquire_lease one claim on a caller's request id each.
+/// Prefix of the keys that hold one claim on a caller's request id each.
 pub const CLAIM_PREFIX: &str = "saddlerail/claims/";
--- a/components/store_client/src/store.rs
+++ b/components/store_client/src/store.rs
@@ -1,4 +1,4 @@
-//! The key-value service and the VM list over HTTP.
+//! HTTP client of the key-value service and the VM list.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -9,38 +9,39 @@
 use ureq::Agent;
 use ureq::http::Response;
 
-/// Longest wait for an ordinary answer of the store.
-const CALL_WAIT: Duration = Duration::from_millis(1500);
-/// Largest value the store holds, in bytes.
-const MAX_VALUE: u64 = 1 << 20;
-/// Header in which the store tells a value's version.
+/// Timeout of a request to the store, to which a watch adds its own wait.
+const CALL_TIMEOUT: Duration = Duration::from_millis(1500);
+/// Maximum size of a stored value, in bytes.
+const MAX_VALUE_BYTES: u64 = 1 << 20;
+/// Response header with the version of a value.
 const VERSION_HEADER: &str = "x-version";
 
-/// A value and its version; versions rise with each write, the first is 1.
+/// A stored value and its version. The first version is 1; each write increases it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Entry {
-    /// The value's bytes.
+    /// Bytes of the value.
     pub value: Vec<u8>,
-    /// Its version.
+    /// Version of the value.
     pub version: u64,
 }
 
-/// What became of a conditional write.
+/// Outcome of a conditional write.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum WriteOutcome {
-    /// It took effect.
+    /// The write took effect.
     Done {
-        /// Version that it made.
+        /// New version of the value.
         version: u64,
     },
-    /// It did not take effect: the value has another version.
+    /// The write did not take effect: the value has another version than expected.
     Conflict {
-        /// Version that the store holds; 0 if absent.
+        /// Version in the store; 0 if the key is absent.
         found: u64,
     },
-    /// It did not take effect: nothing was sent, or the store refused it.
+    /// The write did not take effect: it was not sent, or the store refused it.
     Refused(String),
-    /// It may have taken effect: the answer was lost.
+    /// The write may have taken effect: the response was lost, or its status does not
+    /// tell.
     Unknown(String),
 }
 
@@ -48,29 +49,29 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum VmState {
-    /// In use.
+    /// The VM is in use.
     Live,
-    /// To be stopped soon; gets no new work.
+    /// The VM will stop soon and gets no new work.
     Leaving,
 }
 
 /// A VM in the platform's list.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ListedVm {
-    /// Name; a target's name or an entry VM's.
+    /// Name of a target or of an entry VM.
     pub name: String,
-    /// Its data hall.
+    /// Data hall of the VM.
     pub hall: HallName,
-    /// Address of its peer link for an entry VM, of its service for a target.
+    /// Address of the peer link for an entry VM, of the service for a target.
     pub address: SocketAddr,
-    /// Whether it is an entry VM of this system.
+    /// Whether the VM is an entry VM, that is, runs a daemon of this system.
     #[serde(default)]
     pub entry: bool,
-    /// Whether it is leaving.
+    /// State of the VM.
     pub state: VmState,
 }
 
-/// The platform's store at one address.
+/// Client of the platform's services at one address.
 #[derive(Debug, Clone)]
 pub struct Store {
     agent: Agent,
@@ -78,17 +79,17 @@
 }
 
 impl Store {
-    /// A client; connects with the first call.
+    /// Creates a client, which connects on its first request.
     pub fn new(address: SocketAddr) -> Self {
         let agent = Agent::config_builder()
             .http_status_as_error(false)
-            .timeout_global(Some(CALL_WAIT))
+            .timeout_global(Some(CALL_TIMEOUT))
             .build()
             .new_agent();
         Store { agent, base: format!("http://{address}") }
     }
 
-    /// Reads a value; `None` if absent.
+    /// Reads a value; `None` if the key is absent.
     ///
     /// # Errors
     /// `StoreUnavailable` if the store did not answer.
@@ -96,8 +97,8 @@
         read_entry(self.agent.get(self.url("kv", key)).call())
     }
 
-    /// Waits until the value's version differs from `version` or `wait` is over; `None` if the
-    /// key is absent.
+    /// Waits until the value's version differs from `version`, at most for `wait`, and returns the
+    /// value; `None` if the key is absent.
     ///
     /// # Errors
     /// `StoreUnavailable` if the store did not answer.
@@ -108,49 +109,52 @@
             .query("watch", version.to_string())
             .query("wait_ms", wait.as_millis().to_string())
             .config()
-            .timeout_global(Some(wait + CALL_WAIT))
+            .timeout_global(Some(wait + CALL_TIMEOUT))
             .build();
         read_entry(call.call())
     }
 
-    /// Writes if the version is still `expect`; 0 expects that the key is absent.
-    pub fn put(&self, key: &str, expect: u64, value: &[u8]) -> WriteOutcome {
-        let call = self.agent.put(self.url("kv", key)).query("expect", expect.to_string());
-        write_of(call.send(value))
+    /// Writes a value if its version is `expected_version`; 0 requires that the key is absent.
+    pub fn put(&self, key: &str, expected_version: u64, value: &[u8]) -> WriteOutcome {
+        let call =
+            self.agent.put(self.url("kv", key)).query("expect", expected_version.to_string());
+        write_outcome(call.send(value))
     }
 
-    /// Deletes if the version is still `expect`.
-    pub fn delete(&self, key: &str, expect: u64) -> WriteOutcome {
-        let call = self.agent.delete(self.url("kv", key)).query("expect", expect.to_string());
-        write_of(call.call())
+    /// Deletes a value if its version is `expected_version`.
+    pub fn delete(&self, key: &str, expected_version: u64) -> WriteOutcome {
+        let call =
+            self.agent.delete(self.url("kv", key)).query("expect", expected_version.to_string());
+        write_outcome(call.call())
     }
 
-    /// Asks for a lease; `None` if another holds it.
+    /// Requests a lease and returns the response's body; `None` if another holder has the lease.
     pub(crate) fn put_lease(
         &self,
         name: &str,
         holder: &str,
         ttl: Duration,
     ) -> Result<Option<Vec<u8>>> {
-        let out = |e: ureq::Error| Error::StoreUnavailable(e.to_string());
+        let unavailable = |e: ureq::Error| Error::StoreUnavailable(e.to_string());
         let call = self.agent.put(self.url("leases", name));
         let call = call.query("ttl_ms", ttl.as_millis().to_string());
-        let mut rx = call.send(holder).map_err(out)?;
-        match rx.status().as_u16() {
-            200 => rx.body_mut().read_to_vec().map(Some).map_err(out),
+        let mut response = call.send(holder).map_err(unavailable)?;
+        match response.status().as_u16() {
+            200 => response.body_mut().read_to_vec().map(Some).map_err(unavailable),
             409 => Ok(None),
-            other => Err(Error::StoreUnavailable(format!("answered {other}"))),
+            other => Err(Error::StoreUnavailable(format!("unexpected HTTP status {other}"))),
         }
     }
 
-    /// The platform's VM list, which may lag.
+    /// Reads the platform's VM list, which may be out of date.
     ///
     /// # Errors
-    /// `StoreUnavailable` if the platform did not answer with a list.
+    /// `StoreUnavailable` if the platform did not answer or the response is not a VM list.
     pub fn vms(&self) -> Result<Vec<ListedVm>> {
-        let out = |e: ureq::Error| Error::StoreUnavailable(e.to_string());
-        let mut rx = self.agent.get(format!("{}/vms", self.base)).call().map_err(out)?;
-        let text = rx.body_mut().read_to_string().map_err(out)?;
+        let unavailable = |e: ureq::Error| Error::StoreUnavailable(e.to_string());
+        let mut response =
+            self.agent.get(format!("{}/vms", self.base)).call().map_err(unavailable)?;
+        let text = response.body_mut().read_to_string().map_err(unavailable)?;
         serde_json::from_str(&text).map_err(|e| Error::StoreUnavailable(format!("VM list: {e}")))
     }
 
@@ -161,32 +165,37 @@
 
 type CallResult = std::result::Result<Response<ureq::Body>, ureq::Error>;
 
-fn version_of(rx: &Response<ureq::Body>) -> u64 {
-    let header = rx.headers().get(VERSION_HEADER).and_then(|v| v.to_str().ok());
+fn version_in(response: &Response<ureq::Body>) -> u64 {
+    let header = response.headers().get(VERSION_HEADER).and_then(|v| v.to_str().ok());
     header.and_then(|v| v.parse().ok()).unwrap_or(0)
 }
 
 fn read_entry(result: CallResult) -> Result<Option<Entry>> {
-    let out = |e: ureq::Error| Error::StoreUnavailable(e.to_string());
-    let mut rx = result.map_err(out)?;
-    match rx.status().as_u16() {
+    let unavailable = |e: ureq::Error| Error::StoreUnavailable(e.to_string());
+    let mut response = result.map_err(unavailable)?;
+    match response.status().as_u16() {
         200 => {
-            let version = version_of(&rx);
-            let value = rx.body_mut().with_config().limit(MAX_VALUE).read_to_vec().map_err(out)?;
+            let version = version_in(&response);
+            let value = response
+                .body_mut()
+                .with_config()
+                .limit(MAX_VALUE_BYTES)
+                .read_to_vec()
+                .map_err(unavailable)?;
             Ok(Some(Entry { value, version }))
         }
         404 => Ok(None),
-        other => Err(Error::StoreUnavailable(format!("answered {other}"))),
+        other => Err(Error::StoreUnavailable(format!("unexpected HTTP status {other}"))),
     }
 }
 
-fn write_of(result: CallResult) -> WriteOutcome {
+fn write_outcome(result: CallResult) -> WriteOutcome {
     match result {
-        Ok(rx) => match rx.status().as_u16() {
-            200 => WriteOutcome::Done { version: version_of(&rx) },
-            409 => WriteOutcome::Conflict { found: version_of(&rx) },
-            503 => WriteOutcome::Refused("answered 503".to_owned()),
-            other => WriteOutcome::Unknown(format!("answered {other}")),
+        Ok(response) => match response.status().as_u16() {
+            200 => WriteOutcome::Done { version: version_in(&response) },
+            409 => WriteOutcome::Conflict { found: version_in(&response) },
+            503 => WriteOutcome::Refused("HTTP status 503".to_owned()),
+            other => WriteOutcome::Unknown(format!("unexpected HTTP status {other}")),
         },
         Err(e @ (ureq::Error::ConnectionFailed | ureq::Error::Timeout(ureq::Timeout::Connect))) => {
             WriteOutcome::Refused(e.to_string())
