--- a/components/http_server/src/lib.rs
+++ b/components/http_server/src/lib.rs
@@ -1,7 +1,8 @@
-//! HTTP listener with bounds on connections, heads and bodies; one task for each connection.
+//! HTTP server with limits on connections, request heads and bodies. Each connection has its own
+//! task.
 //!
-//! Built on hyper because tiny_http can neither cut a stream nor bound a slow head; see
-//! `docs/design/libraries.md`.
+//! It uses hyper because tiny_http can neither abort a streamed response nor limit the time for
+//! receiving a request's head; see `docs/design/libraries.md`.
 
 use std::convert::Infallible;
 use std::future::Future;
@@ -21,51 +22,52 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::{Semaphore, mpsc, watch};
 
-/// A stream's body ended without its end: the connection is closed with no final chunk.
+/// Error of a response body that is aborted: the connection is closed without a final chunk, so the
+/// client sees that the body is incomplete.
 #[derive(Debug)]
 pub struct BodyAborted;
 
 impl std::fmt::Display for BodyAborted {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        f.write_str("the stream was cut")
+        f.write_str("response body aborted")
     }
 }
 
 impl std::error::Error for BodyAborted {}
 
-/// Body of an answer.
+/// Body of a response.
 pub type Body = BoxBody<Bytes, BodyAborted>;
 
-/// Bounds on callers' connections.
+/// Limits on incoming connections.
 #[derive(Debug, Clone, Copy)]
 pub struct ConnectionLimits {
-    /// Connections at once; further ones wait in the listener's backlog.
+    /// Maximum number of concurrent connections; further ones wait in the listener's backlog.
     pub connections: usize,
-    /// Longest wait for a request's head, idle time between requests included.
+    /// Timeout for receiving a request's head, including the idle time between requests.
     pub head_wait: Duration,
 }
 
-/// Largest head, in bytes.
-const HEAD_BYTES: usize = 16 * 1024;
-/// Of a body that is too large, this many times the limit is read before the connection closes.
-const DROPPED_PER_LIMIT: usize = 8;
-/// Pause after a failed accept, such as for want of file descriptors.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+/// Maximum size of a request's head, in bytes.
+const MAX_HEAD_BYTES: usize = 16 * 1024;
+/// Number of times the limit that is read of a body that is too large.
+const DISCARD_LIMIT_FACTOR: usize = 8;
+/// Delay before the next accept after one failed, for example because no file descriptor was free.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// Serves connections until `stop` turns true; then no further request is read from any of them,
-/// and the call returns once all that were being answered are.
+/// Serves connections until `stop` becomes true. From then on no further request is read from any
+/// connection, and the function returns when all running requests have been answered.
 pub async fn serve<H, F>(
     listener: TcpListener,
-    bounds: ConnectionLimits,
+    limits: ConnectionLimits,
     mut stop: watch::Receiver<bool>,
     handle: H,
 ) where
     H: Fn(Request<Incoming>) -> F + Clone + Send + 'static,
     F: Future<Output = Response<Body>> + Send + 'static,
 {
-    let free = Arc::new(Semaphore::new(bounds.connections));
+    let permits = Arc::new(Semaphore::new(limits.connections));
     loop {
-        let Ok(permit) = Arc::clone(&free).acquire_owned().await else {
+        let Ok(permit) = Arc::clone(&permits).acquire_owned().await else {
             return;
         };
         let accepted = tokio::select! {
@@ -73,39 +75,39 @@
             _ = stop.wait_for(|stop| *stop) => break,
         };
         let Ok((socket, _)) = accepted else {
-            tokio::time::sleep(ACCEPT_PAUSE).await;
+            tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             continue;
         };
-        let connection = serve_connection(socket, bounds, stop.clone(), handle.clone());
+        let connection = serve_connection(socket, limits, stop.clone(), handle.clone());
         tokio::spawn(async move {
             connection.await;
             drop(permit);
         });
     }
     drop(listener);
-    let all = u32::try_from(bounds.connections).unwrap_or(u32::MAX);
-    let _all_ended = free.acquire_many(all).await;
+    let max_connections = u32::try_from(limits.connections).unwrap_or(u32::MAX);
+    let _all_closed = permits.acquire_many(max_connections).await;
 }
 
 async fn serve_connection<H, F>(
     socket: TcpStream,
-    bounds: ConnectionLimits,
+    limits: ConnectionLimits,
     mut stop: watch::Receiver<bool>,
     handle: H,
 ) where
     H: Fn(Request<Incoming>) -> F + Send + 'static,
     F: Future<Output = Response<Body>> + Send + 'static,
 {
-    // Tokens are small and must not wait for each other.
+    // A streamed token is a small packet, which Nagle's algorithm would delay.
     let _ = socket.set_nodelay(true);
     let service = service_fn(move |req| {
-        let answer = handle(req);
-        async move { Ok::<_, Infallible>(answer.await) }
+        let response = handle(req);
+        async move { Ok::<_, Infallible>(response.await) }
     });
     let connection = http1::Builder::new()
         .timer(TokioTimer::new())
-        .header_read_timeout(bounds.head_wait)
-        .max_buf_size(HEAD_BYTES)
+        .header_read_timeout(limits.head_wait)
+        .max_buf_size(MAX_HEAD_BYTES)
         .serve_connection(TokioIo::new(socket), service);
     tokio::pin!(connection);
     tokio::select! {
@@ -115,24 +117,24 @@
     let _ended = connection.await;
 }
 
-/// Why a request's body was not read.
+/// Error while reading a request's body.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum BodyError {
-    /// Larger than the limit.
+    /// The body is larger than the limit.
     TooLarge,
-    /// Not whole within the wait.
+    /// The body was not complete within the timeout.
     TooSlow,
-    /// The caller closed or sent something that is no HTTP.
+    /// The caller closed the connection or sent invalid HTTP.
     Broken,
 }
 
-/// Reads a request's body within `limit` bytes and `wait`.
+/// Reads a request's body of at most `limit` bytes within the timeout `wait`.
 ///
-/// Of a larger body some more is read and dropped, since a caller that is still sending would
-/// see a reset in place of the answer.
+/// A larger body is read further and discarded, up to a bound: a caller that is still sending when
+/// the connection closes would see a reset instead of the response.
 ///
 /// # Errors
-/// What kept it from being read.
+/// [`BodyError`] if the body is too large, incomplete after `wait` or broken off.
 pub async fn read_body(body: Incoming, limit: usize, wait: Duration) -> Result<Bytes, BodyError> {
     match tokio::time::timeout(wait, collect(body, limit)).await {
         Err(_) => Err(BodyError::TooSlow),
@@ -146,7 +148,7 @@
     while let Some(frame) = body.frame().await {
         let data = frame.map_err(|_| BodyError::Broken)?.into_data().unwrap_or_default();
         read += data.len();
-        if read > limit.saturating_mul(DROPPED_PER_LIMIT) {
+        if read > limit.saturating_mul(DISCARD_LIMIT_FACTOR) {
             break;
         }
         if read <= limit {
@@ -156,20 +158,21 @@
     if read > limit { Err(BodyError::TooLarge) } else { Ok(buf.freeze()) }
 }
 
-/// A body that is whole at once.
+/// Creates a body from bytes that are complete.
 pub fn full_body(bytes: impl Into<Bytes>) -> Body {
     Full::new(bytes.into()).map_err(|never| match never {}).boxed()
 }
 
-/// A body whose parts come through the channel, each sent on at once. An `Err` cuts it.
+/// Creates a streamed body, which sends each part from the channel immediately. An `Err` aborts it.
 pub fn stream_body(rx: mpsc::Receiver<Result<Bytes, BodyAborted>>) -> Body {
-    ReceiverBody { rx, cut_next: false }.boxed()
+    ReceiverBody { rx, abort_next: false }.boxed()
 }
 
 struct ReceiverBody {
     rx: mpsc::Receiver<Result<Bytes, BodyAborted>>,
-    /// A cut was received; it is passed on once what came before has been written.
-    cut_next: bool,
+    /// Whether an abort was received; it is returned by the next poll, when the preceding parts have
+    /// been written.
+    abort_next: bool,
 }
 
 impl hyper::body::Body for ReceiverBody {
@@ -180,14 +183,14 @@
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, BodyAborted>>> {
-        if self.cut_next {
+        if self.abort_next {
             return Poll::Ready(Some(Err(BodyAborted)));
         }
         match self.rx.poll_recv(cx) {
             Poll::Ready(Some(Err(BodyAborted))) => {
-                // hyper writes out what it holds when a body has nothing more for now, but drops
-                // it at an error.
-                self.cut_next = true;
+                // hyper flushes its buffer when the body is pending, but discards it on an error,
+                // so the error is returned only by the next poll.
+                self.abort_next = true;
                 cx.waker().wake_by_ref();
                 Poll::Pending
             }
--- a/components/journal/src/lib.rs
+++ b/components/journal/src/lib.rs
@@ -1,6 +1,6 @@
-//! Bounded record of the decisions taken for each request, for `saddlerail explain`.
+//! Bounded in-memory log of the decisions made for each request, read by `saddlerail explain`.
 //!
-//! A decision is written down before the call that follows from it is sent.
+//! A decision is recorded before the resulting call is sent.
 
 use std::collections::{HashMap, VecDeque};
 
@@ -8,28 +8,28 @@
 use outcomes::{Outcome, Reason};
 use serde::{Deserialize, Serialize};
 
-/// Requests that the record holds before the oldest is dropped.
+/// Maximum number of records; further ones replace the oldest.
 pub const MAX_RECORDS: usize = 4096;
 
-/// How one attempt ended.
+/// Result of an attempt.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", tag = "end")]
 pub enum AttemptEnd {
-    /// Not known yet.
+    /// The attempt has not ended.
     Running,
-    /// The target answered whole.
+    /// The target sent a complete response.
     Answered,
-    /// Nothing was sent.
+    /// The call was not sent.
     NotSent {
         /// Why.
         problem: String,
     },
-    /// The target says that it did not run the call.
+    /// The target declined the call without running it.
     Declined {
         /// Why.
         problem: String,
     },
-    /// It was sent and did not end whole; it may have run.
+    /// The call was sent and got no complete response; it may have run.
     Failed {
         /// Why.
         problem: String,
@@ -39,53 +39,53 @@
 /// One attempt to run a stage.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AttemptRecord {
-    /// Attempt id sent to the target.
+    /// Id of the attempt, as sent to the target.
     pub attempt: String,
-    /// The stage.
+    /// Name of the stage.
     pub stage: StageName,
-    /// The chosen target.
+    /// Selected target.
     pub target: TargetName,
-    /// Why this target and not another.
+    /// Why this target was selected.
     pub why: String,
-    /// Milliseconds from the request's arrival to the choice.
+    /// Time from the request's arrival to the selection, in milliseconds.
     pub chosen_at_ms: u64,
-    /// Milliseconds that the call took, once it ended.
+    /// Duration of the call, in milliseconds; `None` while it is running.
     pub took_ms: Option<u64>,
-    /// How it ended.
+    /// Result of the attempt.
     #[serde(flatten)]
     pub end: AttemptEnd,
 }
 
-/// Everything decided for one submission of a request.
+/// Decisions and result of one submission of a request.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RequestRecord {
-    /// The request.
+    /// Id of the request.
     pub request_id: RequestId,
-    /// The service asked for.
+    /// Requested service.
     pub service: ServiceName,
-    /// On whose behalf.
+    /// Customer on whose behalf the request was made.
     pub customer: CustomerName,
-    /// Its priority.
+    /// Priority of the request.
     pub priority: Priority,
-    /// The configuration it runs under.
+    /// Revision of the configuration under which the request runs.
     pub revision: Revision,
-    /// Milliseconds from arrival to the deadline.
+    /// Time from arrival to the deadline, in milliseconds.
     pub deadline_ms: u64,
-    /// Attempts in the order in which they were chosen.
+    /// Attempts, in the order of their selection.
     pub attempts: Vec<AttemptRecord>,
-    /// How it ended, if it has.
+    /// Outcome of the request; `None` while it is running.
     pub outcome: Option<Outcome>,
-    /// Why it was not answered whole.
+    /// Why there was no complete response.
     pub reason: Option<Reason>,
-    /// Milliseconds from arrival to the end.
+    /// Time from arrival to the end, in milliseconds; `None` while the request is running.
     pub took_ms: Option<u64>,
 }
 
-/// Number of a submission within this process.
+/// Identifies a submission within this process. One request id may be submitted several times.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct SubmissionId(u64);
 
-/// The latest [`MAX_RECORDS`] submissions.
+/// Records of the latest [`MAX_RECORDS`] submissions.
 #[derive(Debug, Default)]
 pub struct Journal {
     records: HashMap<u64, RequestRecord>,
@@ -94,7 +94,7 @@
 }
 
 impl Journal {
-    /// Opens a record and drops the oldest if there are too many.
+    /// Adds a record, and removes the oldest one if there are more than [`MAX_RECORDS`].
     pub fn open(&mut self, record: RequestRecord) -> SubmissionId {
         let number = self.next;
         self.next += 1;
@@ -108,14 +108,14 @@
         SubmissionId(number)
     }
 
-    /// Writes down a choice, before its call is sent.
+    /// Records an attempt before its call is sent.
     pub fn record_attempt(&mut self, submission: SubmissionId, attempt: AttemptRecord) {
         if let Some(record) = self.records.get_mut(&submission.0) {
             record.attempts.push(attempt);
         }
     }
 
-    /// Writes down how an attempt ended.
+    /// Records the result of an attempt.
     pub fn record_attempt_end(
         &mut self,
         submission: SubmissionId,
@@ -131,7 +131,7 @@
         }
     }
 
-    /// Writes down how the request ended.
+    /// Records the result of a request.
     pub fn record_end(
         &mut self,
         submission: SubmissionId,
@@ -146,18 +146,18 @@
         }
     }
 
-    /// All submissions under one request id, oldest first.
+    /// Records of all submissions with the request id, oldest first.
     pub fn find<'a>(&'a self, id: &'a RequestId) -> impl Iterator<Item = &'a RequestRecord> + 'a {
         let records = self.order.iter().filter_map(|number| self.records.get(number));
         records.filter(move |record| record.request_id == *id)
     }
 
-    /// Records held.
+    /// Number of records.
     pub fn len(&self) -> usize {
         self.records.len()
     }
 
-    /// Whether no record is held.
+    /// Whether there are no records.
     pub fn is_empty(&self) -> bool {
         self.records.is_empty()
     }
--- a/components/outcomes/src/lib.rs
+++ b/components/outcomes/src/lib.rs
@@ -1,6 +1,6 @@
-//! The four outcomes of a request and how HTTP shows them.
+//! The outcomes of a request, the reasons for a failure, and their HTTP representation.
 //!
-//! `docs/operators/callers.md` gives the table of every combination.
+//! `docs/operators/callers.md` has a table of all combinations of outcome, reason and status.
 
 use std::time::Duration;
 
@@ -8,27 +8,27 @@
 use ids::{RequestId, StageName, TargetName};
 use serde::{Deserialize, Serialize};
 
-/// Header that carries the outcome's name.
+/// Response header with the name of the outcome.
 pub const OUTCOME_HEADER: &str = "saddlerail-outcome";
-/// Header that carries the request id, in requests and answers.
+/// Header with the request id, in requests and responses.
 pub const REQUEST_ID_HEADER: &str = "saddlerail-request-id";
 
-/// What a caller may rely on about its request.
+/// Outcome of a request: what the caller can rely on.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Outcome {
-    /// The complete answer, within the deadline.
+    /// The response is complete and was ready within the deadline.
     Whole,
-    /// No stage ran, here or anywhere; nothing is charged.
+    /// No stage ran on any VM or target; nothing is charged.
     NotRun,
-    /// Some stages ran or may have run; the request may be repeated if it is repeatable.
+    /// Some stages ran or may have run. The caller may retry the request if it is repeatable.
     Failed,
-    /// A call that may not be repeated may have run; it is never run again under this id.
+    /// A non-repeatable call may have run; it is never run again under this request id.
     Unknown,
 }
 
 impl Outcome {
-    /// The outcome's name on the wire.
+    /// Name of the outcome on the wire.
     pub fn as_str(self) -> &'static str {
         match self {
             Outcome::Whole => "whole",
@@ -39,7 +39,8 @@
     }
 }
 
-/// Why a request was not answered whole.
+// The doc comments of the variants are the displayed texts, which are sent to callers.
+/// Why a request got no complete response.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Display, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Reason {
@@ -73,54 +74,55 @@
     StoreOut,
 }
 
-/// A stage that ran for a request and what it cost.
+/// A run of a stage for a request, and its cost.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StageRun {
-    /// The stage.
+    /// Name of the stage.
     pub stage: StageName,
-    /// The target that ran it.
+    /// Target that ran the stage.
     pub target: TargetName,
-    /// What the target charged, in its own units; `None` where no whole answer told it.
+    /// Cost charged by the target, in units of its own; `None` if it is not known because there was
+    /// no complete response.
     pub cost: Option<u64>,
 }
 
-/// A request that was not answered whole.
+/// Result of a request that got no complete response.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Refusal {
-    /// What the caller may rely on; never `Whole`.
+    /// Outcome of the request; never `Whole`.
     pub outcome: Outcome,
-    /// Why.
+    /// Reason for the refusal.
     pub reason: Reason,
-    /// More about the reason, for a person.
+    /// Human-readable details of the reason.
     pub detail: String,
-    /// When to ask again; `None` where asking again makes no sense.
+    /// Time after which to retry; `None` if a retry makes no sense.
     pub retry_after: Option<Duration>,
 }
 
 impl Refusal {
-    /// A request of which nothing ran.
+    /// Creates a refusal of a request of which no stage ran.
     pub fn not_run(reason: Reason, detail: impl Into<String>) -> Self {
         Refusal { outcome: Outcome::NotRun, reason, detail: detail.into(), retry_after: None }
     }
 
-    /// A request of which some stages ran or may have run.
+    /// Creates a refusal of a request of which some stages ran or may have run.
     pub fn failed(reason: Reason, detail: impl Into<String>) -> Self {
         Refusal { outcome: Outcome::Failed, reason, detail: detail.into(), retry_after: None }
     }
 
-    /// A request that may not be repeated and may have run.
+    /// Creates a refusal of a non-repeatable request that may have run.
     pub fn unknown(reason: Reason, detail: impl Into<String>) -> Self {
         Refusal { outcome: Outcome::Unknown, reason, detail: detail.into(), retry_after: None }
     }
 
-    /// The same refusal with the time after which to ask again.
+    /// Sets the time after which to retry.
     #[must_use]
     pub fn with_retry_after(mut self, wait: Duration) -> Self {
         self.retry_after = Some(wait);
         self
     }
 
-    /// The HTTP status that goes with this refusal.
+    /// HTTP status of this refusal.
     pub fn status(&self) -> u16 {
         match (self.outcome, self.reason) {
             (_, Reason::BadRequest) => 400,
@@ -137,31 +139,31 @@
     }
 }
 
-/// Body of every answer that is no stream, and of a stream's last event.
+/// Body of each response that is not streamed, and of the last event of a stream.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Answer {
-    /// The request this answers.
+    /// Id of the request.
     pub request_id: RequestId,
-    /// What the caller may rely on.
+    /// Outcome of the request.
     pub outcome: Outcome,
-    /// Why it was not answered whole.
+    /// Why the response is not complete; absent if it is.
     #[serde(skip_serializing_if = "Option::is_none", default)]
     pub reason: Option<Reason>,
-    /// More about the reason, for a person.
+    /// Human-readable details of the reason.
     #[serde(skip_serializing_if = "Option::is_none", default)]
     pub detail: Option<String>,
-    /// Milliseconds after which to ask again.
+    /// Time after which to retry, in milliseconds.
     #[serde(skip_serializing_if = "Option::is_none", default)]
     pub retry_after_ms: Option<u64>,
-    /// The stages that ran, in order, failed attempts included.
+    /// Runs of stages in order, including failed attempts.
     pub stages: Vec<StageRun>,
-    /// Output of the last stage; absent in a stream, where it went before.
+    /// Output of the last stage; absent in a stream, whose earlier events carry it.
     #[serde(skip_serializing_if = "Option::is_none", default)]
     pub output: Option<serde_json::Value>,
 }
 
 impl Answer {
-    /// The whole answer.
+    /// Creates the body of a complete response.
     pub fn whole(
         request_id: RequestId,
         stages: Vec<StageRun>,
@@ -178,7 +180,7 @@
         }
     }
 
-    /// The answer that tells a refusal.
+    /// Creates the body of a refusal.
     pub fn refused(request_id: RequestId, stages: Vec<StageRun>, refusal: &Refusal) -> Self {
         let millis = |wait: Duration| u64::try_from(wait.as_millis()).unwrap_or(u64::MAX);
         Answer {
--- a/components/telemetry/src/lib.rs
+++ b/components/telemetry/src/lib.rs
@@ -1,4 +1,4 @@
-//! Logs and metrics of a process.
+//! Logging and metrics of a process.
 
 mod logs;
 mod metrics;
