--- a/components/telemetry/src/metrics.rs
+++ b/components/telemetry/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Counters and histograms, shown as a page that a common scraper reads.
+//! Counters, gauges and histograms of the process, exported in the Prometheus text format.
 
 use std::time::Duration;
 
@@ -8,63 +8,69 @@
 use opentelemetry_sdk::metrics::SdkMeterProvider;
 use prometheus::{Encoder, Registry, TextEncoder};
 
-/// Bounds of the time histograms, in seconds.
-const SECONDS: [f64; 14] =
+/// Bucket boundaries of the duration histograms, in seconds.
+const DURATION_BUCKETS_S: [f64; 14] =
     [0.001, 0.002, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.5, 5.0, 15.0, 60.0];
 
-/// Names of all metrics, as the code gives them.
+/// Names of all metrics, without the suffixes that the exporter adds.
 pub mod metric_names {
-    /// Requests answered, by service, customer and outcome.
+    /// Number of answered requests, by service, customer and outcome.
     pub const REQUESTS: &str = "saddlerail_requests";
-    /// Seconds from a request's arrival to its answer, by service and outcome.
+    /// Time from a request's arrival to its response, in seconds, by service and outcome.
     pub const REQUEST_SECONDS: &str = "saddlerail_request_seconds";
-    /// Attempts ended, by stage, target and end.
+    /// Number of ended attempts, by stage, target and end (result).
     pub const ATTEMPTS: &str = "saddlerail_attempts";
-    /// What targets charged, by stage, customer and whether the request was answered whole.
+    /// Cost charged by targets, in their units, by stage, customer and whether the request got a
+    /// complete response.
     pub const COST: &str = "saddlerail_stage_cost";
-    /// Answers that named another attempt, dropped.
-    pub const CROSSED_ANSWERS: &str = "saddlerail_crossed_answers";
-    /// Bytes of control messages, by direction.
+    /// Number of responses that were discarded because they named another attempt, by target.
+    pub const MISMATCHED_ANSWERS: &str = "saddlerail_crossed_answers";
+    /// Bytes of control messages exchanged with peers, by direction.
     pub const CONTROL_BYTES: &str = "saddlerail_control_bytes";
-    /// Calls to the platform, by kind and result.
+    /// Number of calls to the platform, by kind and result.
     pub const PLATFORM_CALLS: &str = "saddlerail_platform_calls";
-    /// Requests in work.
+    /// Number of requests in progress.
     pub const IN_WORK: &str = "saddlerail_requests_in_work";
-    /// Revision in force.
+    /// Revision of the configuration in force.
     pub const REVISION: &str = "saddlerail_revision";
-    /// Seconds since the store was heard.
+    /// Time since the store last responded, in seconds.
     pub const STORE_AGE: &str = "saddlerail_store_age_seconds";
-    /// Seconds for which a configuration that a peer has is missing here; 0 if none is.
+    /// Time for which a peer has had a newer configuration than this process, in seconds; 0 if none
+    /// has.
     pub const CONFIGURATION_BEHIND: &str = "saddlerail_configuration_behind_seconds";
-    /// Data halls that operators took out of service.
+    /// Number of data halls that operators took out of service.
     pub const HALLS_EVACUATED: &str = "saddlerail_halls_evacuated";
-    /// Targets that are cold.
+    /// Number of cold targets.
     pub const TARGETS_COLD: &str = "saddlerail_targets_cold";
-    /// Requests refused since they end targets, by service.
+    /// Number of requests refused because such requests crash targets, by service.
     pub const QUARANTINED: &str = "saddlerail_requests_quarantined";
-    /// Different requests that are refused since they end targets.
+    /// Number of distinct requests that are currently refused because they crash targets.
     pub const QUARANTINE: &str = "saddlerail_quarantine";
-    /// Lifetimes of targets first heard to leave, by service and source: an answer or a peer.
+    /// Number of target lifetimes reported as leaving, by service and the source of the first
+    /// report: `answer` or `peer`.
     pub const TARGETS_DEPARTED: &str = "saddlerail_targets_departed";
-    /// Permits asked for targets that name a rate.
+    /// Number of permits requested for targets with a declared rate, by service and end (granted or
+    /// denied).
     pub const PERMITS: &str = "saddlerail_permits";
-    /// Words in targets' answers that nobody knows, by service.
-    pub const UNKNOWN_WORDS: &str = "saddlerail_unknown_words";
-    /// Results of stages that were given up, by cause.
+    /// Number of unknown headers in targets' responses, by service.
+    pub const UNKNOWN_HEADERS: &str = "saddlerail_unknown_words";
+    /// Number of stage results that were released, or could not be because the worker was not
+    /// reached, by cause.
     pub const RESULTS_GIVEN_UP: &str = "saddlerail_results_given_up";
-    /// Stages of a request made anew since an input was gone, by cause.
+    /// Number of times that stages of a request were rerun because an input was lost, by cause.
     pub const INPUTS_GONE: &str = "saddlerail_inputs_gone";
-    /// Requests that the end of the process closed, by what they waited for.
+    /// Number of requests closed by the end of the process, by what they were waiting for.
     pub const CLOSED_BY_STOP: &str = "saddlerail_requests_closed_by_stop";
-    /// Requests that a stop did not leave time for, by what they waited for.
+    /// Number of requests ended because the shutdown left no time for them, by what they were
+    /// waiting for.
     pub const ENDED_BY_STOP: &str = "saddlerail_requests_ended_by_stop";
-    /// All of them, for the test that keeps the docs true.
+    /// Names of all metrics, for the test that compares them with the documentation.
     pub const ALL: [&str; 22] = [
         REQUESTS,
         REQUEST_SECONDS,
         ATTEMPTS,
         COST,
-        CROSSED_ANSWERS,
+        MISMATCHED_ANSWERS,
         CONTROL_BYTES,
         PLATFORM_CALLS,
         IN_WORK,
@@ -77,7 +83,7 @@
         QUARANTINE,
         TARGETS_DEPARTED,
         PERMITS,
-        UNKNOWN_WORDS,
+        UNKNOWN_HEADERS,
         RESULTS_GIVEN_UP,
         INPUTS_GONE,
         CLOSED_BY_STOP,
@@ -85,7 +91,7 @@
     ];
 }
 
-/// The process's metrics.
+/// Metrics of the process.
 pub struct Metrics {
     registry: Registry,
     _provider: SdkMeterProvider,
@@ -93,7 +99,7 @@
     request_seconds: Histogram<f64>,
     attempts: Counter<u64>,
     cost: Counter<u64>,
-    crossed: Counter<u64>,
+    mismatched_answers: Counter<u64>,
     control_bytes: Counter<u64>,
     platform_calls: Counter<u64>,
     in_work: Gauge<u64>,
@@ -106,7 +112,7 @@
     quarantine: Gauge<u64>,
     targets_departed: Counter<u64>,
     permits: Counter<u64>,
-    unknown_words: Counter<u64>,
+    unknown_headers: Counter<u64>,
     results_given_up: Counter<u64>,
     inputs_gone: Counter<u64>,
     closed_by_stop: Counter<u64>,
@@ -114,7 +120,7 @@
 }
 
 impl Metrics {
-    /// Metrics with nothing counted yet.
+    /// Creates the metrics, with all counters at zero.
     ///
     /// # Errors
     /// `BadInput` if the exporter can't be set up.
@@ -131,11 +137,11 @@
             requests: meter.u64_counter(metric_names::REQUESTS).build(),
             request_seconds: meter
                 .f64_histogram(metric_names::REQUEST_SECONDS)
-                .with_boundaries(SECONDS.to_vec())
+                .with_boundaries(DURATION_BUCKETS_S.to_vec())
                 .build(),
             attempts: meter.u64_counter(metric_names::ATTEMPTS).build(),
             cost: meter.u64_counter(metric_names::COST).build(),
-            crossed: meter.u64_counter(metric_names::CROSSED_ANSWERS).build(),
+            mismatched_answers: meter.u64_counter(metric_names::MISMATCHED_ANSWERS).build(),
             control_bytes: meter.u64_counter(metric_names::CONTROL_BYTES).build(),
             platform_calls: meter.u64_counter(metric_names::PLATFORM_CALLS).build(),
             in_work: meter.u64_gauge(metric_names::IN_WORK).build(),
@@ -148,7 +154,7 @@
             quarantine: meter.u64_gauge(metric_names::QUARANTINE).build(),
             targets_departed: meter.u64_counter(metric_names::TARGETS_DEPARTED).build(),
             permits: meter.u64_counter(metric_names::PERMITS).build(),
-            unknown_words: meter.u64_counter(metric_names::UNKNOWN_WORDS).build(),
+            unknown_headers: meter.u64_counter(metric_names::UNKNOWN_HEADERS).build(),
             results_given_up: meter.u64_counter(metric_names::RESULTS_GIVEN_UP).build(),
             inputs_gone: meter.u64_counter(metric_names::INPUTS_GONE).build(),
             closed_by_stop: meter.u64_counter(metric_names::CLOSED_BY_STOP).build(),
@@ -157,46 +163,48 @@
         })
     }
 
-    /// Counts a permit that was asked for a target of a service.
-    pub fn permit_asked(&self, service: &str, granted: bool) {
+    /// Counts a permit requested for a target of the service.
+    pub fn permit_requested(&self, service: &str, granted: bool) {
         let end = if granted { "granted" } else { "denied" };
         let labels = [KeyValue::new("service", service.to_owned()), KeyValue::new("end", end)];
         self.permits.add(1, &labels);
     }
 
-    /// Counts a word in an answer that nobody knows.
-    pub fn unknown_word(&self, service: &str) {
-        self.unknown_words.add(1, &[KeyValue::new("service", service.to_owned())]);
+    /// Counts an unknown header in a target's response.
+    pub fn unknown_header(&self, service: &str) {
+        self.unknown_headers.add(1, &[KeyValue::new("service", service.to_owned())]);
     }
 
-    /// Counts results of stages by why they are given up, or that their worker did not hear of it.
+    /// Counts stage results by the cause of their release, or as `not_heard` if their worker was not
+    /// reached.
     pub fn results_given_up(&self, cause: &'static str, results: usize) {
         self.results_given_up.add(results as u64, &[KeyValue::new("cause", cause)]);
     }
 
-    /// Counts a stage that is made anew since an input was gone, by cause.
+    /// Counts a rerun of stages because an input was lost, by cause.
     pub fn inputs_gone(&self, cause: &'static str) {
         self.inputs_gone.add(1, &[KeyValue::new("cause", cause)]);
     }
 
-    /// Counts a request that was told that it can't be served since the process stops, by what it waited for.
+    /// Counts a request that was refused because the shutdown left no time for it, by what it was waiting
+    /// for.
     pub fn request_ended_by_stop(&self, waits_for: &'static str) {
         self.ended_by_stop.add(1, &[KeyValue::new("waits_for", waits_for)]);
     }
 
-    /// Counts a request that the end of the process closed, by what it waited for.
+    /// Counts a request that was closed by the end of the process, by what it was waiting for.
     pub fn request_closed_by_stop(&self, waits_for: &'static str) {
         self.closed_by_stop.add(1, &[KeyValue::new("waits_for", waits_for)]);
     }
 
-    /// Counts a lifetime of a target that is first heard to leave.
+    /// Counts the first report that a target's lifetime is ending.
     pub fn target_departed(&self, service: &str, source: &'static str) {
         let labels =
             [KeyValue::new("service", service.to_owned()), KeyValue::new("source", source)];
         self.targets_departed.add(1, &labels);
     }
 
-    /// Counts an answered request.
+    /// Counts an answered request and records its duration.
     pub fn request_ended(&self, service: &str, customer: &str, outcome: &str, took: Duration) {
         let service = KeyValue::new("service", service.to_owned());
         let outcome = KeyValue::new("outcome", outcome.to_owned());
@@ -215,7 +223,7 @@
         self.attempts.add(1, &labels);
     }
 
-    /// Adds what a target charged for a stage.
+    /// Adds the cost that a target charged for a stage.
     pub fn stage_charged(&self, stage: &str, customer: &str, whole: bool, cost: u64) {
         let labels = [
             KeyValue::new("stage", stage.to_owned()),
@@ -225,12 +233,12 @@
         self.cost.add(cost, &labels);
     }
 
-    /// Counts an answer that named another attempt.
+    /// Counts a response that named another attempt.
     pub fn answer_to_other_attempt(&self, target: &str) {
-        self.crossed.add(1, &[KeyValue::new("target", target.to_owned())]);
+        self.mismatched_answers.add(1, &[KeyValue::new("target", target.to_owned())]);
     }
 
-    /// Adds bytes of control messages.
+    /// Adds the sizes of control messages, in bytes.
     pub fn control_bytes(&self, sent: u64, received: u64) {
         self.control_bytes.add(sent, &[KeyValue::new("direction", "sent")]);
         self.control_bytes.add(received, &[KeyValue::new("direction", "received")]);
@@ -242,13 +250,14 @@
         self.platform_calls.add(1, &labels);
     }
 
-    /// Sets the requests in work and the revision in force.
+    /// Sets the number of requests in progress and the revision in force.
     pub fn set_state(&self, in_work: u64, revision: u64) {
         self.in_work.record(in_work, &[]);
         self.revision.record(revision, &[]);
     }
 
-    /// Sets how old the store's last word is, and for how long a newer configuration is missing.
+    /// Sets the time since the store last responded, and the time for which a newer configuration has
+    /// been missing.
     pub fn set_staleness(&self, store: Option<Duration>, behind: Option<Duration>) {
         if let Some(age) = store {
             self.store_age.record(age.as_secs_f64(), &[]);
@@ -256,26 +265,26 @@
         self.behind.record(behind.unwrap_or_default().as_secs_f64(), &[]);
     }
 
-    /// Sets the halls out of service and the cold targets.
+    /// Sets the numbers of halls out of service and of cold targets.
     pub fn set_out_of_service(&self, halls: u64, cold_targets: u64) {
         self.halls_evacuated.record(halls, &[]);
         self.targets_cold.record(cold_targets, &[]);
     }
 
-    /// Counts a request that was refused since it ends targets.
+    /// Counts a request that was refused because it crashes targets.
     pub fn request_quarantined(&self, service: &str) {
         self.quarantined.add(1, &[KeyValue::new("service", service.to_owned())]);
     }
 
-    /// Sets how many different requests are refused since they end targets.
+    /// Sets the number of distinct requests that are refused because they crash targets.
     pub fn set_quarantine(&self, refused: u64) {
         self.quarantine.record(refused, &[]);
     }
 
-    /// The page for the scraper.
+    /// Renders all metrics in the Prometheus text format.
     ///
     /// # Errors
-    /// `BadInput` if a metric can't be written as text.
+    /// `BadInput` if a metric can't be encoded.
     pub fn render(&self) -> Result<String> {
         let mut buf = Vec::new();
         TextEncoder::new()
--- a/gateway/src/permits.rs
+++ b/gateway/src/permits.rs
@@ -82,7 +82,7 @@
     let asked = now();
     let decision = decide(app, target, limit, within).await;
     let granted = matches!(decision, Some(Decision::Granted(_)));
-    app.metrics.permit_asked(target.service.as_str(), granted);
+    app.metrics.permit_requested(target.service.as_str(), granted);
     match decision {
         Some(Decision::Granted(wait)) => {
             tokio::time::sleep_until(tokio::time::Instant::from_std(asked + wait)).await;
--- a/gateway/src/target_words.rs
+++ b/gateway/src/target_words.rs
@@ -76,7 +76,7 @@
             warn!(app.log, "answer says what is not known"; "header" => &name,
                 "service" => %target.service, "target" => %target.id);
         }
-        app.metrics.unknown_word(target.service.as_str());
+        app.metrics.unknown_header(target.service.as_str());
     }
 }
 
