--- a/components/routing/src/router.rs
+++ b/components/routing/src/router.rs
@@ -129,7 +129,8 @@
     /// Decides whether to start a request; `req` is the slot request of its first stage.
     ///
     /// # Errors
-    /// [`SlotRefusal::TooLate`] if the expected waits and stage times exceed the time to the deadline.
+    /// [`SlotRefusal::TooLate`] if the expected waits and stage times exceed the time to the
+    /// deadline.
     pub fn admit(&mut self, req: &SlotRequest<'_>, now: Instant) -> Admission {
         if self.policy != Policy::Adaptive {
             return Ok(());
--- a/components/routing/tests/decisions.rs
+++ b/components/routing/tests/decisions.rs
@@ -475,7 +475,8 @@
                 2 | 3 if !held.is_empty() => {
                     let slot = held.swap_remove(usize::from(which) % held.len());
                     let ends = [CallEnd::Answered, CallEnd::Failed, CallEnd::Declined];
-                    updates = fixture.release(slot, ends[usize::from(which) % 3], MS * u32::from(which));
+                    updates =
+                        fixture.release(slot, ends[usize::from(which) % 3], MS * u32::from(which));
                 }
                 4 => {
                     fixture.router.set_peer_loads(|_| u32::from(which) % 4, 1);
