--- a/gateway/src/accepted_links.rs
+++ b/gateway/src/accepted_links.rs
@@ -28,8 +28,8 @@
 };
 use crate::links::ToDialer;
 use crate::news;
-use crate::piece_news::{PeerSink, Sink};
-use crate::{permits, releases, target_words, work};
+use crate::piece_events::{PeerSink, Sink};
+use crate::{permits, releases, submissions, target_words};
 
 /// Pauses before the looks whether a process is gone whose link ended: its port may be closed a little later.
 const GONE_LOOKS: [Duration; 3] =
@@ -135,7 +135,7 @@
     }
     // Whoever handed them in does so elsewhere, or is gone.
     for (pool, job) in jobs.into_values() {
-        work::cancel(&app, &pool, job);
+        submissions::cancel(&app, &pool, job);
     }
     if let Some(leases) = leases {
         app.lease_links.borrow_mut().remove(&leases.key);
@@ -202,13 +202,13 @@
             if let Some((pool, submission)) = submission_of(submit) {
                 let until = submission.until;
                 let sink = Sink::Peer(PeerSink { tx: tx.clone(), number, lease_link, until });
-                let job = work::submit(app, &pool, submission, sink);
+                let job = submissions::submit(app, &pool, submission, sink);
                 jobs.insert(number, (pool, job));
             }
         }
         from_dialer::Kind::Cancel(cancel) => {
             if let Some((pool, job)) = jobs.remove(&cancel.job) {
-                work::cancel(app, &pool, job);
+                submissions::cancel(app, &pool, job);
             }
         }
         from_dialer::Kind::Release(release) => take_release(app, release, tx),
--- a/gateway/src/in_work.rs
+++ b/gateway/src/active_requests.rs
@@ -10,12 +10,12 @@
 
 new_key_type! {
     /// A request in work.
-    pub(crate) struct WorkKey;
+    pub(crate) struct ActiveRequestKey;
 }
 
 /// What a request waits for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Waits {
+pub(crate) enum WaitReason {
     /// Its body, or the checks before it is served.
     Checks,
     /// Its stages.
@@ -26,74 +26,74 @@
     Answer,
 }
 
-impl Waits {
+impl WaitReason {
     /// Name for logs and metrics.
     pub(crate) fn name(self) -> &'static str {
         match self {
-            Waits::Checks => "checks",
-            Waits::Stages => "stages",
-            Waits::Target => "target",
-            Waits::Answer => "answer",
+            WaitReason::Checks => "checks",
+            WaitReason::Stages => "stages",
+            WaitReason::Target => "target",
+            WaitReason::Answer => "answer",
         }
     }
 }
 
 /// A request in work.
 #[derive(Debug)]
-pub(crate) struct Work {
+pub(crate) struct ActiveRequest {
     pub(crate) id: Option<RequestId>,
     pub(crate) arrived: Instant,
-    pub(crate) waits: Waits,
+    pub(crate) wait_reason: WaitReason,
     /// Whether an earlier try may have run it.
     pub(crate) may_have_run: bool,
     /// Whether its caller has the head of its answer.
     pub(crate) head_sent: bool,
     /// Time that few of its kind take longer than, from being sent to a target to the end of the answer.
-    pub(crate) passing: Option<Duration>,
+    pub(crate) response_time: Option<Duration>,
 }
 
 /// Requests in work.
-pub(crate) type Works = SlotMap<WorkKey, Work>;
+pub(crate) type ActiveRequests = SlotMap<ActiveRequestKey, ActiveRequest>;
 
 /// Keeps a request among those in work for as long as it lives.
-pub(crate) struct InWork {
+pub(crate) struct ActiveRequestGuard {
     app: Rc<App>,
-    key: WorkKey,
+    key: ActiveRequestKey,
 }
 
-impl InWork {
+impl ActiveRequestGuard {
     /// Takes a request whose head was read.
     pub(crate) fn new(app: &Rc<App>, id: Option<RequestId>, arrived: Instant) -> Self {
-        let work = Work {
+        let work = ActiveRequest {
             id,
             arrived,
-            waits: Waits::Checks,
+            wait_reason: WaitReason::Checks,
             may_have_run: false,
             head_sent: false,
-            passing: None,
+            response_time: None,
         };
-        let key = app.hub.with(|shared, _| shared.works.insert(work));
-        InWork { app: Rc::clone(app), key }
+        let key = app.hub.with(|shared, _| shared.active_requests.insert(work));
+        ActiveRequestGuard { app: Rc::clone(app), key }
     }
 
     /// Its key while it is in work.
-    pub(crate) fn key(&self) -> WorkKey {
+    pub(crate) fn key(&self) -> ActiveRequestKey {
         self.key
     }
 }
 
-impl Drop for InWork {
+impl Drop for ActiveRequestGuard {
     fn drop(&mut self) {
-        self.app.hub.with(|shared, _| shared.works.remove(self.key));
+        self.app.hub.with(|shared, _| shared.active_requests.remove(self.key));
     }
 }
 
 /// Notes something of a request while it is in work.
-pub(crate) fn note(app: &App, key: WorkKey, change: impl FnOnce(&mut Work)) {
-    app.hub.with(|shared, _| shared.works.get_mut(key).map(change));
+pub(crate) fn note(app: &App, key: ActiveRequestKey, change: impl FnOnce(&mut ActiveRequest)) {
+    app.hub.with(|shared, _| shared.active_requests.get_mut(key).map(change));
 }
 
 /// Notes what a request waits for.
-pub(crate) fn waits_for(app: &App, key: WorkKey, waits: Waits) {
-    note(app, key, |work| work.waits = waits);
+pub(crate) fn set_wait_reason(app: &App, key: ActiveRequestKey, reason: WaitReason) {
+    note(app, key, |work| work.wait_reason = reason);
 }
--- a/gateway/src/admission.rs
+++ b/gateway/src/admission.rs
@@ -12,7 +12,7 @@
 
 use crate::app::App;
 use crate::hub::left;
-use crate::requests::Accepted;
+use crate::requests::AcceptedRequest;
 use crate::settings::Policy;
 use crate::shared::Shared;
 use crate::stages::time_after;
@@ -75,12 +75,12 @@
 
 impl Admission {
     /// Pieces on their way, by pool.
-    pub(crate) fn coming(&self) -> impl Iterator<Item = (&ServiceName, u32)> {
+    pub(crate) fn upcoming(&self) -> impl Iterator<Item = (&ServiceName, u32)> {
         self.coming.iter().filter(|(_, pieces)| **pieces > 0).map(|(pool, pieces)| (pool, *pieces))
     }
 
     /// Pieces on their way to a pool.
-    pub(crate) fn coming_to(&self, pool: &ServiceName) -> f64 {
+    pub(crate) fn upcoming_for(&self, pool: &ServiceName) -> f64 {
         self.coming.get(pool).copied().map_or(0.0, f64::from)
     }
 }
@@ -122,7 +122,7 @@
 ///
 /// # Errors
 /// The refusal, with the time to come back.
-pub(crate) fn admit(app: &Rc<App>, req: &Accepted) -> Result<InFlight, Refusal> {
+pub(crate) fn admit(app: &Rc<App>, req: &AcceptedRequest) -> Result<InFlight, Refusal> {
     if let Some(retry_after) = app.hub.with(|shared, now| shared.closed_for(req, now)) {
         info!(app.log, "not admitted"; "request" => %req.id, "entry" => &req.entry.name,
             "come_back_ms" => retry_after.as_millis(),
@@ -151,7 +151,7 @@
         return Ok(in_flight);
     }
     let part = EARLIEST_PART + (LATEST_PART - EARLIEST_PART) * rand::random::<f64>();
-    let retry_after = left(req.until).mul_f64(part);
+    let retry_after = left(req.deadline).mul_f64(part);
     info!(app.log, "not admitted"; "request" => %req.id, "entry" => &req.entry.name,
         "expected_ms" => expected.as_millis(), "allowed_ms" => allowed.as_millis(),
         "forecast_ms_old" => age.map(|age| age.as_millis()),
@@ -160,24 +160,28 @@
 }
 
 /// Age of the oldest forecast that the decision rests on; `None` if there is none.
-fn oldest_forecast(shared: &Shared, req: &Accepted, now: Instant) -> Option<Duration> {
+fn oldest_forecast(shared: &Shared, req: &AcceptedRequest, now: Instant) -> Option<Duration> {
     let of_pools = req.entry.stages.iter().filter_map(|stage| forecast(shared, &stage.pool, now));
     of_pools.map(|forecast| now.saturating_duration_since(forecast.at)).max()
 }
 
 /// More urgent ranks than the request's own.
-fn rank(req: &Accepted) -> f64 {
+fn rank(req: &AcceptedRequest) -> f64 {
     let ranks: BTreeSet<u8> = req.intent.entries().map(|entry| entry.urgency).collect();
     ranks.into_iter().filter(|urgency| *urgency < req.urgency).count() as f64
 }
 
 /// Time until the first event.
-fn expected_time(shared: &Shared, req: &Accepted, now: Instant) -> Duration {
-    stages_time(shared, req, now) + shared.first_event(&req.service)
+fn expected_time(shared: &Shared, req: &AcceptedRequest, now: Instant) -> Duration {
+    expected_stages_time(shared, req, now) + shared.first_event(&req.service)
 }
 
 /// Time that the stages take, along the longest way through them.
-pub(crate) fn stages_time(shared: &Shared, req: &Accepted, now: Instant) -> Duration {
+pub(crate) fn expected_stages_time(
+    shared: &Shared,
+    req: &AcceptedRequest,
+    now: Instant,
+) -> Duration {
     let stages = &req.entry.stages;
     let mut done: Vec<Duration> = Vec::with_capacity(stages.len());
     for (index, stage) in stages.iter().enumerate() {
@@ -193,7 +197,7 @@
 
 fn pool_time(
     shared: &Shared,
-    req: &Accepted,
+    req: &AcceptedRequest,
     index: usize,
     begin: Duration,
     now: Instant,
@@ -213,7 +217,7 @@
 }
 
 /// The place of a stage's pieces in its pool's order.
-fn stage_due(shared: &Shared, req: &Accepted, index: usize) -> Instant {
+fn stage_due(shared: &Shared, req: &AcceptedRequest, index: usize) -> Instant {
     let after = time_after(&req.intent, &req.entry, &req.head.pieces, index);
     let after = after + shared.first_event(&req.service);
     let due = (req.arrived + req.entry.latency_goal).checked_sub(after).unwrap_or(req.arrived);
@@ -224,7 +228,7 @@
 /// them with its next heartbeat. What the others admit meanwhile is about what the pool makes meanwhile.
 fn unheard(
     shared: &Shared,
-    req: &Accepted,
+    req: &AcceptedRequest,
     pool: &ServiceName,
     heard: Instant,
     due: Instant,
@@ -244,7 +248,7 @@
 }
 
 /// Counts the pieces of a request that was admitted; gives them by stage.
-fn note(shared: &mut Shared, req: &Accepted, now: Instant) -> Vec<(ServiceName, u32)> {
+fn note(shared: &mut Shared, req: &AcceptedRequest, now: Instant) -> Vec<(ServiceName, u32)> {
     let mut by_stage = Vec::with_capacity(req.entry.stages.len());
     for (index, stage) in req.entry.stages.iter().enumerate() {
         let pieces = req.head.pieces.get(index).copied().unwrap_or(0);
--- a/gateway/src/app.rs
+++ b/gateway/src/app.rs
@@ -19,7 +19,7 @@
 use crate::held_results::HeldResults;
 use crate::hub::Hub;
 use crate::links::{Link, ToDialer};
-use crate::piece_news::Sink;
+use crate::piece_events::Sink;
 use crate::releases::Word;
 use crate::settings::Settings;
 
--- a/gateway/src/tries.rs
+++ b/gateway/src/attempts.rs
@@ -12,18 +12,18 @@
 use selection::{CallSize, Pick, SelectionRequest, TargetKey, TargetOutcome};
 use slog::info;
 
+use crate::active_requests::{self, WaitReason};
 use crate::app::App;
-use crate::connections::{Carrier, NoAnswer};
+use crate::connections::{SendError, TargetConnection};
 use crate::crashes;
 use crate::hub::{left, now};
-use crate::in_work::{self, Waits};
 use crate::permits::{self, AtItsRate, Permit};
 use crate::reach;
-use crate::requests::{Accepted, call_of};
+use crate::requests::{AcceptedRequest, call_of};
 use crate::target_words;
 
 /// When to come back while no target can be used.
-pub(crate) const NO_TARGET_WAIT: Duration = Duration::from_millis(700);
+pub(crate) const NO_TARGET_RETRY_AFTER: Duration = Duration::from_millis(700);
 /// When to come back after targets were too busy.
 const BUSY_WAIT: Duration = Duration::from_millis(400);
 /// Most targets that can't be reached that are tried, beside those that were sent something.
@@ -39,9 +39,9 @@
 pub(crate) const OUT_OF_REACH: &str = "its hall is out of reach";
 
 /// The tries of one request.
-pub(crate) struct Tries {
+pub(crate) struct Attempts {
     app: Rc<App>,
-    req: Rc<Accepted>,
+    req: Rc<AcceptedRequest>,
     began: Instant,
     tried: Vec<TargetKey>,
     sent: u32,
@@ -49,7 +49,7 @@
 }
 
 /// A try under way; dropped before its end, it counts as given up.
-pub(crate) struct Try {
+pub(crate) struct Attempt {
     app: Rc<App>,
     pub(crate) pick: Pick,
     /// The lifetime of the target that it was sent to.
@@ -63,7 +63,7 @@
     unread: u64,
 }
 
-impl Try {
+impl Attempt {
     /// The prompt was read.
     pub(crate) fn prompt_read(&mut self) {
         let unread = std::mem::take(&mut self.unread);
@@ -79,7 +79,7 @@
     }
 }
 
-impl Drop for Try {
+impl Drop for Attempt {
     fn drop(&mut self) {
         self.end(TargetOutcome::GivenUp);
     }
@@ -90,13 +90,13 @@
     pub(crate) head: http::response::Parts,
     pub(crate) read: AnswerHead,
     pub(crate) body: Incoming,
-    pub(crate) carrier: Carrier,
-    pub(crate) a_try: Try,
+    pub(crate) carrier: TargetConnection,
+    pub(crate) attempt: Attempt,
 }
 
 /// Why a try brought no answer.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(crate) enum Missed {
+pub(crate) enum AttemptError {
     /// Nothing could be sent.
     NotReached,
     /// Another target has its address and said so; nothing ran.
@@ -109,9 +109,9 @@
     Lost(String),
 }
 
-impl Tries {
-    pub(crate) fn new(app: &Rc<App>, req: &Rc<Accepted>) -> Self {
-        Tries {
+impl Attempts {
+    pub(crate) fn new(app: &Rc<App>, req: &Rc<AcceptedRequest>) -> Self {
+        Attempts {
             app: Rc::clone(app),
             req: Rc::clone(req),
             began: now(),
@@ -127,7 +127,7 @@
     }
 
     /// The request.
-    pub(crate) fn req(&self) -> &Rc<Accepted> {
+    pub(crate) fn req(&self) -> &Rc<AcceptedRequest> {
         &self.req
     }
 
@@ -150,19 +150,19 @@
         size: Option<&CallSize>,
         inputs: &[String],
         last_event: Option<u64>,
-    ) -> Result<Result<Answer, Missed>, Refusal> {
+    ) -> Result<Result<Answer, AttemptError>, Refusal> {
         // Word of it may have come since the request was admitted, or since the last try.
         if let Some(refusal) = crashes::refusal(&self.app, &self.req, self.may_have_run()) {
             return Err(refusal);
         }
-        in_work::waits_for(&self.app, self.req.work, Waits::Target);
-        let (mut a_try, permit) = self.choose(size).await?;
-        in_work::waits_for(&self.app, self.req.work, Waits::Answer);
-        self.tried.push(a_try.pick.key);
+        active_requests::set_wait_reason(&self.app, self.req.active_key, WaitReason::Target);
+        let (mut attempt, permit) = self.choose(size).await?;
+        active_requests::set_wait_reason(&self.app, self.req.active_key, WaitReason::Answer);
+        self.tried.push(attempt.pick.key);
         self.began = now();
-        let target = a_try.pick.target.clone();
+        let target = attempt.pick.target.clone();
         let head = CallHead {
-            left: left(self.req.until),
+            left: left(self.req.deadline),
             target: &target.id,
             customer: self.req.customer.as_ref(),
             urgency: self.req.urgency,
@@ -177,39 +177,39 @@
             sent = sending => sent,
             // What may run once only is waited for: the hall may come back with its answer.
             () = reach::lost(&mut out, &target.hall), if self.req.entry.repeatable => {
-                Err(NoAnswer::GivenUp(OUT_OF_REACH.to_owned()))
+                Err(SendError::GivenUp(OUT_OF_REACH.to_owned()))
             }
             // It may still wait there, and would end that target as well; what was sent may run.
             refusal = crashes::until_refused(&self.app, &self.req, true) => return Err(refusal),
         };
         let result = match sent {
-            Ok((answer, carrier)) => self.read(answer, carrier, &mut a_try).await,
-            Err(NoAnswer::NotSent(why)) => {
-                a_try.end(TargetOutcome::Unreachable);
+            Ok((answer, carrier)) => self.read(answer, carrier, &mut attempt).await,
+            Err(SendError::NotSent(why)) => {
+                attempt.end(TargetOutcome::Unreachable);
                 self.sent -= 1;
                 self.unreachable += 1;
                 slog::debug!(self.app.log, "target not reached"; "target" => %target.id, "why" => why);
-                Err(Missed::NotReached)
+                Err(AttemptError::NotReached)
             }
-            Err(NoAnswer::Withheld) => {
-                a_try.end(TargetOutcome::GivenUp);
+            Err(SendError::Withheld) => {
+                attempt.end(TargetOutcome::GivenUp);
                 self.sent -= 1;
                 self.unreachable += 1;
-                Err(Missed::NotReached)
+                Err(AttemptError::NotReached)
             }
-            Err(NoAnswer::Broke(why)) => {
-                crashes::connection_broke(&self.app, &self.req, &a_try).await;
-                a_try.end(TargetOutcome::Failed);
-                Err(Missed::Lost(why))
+            Err(SendError::Broke(why)) => {
+                crashes::connection_broke(&self.app, &self.req, &attempt).await;
+                attempt.end(TargetOutcome::Failed);
+                Err(AttemptError::Lost(why))
             }
-            Err(NoAnswer::GivenUp(why)) => {
-                a_try.end(TargetOutcome::Failed);
-                Err(Missed::Lost(why))
+            Err(SendError::GivenUp(why)) => {
+                attempt.end(TargetOutcome::Failed);
+                Err(AttemptError::Lost(why))
             }
         };
-        self.tell(&a_try, result.as_ref().err());
+        self.tell(&attempt, result.as_ref().err());
         Ok(match result {
-            Ok((head, read, body, carrier)) => Ok(Answer { head, read, body, carrier, a_try }),
+            Ok((head, read, body, carrier)) => Ok(Answer { head, read, body, carrier, attempt }),
             Err(missed) => {
                 self.not_answered(&missed);
                 Err(missed)
@@ -218,41 +218,41 @@
     }
 
     /// Notes that a try brought no answer.
-    fn not_answered(&self, missed: &Missed) {
-        in_work::waits_for(&self.app, self.req.work, Waits::Target);
-        if matches!(missed, Missed::Lost(_)) {
+    fn not_answered(&self, missed: &AttemptError) {
+        active_requests::set_wait_reason(&self.app, self.req.active_key, WaitReason::Target);
+        if matches!(missed, AttemptError::Lost(_)) {
             self.set_may_have_run();
         }
     }
 
     /// Notes that a try may have run the request.
     pub(crate) fn set_may_have_run(&self) {
-        in_work::note(&self.app, self.req.work, |work| work.may_have_run = true);
+        active_requests::note(&self.app, self.req.active_key, |work| work.may_have_run = true);
     }
 
     /// Whether a try may have run the request.
     pub(crate) fn may_have_run(&self) -> bool {
-        self.app
-            .hub
-            .with(|shared, _| shared.works.get(self.req.work).is_some_and(|work| work.may_have_run))
+        self.app.hub.with(|shared, _| {
+            shared.active_requests.get(self.req.active_key).is_some_and(|work| work.may_have_run)
+        })
     }
 
     /// Chooses the best target that was not tried and takes another request now.
-    async fn choose(&mut self, size: Option<&CallSize>) -> Result<(Try, Permit), Refusal> {
+    async fn choose(&mut self, size: Option<&CallSize>) -> Result<(Attempt, Permit), Refusal> {
         let mut passed_over = self.tried.clone();
         let mut asked = 0;
         loop {
-            let mut a_try = self.pick(size, &passed_over).ok_or_else(|| self.no_target())?;
-            let target = a_try.pick.target.clone();
+            let mut attempt = self.pick(size, &passed_over).ok_or_else(|| self.no_target())?;
+            let target = attempt.pick.target.clone();
             // While there are others none is waited for.
-            let is_last = a_try.pick.candidates <= 1;
+            let is_last = attempt.pick.candidates <= 1;
             let within = if is_last { self.patience() } else { Duration::ZERO };
             match permits::for_request(&self.app, &target, within).await {
-                Ok(permit) => return Ok((a_try, permit)),
+                Ok(permit) => return Ok((attempt, permit)),
                 Err(AtItsRate) => {
-                    a_try.end(TargetOutcome::GivenUp);
+                    attempt.end(TargetOutcome::GivenUp);
                     permits::tell_passed_over(&self.app, &self.req.id, &target);
-                    passed_over.push(a_try.pick.key);
+                    passed_over.push(attempt.pick.key);
                     asked += 1;
                 }
             }
@@ -266,15 +266,15 @@
 
     /// Time that the request can wait for a target, which leaves most of its aim to the answer.
     fn patience(&self) -> Duration {
-        (self.req.entry.latency_goal / WAIT_PART).min(left(self.req.until))
+        (self.req.entry.latency_goal / WAIT_PART).min(left(self.req.deadline))
     }
 
-    fn pick(&self, size: Option<&CallSize>, exclude: &[TargetKey]) -> Option<Try> {
+    fn pick(&self, size: Option<&CallSize>, exclude: &[TargetKey]) -> Option<Attempt> {
         let wanted = SelectionRequest { service: &self.req.service, exclude, size };
         self.app.hub.with(|shared, now| {
             let pick = shared.targets.pick(&wanted, now)?;
             let said = shared.departures.announced_at(&pick.target);
-            Some(Try {
+            Some(Attempt {
                 app: Rc::clone(&self.app),
                 unread: pick.unread_tokens,
                 lifetime: shared.lifetime_of(&pick.target),
@@ -289,14 +289,14 @@
     async fn read(
         &mut self,
         answer: Response<Incoming>,
-        carrier: Carrier,
-        a_try: &mut Try,
-    ) -> Result<(http::response::Parts, AnswerHead, Incoming, Carrier), Missed> {
+        carrier: TargetConnection,
+        attempt: &mut Attempt,
+    ) -> Result<(http::response::Parts, AnswerHead, Incoming, TargetConnection), AttemptError> {
         let (head, body) = answer.into_parts();
         let read = (self.app.adapter.calls.read_head)(&head, &self.req.id);
-        target_words::look_for_unknown(&self.app, &a_try.pick.target, &head);
-        target_words::heard(&self.app, &a_try.pick.target, &read, self.began);
-        let key = a_try.pick.key;
+        target_words::look_for_unknown(&self.app, &attempt.pick.target, &head);
+        target_words::heard(&self.app, &attempt.pick.target, &read, self.began);
+        let key = attempt.pick.key;
         if let (Some(load), true) = (read.load, read.evidence != Evidence::Crossed) {
             self.app.hub.with(|shared, now| {
                 shared.targets.record_target_load(key, load.running, load.waiting, now);
@@ -305,73 +305,73 @@
         match read.evidence {
             Evidence::Answered => Ok((head, read, body, carrier)),
             Evidence::Declined | Evidence::InputGone => {
-                a_try.end(TargetOutcome::Declined);
+                attempt.end(TargetOutcome::Declined);
                 self.finish_declined(body, carrier, read).await;
                 if read.evidence == Evidence::InputGone {
-                    return Err(Missed::InputGone);
+                    return Err(AttemptError::InputGone);
                 }
-                Err(Missed::Declined)
+                Err(AttemptError::Declined)
             }
             Evidence::OtherTarget => {
-                a_try.end(TargetOutcome::Unreachable);
+                attempt.end(TargetOutcome::Unreachable);
                 self.sent -= 1;
                 self.unreachable += 1;
-                self.app.hub.with(|shared, now| shared.target_replaced(&a_try.pick.target, now));
-                Err(Missed::Replaced)
+                self.app.hub.with(|shared, now| shared.target_replaced(&attempt.pick.target, now));
+                Err(AttemptError::Replaced)
             }
             Evidence::Crossed => {
-                a_try.end(TargetOutcome::Failed);
-                self.app.metrics.answer_crossed(a_try.pick.target.id.as_str());
-                Err(Missed::Lost("an answer to another request came".to_owned()))
+                attempt.end(TargetOutcome::Failed);
+                self.app.metrics.answer_crossed(attempt.pick.target.id.as_str());
+                Err(AttemptError::Lost("an answer to another request came".to_owned()))
             }
             Evidence::Invalid => {
-                a_try.end(TargetOutcome::Failed);
-                Err(Missed::Lost("no valid answer came".to_owned()))
+                attempt.end(TargetOutcome::Failed);
+                Err(AttemptError::Lost("no valid answer came".to_owned()))
             }
         }
     }
 
     /// Keeps the connection of a decline if its short body was read.
-    async fn finish_declined(&self, body: Incoming, carrier: Carrier, read: AnswerHead) {
+    async fn finish_declined(&self, body: Incoming, carrier: TargetConnection, read: AnswerHead) {
         use http_body_util::BodyExt;
         if let (Ok(_), false) = (body.collect().await, read.closes) {
             self.app.rest(carrier, read.keep_alive);
         }
     }
 
-    fn tell(&self, a_try: &Try, missed: Option<&Missed>) {
-        let pick = &a_try.pick;
-        info!(self.app.log, "try"; "request" => %self.req.id, "content" => %self.req.content, "service" => %self.req.service,
+    fn tell(&self, attempt: &Attempt, missed: Option<&AttemptError>) {
+        let pick = &attempt.pick;
+        info!(self.app.log, "try"; "request" => %self.req.id, "content" => %self.req.digest, "service" => %self.req.service,
             "target" => %pick.target.id, "hall" => %pick.target.hall,
             "cost" => format!("{:.2}", pick.cost), "of" => pick.candidates,
             "load_age_ms" => pick.load_age.map(|age| age.as_millis()), "unread" => pick.unread_tokens,
             "missed" => missed.map(|missed| format!("{missed:?}")),
-            "rate_per_s" => a_try.rate.map(RateLimit::per_s),
-            "said_leaving_ms" => a_try.said_leaving.map(|age| age.as_millis()),
+            "rate_per_s" => attempt.rate.map(RateLimit::per_s),
+            "said_leaving_ms" => attempt.said_leaving.map(|age| age.as_millis()),
             "at_ms" => (now() - self.req.arrived).as_millis());
         let end = match missed {
             None => "answered",
-            Some(Missed::Lost(_)) => "lost",
+            Some(AttemptError::Lost(_)) => "lost",
             Some(_) => "not run",
         };
         self.app.metrics.attempt_ended(self.req.service.as_str(), pick.target.id.as_str(), end);
     }
 
     /// Whether another try may follow one that ended so; takes it from the budget if it has to.
-    pub(crate) fn may_go_on(&mut self, missed: &Missed) -> bool {
-        if matches!(missed, Missed::Lost(_)) && !self.req.entry.repeatable {
+    pub(crate) fn may_go_on(&mut self, missed: &AttemptError) -> bool {
+        if matches!(missed, AttemptError::Lost(_)) && !self.req.entry.repeatable {
             return false;
         }
-        let in_time = left(self.req.until) > Duration::ZERO;
+        let in_time = left(self.req.deadline) > Duration::ZERO;
         match missed {
-            Missed::NotReached => return in_time && self.unreachable < MOST_UNREACHABLE,
+            AttemptError::NotReached => return in_time && self.unreachable < MOST_UNREACHABLE,
             // It reached nobody whom it was meant for. Of the requests of an entry with one try 1.4% had all
             // their stages made and were refused so, each by a target that had crashed and come back as
             // another one.
-            Missed::Replaced => {
+            AttemptError::Replaced => {
                 return in_time && self.unreachable < MOST_UNREACHABLE && self.takes_repeat();
             }
-            Missed::Declined | Missed::InputGone | Missed::Lost(_) => {}
+            AttemptError::Declined | AttemptError::InputGone | AttemptError::Lost(_) => {}
         }
         self.sent < self.req.entry.max_attempts.max(1) && in_time && self.takes_repeat()
     }
@@ -392,7 +392,7 @@
 
     /// The refusal when no try is left.
     pub(crate) fn refusal(&self) -> Refusal {
-        match (self.may_have_run(), left(self.req.until).is_zero()) {
+        match (self.may_have_run(), left(self.req.deadline).is_zero()) {
             (true, true) => Refusal::TimedOut,
             (true, false) => Refusal::Failed,
             (false, true) => Refusal::NotRunTimedOut,
@@ -410,7 +410,7 @@
     fn no_target(&self) -> Refusal {
         match self.refusal() {
             Refusal::NotRun { .. } if self.sent == 0 => {
-                Refusal::NotRun { retry_after: self.come_back(NO_TARGET_WAIT) }
+                Refusal::NotRun { retry_after: self.come_back(NO_TARGET_RETRY_AFTER) }
             }
             other => other,
         }
--- a/gateway/src/connections.rs
+++ b/gateway/src/connections.rs
@@ -29,7 +29,7 @@
 const UNCONFIRMED_WAIT: Duration = Duration::from_millis(1500);
 /// A connection rests this long before it is used again, so that an extra answer to the last
 /// request is seen as such and ends the connection.
-pub(crate) const SETTLE: Duration = Duration::from_millis(12);
+pub(crate) const REUSE_DELAY: Duration = Duration::from_millis(12);
 /// Rest after which a connection is not used again where the target says nothing.
 const REST: Duration = Duration::from_secs(4);
 /// Part of the time that a target says it keeps a connection at rest.
@@ -42,7 +42,7 @@
 
 /// Why a call brought no answer.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(crate) enum NoAnswer {
+pub(crate) enum SendError {
     /// Not a byte of it was sent.
     NotSent(String),
     /// Not a byte of it was sent, since its target takes no new work any more.
@@ -54,14 +54,14 @@
 }
 
 /// A connection with a call under way; dropped before its end, it is closed.
-pub(crate) struct Carrier {
+pub(crate) struct TargetConnection {
     target: TargetName,
     sender: SendRequest<CallBody>,
     task: AbortHandle,
 }
 
 struct Resting {
-    carrier: Carrier,
+    carrier: TargetConnection,
     since: Instant,
     until: Instant,
 }
@@ -79,10 +79,10 @@
         target: &Target,
         req: Request<CallBody>,
         permit: Permit,
-    ) -> Result<(Response<Incoming>, Carrier), NoAnswer> {
+    ) -> Result<(Response<Incoming>, TargetConnection), SendError> {
         let mut req = req;
         if !permit.holds() {
-            return Err(NoAnswer::Withheld);
+            return Err(SendError::Withheld);
         }
         // A kept connection may turn out to be closed before anything was written.
         while let Some(mut carrier) = self.take(&target.id) {
@@ -90,27 +90,27 @@
                 Ok(answer) => return Ok((answer, carrier)),
                 Err(mut e) => match e.take_message() {
                     Some(unsent) => req = unsent,
-                    None => return Err(NoAnswer::Broke(e.into_error().to_string())),
+                    None => return Err(SendError::Broke(e.into_error().to_string())),
                 },
             }
         }
         let mut carrier = open(target.id.clone(), target.address).await?;
         if !permit.holds() {
-            return Err(NoAnswer::Withheld);
+            return Err(SendError::Withheld);
         }
         match carrier.sender.try_send_request(req).await {
             Ok(answer) => Ok((answer, carrier)),
             Err(mut e) => {
                 let unsent = e.take_message().is_some();
                 let problem = e.into_error().to_string();
-                Err(if unsent { NoAnswer::NotSent(problem) } else { NoAnswer::Broke(problem) })
+                Err(if unsent { SendError::NotSent(problem) } else { SendError::Broke(problem) })
             }
         }
     }
 
     /// Takes back a connection whose answer was read to its end, if its target has fewer than `most`
     /// at rest.
-    fn rest(&self, carrier: Carrier, keeps: Option<Duration>, most: usize) {
+    fn rest(&self, carrier: TargetConnection, keeps: Option<Duration>, most: usize) {
         let since = now();
         let rest = keeps.map_or(REST, |keeps| keeps.mul_f64(KEPT_PART)).min(REST);
         let mut resting = self.resting.borrow_mut();
@@ -121,7 +121,7 @@
     }
 
     /// Closes connections that rested long enough.
-    pub(crate) fn close_old(&self) {
+    pub(crate) fn close_expired(&self) {
         let now = now();
         let mut resting = self.resting.borrow_mut();
         for of_target in resting.values_mut() {
@@ -131,13 +131,13 @@
     }
 
     /// The connection that rested least but long enough.
-    fn take(&self, target: &TargetName) -> Option<Carrier> {
+    fn take(&self, target: &TargetName) -> Option<TargetConnection> {
         let now = now();
         let mut resting = self.resting.borrow_mut();
         let of_target = resting.get_mut(target)?;
         of_target.retain(|r| r.until > now && !r.carrier.sender.is_closed());
         let settled = |r: &Resting| {
-            now.saturating_duration_since(r.since) >= SETTLE && r.carrier.sender.is_ready()
+            now.saturating_duration_since(r.since) >= REUSE_DELAY && r.carrier.sender.is_ready()
         };
         let index = of_target.iter().rposition(settled)?;
         Some(of_target.remove(index).carrier)
@@ -147,7 +147,7 @@
 impl App {
     /// Lets a connection rest whose answer was read to its end. All VMs together keep no more at a
     /// target than it takes.
-    pub(crate) fn rest(&self, carrier: Carrier, keeps: Option<Duration>) {
+    pub(crate) fn rest(&self, carrier: TargetConnection, keeps: Option<Duration>) {
         let most = self.hub.with(|shared, _| {
             let service = shared.targets.service_of(&carrier.target)?;
             let taken = shared.intent.as_ref()?.services.get(service)?.connections;
@@ -158,19 +158,19 @@
     }
 }
 
-impl Drop for Carrier {
+impl Drop for TargetConnection {
     fn drop(&mut self) {
         self.task.abort();
     }
 }
 
-async fn open(target: TargetName, address: SocketAddr) -> Result<Carrier, NoAnswer> {
-    let stream = connect(address).await.map_err(NoAnswer::NotSent)?;
+async fn open(target: TargetName, address: SocketAddr) -> Result<TargetConnection, SendError> {
+    let stream = connect(address).await.map_err(SendError::NotSent)?;
     let handshake = Builder::new().handshake::<_, CallBody>(TokioIo::new(stream)).await;
-    let (sender, connection) = handshake.map_err(|e| NoAnswer::NotSent(e.to_string()))?;
+    let (sender, connection) = handshake.map_err(|e| SendError::NotSent(e.to_string()))?;
     // Its end shows in the sender; the error says nothing more.
     let task = tokio::task::spawn_local(async move { drop(connection.await) }).abort_handle();
-    Ok(Carrier { target, sender, task })
+    Ok(TargetConnection { target, sender, task })
 }
 
 /// Whether an address refuses connections at once: a process that listens there takes them, and one that
--- a/gateway/src/crashes.rs
+++ b/gateway/src/crashes.rs
@@ -14,11 +14,11 @@
 use tokio::time::sleep;
 
 use crate::app::App;
+use crate::attempts::Attempt;
 use crate::connections;
-use crate::requests::Accepted;
+use crate::requests::AcceptedRequest;
 use crate::shared::Shared;
 use crate::stages::pieces_of;
-use crate::tries::Try;
 
 /// Longest first look at a target whose connection broke, which the next try waits for: halls are
 /// milliseconds apart. Without it a request was sent once more before its last end counted (4 workers ended
@@ -32,8 +32,8 @@
 
 /// A target's connection ended under a request, in the middle of its answer or before it: it is looked
 /// whether the target has ended.
-pub(crate) async fn connection_broke(app: &Rc<App>, req: &Accepted, a_try: &Try) {
-    broke(app, &[req.content], &a_try.pick.target, a_try.lifetime).await;
+pub(crate) async fn connection_broke(app: &Rc<App>, req: &AcceptedRequest, attempt: &Attempt) {
+    broke(app, &[req.digest], &attempt.pick.target, attempt.lifetime).await;
 }
 
 /// A worker's connection ended under a call with pieces of these.
@@ -82,8 +82,8 @@
 }
 
 /// A target ran a request to a good end.
-pub(crate) fn completed(app: &App, req: &Accepted) {
-    app.hub.with(|shared, now| shared.quarantine.request_completed(req.content, now));
+pub(crate) fn completed(app: &App, req: &AcceptedRequest) {
+    app.hub.with(|shared, now| shared.quarantine.request_completed(req.digest, now));
 }
 
 /// What the pieces of a call are part of, each once.
@@ -106,16 +106,16 @@
 }
 
 /// The refusal of a request that ended too many targets; this attempt has not run unless said otherwise.
-pub(crate) fn refusal(app: &App, req: &Accepted, may_have_run: bool) -> Option<Refusal> {
+pub(crate) fn refusal(app: &App, req: &AcceptedRequest, may_have_run: bool) -> Option<Refusal> {
     let left = app.hub.with(|shared, now| shared.refused_for(req, now))?;
     app.metrics.request_quarantined(req.service.as_str());
     info!(app.log, "request refused as one that ends targets"; "request" => %req.id,
-        "content" => %req.content, "left_ms" => left.as_millis());
+        "content" => %req.digest, "left_ms" => left.as_millis());
     Some(if may_have_run { Refusal::Failed } else { Refusal::NotRun { retry_after: left } })
 }
 
 /// Ends once a request is refused that waits for its stages or at a target.
-pub(crate) async fn until_refused(app: &App, req: &Accepted, may_have_run: bool) -> Refusal {
+pub(crate) async fn until_refused(app: &App, req: &AcceptedRequest, may_have_run: bool) -> Refusal {
     let mut known = app.hub.with(|shared, _| shared.crashes_known.subscribe());
     loop {
         // The sender lives as long as the shared state.
@@ -151,14 +151,14 @@
     }
 
     /// For how long a request is refused, for itself or for the pieces of one of its stages.
-    fn refused_for(&mut self, req: &Accepted, now: Instant) -> Option<Duration> {
+    fn refused_for(&mut self, req: &AcceptedRequest, now: Instant) -> Option<Duration> {
         if !self.quarantine.has_records() {
             return None;
         }
         let pieces = pieces_of(&req.entry, &req.head);
         let stages = (0u32..).zip(pieces).filter(|(_, pieces)| *pieces > 0);
-        let contents = stages.map(|(stage, _)| req.content.for_stage(stage));
-        let refused = [req.content]
+        let contents = stages.map(|(stage, _)| req.digest.for_stage(stage));
+        let refused = [req.digest]
             .into_iter()
             .chain(contents)
             .find_map(|content| Some((content, self.quarantine.refused_for(&content, now)?)));
--- a/gateway/src/dials.rs
+++ b/gateway/src/dials.rs
@@ -71,7 +71,7 @@
             shared.left_alone.remove_expired(now);
             shared.rates.remove_expired(now);
             shared.accounts.remove_expired(now);
-            shared.look_at_accounts(now);
+            shared.refresh_account_owners(now);
             shared.share_cold(now);
         });
     }
--- a/gateway/src/halls.rs
+++ b/gateway/src/halls.rs
@@ -11,11 +11,11 @@
 use slog::{info, warn};
 
 use crate::app::App;
+use crate::attempts::NO_TARGET_RETRY_AFTER;
 use crate::pool_calls;
-use crate::requests::Accepted;
+use crate::requests::AcceptedRequest;
 use crate::shared::Shared;
 use crate::stages::pieces_of;
-use crate::tries::NO_TARGET_WAIT;
 
 /// Key by which VMs agree on who sends to a cold target.
 fn sender_key(target: &Target) -> String {
@@ -102,14 +102,14 @@
 
     /// When to come back with a request that needs a service none of whose targets may be sent work while
     /// the request lasts; `None` if it may be served.
-    pub(crate) fn closed_for(&self, req: &Accepted, now: Instant) -> Option<Duration> {
+    pub(crate) fn closed_for(&self, req: &AcceptedRequest, now: Instant) -> Option<Duration> {
         let stages = req.entry.stages.iter().zip(pieces_of(&req.entry, &req.head));
         let pools = stages.filter(|(_, pieces)| *pieces > 0).map(|(stage, _)| &stage.pool);
         let closed = |service: &ServiceName| {
             if self.targets.is_closed(service, now) {
-                return Some(NO_TARGET_WAIT);
+                return Some(NO_TARGET_RETRY_AFTER);
             }
-            self.opens_in(service, now).filter(|time| now + *time >= req.until)
+            self.opens_in(service, now).filter(|time| now + *time >= req.deadline)
         };
         pools.chain([&req.service]).filter_map(closed).max()
     }
@@ -145,5 +145,5 @@
         let changed = std::mem::take(&mut shared.choices_changed);
         if changed { shared.pools.keys().cloned().collect() } else { Vec::new() }
     });
-    pools.iter().for_each(|pool| pool_calls::fill_calls(app, pool));
+    pools.iter().for_each(|pool| pool_calls::dispatch_calls(app, pool));
 }
--- a/gateway/src/link_words.rs
+++ b/gateway/src/link_words.rs
@@ -63,7 +63,7 @@
             .collect(),
         coming: shared
             .admission
-            .coming()
+            .upcoming()
             .map(|(pool, pieces)| Coming { pool: pool.to_string(), pieces })
             .collect(),
         pools: shared
--- a/gateway/src/links.rs
+++ b/gateway/src/links.rs
@@ -31,7 +31,7 @@
 use crate::link_words::{
     Told, beat, crashes_of, departures_of, hello, made_of, meet, take_beat, untold,
 };
-use crate::piece_news::{PieceNews, StageTurn};
+use crate::piece_events::{PieceEvent, StageAttempt};
 use crate::releases;
 use crate::target_words;
 
@@ -75,8 +75,8 @@
 
 /// A submission whose results are waited for.
 struct Waiting {
-    news: UnboundedSender<PieceNews>,
-    of: StageTurn,
+    news: UnboundedSender<PieceEvent>,
+    of: StageAttempt,
     term: Term,
     /// Pieces that are not done.
     left: usize,
@@ -102,9 +102,9 @@
         &self,
         pool: &ServiceName,
         submission: &Submission,
-        of: StageTurn,
+        of: StageAttempt,
         life: Duration,
-        news: UnboundedSender<PieceNews>,
+        news: UnboundedSender<PieceEvent>,
     ) -> u64 {
         let job = self.next_number();
         let term = Term { until: submission.until, life };
@@ -239,11 +239,11 @@
         let mut jobs = self.jobs.borrow_mut();
         let mut unread = Vec::new();
         for piece in done.pieces {
-            let made = made_of(&piece);
-            let handle = made.handle().map(str::to_owned);
+            let outcome = made_of(&piece);
+            let handle = outcome.handle().map(str::to_owned);
             let is_read = jobs.get_mut(&done.job).is_some_and(|waiting| {
                 waiting.left = waiting.left.saturating_sub(1);
-                let news = PieceNews::Done { of: waiting.of, piece: piece.piece, made };
+                let news = PieceEvent::Done { submission: waiting.of, piece: piece.piece, outcome };
                 waiting.news.send(news).is_ok()
             });
             unread.extend(handle.filter(|_| !is_read));
@@ -264,7 +264,7 @@
     fn fetched(&self, job: u64) {
         if let Some(waiting) = self.jobs.borrow().get(&job) {
             // A request that is gone gives its results up by itself.
-            drop(waiting.news.send(PieceNews::Fetched { of: waiting.of }));
+            drop(waiting.news.send(PieceEvent::Fetched { submission: waiting.of }));
         }
     }
 
@@ -274,7 +274,7 @@
         self.asked.take();
         self.permits.borrow_mut().clear();
         for (_, waiting) in self.jobs.borrow_mut().drain() {
-            drop(waiting.news.send(PieceNews::OwnerLost { of: waiting.of }));
+            drop(waiting.news.send(PieceEvent::OwnerLost { submission: waiting.of }));
         }
         self.unconfirmed.take().into_values().flatten().collect()
     }
--- a/gateway/src/own_calls.rs
+++ b/gateway/src/own_calls.rs
@@ -10,14 +10,14 @@
 use slog::debug;
 
 use crate::app::App;
-use crate::connections::NoAnswer;
+use crate::connections::SendError;
 use crate::hub::now;
 use crate::permits::Permit;
 use crate::target_words;
 
 /// Why a call of this system's own brought no answer.
 #[derive(Debug)]
-pub(crate) enum OwnCallMiss {
+pub(crate) enum OwnCallError {
     Declined,
     OtherTarget,
     /// Nothing was sent.
@@ -34,7 +34,7 @@
     target: &Target,
     call: OwnCall,
     permit: Permit,
-) -> Result<bytes::Bytes, OwnCallMiss> {
+) -> Result<bytes::Bytes, OwnCallError> {
     let mut req = Request::new(Full::new(call.body));
     *req.method_mut() = call.method;
     *req.uri_mut() = http::Uri::from_static(call.path);
@@ -47,24 +47,24 @@
     let (answer, carrier) = sent.map_err(|miss| {
         debug!(app.log, "call failed"; "target" => %target.id, "why" => ?miss);
         match miss {
-            NoAnswer::Broke(_) => OwnCallMiss::Broke,
-            NoAnswer::Withheld => OwnCallMiss::Declined,
-            NoAnswer::NotSent(_) | NoAnswer::GivenUp(_) => OwnCallMiss::NotReached,
+            SendError::Broke(_) => OwnCallError::Broke,
+            SendError::Withheld => OwnCallError::Declined,
+            SendError::NotSent(_) | SendError::GivenUp(_) => OwnCallError::NotReached,
         }
     })?;
     let (head, body) = answer.into_parts();
     let read = (app.adapter.calls.read_head)(&head, &no_request());
     target_words::look_for_unknown(app, target, &head);
     target_words::heard_of_own_call(app, target, &read, began);
-    let body = body.collect().await.map_err(|_| OwnCallMiss::Broke)?.to_bytes();
+    let body = body.collect().await.map_err(|_| OwnCallError::Broke)?.to_bytes();
     if !read.closes {
         app.rest(carrier, read.keep_alive);
     }
     match read.evidence {
-        Evidence::OtherTarget => Err(OwnCallMiss::OtherTarget),
-        Evidence::Declined | Evidence::InputGone => Err(OwnCallMiss::Declined),
+        Evidence::OtherTarget => Err(OwnCallError::OtherTarget),
+        Evidence::Declined | Evidence::InputGone => Err(OwnCallError::Declined),
         _ if head.status.is_success() => Ok(body),
-        _ => Err(OwnCallMiss::Failed),
+        _ => Err(OwnCallError::Failed),
     }
 }
 
--- a/gateway/src/owners.rs
+++ b/gateway/src/owners.rs
@@ -136,6 +136,6 @@
             .splits
             .get(name)
             .map(|split| self.fleet.incoming_pieces(name.as_str(), split, now));
-        peers.unwrap_or(0.0) + self.admission.coming_to(name)
+        peers.unwrap_or(0.0) + self.admission.upcoming_for(name)
     }
 }
--- a/gateway/src/pages.rs
+++ b/gateway/src/pages.rs
@@ -86,7 +86,8 @@
 fn metrics(app: &App) -> (StatusCode, String) {
     app.hub.with(|shared, now| {
         let version = shared.intent.as_ref().map_or(0, |intent| intent.version);
-        app.metrics.set_state(u64::try_from(shared.works.len()).unwrap_or(u64::MAX), version);
+        app.metrics
+            .set_state(u64::try_from(shared.active_requests.len()).unwrap_or(u64::MAX), version);
         app.metrics.set_belief_ages(shared.contact.age(now), shared.behind.age(now));
         let evacuated = u64::try_from(shared.halls.evacuated().len()).unwrap_or(u64::MAX);
         let cold = u64::try_from(shared.cold_targets).unwrap_or(u64::MAX);
@@ -205,7 +206,7 @@
             "store_lost": shared.contact.is_lost(now),
             "store_heard_ms": shared.contact.age(now).map(|age| age.as_millis() as u64),
             "stopping": shared.is_stopping(),
-            "in_work": shared.works.len(),
+            "in_work": shared.active_requests.len(),
             "targets": shared.targets.len(),
             "halls_out_of_reach": shared.fleet.unreachable_halls.iter().map(|hall| hall.as_str()).collect::<Vec<_>>(),
             "halls_evacuated": shared.halls.evacuated().iter().map(|hall| hall.as_str()).collect::<Vec<_>>(),
--- a/gateway/src/permits.rs
+++ b/gateway/src/permits.rs
@@ -113,7 +113,7 @@
 
 /// Time for which such words to a target are gathered into one, if it names a rate: they stay few beside the
 /// calls that its rate allows, also where the target counts them.
-pub(crate) fn gathers_for(app: &App, target: &Target) -> Option<Duration> {
+pub(crate) fn release_batch_window(app: &App, target: &Target) -> Option<Duration> {
     let pause = app.hub.with(|shared, _| shared.targets.get(&target.id)?.request_interval)?;
     Some((pause * PAUSES_GATHERED).min(LONGEST_GATHERED))
 }
@@ -218,8 +218,8 @@
     }
 
     /// Looks who holds the accounts now, so that a change is seen though nobody asks.
-    pub(crate) fn look_at_accounts(&mut self, now: Instant) {
-        for service in self.rated_services() {
+    pub(crate) fn refresh_account_owners(&mut self, now: Instant) {
+        for service in self.rate_limited_services() {
             self.account_owner(&service, now);
         }
     }
@@ -237,7 +237,7 @@
     }
 
     /// Services, but for pools, some target of which names a rate: their accounts may be asked for.
-    pub(crate) fn rated_services(&self) -> Vec<ServiceName> {
+    pub(crate) fn rate_limited_services(&self) -> Vec<ServiceName> {
         let rated = self.rates.all().filter_map(|(lifetime, ..)| {
             let service = self.targets.service_of(&lifetime.target)?;
             (!self.pools.contains_key(service)).then(|| service.clone())
@@ -272,7 +272,7 @@
     }
 
     /// A worker of a pool names another rate than before: it is held back until it takes more by that.
-    pub(crate) fn hold_worker(&mut self, lifetime: &Lifetime, now: Instant) {
+    pub(crate) fn hold_back_worker(&mut self, lifetime: &Lifetime, now: Instant) {
         let Some(target) = self.targets.get(&lifetime.target).cloned() else { return };
         if !self.pools.contains_key(&target.service) {
             return;
--- a/gateway/src/piece_news.rs
+++ b/gateway/src/piece_events.rs
@@ -14,41 +14,41 @@
 /// A stage of a request, and how often it had been submitted before: news of an earlier time that
 /// is still on its way says nothing of a later one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) struct StageTurn {
+pub(crate) struct StageAttempt {
     /// Index of the stage.
     pub(crate) stage: u32,
     /// Times that it was submitted, this one included.
-    pub(crate) turn: u32,
+    pub(crate) attempt: u32,
 }
 
 /// What a request hears of the pieces that it submitted.
 #[derive(Debug)]
-pub(crate) enum PieceNews {
+pub(crate) enum PieceEvent {
     /// A piece of a stage is done.
     Done {
         /// The stage.
-        of: StageTurn,
+        submission: StageAttempt,
         /// Number of the piece.
         piece: u32,
         /// What became of it.
-        made: PieceOutcome,
+        outcome: PieceOutcome,
     },
     /// The inputs of the stage were fetched and may be given up.
     Fetched {
         /// The stage.
-        of: StageTurn,
+        submission: StageAttempt,
     },
     /// The VM that fills the calls is gone; what is not done has to be submitted again.
     OwnerLost {
         /// The stage.
-        of: StageTurn,
+        submission: StageAttempt,
     },
 }
 
 /// Who gets the results of a submission.
 pub(crate) enum Sink {
     /// A request of this VM.
-    Here(UnboundedSender<PieceNews>, StageTurn),
+    Local(UnboundedSender<PieceEvent>, StageAttempt),
     /// A peer.
     Peer(PeerSink),
 }
@@ -67,16 +67,16 @@
 /// Where a request reads its news. Dropped, it gives up the results that were not read.
 pub(crate) struct Inbox {
     app: Rc<App>,
-    rx: UnboundedReceiver<PieceNews>,
+    rx: UnboundedReceiver<PieceEvent>,
 }
 
 impl Inbox {
-    pub(crate) fn new(app: &Rc<App>, rx: UnboundedReceiver<PieceNews>) -> Self {
+    pub(crate) fn new(app: &Rc<App>, rx: UnboundedReceiver<PieceEvent>) -> Self {
         Inbox { app: Rc::clone(app), rx }
     }
 
     /// The next news; `None` if nobody sends any more.
-    pub(crate) async fn next(&mut self) -> Option<PieceNews> {
+    pub(crate) async fn next(&mut self) -> Option<PieceEvent> {
         self.rx.recv().await
     }
 }
@@ -85,7 +85,7 @@
     fn drop(&mut self) {
         self.rx.close();
         while let Ok(news) = self.rx.try_recv() {
-            if let PieceNews::Done { made: PieceOutcome::Stored(handle), .. } = news {
+            if let PieceEvent::Done { outcome: PieceOutcome::Stored(handle), .. } = news {
                 releases::give_up(&self.app, &[handle]);
             }
         }
--- a/gateway/src/pool_calls.rs
+++ b/gateway/src/pool_calls.rs
@@ -14,9 +14,9 @@
 use crate::call_counts::{Counts, end_name};
 use crate::held_results::{Maker, Term};
 use crate::hub::now;
-use crate::own_calls::{OwnCallMiss, own_call};
+use crate::own_calls::{OwnCallError, own_call};
 use crate::permits::Permit;
-use crate::piece_news::{PeerSink, PieceNews, Sink};
+use crate::piece_events::{PeerSink, PieceEvent, Sink};
 use crate::{crashes, link_words, permits, reach, releases, turns};
 
 /// Time in which an answer is read that has arrived when its call is given up: a VM that stood still has not read it
@@ -24,7 +24,7 @@
 const ARRIVED_WAIT: Duration = Duration::from_millis(50);
 
 /// Makes the calls that can be made now, and plans the next look at the queue.
-pub(crate) fn fill_calls(app: &Rc<App>, pool: &ServiceName) {
+pub(crate) fn dispatch_calls(app: &Rc<App>, pool: &ServiceName) {
     end_without_inputs(app, pool);
     end_without_workers(app, pool);
     end_refused(app, pool);
@@ -102,7 +102,7 @@
         let mine = app.planned_looks.borrow().get(&pool) == Some(&at);
         if mine {
             app.planned_looks.borrow_mut().remove(&pool);
-            fill_calls(&app, &pool);
+            dispatch_calls(&app, &pool);
         }
     });
 }
@@ -145,7 +145,7 @@
     });
     releases::reclaim(&app, &pool, orphans);
     hand_back(&app, &pool, finished);
-    fill_calls(&app, &pool);
+    dispatch_calls(&app, &pool);
 }
 
 /// A call's connection ended before its answer was whole.
@@ -175,7 +175,7 @@
                 if arrived.is_err() && is_at_work(app, pool, call.key) {
                     spawn_local(give_up_when_made(Rc::clone(app), pool.clone(), sent));
                 }
-                return end_of(app, arrived.unwrap_or(Err(OwnCallMiss::TimedOut)));
+                return end_of(app, arrived.unwrap_or(Err(OwnCallError::TimedOut)));
             }
             () = &mut fetch, if fetches => {
                 fetches = false;
@@ -196,7 +196,7 @@
 async fn give_up_when_made(
     app: Rc<App>,
     pool: ServiceName,
-    sent: impl Future<Output = Result<bytes::Bytes, OwnCallMiss>>,
+    sent: impl Future<Output = Result<bytes::Bytes, OwnCallError>>,
 ) {
     let life = app.hub.with(|shared, _| shared.pools.get(&pool).map(Pool::result_life));
     let Ok(Ok(body)) = tokio::time::timeout(life.unwrap_or_default(), sent).await else { return };
@@ -220,7 +220,7 @@
     for job in jobs {
         match sinks.get(&(pool.clone(), job)) {
             // A request that is gone gives its results up by itself.
-            Some(Sink::Here(tx, of)) => drop(tx.send(PieceNews::Fetched { of: *of })),
+            Some(Sink::Local(tx, of)) => drop(tx.send(PieceEvent::Fetched { submission: *of })),
             Some(Sink::Peer(peer)) => link_words::send_fetched(&peer.tx, peer.number),
             None => {}
         }
@@ -245,7 +245,7 @@
     })
 }
 
-fn end_of(app: &App, sent: Result<bytes::Bytes, OwnCallMiss>) -> Result<CallEnd, CallBroke> {
+fn end_of(app: &App, sent: Result<bytes::Bytes, OwnCallError>) -> Result<CallEnd, CallBroke> {
     Ok(match sent {
         Ok(body) => match (app.adapter.calls.read_pool_answer)(&body) {
             Ok(answers) => CallEnd::Answered(answers),
@@ -254,10 +254,10 @@
                 CallEnd::Failed
             }
         },
-        Err(OwnCallMiss::Declined) => CallEnd::Full,
-        Err(OwnCallMiss::OtherTarget) => CallEnd::TargetGone,
-        Err(OwnCallMiss::Broke) => return Err(CallBroke),
-        Err(OwnCallMiss::NotReached | OwnCallMiss::TimedOut | OwnCallMiss::Failed) => {
+        Err(OwnCallError::Declined) => CallEnd::Full,
+        Err(OwnCallError::OtherTarget) => CallEnd::TargetGone,
+        Err(OwnCallError::Broke) => return Err(CallBroke),
+        Err(OwnCallError::NotReached | OwnCallError::TimedOut | OwnCallError::Failed) => {
             CallEnd::Failed
         }
     })
@@ -282,11 +282,14 @@
     let life = life.unwrap_or_default();
     for Finished { job, piece, outcome } in finished {
         match sinks.get(&(pool.clone(), job)) {
-            Some(Sink::Here(tx, of)) => {
+            Some(Sink::Local(tx, of)) => {
                 if let PieceOutcome::Stored(handle) = &outcome {
                     app.held.add(handle, Maker::Here, Term { until: now + life, life }, now);
                 }
-                if tx.send(PieceNews::Done { of: *of, piece, made: outcome.clone() }).is_err() {
+                if tx
+                    .send(PieceEvent::Done { submission: *of, piece, outcome: outcome.clone() })
+                    .is_err()
+                {
                     unread.extend(outcome.handle().map(str::to_owned));
                 }
             }
--- a/gateway/src/releases.rs
+++ b/gateway/src/releases.rs
@@ -22,13 +22,13 @@
 
 use crate::accepted_links::process_has_ended;
 use crate::app::App;
-use crate::connections::SETTLE;
+use crate::connections::REUSE_DELAY;
 use crate::held_results::{Maker, Taken};
 use crate::hub::{left, now};
 use crate::links::Link;
-use crate::own_calls::{OwnCallMiss, own_call};
+use crate::own_calls::{OwnCallError, own_call};
 use crate::permits;
-use crate::pool_calls::fill_calls;
+use crate::pool_calls::dispatch_calls;
 
 /// Longest wait for a worker to confirm that results were given up.
 const RELEASE_WAIT: Duration = Duration::from_millis(500);
@@ -276,7 +276,7 @@
         let pool = shared.pools.get_mut(pool);
         pool.map(|pool| pool.finish_release(told, heard, now))
     });
-    fill_calls(app, pool);
+    dispatch_calls(app, pool);
 }
 
 /// The worker at an address; `None` if no target of a pool is known there.
@@ -344,7 +344,7 @@
 async fn tell_all(app: Rc<App>, worker: SocketAddr, teller: Teller) {
     loop {
         let target = worker_at(&app, worker);
-        if let Some(time) = target.and_then(|target| permits::gathers_for(&app, &target)) {
+        if let Some(time) = target.and_then(|target| permits::release_batch_window(&app, &target)) {
             sleep(time).await;
         }
         let words = app.release_words.borrow_mut().insert(worker, Vec::new()).unwrap_or_default();
@@ -359,7 +359,7 @@
             word.heard.send(heard).ok();
         }
         // The connection is used again after that.
-        sleep(SETTLE).await;
+        sleep(REUSE_DELAY).await;
     }
 }
 
@@ -431,7 +431,7 @@
     let permit = permits::for_release(app, target);
     match tokio::time::timeout(RELEASE_WAIT, own_call(app, target, call, permit)).await {
         Ok(Ok(_)) => Told::Heard,
-        Ok(Err(OwnCallMiss::OtherTarget)) => Told::Replaced,
+        Ok(Err(OwnCallError::OtherTarget)) => Told::Replaced,
         Ok(Err(miss)) => Told::Missed(format!("{miss:?}")),
         Err(_) => Told::Missed("no answer in time".to_owned()),
     }
--- a/gateway/src/request_stages.rs
+++ b/gateway/src/request_stages.rs
@@ -7,13 +7,13 @@
 use selection::{CallSize, prefix_chain};
 use slog::info;
 
+use crate::active_requests::WaitReason;
 use crate::admission::InFlight;
 use crate::app::App;
 use crate::hub::now;
-use crate::in_work::Waits;
-use crate::requests::Accepted;
+use crate::requests::AcceptedRequest;
 use crate::stages::{self, Results, StagesMiss, StagesOf};
-use crate::{crashes, in_work};
+use crate::{active_requests, crashes};
 
 /// When to come back after a piece could not be made.
 const BROKEN_WAIT: Duration = Duration::from_millis(800);
@@ -21,7 +21,7 @@
 /// Runs the stages; `None` if the request has none.
 pub(crate) async fn run_stages(
     app: &Rc<App>,
-    req: &Rc<Accepted>,
+    req: &Rc<AcceptedRequest>,
     until: Instant,
     in_flight: Option<InFlight>,
 ) -> Result<Option<Results>, Refusal> {
@@ -36,7 +36,7 @@
         entry: &req.entry,
         head: &req.head,
         id: &req.id,
-        content: req.content,
+        content: req.digest,
         urgency: req.urgency,
         service: &req.service,
         size: &size,
@@ -44,13 +44,13 @@
         due: (req.arrived + req.entry.latency_goal).checked_sub(first_event).unwrap_or(req.arrived),
     };
     let began = now();
-    in_work::waits_for(app, req.work, Waits::Stages);
+    active_requests::set_wait_reason(app, req.active_key, WaitReason::Stages);
     let results = tokio::select! {
         results = stages::run(&of, in_flight) => results,
         // It would be held until its stages are done, only to be refused then.
         refusal = crashes::until_refused(app, req, false) => return Err(refusal),
     };
-    in_work::waits_for(app, req.work, Waits::Target);
+    active_requests::set_wait_reason(app, req.active_key, WaitReason::Target);
     info!(app.log, "stages ended"; "request" => %req.id, "entry" => &req.entry.name,
         "missed" => results.as_ref().err().map(|miss| format!("{miss:?}")),
         "took_ms" => (now() - began).as_millis(), "at_ms" => (now() - req.arrived).as_millis());
@@ -61,7 +61,7 @@
 }
 
 /// The request's size for an engine, with the results of its stages where they are made.
-pub(crate) fn size_of(app: &Rc<App>, req: &Accepted, results: Option<&Results>) -> CallSize {
+pub(crate) fn size_of(app: &Rc<App>, req: &AcceptedRequest, results: Option<&Results>) -> CallSize {
     let engine = req.intent.services.get(&req.service).and_then(|service| service.engine);
     CallSize {
         chain: prefix_chain("", req.head.prompt.iter().map(|part| (part.id, part.tokens))),
--- a/gateway/src/requests.rs
+++ b/gateway/src/requests.rs
@@ -15,22 +15,22 @@
 use quarantine::{RequestDigest, RequestParts};
 use slog::info;
 
+use crate::active_requests::{ActiveRequestGuard, ActiveRequestKey};
 use crate::answers::{AnswerBody, refusal};
 use crate::app::App;
 use crate::hub::now;
-use crate::in_work::{InWork, WorkKey};
 use crate::stops::ELSEWHERE;
-use crate::{crashes, in_work, plain, stops, streams};
+use crate::{active_requests, crashes, stops, streams, whole_answers};
 
 /// Longest time for a caller that names none, where its entry is not known yet.
 const BODY_WAIT: Duration = Duration::from_secs(20);
 
 /// A request that may be served.
-pub(crate) struct Accepted {
+pub(crate) struct AcceptedRequest {
     pub(crate) id: RequestId,
-    pub(crate) work: WorkKey,
+    pub(crate) active_key: ActiveRequestKey,
     /// The same for each attempt at the same request.
-    pub(crate) content: RequestDigest,
+    pub(crate) digest: RequestDigest,
     pub(crate) head: CallerHead,
     pub(crate) parts: Parts,
     pub(crate) body: Bytes,
@@ -41,13 +41,13 @@
     pub(crate) urgency: u8,
     pub(crate) arrived: Instant,
     /// When its answer is of no use or may be held no longer.
-    pub(crate) until: Instant,
+    pub(crate) deadline: Instant,
 }
 
 /// Logs a request that ends because its caller is gone.
 struct Ending<'a> {
     app: &'a App,
-    req: &'a Accepted,
+    req: &'a AcceptedRequest,
     told: bool,
 }
 
@@ -67,7 +67,7 @@
     let (parts, body) = req.into_parts();
     let head = (app.adapter.callers.read)(&parts);
     let id = head.id.clone();
-    let in_work = InWork::new(&app, id.clone(), arrived);
+    let in_work = ActiveRequestGuard::new(&app, id.clone(), arrived);
     let accepted = tokio::select! {
         accepted = accept(&app, parts, head, body, in_work.key()) => accepted,
         told = stops::last_word(&app, in_work.key()) => Err(("stopping", told)),
@@ -84,11 +84,15 @@
     serve(&app, Rc::new(accepted), Rc::new(in_work)).await
 }
 
-async fn serve(app: &Rc<App>, req: Rc<Accepted>, in_work: Rc<InWork>) -> Response<AnswerBody> {
+async fn serve(
+    app: &Rc<App>,
+    req: Rc<AcceptedRequest>,
+    in_work: Rc<ActiveRequestGuard>,
+) -> Response<AnswerBody> {
     let mut ending = Ending { app, req: &req, told: false };
     let (answer, outcome) = tokio::select! {
         served = serve_to_end(app, &req, &in_work) => served,
-        told = stops::last_word(app, req.work) => (refusal(app, told, Some(&req.id)), "stopping"),
+        told = stops::last_word(app, req.active_key) => (refusal(app, told, Some(&req.id)), "stopping"),
     };
     ending.told = true;
     let took = now() - req.arrived;
@@ -102,8 +106,8 @@
 
 async fn serve_to_end(
     app: &Rc<App>,
-    req: &Rc<Accepted>,
-    in_work: &Rc<InWork>,
+    req: &Rc<AcceptedRequest>,
+    in_work: &Rc<ActiveRequestGuard>,
 ) -> (Response<AnswerBody>, &'static str) {
     if let Some(told) = crashes::refusal(app, req, false) {
         return (refusal(app, told, Some(&req.id)), "quarantined");
@@ -114,7 +118,7 @@
     if req.entry.streams {
         streams::answer(app, req, Box::new(Rc::clone(in_work))).await
     } else {
-        plain::answer(app, req).await
+        whole_answers::answer(app, req).await
     }
 }
 
@@ -124,8 +128,8 @@
     parts: Parts,
     head: CallerHead,
     body: Incoming,
-    work: WorkKey,
-) -> Result<Accepted, (&'static str, Refusal)> {
+    active_key: ActiveRequestKey,
+) -> Result<AcceptedRequest, (&'static str, Refusal)> {
     let arrived = now();
     let elsewhere = Refusal::NotRun { retry_after: ELSEWHERE };
     let intent = app.hub.with(|shared, _| shared.intent.clone());
@@ -147,20 +151,20 @@
     let service = entry.service_for(hashing::of_text(id.as_str())).cloned();
     let service = service.ok_or(("no entry", Refusal::NoEntry))?;
     let left = head.left.unwrap_or(entry.max_duration).min(entry.max_duration);
-    let until = arrived + left;
-    let body = read_body(body, intent.bounds.body_bytes, until).await?;
-    let passing = app.hub.with(|shared, now| {
+    let deadline = arrived + left;
+    let body = read_body(body, intent.bounds.body_bytes, deadline).await?;
+    let response_time = app.hub.with(|shared, now| {
         shared.count_request(&service, now);
         shared.passing_time(&entry.name)
     });
-    in_work::note(app, work, |work| work.passing = passing);
+    active_requests::note(app, active_key, |request| request.response_time = response_time);
     let urgency = customer.as_ref().and_then(|c| c.urgency).unwrap_or(entry.urgency);
     let customer = customer.map(|customer| customer.name.clone());
-    let content = content_of(&parts, &host, customer.as_ref(), &body);
-    Ok(Accepted {
+    let digest = content_of(&parts, &host, customer.as_ref(), &body);
+    Ok(AcceptedRequest {
         id,
-        work,
-        content,
+        active_key,
+        digest,
         head,
         parts,
         body,
@@ -170,7 +174,7 @@
         customer,
         urgency,
         arrived,
-        until,
+        deadline,
     })
 }
 
@@ -232,7 +236,7 @@
 }
 
 /// A call with the caller's method, path and body.
-pub(crate) fn call_of(req: &Accepted, headers: http::HeaderMap) -> Request<Full<Bytes>> {
+pub(crate) fn call_of(req: &AcceptedRequest, headers: http::HeaderMap) -> Request<Full<Bytes>> {
     let mut call = Request::new(Full::new(req.body.clone()));
     *call.method_mut() = req.parts.method.clone();
     *call.uri_mut() = origin_form(&req.parts.uri);
--- a/gateway/src/run.rs
+++ b/gateway/src/run.rs
@@ -152,7 +152,7 @@
     let mut looks = interval(CLEANING);
     loop {
         looks.tick().await;
-        app.connections.close_old();
+        app.connections.close_expired();
     }
 }
 
@@ -172,7 +172,7 @@
         app.hub.with(|shared, _| {
             shared.stop.iter_mut().for_each(|plan| plan.record_timer_delay(late))
         });
-        let in_work = app.hub.with(|shared, _| shared.works.len());
+        let in_work = app.hub.with(|shared, _| shared.active_requests.len());
         let is_written = in_work == 0 && app.open_callers.get() == 0;
         if !closing && now >= plan.closes_idle_at() {
             closing = true;
--- a/gateway/src/shared.rs
+++ b/gateway/src/shared.rs
@@ -20,9 +20,9 @@
 use store_view::{Change, Item, StallDetector, StoreContact, View};
 use tokio::sync::watch;
 
+use crate::active_requests::ActiveRequests;
 use crate::admission::Admission;
 use crate::belief::Behind;
-use crate::in_work::Works;
 use crate::settings::{ColdMargin, Policy, Settings};
 
 /// Time to a first event that is believed until one was seen.
@@ -88,7 +88,7 @@
     /// Targets that were cold when last looked at.
     pub(crate) cold_targets: usize,
     /// Requests in work.
-    pub(crate) works: Works,
+    pub(crate) active_requests: ActiveRequests,
     order: Order,
     rules: FleetRetryRules,
     budgets: HashMap<ServiceName, FleetRetryBudget>,
@@ -149,7 +149,7 @@
             choices_changed: false,
             cold: cfg.cold,
             cold_targets: 0,
-            works: Works::default(),
+            active_requests: ActiveRequests::default(),
             order,
             rules: FleetRetryRules {
                 ratio: cfg.repeats.ratio,
@@ -298,7 +298,7 @@
     /// Addresses of VMs to which links are wanted.
     pub(crate) fn wanted_links(&self) -> BTreeSet<SocketAddr> {
         let pools = self.splits.iter().map(|(name, split)| (name.as_str(), split));
-        let (rated, whole) = (self.rated_services(), Split::default());
+        let (rated, whole) = (self.rate_limited_services(), Split::default());
         let accounts = rated.iter().map(|service| (service.as_str(), &whole));
         self.fleet.wanted_links(pools.chain(accounts))
     }
--- a/gateway/src/stages.rs
+++ b/gateway/src/stages.rs
@@ -18,11 +18,11 @@
 use crate::app::App;
 use crate::gone_inputs::{self, Cause};
 use crate::hub::now;
-use crate::piece_news::{Inbox, PieceNews, StageTurn};
+use crate::piece_events::{Inbox, PieceEvent, StageAttempt};
 use crate::releases;
-use crate::requests::Accepted;
+use crate::requests::AcceptedRequest;
 use crate::shared::Shared;
-use crate::work::{self, Submitted};
+use crate::submissions::{self, Submitted};
 
 /// Most times that a stage is submitted again after the VM that filled its calls was lost, or
 /// after a result that it needed was gone.
@@ -146,7 +146,7 @@
     }
 
     /// Time within which the engine that was sent the request has fetched the results.
-    pub(crate) fn fetch_time(&self, req: &Accepted) -> Duration {
+    pub(crate) fn fetch_time(&self, req: &AcceptedRequest) -> Duration {
         let time = |index: &usize| {
             let stage = &req.entry.stages[*index];
             let bytes = stage.result_bytes * u64::from(self.runs[*index].pieces);
@@ -247,15 +247,15 @@
 async fn next_news(
     of: &StagesOf<'_>,
     runs: &mut [StageRun],
-    tx: &UnboundedSender<PieceNews>,
+    tx: &UnboundedSender<PieceEvent>,
     inbox: &mut Inbox,
 ) -> Result<(), StagesMiss> {
     let until = tokio::time::Instant::from_std(of.until);
     let news = timeout_at(until, inbox.next()).await.map_err(|_| StagesMiss::Late)?;
     // This side holds a sender, so there is always another word or the time is over.
     match news.ok_or(StagesMiss::Broken)? {
-        PieceNews::Done { of: turn, piece, made: PieceOutcome::Stored(handle) } => {
-            let index = turn.stage as usize;
+        PieceEvent::Done { submission: attempt, piece, outcome: PieceOutcome::Stored(handle) } => {
+            let index = attempt.stage as usize;
             if !runs[index].take(piece, &handle) {
                 releases::give_up(of.app, &[handle]);
             } else if runs[index].is_done() {
@@ -263,23 +263,23 @@
                 submit_ready(of, runs, tx);
             }
         }
-        PieceNews::Done { of: turn, .. }
-        | PieceNews::Fetched { of: turn }
-        | PieceNews::OwnerLost { of: turn }
-            if !is_current(runs, turn) => {}
-        PieceNews::Fetched { of: turn } => {
-            runs[turn.stage as usize].fetched = true;
+        PieceEvent::Done { submission: attempt, .. }
+        | PieceEvent::Fetched { submission: attempt }
+        | PieceEvent::OwnerLost { submission: attempt }
+            if !is_current(runs, attempt) => {}
+        PieceEvent::Fetched { submission: attempt } => {
+            runs[attempt.stage as usize].fetched = true;
             release_used(of.entry, runs);
         }
-        PieceNews::Done { made: PieceOutcome::Late, .. } => return Err(StagesMiss::Late),
-        PieceNews::Done { made: PieceOutcome::Failed, .. } => return Err(StagesMiss::Broken),
-        PieceNews::Done { of: turn, made: PieceOutcome::InputGone, .. } => {
-            start_over(of, runs, turn.stage as usize, tx)?;
+        PieceEvent::Done { outcome: PieceOutcome::Late, .. } => return Err(StagesMiss::Late),
+        PieceEvent::Done { outcome: PieceOutcome::Failed, .. } => return Err(StagesMiss::Broken),
+        PieceEvent::Done { submission: attempt, outcome: PieceOutcome::InputGone, .. } => {
+            start_over(of, runs, attempt.stage as usize, tx)?;
         }
-        PieceNews::OwnerLost { of: turn } => {
+        PieceEvent::OwnerLost { submission: attempt } => {
             info!(of.app.log, "pieces submitted again"; "request" => %of.id,
-                "stage" => turn.stage, "why" => "the VM that fills the calls was lost");
-            let index = turn.stage as usize;
+                "stage" => attempt.stage, "why" => "the VM that fills the calls was lost");
+            let index = attempt.stage as usize;
             runs[index].reopen();
             if cause_of_gone(of, runs, index) != Cause::Unknown {
                 start_over(of, runs, index, tx)?;
@@ -292,9 +292,9 @@
 }
 
 /// Whether news speaks of the last time that its stage was submitted.
-fn is_current(runs: &[StageRun], of: StageTurn) -> bool {
+fn is_current(runs: &[StageRun], of: StageAttempt) -> bool {
     let run = runs.get(of.stage as usize);
-    run.is_some_and(|run| run.submitted.is_some() && run.submissions == of.turn)
+    run.is_some_and(|run| run.submitted.is_some() && run.submissions == of.attempt)
 }
 
 /// An input was gone: the stages that this one needs are made anew, and then those of its own pieces that are missing.
@@ -302,7 +302,7 @@
     of: &StagesOf<'_>,
     runs: &mut [StageRun],
     index: usize,
-    tx: &UnboundedSender<PieceNews>,
+    tx: &UnboundedSender<PieceEvent>,
 ) -> Result<(), StagesMiss> {
     let cause = cause_of_gone(of, runs, index);
     info!(of.app.log, "stage made anew"; "request" => %of.id, "stage" => index,
@@ -344,7 +344,7 @@
     of: &StagesOf<'_>,
     runs: &mut [StageRun],
     index: usize,
-    tx: &UnboundedSender<PieceNews>,
+    tx: &UnboundedSender<PieceEvent>,
 ) -> Result<(), StagesMiss> {
     if runs[index].submissions >= MOST_SUBMISSIONS {
         return Err(StagesMiss::Broken);
@@ -354,7 +354,7 @@
 }
 
 /// Submits every stage whose needs are met and that was not submitted yet.
-fn submit_ready(of: &StagesOf<'_>, runs: &mut [StageRun], tx: &UnboundedSender<PieceNews>) {
+fn submit_ready(of: &StagesOf<'_>, runs: &mut [StageRun], tx: &UnboundedSender<PieceEvent>) {
     for index in 0..runs.len() {
         let waits = runs[index].submitted.is_none() && !runs[index].is_done();
         let ready = of.entry.stages[index].needs.iter().all(|need| runs[*need].is_done());
@@ -368,7 +368,7 @@
     of: &StagesOf<'_>,
     runs: &mut [StageRun],
     index: usize,
-    tx: &UnboundedSender<PieceNews>,
+    tx: &UnboundedSender<PieceEvent>,
 ) {
     let stage = &of.entry.stages[index];
     let needs = stage.needs.iter();
@@ -380,14 +380,14 @@
     let preferred_hall = near_of(of, runs, index, &inputs);
     let key = inputs.is_empty().then(|| of.head.piece_key.clone()).flatten();
     runs[index].submissions += 1;
-    let turn = StageTurn {
+    let attempt = StageAttempt {
         stage: u32::try_from(index).unwrap_or(u32::MAX),
-        turn: runs[index].submissions,
+        attempt: runs[index].submissions,
     };
     let submission = Submission {
         request: of.id.clone(),
-        content: Some(of.content.for_stage(turn.stage)),
-        stage: turn.stage,
+        content: Some(of.content.for_stage(attempt.stage)),
+        stage: attempt.stage,
         pieces: runs[index].missing(),
         key,
         inputs,
@@ -398,7 +398,8 @@
         result_bytes: stage.result_bytes,
         preferred_hall,
     };
-    runs[index].submitted = Some(work::submit_to_owner(of.app, &stage.pool, submission, turn, tx));
+    runs[index].submitted =
+        Some(submissions::submit_to_owner(of.app, &stage.pool, submission, attempt, tx));
 }
 
 /// The hall near which a stage is best done: that of its inputs, or where large results for the
--- a/gateway/src/stops.rs
+++ b/gateway/src/stops.rs
@@ -7,11 +7,11 @@
 use stopping::{Progress, StopDecision};
 use tokio::time::sleep;
 
+use crate::active_requests::{ActiveRequest, ActiveRequestKey, WaitReason};
 use crate::admission;
 use crate::app::App;
 use crate::hub::now;
-use crate::in_work::{Waits, Work, WorkKey};
-use crate::requests::Accepted;
+use crate::requests::AcceptedRequest;
 use crate::shared::Shared;
 
 /// When to come back where another VM serves.
@@ -21,13 +21,13 @@
 /// Pause between two looks at a request while the process stops.
 const LOOK: Duration = Duration::from_millis(25);
 
-impl Work {
+impl ActiveRequest {
     fn progress(&self) -> Progress {
-        match self.waits {
+        match self.wait_reason {
             _ if self.head_sent => Progress::Begun,
-            Waits::Answer => Progress::MayRun,
+            WaitReason::Answer => Progress::MayRun,
             _ if self.may_have_run => Progress::MayRun,
-            Waits::Checks | Waits::Stages | Waits::Target => Progress::NotRun,
+            WaitReason::Checks | WaitReason::Stages | WaitReason::Target => Progress::NotRun,
         }
     }
 }
@@ -49,10 +49,10 @@
     }
 
     /// What the caller of a request is told now, if it can't be served on.
-    fn last_word(&self, key: WorkKey, now: Instant) -> Option<Refusal> {
+    fn last_word(&self, key: ActiveRequestKey, now: Instant) -> Option<Refusal> {
         let plan = self.stop?;
-        let work = self.works.get(key)?;
-        match plan.decide(work.progress(), work.passing, self.works.len(), now) {
+        let work = self.active_requests.get(key)?;
+        match plan.decide(work.progress(), work.response_time, self.active_requests.len(), now) {
             StopDecision::Continue => None,
             StopDecision::RejectNotRun => Some(self.come_back_elsewhere(now)),
             StopDecision::ReportLost => Some(Refusal::Failed),
@@ -62,14 +62,17 @@
 
 /// Ends once the process stops and can't serve a request to its end; gives what its caller is told. Raced against all
 /// that a request waits for, so that no wait has to know of the stop.
-pub(crate) async fn last_word(app: &App, key: WorkKey) -> Refusal {
+pub(crate) async fn last_word(app: &App, key: ActiveRequestKey) -> Refusal {
     let mut stopping = app.stopping.subscribe();
     loop {
         // The sender lives as long as the process.
         drop(stopping.wait_for(|stopping| *stopping).await);
         let word = app.hub.with(|shared, now| {
             let word = shared.last_word(key, now)?;
-            Some((word, shared.works.get(key).map(|work| (work.waits, work.id.clone()))))
+            Some((
+                word,
+                shared.active_requests.get(key).map(|work| (work.wait_reason, work.id.clone())),
+            ))
         });
         if let Some((word, work)) = word {
             if let Some((waits, id)) = work {
@@ -84,12 +87,12 @@
 }
 
 /// Refuses a request that came in while the process stops and is not expected to end before it.
-pub(crate) fn refusal(app: &App, req: &Accepted) -> Option<Refusal> {
+pub(crate) fn refusal(app: &App, req: &AcceptedRequest) -> Option<Refusal> {
     let (expected, refusal) = app.hub.with(|shared, now| {
         let plan = shared.stop?;
         let passing = shared.passing_time(&req.entry.name).unwrap_or_default();
-        let expected = admission::stages_time(shared, req, now) + passing;
-        let can_serve = plan.can_serve(expected, shared.works.len(), now);
+        let expected = admission::expected_stages_time(shared, req, now) + passing;
+        let can_serve = plan.can_serve(expected, shared.active_requests.len(), now);
         (!can_serve).then(|| (expected, shared.come_back_elsewhere(now)))
     })?;
     info!(app.log, "not admitted"; "request" => %req.id, "entry" => &req.entry.name,
@@ -100,13 +103,13 @@
 /// Tells of each request that the end of the process closes.
 pub(crate) fn tell_closed(app: &App) {
     app.hub.with(|shared, _| {
-        for work in shared.works.values() {
+        for work in shared.active_requests.values() {
             let id = work.id.as_ref().map(ToString::to_string);
             warn!(app.log, "request closed by the stop"; "request" => id,
-                "waits_for" => work.waits.name(), "may_have_run" => work.may_have_run,
+                "waits_for" => work.wait_reason.name(), "may_have_run" => work.may_have_run,
                 "head_sent" => work.head_sent,
                 "took_ms" => (now() - work.arrived).as_millis());
-            app.metrics.request_closed_by_stop(work.waits.name());
+            app.metrics.request_closed_by_stop(work.wait_reason.name());
         }
     });
 }
--- a/gateway/src/stream_passing.rs
+++ b/gateway/src/stream_forwarding.rs
@@ -14,14 +14,14 @@
 
 use crate::answers::Cut;
 use crate::app::App;
+use crate::attempts::{Answer, AttemptError, Attempts, OUT_OF_REACH};
 use crate::crashes;
 use crate::events::Event;
 use crate::hub::now;
 use crate::request_stages::run_stages;
-use crate::requests::Accepted;
+use crate::requests::AcceptedRequest;
 use crate::stages::Results;
 use crate::stream_reader::{Next, Reader};
-use crate::tries::{Answer, Missed, OUT_OF_REACH, Tries};
 
 /// A stream that pauses for this many of its longest gaps is taken up elsewhere, if it may be.
 const STALL_GAPS: u32 = 3;
@@ -31,8 +31,8 @@
 /// A stream that is being passed on.
 pub(crate) struct Stream {
     pub(crate) app: Rc<App>,
-    pub(crate) req: Rc<Accepted>,
-    pub(crate) tries: Tries,
+    pub(crate) req: Rc<AcceptedRequest>,
+    pub(crate) tries: Attempts,
     pub(crate) size: CallSize,
     pub(crate) reader: Box<Reader>,
     pub(crate) results: Option<Results>,
@@ -58,7 +58,7 @@
         Passed::Cut(why) => ("cut", Some(why)),
     };
     let req = &stream.req;
-    info!(stream.app.log, "stream ended"; "request" => %req.id, "content" => %req.content, "entry" => &req.entry.name,
+    info!(stream.app.log, "stream ended"; "request" => %req.id, "content" => %req.digest, "entry" => &req.entry.name,
         "outcome" => outcome, "why" => &why, "last_event" => stream.last,
         "took_ms" => (now() - req.arrived).as_millis());
     let customer = req.customer.as_ref().map_or("-", |name| name.as_str());
@@ -73,8 +73,8 @@
         let took = now() - stream.tries.began();
         stream.app.hub.with(|shared, _| shared.learn_passing(&stream.req.entry.name, took));
         let Reader { answer, .. } = *stream.reader;
-        let Answer { read, carrier, mut a_try, .. } = answer;
-        a_try.end(TargetOutcome::Answered);
+        let Answer { read, carrier, mut attempt, .. } = answer;
+        attempt.end(TargetOutcome::Answered);
         if !read.closes {
             stream.app.rest(carrier, read.keep_alive);
         }
@@ -91,7 +91,7 @@
             return Passed::CallerGone;
         }
     }
-    let until = TokioInstant::from_std(stream.req.until);
+    let until = TokioInstant::from_std(stream.req.deadline);
     let repeatable = stream.req.entry.repeatable;
     loop {
         let limit = stream.stall_limit().min(until);
@@ -109,7 +109,7 @@
             }
             Ok(Next::End) => return Passed::Whole,
             Ok(Next::Broken(why)) => {
-                crashes::connection_broke(&stream.app, &stream.req, &stream.reader.answer.a_try)
+                crashes::connection_broke(&stream.app, &stream.req, &stream.reader.answer.attempt)
                     .await;
                 why
             }
@@ -119,7 +119,7 @@
             }
             Err(_) => "it stalled".to_owned(),
         };
-        stream.reader.answer.a_try.end(TargetOutcome::Failed);
+        stream.reader.answer.attempt.end(TargetOutcome::Failed);
         let resumed = tokio::select! {
             biased;
             () = tx.closed() => return Passed::CallerGone,
@@ -147,7 +147,7 @@
     /// When a pause is too long, if the stream may be taken up elsewhere.
     fn stall_limit(&self) -> TokioInstant {
         if !self.req.entry.repeatable {
-            return TokioInstant::from_std(self.req.until);
+            return TokioInstant::from_std(self.req.deadline);
         }
         let stall = self.req.entry.max_event_gap.map_or(STALL, |gap| (gap * STALL_GAPS).max(STALL));
         TokioInstant::now() + stall
@@ -155,7 +155,7 @@
 
     /// Takes the stream up at another target, after the last event that was passed on.
     async fn resume(&mut self, why: &str) -> Result<(), String> {
-        let mut missed = Missed::Lost(why.to_owned());
+        let mut missed = AttemptError::Lost(why.to_owned());
         loop {
             if !self.req.entry.repeatable || !self.tries.may_go_on(&missed) {
                 return Err("no further try is allowed".to_owned());
@@ -163,18 +163,18 @@
             let last = self.last.ok_or("no event has a number")?;
             info!(self.app.log, "stream taken up elsewhere"; "request" => %self.req.id,
                 "after" => last, "why" => why);
-            let stages = run_stages(&self.app, &self.req, self.req.until, None).await;
+            let stages = run_stages(&self.app, &self.req, self.req.deadline, None).await;
             let results = stages.map_err(|_| "its stages could not be made again")?;
             let inputs = results.as_ref().map(Results::inputs).unwrap_or_default();
             let sent = self.tries.send(Some(&self.size), &inputs, Some(last)).await;
             match sent.map_err(|_| "no target is left")? {
                 Ok(answer) if answer.head.status.is_success() => {
                     let mut reader = Reader::new(&self.app, answer);
-                    reader.answer.a_try.prompt_read();
+                    reader.answer.attempt.prompt_read();
                     *self.reader = reader;
                     return Ok(());
                 }
-                Ok(answer) => missed = Missed::Lost(format!("status {}", answer.head.status)),
+                Ok(answer) => missed = AttemptError::Lost(format!("status {}", answer.head.status)),
                 Err(further) => missed = further,
             }
         }
--- a/gateway/src/stream_reader.rs
+++ b/gateway/src/stream_reader.rs
@@ -7,9 +7,9 @@
 use tokio::sync::watch;
 
 use crate::app::App;
+use crate::attempts::{Answer, AttemptError, Attempts};
 use crate::events::{Event, Splitter};
 use crate::reach;
-use crate::tries::{Answer, Missed, Tries};
 
 /// Reads one try's events.
 pub(crate) struct Reader {
@@ -35,16 +35,16 @@
     }
 
     /// Ends a try that brought no event.
-    pub(crate) fn lost(&mut self, tries: &Tries, why: String) -> Missed {
-        self.answer.a_try.end(TargetOutcome::Failed);
+    pub(crate) fn lost(&mut self, tries: &Attempts, why: String) -> AttemptError {
+        self.answer.attempt.end(TargetOutcome::Failed);
         tries.set_may_have_run();
-        Missed::Lost(why)
+        AttemptError::Lost(why)
     }
 
     /// The next event, unless the target's hall is out of reach and another target may go on.
     pub(crate) async fn next(&mut self, repeatable: bool) -> Next {
         let Reader { answer, splitter, out } = self;
-        let hall = &answer.a_try.pick.target.hall;
+        let hall = &answer.attempt.pick.target.hall;
         tokio::select! {
             biased;
             next = next_event(&mut answer.body, splitter) => next,
--- a/gateway/src/streams.rs
+++ b/gateway/src/streams.rs
@@ -15,17 +15,17 @@
 
 use crate::answers::{AnswerBody, refusal, whole};
 use crate::app::App;
+use crate::attempts::{Answer, AttemptError, Attempts, OUT_OF_REACH};
 use crate::events::Event;
 use crate::gone_inputs::Cause;
 use crate::hub::now;
-use crate::plain::outcome_of;
 use crate::request_stages::{run_stages, size_of};
-use crate::requests::Accepted;
+use crate::requests::AcceptedRequest;
 use crate::stages::Results;
-use crate::stream_passing::{Events, Stream, pass_on};
+use crate::stream_forwarding::{Events, Stream, pass_on};
 use crate::stream_reader::{Next, Reader};
-use crate::tries::{Answer, Missed, OUT_OF_REACH, Tries};
-use crate::{admission, crashes, in_work};
+use crate::whole_answers::outcome_of;
+use crate::{active_requests, admission, crashes};
 
 /// Events that wait for a caller that reads slowly.
 const EVENTS_WAITING: usize = 64;
@@ -46,12 +46,12 @@
 /// Answers a request; tells how it ended.
 pub(crate) async fn answer(
     app: &Rc<App>,
-    req: &Rc<Accepted>,
+    req: &Rc<AcceptedRequest>,
     held: Held,
 ) -> (Response<AnswerBody>, &'static str) {
     match begin(app, req).await {
         Ok(Begun::Stream(stream, first)) => {
-            in_work::note(app, req.work, |work| work.head_sent = true);
+            active_requests::note(app, req.active_key, |work| work.head_sent = true);
             let mut answer = Response::new(whole(Bytes::new()));
             let head = &stream.reader.answer.head;
             *answer.status_mut() = head.status;
@@ -76,10 +76,10 @@
 }
 
 /// Runs the stages and tries targets until the first event is here.
-async fn begin(app: &Rc<App>, req: &Rc<Accepted>) -> Result<Begun, Refusal> {
+async fn begin(app: &Rc<App>, req: &Rc<AcceptedRequest>) -> Result<Begun, Refusal> {
     let until = useful_until(req);
     let in_flight = admission::admit(app, req)?;
-    let mut tries = Tries::new(app, req);
+    let mut tries = Attempts::new(app, req);
     let mut results = run_stages(app, req, until, Some(in_flight)).await?;
     loop {
         let size = size_of(app, req, results.as_ref());
@@ -101,14 +101,14 @@
             Ok(Err(told)) => return Err(told),
             Err(_) => {
                 tries.was_silent();
-                Missed::Lost("no event in time".to_owned())
+                AttemptError::Lost("no event in time".to_owned())
             }
         };
         let over = now() >= until;
         if over || !tries.may_go_on(&missed) {
             return Err(if over { in_time(&tries) } else { tries.refusal() });
         }
-        if missed == Missed::InputGone {
+        if missed == AttemptError::InputGone {
             tell_input_gone(app, req, results.as_ref());
             let remade = run_stages(app, req, until, None).await;
             results = remade.map_err(|refusal| tries.truthful(refusal))?;
@@ -120,7 +120,7 @@
 /// as long as there is room: results of a megabyte and more take it for as long as a prompt is read.
 async fn spare_once_fetched<T>(
     trying: impl Future<Output = T>,
-    req: &Accepted,
+    req: &AcceptedRequest,
     results: Option<&mut Results>,
 ) -> T {
     let mut trying = std::pin::pin!(trying);
@@ -133,25 +133,25 @@
 }
 
 /// Logs and counts why the stages of a request are made anew.
-fn tell_input_gone(app: &App, req: &Accepted, results: Option<&Results>) {
+fn tell_input_gone(app: &App, req: &AcceptedRequest, results: Option<&Results>) {
     let cause = results.map_or(Cause::Unknown, |results| results.cause_of_gone(app));
     info!(app.log, "stages made anew"; "request" => %req.id,
         "why" => "the engine found an input gone", "cause" => cause.name());
     app.metrics.inputs_gone(cause.name());
 }
 
-fn in_time(tries: &Tries) -> Refusal {
+fn in_time(tries: &Attempts) -> Refusal {
     if tries.may_have_run() { Refusal::TimedOut } else { Refusal::NotRunTimedOut }
 }
 
 /// When the caller gives up a stream that has not begun.
-fn useful_until(req: &Accepted) -> Instant {
+fn useful_until(req: &AcceptedRequest) -> Instant {
     let by_aim = (req.entry.latency_goal * GIVE_UP_AIMS).max(GIVE_UP);
     let by_gap = req.entry.max_event_gap.map_or(Duration::ZERO, |gap| gap * GIVE_UP_GAPS);
-    (req.arrived + by_aim.max(by_gap)).min(req.until) - MARGIN
+    (req.arrived + by_aim.max(by_gap)).min(req.deadline) - MARGIN
 }
 
-fn first_event_limit(req: &Accepted, until: Instant) -> TokioInstant {
+fn first_event_limit(req: &AcceptedRequest, until: Instant) -> TokioInstant {
     let patient = now() + req.entry.latency_goal * FIRST_EVENT_AIMS;
     let impatient = req.entry.repeatable && req.entry.max_attempts > 1;
     TokioInstant::from_std(if impatient { patient.min(until) } else { until })
@@ -164,10 +164,10 @@
 
 /// Sends the request and reads up to its first event.
 async fn first_event(
-    tries: &mut Tries,
+    tries: &mut Attempts,
     size: &CallSize,
     inputs: &[String],
-) -> Result<Result<First, Missed>, Refusal> {
+) -> Result<Result<First, AttemptError>, Refusal> {
     let last_event = tries.req().head.last_event;
     let answer = match tries.send(Some(size), inputs, last_event).await? {
         Ok(answer) => answer,
@@ -179,13 +179,13 @@
     let mut reader = Reader::new(tries.app(), answer);
     match reader.next(tries.req().entry.repeatable).await {
         Next::Event(event) => {
-            reader.answer.a_try.prompt_read();
+            reader.answer.attempt.prompt_read();
             Ok(Ok(First::Stream(Box::new(reader), vec![event])))
         }
         // A stream with no event is an answer too, if it was read to its end.
         Next::End => Ok(Ok(First::Stream(Box::new(reader), Vec::new()))),
         Next::Broken(why) => {
-            crashes::connection_broke(tries.app(), tries.req(), &reader.answer.a_try).await;
+            crashes::connection_broke(tries.app(), tries.req(), &reader.answer.attempt).await;
             Ok(Err(reader.lost(tries, why)))
         }
         Next::OutOfReach => Ok(Err(reader.lost(tries, OUT_OF_REACH.to_owned()))),
@@ -193,17 +193,21 @@
 }
 
 /// Passes on an answer that is no stream.
-async fn whole_answer(app: &Rc<App>, req: &Accepted, answer: Answer) -> Result<Begun, Refusal> {
-    let Answer { head, read, body, carrier, mut a_try } = answer;
+async fn whole_answer(
+    app: &Rc<App>,
+    req: &AcceptedRequest,
+    answer: Answer,
+) -> Result<Begun, Refusal> {
+    let Answer { head, read, body, carrier, mut attempt } = answer;
     let Ok(body) = body.collect().await else {
-        crashes::connection_broke(app, req, &a_try).await;
+        crashes::connection_broke(app, req, &attempt).await;
         return Err(Refusal::Failed);
     };
     if !read.closes {
         app.rest(carrier, read.keep_alive);
     }
     crashes::completed(app, req);
-    a_try.end(if head.status.is_server_error() {
+    attempt.end(if head.status.is_server_error() {
         TargetOutcome::OwnFailure
     } else {
         TargetOutcome::Answered
--- a/gateway/src/work.rs
+++ b/gateway/src/submissions.rs
@@ -9,8 +9,8 @@
 
 use crate::app::App;
 use crate::links::Link;
-use crate::piece_news::{PieceNews, Sink, StageTurn};
-use crate::pool_calls::fill_calls;
+use crate::piece_events::{PieceEvent, Sink, StageAttempt};
+use crate::pool_calls::dispatch_calls;
 
 /// A submission that was submitted; dropped, it is cancelled.
 pub(crate) struct Submitted {
@@ -37,8 +37,8 @@
     app: &Rc<App>,
     pool: &ServiceName,
     submission: Submission,
-    of: StageTurn,
-    news: &UnboundedSender<PieceNews>,
+    of: StageAttempt,
+    news: &UnboundedSender<PieceEvent>,
 ) -> Submitted {
     let (near, draw) = (submission.preferred_hall.as_ref(), rand::random());
     let owner = app.hub.with(|shared, now| shared.owner_for(pool, near, draw, now));
@@ -53,7 +53,7 @@
             Place::Peer(link, job)
         }
         None => {
-            let sink = Sink::Here(news.clone(), of);
+            let sink = Sink::Local(news.clone(), of);
             Place::Here(pool.clone(), submit(app, pool, submission, sink))
         }
     };
@@ -71,7 +71,7 @@
         shared.pools.get_mut(pool).map(|pool| pool.submit(submission, now)).unwrap_or_default()
     });
     app.sinks.borrow_mut().insert((pool.clone(), job), sink);
-    fill_calls(app, pool);
+    dispatch_calls(app, pool);
     job
 }
 
--- a/gateway/src/target_words.rs
+++ b/gateway/src/target_words.rs
@@ -169,7 +169,7 @@
         let per_s = |limit: Option<RateLimit>| limit.map(RateLimit::per_s);
         info!(self.log, "target's rate changed"; "target" => %lifetime.target, "born" => lifetime.born,
             "per_s" => per_s(change.now), "before" => per_s(change.before), "from" => from);
-        self.hold_worker(lifetime, now);
+        self.hold_back_worker(lifetime, now);
         self.words_changed(lifetime);
     }
 
--- a/gateway/src/turns.rs
+++ b/gateway/src/turns.rs
@@ -13,7 +13,7 @@
 use tokio::time::{sleep, timeout};
 
 use crate::app::App;
-use crate::own_calls::{OwnCallMiss, own_call};
+use crate::own_calls::{OwnCallError, own_call};
 use crate::permits;
 
 /// Time within which a call is at its worker: many times the way between halls.
@@ -52,7 +52,7 @@
     let ask = (app.adapter.calls.report)(&worker.id);
     match timeout(REPORT_WAIT, own_call(app, worker, ask, permit)).await {
         Ok(Ok(body)) => read(app, worker, &body),
-        Ok(Err(OwnCallMiss::Failed)) => Said::Nothing,
+        Ok(Err(OwnCallError::Failed)) => Said::Nothing,
         Ok(Err(_)) | Err(_) => Said::SomeMayWait,
     }
 }
--- a/gateway/src/plain.rs
+++ b/gateway/src/whole_answers.rs
@@ -11,10 +11,10 @@
 
 use crate::answers::{AnswerBody, refusal, whole};
 use crate::app::App;
+use crate::attempts::{Answer, AttemptError, Attempts};
 use crate::crashes;
 use crate::hub::now;
-use crate::requests::Accepted;
-use crate::tries::{Answer, Missed, Tries};
+use crate::requests::AcceptedRequest;
 
 /// A repeatable request that is not answered within this many aims is sent to another target.
 const PATIENCE: u32 = 3;
@@ -24,11 +24,11 @@
 /// Answers a request; tells how it ended.
 pub(crate) async fn answer(
     app: &Rc<App>,
-    req: &Rc<Accepted>,
+    req: &Rc<AcceptedRequest>,
 ) -> (Response<AnswerBody>, &'static str) {
-    let mut tries = Tries::new(app, req);
+    let mut tries = Attempts::new(app, req);
     loop {
-        let last = tokio::time::Instant::from_std(req.until - MARGIN);
+        let last = tokio::time::Instant::from_std(req.deadline - MARGIN);
         let patient = tokio::time::Instant::from_std(now() + req.entry.latency_goal * PATIENCE);
         let impatient = req.entry.repeatable && req.entry.max_attempts > 1 && patient < last;
         let limit = if impatient { patient } else { last };
@@ -38,7 +38,7 @@
             Ok(Err(told)) => return (refusal(app, told, Some(&req.id)), outcome_of(told)),
             Err(_) => {
                 tries.was_silent();
-                Missed::Lost("no answer in time".to_owned())
+                AttemptError::Lost("no answer in time".to_owned())
             }
         };
         let over = tokio::time::Instant::now() >= last;
@@ -66,19 +66,22 @@
 
 type Served = (Response<AnswerBody>, &'static str);
 
-async fn one_try(app: &Rc<App>, tries: &mut Tries) -> Result<Result<Served, Missed>, Refusal> {
+async fn one_try(
+    app: &Rc<App>,
+    tries: &mut Attempts,
+) -> Result<Result<Served, AttemptError>, Refusal> {
     let answer = match tries.send(None, &[], None).await? {
         Ok(answer) => answer,
         Err(missed) => return Ok(Err(missed)),
     };
-    let Answer { head, read, body, carrier, mut a_try } = answer;
+    let Answer { head, read, body, carrier, mut attempt } = answer;
     let body = match body.collect().await {
         Ok(body) => body.to_bytes(),
         Err(e) => {
-            crashes::connection_broke(app, tries.req(), &a_try).await;
-            a_try.end(TargetOutcome::Failed);
+            crashes::connection_broke(app, tries.req(), &attempt).await;
+            attempt.end(TargetOutcome::Failed);
             tries.set_may_have_run();
-            return Ok(Err(Missed::Lost(e.to_string())));
+            return Ok(Err(AttemptError::Lost(e.to_string())));
         }
     };
     if !read.closes {
@@ -89,10 +92,10 @@
     let took = now() - tries.began();
     app.hub.with(|shared, _| shared.learn_passing(&tries.req().entry.name, took));
     let own_failure = head.status.is_server_error();
-    a_try.end(if own_failure { TargetOutcome::OwnFailure } else { TargetOutcome::Answered });
+    attempt.end(if own_failure { TargetOutcome::OwnFailure } else { TargetOutcome::Answered });
     if own_failure {
         tries.set_may_have_run();
-        let again = Missed::Lost(format!("status {}", head.status.as_u16()));
+        let again = AttemptError::Lost(format!("status {}", head.status.as_u16()));
         if tries.may_go_on(&again) {
             return Box::pin(one_try(app, tries)).await;
         }
