--- a/gateway/src/accounts.rs
+++ b/gateway/src/accounts.rs
@@ -12,7 +12,7 @@
 use tokio::time::{Instant, MissedTickBehavior, interval};
 
 use crate::app::App;
-use crate::owners::name_of;
+use crate::owner_selection::owner_name;
 
 /// Pause between two lines on a pool's room: a burst fills it within a few seconds.
 const ROOM_PAUSE: Duration = Duration::from_secs(1);
@@ -39,13 +39,13 @@
 fn tell_owners(app: &App, owners: &mut HashMap<ServiceName, Owner>) {
     app.hub.with(|shared, now| {
         for pool in shared.pools.keys() {
-            let owner = shared.owner_near(pool, None, now);
+            let owner = shared.preferred_owner(pool, None, now);
             if owners.get(pool) == Some(&owner) {
                 continue;
             }
             let before = shared.owners_passed_over(pool, now);
-            info!(app.log, "pool owner"; "pool" => %pool, "owner" => name_of(&owner),
-                "before" => owners.get(pool).map(name_of), "passed_over" => before.join(","));
+            info!(app.log, "pool owner"; "pool" => %pool, "owner" => owner_name(&owner),
+                "before" => owners.get(pool).map(owner_name), "passed_over" => before.join(","));
             owners.insert(pool.clone(), owner);
         }
     });
--- a/gateway/src/admission.rs
+++ b/gateway/src/admission.rs
@@ -239,7 +239,7 @@
 
 /// What the VM that fills a pool's calls told of it, if that is new enough.
 fn forecast(shared: &Shared, pool: &ServiceName, now: Instant) -> Option<PoolLoad> {
-    let load = shared.load_of(pool, &shared.owner_of(pool, now), now)?;
+    let load = shared.load_of(pool, &shared.expected_owner(pool, now), now)?;
     (now.saturating_duration_since(load.at) < FORECAST_LIFE).then_some(load)
 }
 
--- a/gateway/src/app.rs
+++ b/gateway/src/app.rs
@@ -18,9 +18,9 @@
 use crate::connections::Connections;
 use crate::held_results::HeldResults;
 use crate::hub::Hub;
-use crate::links::{Link, ToDialer};
+use crate::outbound_links::{DialerSender, Link};
 use crate::piece_news::Sink;
-use crate::releases::Word;
+use crate::releases::QueuedRelease;
 use crate::settings::Settings;
 
 /// What the tasks of a VM hold on to; all of them run on one thread.
@@ -36,11 +36,11 @@
     /// Who gets the results of pieces whose calls this VM fills.
     pub(crate) sinks: RefCell<BTreeMap<(ServiceName, JobKey), Sink>>,
     /// Results that are given up, by workers that are being told.
-    pub(crate) release_words: RefCell<HashMap<SocketAddr, Vec<Word>>>,
+    pub(crate) release_words: RefCell<HashMap<SocketAddr, Vec<QueuedRelease>>>,
     /// Results that requests of this VM hold.
     pub(crate) held: HeldResults,
     /// Ways to the peers that hold results which this VM had made.
-    pub(crate) lease_links: RefCell<HashMap<LinkKey, ToDialer>>,
+    pub(crate) lease_links: RefCell<HashMap<LinkKey, DialerSender>>,
     /// Pools with a look at their queue already planned.
     pub(crate) planned_looks: RefCell<HashMap<ServiceName, tokio::time::Instant>>,
     /// Addresses to which links are wanted.
--- a/gateway/src/belief.rs
+++ b/gateway/src/configuration_lag.rs
@@ -8,12 +8,12 @@
 
 /// What is known about newer versions of the configuration.
 #[derive(Debug, Clone, Copy, Default)]
-pub(crate) struct Behind {
+pub(crate) struct ConfigurationLag {
     /// The newest version that a peer told of, and since when it is missing here.
     missing: Option<(u64, Instant)>,
 }
 
-impl Behind {
+impl ConfigurationLag {
     /// For how long a version that a peer has is missing here.
     pub(crate) fn age(&self, now: Instant) -> Option<Duration> {
         self.missing.map(|(_, since)| now.saturating_duration_since(since))
--- a/gateway/src/halls.rs
+++ b/gateway/src/halls.rs
@@ -109,7 +109,7 @@
             if self.targets.is_closed(service, now) {
                 return Some(NO_TARGET_WAIT);
             }
-            self.opens_in(service, now).filter(|time| now + *time >= req.until)
+            self.time_until_open(service, now).filter(|time| now + *time >= req.until)
         };
         pools.chain([&req.service]).filter_map(closed).max()
     }
--- a/gateway/src/held_results.rs
+++ b/gateway/src/held_results.rs
@@ -9,20 +9,20 @@
 
 use result_leases::REQUEST_GRACE;
 
-use crate::links::Link;
+use crate::outbound_links::Link;
 
 /// Which VM had a result made.
 #[derive(Clone)]
-pub(crate) enum Maker {
+pub(crate) enum Origin {
     /// This one.
-    Here,
+    Local,
     /// A peer, which handed it over through a link.
     Peer(Rc<Link>),
 }
 
 /// How long a result is this VM's to give up.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct Term {
+pub(crate) struct ResultExpiry {
     /// End of its request's time.
     pub(crate) until: Instant,
     /// Time after which it runs out at its worker.
@@ -31,7 +31,7 @@
 
 /// A result that is held.
 struct Held {
-    maker: Maker,
+    maker: Origin,
     until: Instant,
     runs_out: Instant,
 }
@@ -45,19 +45,19 @@
 
     fn is_ours(&self, now: Instant) -> bool {
         match self.maker {
-            Maker::Here => true,
-            Maker::Peer(_) => now < self.is_ours_until(),
+            Origin::Local => true,
+            Origin::Peer(_) => now < self.is_ours_until(),
         }
     }
 
     fn is_left(&self, now: Instant) -> bool {
-        matches!(self.maker, Maker::Here) || now < self.runs_out
+        matches!(self.maker, Origin::Local) || now < self.runs_out
     }
 }
 
 /// Results of one maker that are needed no more.
-pub(crate) struct Taken {
-    pub(crate) maker: Maker,
+pub(crate) struct ReleaseBatch {
+    pub(crate) maker: Origin,
     pub(crate) handles: Vec<String>,
     /// Whether this VM has to give them up, not their maker.
     pub(crate) is_ours: bool,
@@ -97,26 +97,27 @@
 
 impl HeldResults {
     /// Notes a result that was handed to a request.
-    pub(crate) fn add(&self, handle: &str, maker: Maker, term: Term, now: Instant) {
+    pub(crate) fn add(&self, handle: &str, maker: Origin, term: ResultExpiry, now: Instant) {
         let held = Held { maker, until: term.until, runs_out: now + term.life };
         self.by_handle.borrow_mut().insert(handle.to_owned(), held);
     }
 
     /// Whether a result has run out at its worker; `None` if it is not held.
-    pub(crate) fn has_run_out(&self, handle: &str, now: Instant) -> Option<bool> {
+    pub(crate) fn has_expired(&self, handle: &str, now: Instant) -> Option<bool> {
         Some(self.by_handle.borrow().get(handle)?.runs_out <= now)
     }
 
     /// Takes results out; gives those that have not run out, by maker.
-    pub(crate) fn take(&self, handles: &[String], now: Instant) -> Vec<Taken> {
+    pub(crate) fn take(&self, handles: &[String], now: Instant) -> Vec<ReleaseBatch> {
         let mut by_handle = self.by_handle.borrow_mut();
-        let mut taken: Vec<Taken> = Vec::new();
+        let mut taken: Vec<ReleaseBatch> = Vec::new();
         for handle in handles {
             let held = by_handle.remove(handle).filter(|held| held.is_left(now));
             let Some(held) = held else { continue };
             let (is_ours, until) = (held.is_ours(now), held.is_ours_until());
-            let is_alike =
-                |other: &&mut Taken| other.is_ours == is_ours && other.maker.is_same(&held.maker);
+            let is_alike = |other: &&mut ReleaseBatch| {
+                other.is_ours == is_ours && other.maker.is_same(&held.maker)
+            };
             match taken.iter_mut().find(is_alike) {
                 Some(alike) => {
                     alike.handles.push(handle.clone());
@@ -124,7 +125,7 @@
                 }
                 None => {
                     let handles = vec![handle.clone()];
-                    taken.push(Taken { maker: held.maker, handles, is_ours, until });
+                    taken.push(ReleaseBatch { maker: held.maker, handles, is_ours, until });
                 }
             }
         }
@@ -140,14 +141,19 @@
     }
 
     /// Those among `handles` that are held, by maker.
-    pub(crate) fn look_up(&self, handles: &[String]) -> Vec<(Maker, String)> {
+    pub(crate) fn look_up(&self, handles: &[String]) -> Vec<(Origin, String)> {
         let by_handle = self.by_handle.borrow();
         let held = |handle: &String| Some((by_handle.get(handle)?.maker.clone(), handle.clone()));
         handles.iter().filter_map(held).collect()
     }
 
     /// Notes that the workers of a maker's results are being told that these are given up.
-    pub(crate) fn telling(&self, handles: &[String], maker: SocketAddr, now: Instant) {
+    pub(crate) fn record_release_started(
+        &self,
+        handles: &[String],
+        maker: SocketAddr,
+        now: Instant,
+    ) {
         let mut given_up = self.given_up.borrow_mut();
         given_up.retain(|_, given_up| now < given_up.since + KEPT);
         for handle in handles {
@@ -156,7 +162,7 @@
     }
 
     /// Notes what came of it: the maker is to be told of those that were heard.
-    pub(crate) fn told(&self, handles: &[String], is_heard: bool) {
+    pub(crate) fn record_release_outcome(&self, handles: &[String], is_heard: bool) {
         let mut given_up = self.given_up.borrow_mut();
         for handle in handles {
             if !is_heard {
@@ -168,7 +174,7 @@
     }
 
     /// Results that a maker is to be told of on the link that stands.
-    pub(crate) fn to_tell(&self, maker: SocketAddr) -> Vec<String> {
+    pub(crate) fn take_unreported(&self, maker: SocketAddr) -> Vec<String> {
         let mut given_up = self.given_up.borrow_mut();
         let is_untold =
             |given_up: &GivenUp| given_up.maker == maker && given_up.known == Known::ToWorker;
@@ -181,7 +187,7 @@
     }
 
     /// Takes a maker's confirmation that it knows of results that these are given up.
-    pub(crate) fn confirmed(&self, handles: &[String]) {
+    pub(crate) fn record_confirmed(&self, handles: &[String]) {
         let mut given_up = self.given_up.borrow_mut();
         for handle in handles {
             given_up.remove(handle);
@@ -198,7 +204,7 @@
     }
 
     /// Results that the VM had made which takes links at an address, as far as it does not know them to be given up.
-    pub(crate) fn made_at(&self, address: SocketAddr) -> Vec<String> {
+    pub(crate) fn handles_from(&self, address: SocketAddr) -> Vec<String> {
         let by_handle = self.by_handle.borrow();
         let held = by_handle.iter().filter(|(_, held)| held.maker.address() == Some(address));
         let given_up = self.given_up.borrow();
@@ -207,33 +213,33 @@
     }
 
     /// Whether there are results that the VM at an address had made.
-    pub(crate) fn any_made_at(&self, address: SocketAddr) -> bool {
+    pub(crate) fn has_results_from(&self, address: SocketAddr) -> bool {
         let by_handle = self.by_handle.borrow();
         by_handle.values().any(|held| held.maker.address() == Some(address))
             || self.given_up.borrow().values().any(|given_up| given_up.maker == address)
     }
 
     /// Where the peers take links that had results made which are held, or of which they are to be told.
-    pub(crate) fn makers(&self) -> BTreeSet<SocketAddr> {
+    pub(crate) fn origins(&self) -> BTreeSet<SocketAddr> {
         let by_handle = self.by_handle.borrow();
         let held = by_handle.values().filter_map(|held| held.maker.address());
         held.chain(self.given_up.borrow().values().map(|given_up| given_up.maker)).collect()
     }
 }
 
-impl Maker {
-    fn is_same(&self, other: &Maker) -> bool {
+impl Origin {
+    fn is_same(&self, other: &Origin) -> bool {
         match (self, other) {
-            (Maker::Here, Maker::Here) => true,
-            (Maker::Peer(one), Maker::Peer(other)) => Rc::ptr_eq(one, other),
+            (Origin::Local, Origin::Local) => true,
+            (Origin::Peer(one), Origin::Peer(other)) => Rc::ptr_eq(one, other),
             _ => false,
         }
     }
 
     fn address(&self) -> Option<SocketAddr> {
         match self {
-            Maker::Here => None,
-            Maker::Peer(link) => Some(link.address),
+            Origin::Local => None,
+            Origin::Peer(link) => Some(link.address),
         }
     }
 }
--- a/gateway/src/accepted_links.rs
+++ b/gateway/src/inbound_links.rs
@@ -23,13 +23,14 @@
 
 use crate::app::App;
 use crate::connections::is_refused;
-use crate::link_words::{
-    Told, beat, crashes_of, departures_of, hello, meet, submission_of, take_beat, untold,
+use crate::link_messages::{
+    SentCursors, apply_heartbeat, decode_crashes, decode_departures, decode_submission,
+    own_heartbeat, own_hello, record_peer, take_unsent,
 };
-use crate::links::ToDialer;
-use crate::news;
+use crate::outbound_links::DialerSender;
+use crate::peer_sync;
 use crate::piece_news::{PeerSink, Sink};
-use crate::{permits, releases, target_words, work};
+use crate::{permits, releases, target_announcements, work};
 
 /// Pauses before the looks whether a process is gone whose link ended: its port may be closed a little later.
 const GONE_LOOKS: [Duration; 3] =
@@ -40,7 +41,7 @@
 /// A link that a peer dialled, handed from the server's task to this thread's tasks.
 struct Dialled {
     inbound: Streaming<FromDialer>,
-    tx: ToDialer,
+    tx: DialerSender,
 }
 
 struct Acceptor {
@@ -85,19 +86,19 @@
 async fn serve_peer(app: Rc<App>, dialled: Dialled) {
     let Dialled { mut inbound, tx } = dialled;
     let send = |kind| tx.send(Ok(FromOwner { kind: Some(kind) })).is_ok();
-    send(from_owner::Kind::Hello(hello(&app)));
+    send(from_owner::Kind::Hello(own_hello(&app)));
     let mut jobs: HashMap<u64, (ServiceName, JobKey)> = HashMap::new();
     let mut vm = None;
     let mut leases = None;
     let mut beats = interval(HEARTBEAT_INTERVAL);
     beats.set_missed_tick_behavior(MissedTickBehavior::Delay);
     let mut heard = tokio::time::Instant::now();
-    let mut told = Told::default();
+    let mut told = SentCursors::default();
     let mut known = app.hub.with(|shared, _| shared.word_known.subscribe());
     loop {
         tokio::select! {
             _ = known.changed() => {
-                let untold = untold(&app, &mut told);
+                let untold = take_unsent(&app, &mut told);
                 let crashes = untold.crashes.map(from_owner::Kind::Crashes);
                 let departures = untold.departures.map(from_owner::Kind::Departures);
                 let rates = untold.rates.map(from_owner::Kind::Rates);
@@ -111,7 +112,7 @@
                 let Some(kind) = message.kind else { continue };
                 if let from_dialer::Kind::Hello(hello) = &kind {
                     let Ok(name) = VmName::new(&hello.vm) else { break };
-                    meet(&app, &name, Some(hello));
+                    record_peer(&app, &name, Some(hello));
                     let address = hello.peers.parse::<SocketAddr>().ok();
                     let heard = address.map(|address| (address, hello.incarnation));
                     app.heard_at.borrow_mut().extend(heard);
@@ -126,7 +127,7 @@
                 take(&app, &peer, kind, &mut jobs);
             }
             _ = beats.tick() => {
-                if heard.elapsed() > PEER_TIMEOUT || !send(from_owner::Kind::Beat(beat(&app))) {
+                if heard.elapsed() > PEER_TIMEOUT || !send(from_owner::Kind::Beat(own_heartbeat(&app))) {
                     break;
                 }
                 known.mark_changed();
@@ -156,14 +157,14 @@
 
 /// Ends the leases of a peer whose link ended, if its process did.
 async fn look_whether_gone(app: &App, leases: LeaseLink) {
-    if process_has_ended(leases.peers).await {
+    if has_process_ended(leases.peers).await {
         app.hub.with(|shared, now| shared.leases.holder_gone(&leases.holder, now));
     }
 }
 
 /// Whether the process of a peer has ended: then nothing listens where it took links. One that stands still or is out of
 /// reach does not refuse connections.
-pub(crate) async fn process_has_ended(peers: SocketAddr) -> bool {
+pub(crate) async fn has_process_ended(peers: SocketAddr) -> bool {
     for pause in GONE_LOOKS {
         sleep(pause).await;
         if is_refused(peers, GONE_WAIT).await {
@@ -174,7 +175,7 @@
 }
 
 /// Notes a link from a peer that holds results; a peer of an older build names none.
-fn open_leases(app: &App, vm: &VmName, hello: &Hello, tx: &ToDialer) -> Option<LeaseLink> {
+fn open_leases(app: &App, vm: &VmName, hello: &Hello, tx: &DialerSender) -> Option<LeaseLink> {
     let peers = hello.peers.parse().ok().filter(|_| hello.claims)?;
     let holder = Holder { vm: vm.clone(), incarnation: hello.incarnation };
     let key = app.hub.with(|shared, now| shared.leases.link_opened(holder.clone(), now));
@@ -185,7 +186,7 @@
 /// A peer that speaks on a link.
 struct Peer<'a> {
     vm: &'a VmName,
-    tx: &'a ToDialer,
+    tx: &'a DialerSender,
     lease_link: Option<LinkKey>,
 }
 
@@ -199,7 +200,7 @@
     match kind {
         from_dialer::Kind::Submit(submit) => {
             let number = submit.job;
-            if let Some((pool, submission)) = submission_of(submit) {
+            if let Some((pool, submission)) = decode_submission(submit) {
                 let until = submission.until;
                 let sink = Sink::Peer(PeerSink { tx: tx.clone(), number, lease_link, until });
                 let job = work::submit(app, &pool, submission, sink);
@@ -222,18 +223,21 @@
             let sinks = app.sinks.borrow();
             jobs.retain(|_, job| sinks.contains_key(job));
             drop(sinks);
-            take_beat(app, vm, &beat);
+            apply_heartbeat(app, vm, &beat);
         }
         from_dialer::Kind::Ask(ask) => {
-            let news = app.hub.with(|shared, _| news::answer(&shared.view, ask));
+            let news = app.hub.with(|shared, _| peer_sync::answer_request(&shared.view, ask));
             // A peer that is gone asks another one.
             drop(tx.send(Ok(FromOwner { kind: Some(from_owner::Kind::News(news)) })));
         }
         from_dialer::Kind::Crashes(crashes) => {
-            app.hub
-                .with(|shared, now| shared.take_crashes(&crashes_of(&crashes), vm.as_str(), now));
+            app.hub.with(|shared, now| {
+                shared.take_crashes(&decode_crashes(&crashes), vm.as_str(), now)
+            });
+        }
+        from_dialer::Kind::Rates(rates) => {
+            target_announcements::apply_peer_rates(app, vm.as_str(), &rates)
         }
-        from_dialer::Kind::Rates(rates) => target_words::rates_from_peer(app, vm.as_str(), &rates),
         from_dialer::Kind::PermitAsk(ask) => {
             let (app, vm, tx) = (Rc::clone(app), vm.clone(), tx.clone());
             spawn_local(async move {
@@ -244,20 +248,24 @@
             });
         }
         from_dialer::Kind::Departures(departures) => {
-            target_words::heard_from_peer(app, vm.as_str(), departures_of(&departures));
+            target_announcements::apply_peer_departures(
+                app,
+                vm.as_str(),
+                decode_departures(&departures),
+            );
         }
         from_dialer::Kind::Hello(_) => {}
     }
 }
 
 /// Takes word that results which a peer had made here are needed no more; confirms it if that is wanted.
-fn take_release(app: &Rc<App>, release: Release, tx: &ToDialer) {
+fn take_release(app: &Rc<App>, release: Release, tx: &DialerSender) {
     let Release { handles, if_scarce, number, told } = release;
     let tasks = if told {
-        releases::heard_by_workers(app, &handles);
+        releases::record_worker_releases(app, &handles);
         Vec::new()
     } else {
-        releases::give_up_for_peer(app, handles, if_scarce)
+        releases::release_for_peer(app, handles, if_scarce)
     };
     let Some(number) = number else { return };
     let tx = tx.clone();
--- a/gateway/src/turns.rs
+++ b/gateway/src/input_fetches.rs
@@ -35,7 +35,7 @@
 }
 
 /// Ends once the worker of a call has fetched its inputs; never where that can't be told before the answer.
-pub(crate) async fn inputs_fetched(app: &Rc<App>, call: &Call) {
+pub(crate) async fn wait_until_fetched(app: &Rc<App>, call: &Call) {
     let Some(fetch) = call.fetch_time else { return pending().await };
     sleep(ARRIVAL).await;
     loop {
--- a/gateway/src/dials.rs
+++ b/gateway/src/link_dialer.rs
@@ -10,7 +10,7 @@
 
 use crate::app::App;
 use crate::hub::left;
-use crate::links::hold;
+use crate::outbound_links::maintain_link;
 
 /// Pause between two looks at whom to dial.
 const LOOK_PAUSE: Duration = Duration::from_millis(500);
@@ -41,7 +41,7 @@
     fn dial(&mut self, app: &Rc<App>, wanted: BTreeSet<SocketAddr>) {
         self.tasks.retain(|_, task| !task.is_finished());
         for address in wanted {
-            let begin = || spawn_local(hold(Rc::clone(app), address)).abort_handle();
+            let begin = || spawn_local(maintain_link(Rc::clone(app), address)).abort_handle();
             self.tasks.entry(address).or_insert_with(begin);
         }
     }
@@ -49,12 +49,12 @@
 
 /// Pause before the next look; a target whose entry lapsed is taken as gone when its time is over, not later.
 fn until_next_look(app: &App) -> Duration {
-    let lapse = app.hub.with(|shared, _| shared.next_lapse_end());
+    let lapse = app.hub.with(|shared, _| shared.next_grace_end());
     lapse.map_or(LOOK_PAUSE, |at| left(at).min(LOOK_PAUSE))
 }
 
 /// Keeps a link to each VM to which one is wanted.
-pub(crate) async fn dial_all(app: Rc<App>) {
+pub(crate) async fn maintain_links(app: Rc<App>) {
     let mut dials = Dials::default();
     loop {
         for (address, incarnation) in app.heard_at.take() {
@@ -66,7 +66,7 @@
         drop(timeout(until_next_look(&app), app.vms_changed.notified()).await);
         app.hub.with(|shared, now| {
             shared.fleet.forget_silent(now);
-            shared.end_lapses(now);
+            shared.expire_lapsed_targets(now);
             shared.departures.remove_expired(now);
             shared.left_alone.remove_expired(now);
             shared.rates.remove_expired(now);
@@ -84,7 +84,7 @@
         wanted.extend(&app.cfg.seeds);
     }
     // An owner takes over the results of a VM that does not link to it again.
-    wanted.extend(app.held.makers());
+    wanted.extend(app.held.origins());
     wanted.remove(&app.cfg.peers);
     wanted
 }
--- a/gateway/src/link_words.rs
+++ b/gateway/src/link_messages.rs
@@ -14,14 +14,14 @@
 use quarantine::{Birth, Crash, Cursor, Lifetime, RequestDigest};
 
 use crate::app::App;
-use crate::links::ToDialer;
-use crate::rate_words::untold_rates;
+use crate::outbound_links::DialerSender;
+use crate::rate_messages::take_unsent_rates;
 
 /// A heartbeat is sent as it was put together for this long, a tenth of the pause between two.
 const BEAT_LIFE: Duration = Duration::from_millis(20);
 
 /// Who this VM is.
-pub(crate) fn hello(app: &App) -> Hello {
+pub(crate) fn own_hello(app: &App) -> Hello {
     app.hub.with(|shared, _| {
         let entry = shared.fleet.own_entry();
         Hello {
@@ -37,7 +37,7 @@
 
 /// This VM's heartbeat. It says the same to all peers, so that it is put together once for many links:
 /// an owner tells 294 others five times a second.
-pub(crate) fn beat(app: &App) -> Beat {
+pub(crate) fn own_heartbeat(app: &App) -> Beat {
     let now = tokio::time::Instant::now();
     let mut last = app.last_beat.borrow_mut();
     match &*last {
@@ -69,8 +69,8 @@
         pools: shared
             .pools
             .iter()
-            .filter(|(name, _)| shared.fills(name, now))
-            .filter_map(|(name, _)| Some((name, shared.load_here(name, now)?)))
+            .filter(|(name, _)| shared.owns_local_part(name, now))
+            .filter_map(|(name, _)| Some((name, shared.local_load(name, now)?)))
             .map(|(name, load)| PoolLoad {
                 pool: name.to_string(),
                 turn_ms: millis(load.turnaround),
@@ -105,7 +105,7 @@
 }
 
 /// Notes that a peer lives.
-pub(crate) fn meet(app: &App, vm: &VmName, hello: Option<&Hello>) {
+pub(crate) fn record_peer(app: &App, vm: &VmName, hello: Option<&Hello>) {
     let entry = hello.and_then(entry_of);
     app.hub.with(|shared, now| {
         let linked = app.links.borrow().contains_key(vm);
@@ -117,8 +117,8 @@
 }
 
 /// Takes a heartbeat.
-pub(crate) fn take_beat(app: &App, vm: &VmName, beat: &Beat) {
-    meet(app, vm, None);
+pub(crate) fn apply_heartbeat(app: &App, vm: &VmName, beat: &Beat) {
+    record_peer(app, vm, None);
     let loads: Vec<(TargetName, u32, u64)> = beat
         .loads
         .iter()
@@ -159,7 +159,7 @@
 }
 
 /// What became of a piece, as its owner tells it.
-pub(crate) fn made_of(piece: &PieceDone) -> PieceOutcome {
+pub(crate) fn piece_outcome(piece: &PieceDone) -> PieceOutcome {
     match piece.failure() {
         Failure::None => PieceOutcome::Stored(piece.handle.clone()),
         Failure::Late => PieceOutcome::Late,
@@ -169,7 +169,7 @@
 }
 
 /// Hands a finished piece back to the VM that handed it in.
-pub(crate) fn send_done(tx: &ToDialer, job: u64, piece: u32, made: PieceOutcome) {
+pub(crate) fn send_done(tx: &DialerSender, job: u64, piece: u32, made: PieceOutcome) {
     let (handle, failure) = match made {
         PieceOutcome::Stored(handle) => (handle, Failure::None),
         PieceOutcome::Late => (String::new(), Failure::Late),
@@ -182,13 +182,13 @@
 }
 
 /// Tells the VM that handed a submission in that its inputs were fetched.
-pub(crate) fn send_fetched(tx: &ToDialer, job: u64) {
+pub(crate) fn send_fetched(tx: &DialerSender, job: u64) {
     // A peer that is gone hands its pieces in elsewhere.
     drop(tx.send(Ok(FromOwner { kind: Some(from_owner::Kind::Fetched(Fetched { job })) })));
 }
 
 /// Pieces that a peer submits; `None` if its names can't be read.
-pub(crate) fn submission_of(submit: Submit) -> Option<(ServiceName, Submission)> {
+pub(crate) fn decode_submission(submit: Submit) -> Option<(ServiceName, Submission)> {
     let now = crate::hub::now();
     let slack = Duration::from_millis(u64::try_from(submit.slack_ms).unwrap_or(0));
     let submission = Submission {
@@ -209,7 +209,7 @@
 }
 
 /// What a peer tells of requests that end targets; what can't be read is left out.
-pub(crate) fn crashes_of(told: &Crashes) -> Vec<Crash> {
+pub(crate) fn decode_crashes(told: &Crashes) -> Vec<Crash> {
     let crash = |crash: &work::Crash| {
         let content = RequestDigest::from_bytes(&crash.content)?;
         let lifetime = Lifetime { birth: Birth(crash.birth), ends_before: crash.ends_before };
@@ -219,7 +219,7 @@
 }
 
 /// What a peer tells of targets that leave; what can't be read is left out.
-pub(crate) fn departures_of(told: &Departures) -> Vec<Departure> {
+pub(crate) fn decode_departures(told: &Departures) -> Vec<Departure> {
     let now = crate::hub::now();
     let departure = |told: &work::Departure| {
         let target = TargetName::new(&told.target).ok()?;
@@ -234,29 +234,29 @@
 
 /// What a peer was told on a link of targets that leave, their rates, and requests that end them.
 #[derive(Debug, Default)]
-pub(crate) struct Told {
+pub(crate) struct SentCursors {
     crashes: Cursor,
     departures: ChangeCursor,
     rates: ChangeCursor,
 }
 
 /// What a peer has not been told yet.
-pub(crate) struct Untold {
+pub(crate) struct Unsent {
     pub(crate) crashes: Option<Crashes>,
     pub(crate) departures: Option<Departures>,
     pub(crate) rates: Option<Rates>,
 }
 
 /// What a peer is told next on a link.
-pub(crate) fn untold(app: &App, told: &mut Told) -> Untold {
-    Untold {
-        crashes: untold_crashes(app, &mut told.crashes),
-        departures: untold_departures(app, &mut told.departures),
-        rates: untold_rates(app, &mut told.rates),
+pub(crate) fn take_unsent(app: &App, told: &mut SentCursors) -> Unsent {
+    Unsent {
+        crashes: take_unsent_crashes(app, &mut told.crashes),
+        departures: take_unsent_departures(app, &mut told.departures),
+        rates: take_unsent_rates(app, &mut told.rates),
     }
 }
 
-fn untold_departures(app: &App, cursor: &mut ChangeCursor) -> Option<Departures> {
+fn take_unsent_departures(app: &App, cursor: &mut ChangeCursor) -> Option<Departures> {
     let (changes, up_to, now) = app.hub.with(|shared, now| {
         let (changes, up_to) = shared.departures.changes_after(*cursor);
         (changes, up_to, now)
@@ -275,7 +275,7 @@
     u32::try_from(time.as_millis()).unwrap_or(u32::MAX)
 }
 
-fn untold_crashes(app: &App, cursor: &mut Cursor) -> Option<Crashes> {
+fn take_unsent_crashes(app: &App, cursor: &mut Cursor) -> Option<Crashes> {
     let (changes, up_to) = app.hub.with(|shared, _| shared.quarantine.changes_after(*cursor));
     *cursor = up_to;
     let crash = |crash: Crash| work::Crash {
--- a/gateway/src/gone_inputs.rs
+++ b/gateway/src/missing_inputs.rs
@@ -8,11 +8,11 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Cause {
     /// The VM that had it made gave it up.
-    TakenBack,
+    Reclaimed,
     /// No target is known any more at its worker's address.
     WorkerGone,
     /// Its life is over.
-    RunOut,
+    Expired,
     /// None of these.
     Unknown,
 }
@@ -21,27 +21,27 @@
     /// The cause in logs and metrics.
     pub(crate) fn name(self) -> &'static str {
         match self {
-            Cause::TakenBack => "taken_back",
+            Cause::Reclaimed => "taken_back",
             Cause::WorkerGone => "worker_gone",
-            Cause::RunOut => "run_out",
+            Cause::Expired => "run_out",
             Cause::Unknown => "unknown",
         }
     }
 }
 
 /// The cause for the first of `handles` for which there is one.
-pub(crate) fn cause(app: &App, handles: &[String]) -> Cause {
+pub(crate) fn find_cause(app: &App, handles: &[String]) -> Cause {
     let mut causes = handles.iter().map(|handle| cause_of(app, handle));
     causes.find(|cause| *cause != Cause::Unknown).unwrap_or(Cause::Unknown)
 }
 
 fn cause_of(app: &App, handle: &str) -> Cause {
-    let Some(has_run_out) = app.held.has_run_out(handle, now()) else { return Cause::TakenBack };
+    let Some(has_run_out) = app.held.has_expired(handle, now()) else { return Cause::Reclaimed };
     let worker = (app.adapter.calls.worker_address)(handle);
     let is_known =
         |shared: &Shared| worker.is_some_and(|worker| shared.targets.at_address(worker).is_some());
     if !app.hub.with(|shared, _| is_known(shared)) {
         return Cause::WorkerGone;
     }
-    if has_run_out { Cause::RunOut } else { Cause::Unknown }
+    if has_run_out { Cause::Expired } else { Cause::Unknown }
 }
--- a/gateway/src/links.rs
+++ b/gateway/src/outbound_links.rs
@@ -26,17 +26,18 @@
 use tonic::{Status, Streaming};
 
 use crate::app::App;
-use crate::held_results::{Maker, Term};
+use crate::held_results::{Origin, ResultExpiry};
 use crate::hub::{left, now};
-use crate::link_words::{
-    Told, beat, crashes_of, departures_of, hello, made_of, meet, take_beat, untold,
+use crate::link_messages::{
+    SentCursors, apply_heartbeat, decode_crashes, decode_departures, own_heartbeat, own_hello,
+    piece_outcome, record_peer, take_unsent,
 };
 use crate::piece_news::{PieceNews, StageTurn};
 use crate::releases;
-use crate::target_words;
+use crate::target_announcements;
 
 /// Way to the VM that dialled.
-pub(crate) type ToDialer = UnboundedSender<Result<FromOwner, Status>>;
+pub(crate) type DialerSender = UnboundedSender<Result<FromOwner, Status>>;
 
 /// Longest wait for a TCP connection to a VM: what is lost on the way is sent again after a second, and a
 /// VM that starts is there long before.
@@ -77,7 +78,7 @@
 struct Waiting {
     news: UnboundedSender<PieceNews>,
     of: StageTurn,
-    term: Term,
+    term: ResultExpiry,
     /// Pieces that are not done.
     left: usize,
 }
@@ -107,7 +108,7 @@
         news: UnboundedSender<PieceNews>,
     ) -> u64 {
         let job = self.next_number();
-        let term = Term { until: submission.until, life };
+        let term = ResultExpiry { until: submission.until, life };
         let waiting = Waiting { news, of, term, left: submission.pieces.len() };
         self.jobs.borrow_mut().insert(job, waiting);
         let millis = |at: Instant| u32::try_from(left(at).as_millis()).unwrap_or(u32::MAX);
@@ -153,8 +154,8 @@
     }
 
     /// Tells the peer of which results the workers have heard that they are given up.
-    pub(crate) fn tell_heard(&self, app: &App) {
-        let handles = app.held.to_tell(self.address);
+    pub(crate) fn report_releases(&self, app: &App) {
+        let handles = app.held.take_unreported(self.address);
         if handles.is_empty() {
             return;
         }
@@ -173,7 +174,7 @@
     fn confirmed(&self, app: &App, number: u64) {
         self.unconfirmed.borrow_mut().remove(&number);
         if let Some(handles) = self.told.borrow_mut().remove(&number) {
-            app.held.confirmed(&handles);
+            app.held.record_confirmed(&handles);
         }
     }
 
@@ -185,7 +186,7 @@
     }
 
     /// Asks for changes in the store. An earlier question that was not answered is dropped.
-    pub(crate) fn ask(&self, ask: Ask) -> oneshot::Receiver<News> {
+    pub(crate) fn request_changes(&self, ask: Ask) -> oneshot::Receiver<News> {
         let (tx, rx) = oneshot::channel();
         self.asked.replace(Some(tx));
         self.send(from_dialer::Kind::Ask(ask));
@@ -193,7 +194,7 @@
     }
 
     /// Asks for a permit.
-    pub(crate) fn ask_permit(&self, ask: PermitAsk) -> oneshot::Receiver<Permit> {
+    pub(crate) fn request_permit(&self, ask: PermitAsk) -> oneshot::Receiver<Permit> {
         let (tx, rx) = oneshot::channel();
         let mut permits = self.permits.borrow_mut();
         // Whoever gave up waits no more.
@@ -225,7 +226,7 @@
     }
 
     /// Whether the link ended.
-    pub(crate) fn is_over(&self) -> bool {
+    pub(crate) fn is_closed(&self) -> bool {
         self.over.get()
     }
 
@@ -239,7 +240,7 @@
         let mut jobs = self.jobs.borrow_mut();
         let mut unread = Vec::new();
         for piece in done.pieces {
-            let made = made_of(&piece);
+            let made = piece_outcome(&piece);
             let handle = made.handle().map(str::to_owned);
             let is_read = jobs.get_mut(&done.job).is_some_and(|waiting| {
                 waiting.left = waiting.left.saturating_sub(1);
@@ -256,9 +257,9 @@
 
     /// How long the results of a submission are this VM's to give up; those of one that nobody waits for any more are
     /// given up at once.
-    fn term(&self, job: u64, now: Instant) -> Term {
+    fn term(&self, job: u64, now: Instant) -> ResultExpiry {
         let term = self.jobs.borrow().get(&job).map(|waiting| waiting.term);
-        term.unwrap_or(Term { until: now, life: REQUEST_GRACE })
+        term.unwrap_or(ResultExpiry { until: now, life: REQUEST_GRACE })
     }
 
     fn fetched(&self, job: u64) {
@@ -269,7 +270,7 @@
     }
 
     /// Ends everything that waits for the peer; gives results of which it may not have told the workers.
-    fn lost(&self) -> Vec<String> {
+    fn close(&self) -> Vec<String> {
         self.over.set(true);
         self.asked.take();
         self.permits.borrow_mut().clear();
@@ -281,8 +282,8 @@
 }
 
 /// Holds a link to an address; ends when it fails, to be dialled again if it is still wanted.
-pub(crate) async fn hold(app: Rc<App>, address: SocketAddr) {
-    if let Err(why) = hold_once(&app, address).await {
+pub(crate) async fn maintain_link(app: Rc<App>, address: SocketAddr) {
+    if let Err(why) = run_link(&app, address).await {
         slog::debug!(app.log, "no link"; "address" => %address, "why" => why);
         app.hub.with(|shared, _| shared.fleet.record_dial_failure(address));
         sleep(FAILED_PAUSE).await;
@@ -293,7 +294,7 @@
     app.vms_changed.notify_one();
 }
 
-async fn hold_once(app: &Rc<App>, address: SocketAddr) -> Result<(), String> {
+async fn run_link(app: &Rc<App>, address: SocketAddr) -> Result<(), String> {
     let endpoint = Endpoint::from_shared(format!("http://{address}"))
         .map_err(|e| e.to_string())?
         .connect_timeout(CONNECT_WAIT)
@@ -303,8 +304,8 @@
         .map_err(|_| "not connected in time".to_owned())?
         .map_err(|e| e.to_string())?;
     let (tx, rx) = unbounded_channel();
-    drop(tx.send(FromDialer { kind: Some(from_dialer::Kind::Hello(hello(app))) }));
-    let claims = Claims { handles: app.held.made_at(address) };
+    drop(tx.send(FromDialer { kind: Some(from_dialer::Kind::Hello(own_hello(app))) }));
+    let claims = Claims { handles: app.held.handles_from(address) };
     drop(tx.send(FromDialer { kind: Some(from_dialer::Kind::Claims(claims)) }));
     let mut client = WorkClient::new(channel);
     let opening = client.link(UnboundedReceiverStream::new(rx));
@@ -317,8 +318,8 @@
     }
     let link = Rc::new(Link::new(address, tx));
     app.links.borrow_mut().insert(vm.clone(), Rc::clone(&link));
-    link.tell_heard(app);
-    meet(app, &vm, Some(&hello));
+    link.report_releases(app);
+    record_peer(app, &vm, Some(&hello));
     info!(app.log, "peer linked"; "peer" => %vm, "address" => %address);
     let why = read_link(app, &vm, &link, &mut inbound, address).await;
     info!(app.log, "peer lost"; "peer" => %vm, "why" => &why);
@@ -330,7 +331,7 @@
     }
     drop(links);
     app.held.link_ended(address);
-    releases::tell_as_requester(app, &link, link.lost(), None);
+    releases::release_as_requester(app, &link, link.close(), None);
     Ok(())
 }
 
@@ -339,9 +340,9 @@
     let now = now();
     let term = link.term(done.job, now);
     for piece in done.pieces.iter().filter(|piece| !piece.handle.is_empty()) {
-        app.held.add(&piece.handle, Maker::Peer(Rc::clone(link)), term, now);
+        app.held.add(&piece.handle, Origin::Peer(Rc::clone(link)), term, now);
     }
-    releases::give_up(app, &link.done(done));
+    releases::release_results(app, &link.done(done));
 }
 
 async fn first_hello(inbound: &mut Streaming<FromOwner>) -> Result<Hello, String> {
@@ -364,12 +365,12 @@
     let mut beats = interval(HEARTBEAT_INTERVAL);
     beats.set_missed_tick_behavior(MissedTickBehavior::Delay);
     let mut heard = tokio::time::Instant::now();
-    let mut told = Told::default();
+    let mut told = SentCursors::default();
     let mut known = app.hub.with(|shared, _| shared.word_known.subscribe());
     loop {
         tokio::select! {
             _ = known.changed() => {
-                let untold = untold(app, &mut told);
+                let untold = take_unsent(app, &mut told);
                 let crashes = untold.crashes.map(from_dialer::Kind::Crashes);
                 let departures = untold.departures.map(from_dialer::Kind::Departures);
                 let rates = untold.rates.map(from_dialer::Kind::Rates);
@@ -383,18 +384,18 @@
                         from_owner::Kind::Done(done) => take_done(app, link, done),
                         from_owner::Kind::Fetched(fetched) => link.fetched(fetched.job),
                         from_owner::Kind::Beat(beat) => {
-                            take_beat(app, vm, &beat);
+                            apply_heartbeat(app, vm, &beat);
                         }
                         from_owner::Kind::News(news) => link.take_news(news),
                         from_owner::Kind::Crashes(crashes) => app.hub.with(|shared, now| {
-                            shared.take_crashes(&crashes_of(&crashes), vm.as_str(), now);
+                            shared.take_crashes(&decode_crashes(&crashes), vm.as_str(), now);
                         }),
                         from_owner::Kind::Departures(departures) => {
-                            let departures = departures_of(&departures);
-                            target_words::heard_from_peer(app, vm.as_str(), departures);
+                            let departures = decode_departures(&departures);
+                            target_announcements::apply_peer_departures(app, vm.as_str(), departures);
                         }
                         from_owner::Kind::Rates(rates) => {
-                            target_words::rates_from_peer(app, vm.as_str(), &rates);
+                            target_announcements::apply_peer_rates(app, vm.as_str(), &rates);
                         }
                         from_owner::Kind::Permit(permit) => link.permit(permit),
                         from_owner::Kind::Released(released) => {
@@ -418,14 +419,14 @@
                 if heard.elapsed() > HEARTBEAT_INTERVAL && out {
                     return "its hall is out of reach".to_owned();
                 }
-                let in_use = !link.jobs.borrow().is_empty() || app.held.any_made_at(address);
+                let in_use = !link.jobs.borrow().is_empty() || app.held.has_results_from(address);
                 if in_use || app.wanted_links.borrow().contains(&address) {
                     wanted = tokio::time::Instant::now();
                 }
                 if wanted.elapsed() > UNWANTED {
                     return UNWANTED_END.to_owned();
                 }
-                link.send(from_dialer::Kind::Beat(beat(app)));
+                link.send(from_dialer::Kind::Beat(own_heartbeat(app)));
                 known.mark_changed();
             }
         }
--- a/gateway/src/own_calls.rs
+++ b/gateway/src/own_calls.rs
@@ -13,7 +13,7 @@
 use crate::connections::NoAnswer;
 use crate::hub::now;
 use crate::permits::Permit;
-use crate::target_words;
+use crate::target_announcements;
 
 /// Why a call of this system's own brought no answer.
 #[derive(Debug)]
@@ -54,8 +54,8 @@
     })?;
     let (head, body) = answer.into_parts();
     let read = (app.adapter.calls.read_head)(&head, &no_request());
-    target_words::look_for_unknown(app, target, &head);
-    target_words::heard_of_own_call(app, target, &read, began);
+    target_announcements::report_unknown_headers(app, target, &head);
+    target_announcements::apply_own_call_answer(app, target, &read, began);
     let body = body.collect().await.map_err(|_| OwnCallMiss::Broke)?.to_bytes();
     if !read.closes {
         app.rest(carrier, read.keep_alive);
--- a/gateway/src/own_entry.rs
+++ b/gateway/src/own_entry.rs
@@ -10,8 +10,8 @@
 
 use crate::app::App;
 use crate::shared::vms_prefix;
-use crate::store::{LONGEST_PAUSE, failed, heard, unreadable};
-use crate::store_connection::{Miss, StoreConnection};
+use crate::store_connection::{StoreCallError, StoreConnection};
+use crate::store_watch::{MAX_RETRY_PAUSE, record_failure, record_success, unreadable};
 
 /// How long this VM's entry outlasts it.
 const LEASE: Duration = Duration::from_secs(6);
@@ -19,7 +19,7 @@
 const RENEWAL: Duration = Duration::from_millis(1900);
 
 /// Keeps the entry for as long as the process runs.
-pub(crate) async fn keep(app: Rc<App>) {
+pub(crate) async fn maintain(app: Rc<App>) {
     let mut store = StoreConnection::new(&app);
     let key = format!("{}{}", vms_prefix(&app.adapter), app.cfg.vm);
     loop {
@@ -28,7 +28,7 @@
             Ok(lease) => renew(&app, &mut store, lease).await,
             Err(miss) => slog::debug!(app.log, "own entry not written"; "why" => %miss),
         }
-        sleep(LONGEST_PAUSE).await;
+        sleep(MAX_RETRY_PAUSE).await;
     }
 }
 
@@ -39,7 +39,11 @@
     drop(reached.wait_for(|reached| *reached).await);
 }
 
-async fn enter(app: &Rc<App>, store: &mut StoreConnection, key: &str) -> Result<u64, Miss> {
+async fn enter(
+    app: &Rc<App>,
+    store: &mut StoreConnection,
+    key: &str,
+) -> Result<u64, StoreCallError> {
     let body = store.call("lease", (app.adapter.store.lease)(LEASE), Duration::ZERO).await?;
     let lease = (app.adapter.store.read_lease)(&body).map_err(unreadable)?;
     let value = own_entry(app);
@@ -58,16 +62,16 @@
         let call = (app.adapter.store.renew)(lease);
         match store.call("renew", call, Duration::ZERO).await {
             Ok(_) => {
-                heard(app);
+                record_success(app);
                 pause = RENEWAL;
             }
-            Err(Miss::NoLease) => {
+            Err(StoreCallError::LeaseNotFound) => {
                 info!(app.log, "lease over"; "lease" => lease);
                 return;
             }
             Err(miss) => {
-                failed(app, "renew", &miss);
-                pause = LONGEST_PAUSE;
+                record_failure(app, "renew", &miss);
+                pause = MAX_RETRY_PAUSE;
             }
         }
     }
--- a/gateway/src/owners.rs
+++ b/gateway/src/owner_selection.rs
@@ -19,7 +19,7 @@
 }
 
 /// The owner's name for logs and pages.
-pub(crate) fn name_of(owner: &Owner) -> String {
+pub(crate) fn owner_name(owner: &Owner) -> String {
     match owner {
         Owner::This => "this VM".to_owned(),
         Owner::Peer(vm) => vm.to_string(),
@@ -30,14 +30,14 @@
 impl Shared {
     /// The VM to which pieces of a submission for a pool go, whose results are wanted near a hall or
     /// anywhere; `draw` is at random from 0 to 1.
-    pub(crate) fn owner_for(
+    pub(crate) fn choose_owner(
         &self,
         pool: &ServiceName,
         near: Option<&HallName>,
         draw: f64,
         now: Instant,
     ) -> Owner {
-        let first = self.owner_near(pool, near, now);
+        let first = self.preferred_owner(pool, near, now);
         let other = self
             .owner_ahead_of(pool, &first, now)
             .filter(|ahead| fleet::should_spill(ahead.than, ahead.drain, ahead.way, draw));
@@ -45,8 +45,8 @@
     }
 
     /// The VM to which a pool's pieces from here are expected to go.
-    pub(crate) fn owner_of(&self, pool: &ServiceName, now: Instant) -> Owner {
-        let first = self.owner_near(pool, None, now);
+    pub(crate) fn expected_owner(&self, pool: &ServiceName, now: Instant) -> Owner {
+        let first = self.preferred_owner(pool, None, now);
         let other = self.owner_ahead_of(pool, &first, now);
         let other = other.filter(|ahead| ahead.drain + ahead.way < ahead.than);
         other.map_or(first, |ahead| ahead.owner)
@@ -55,7 +55,7 @@
     /// The owner of the part near which results are wanted, or of this VM's own one. Parts by this VM's
     /// hall alone took 9.4 GB of results to other halls on a calm day of 295 VMs, where one part for all
     /// took 5.1.
-    pub(crate) fn owner_near(
+    pub(crate) fn preferred_owner(
         &self,
         pool: &ServiceName,
         near: Option<&HallName>,
@@ -95,7 +95,7 @@
     }
 
     /// Whether this VM fills the calls of its own part of a pool.
-    pub(crate) fn fills(&self, pool: &ServiceName, now: Instant) -> bool {
+    pub(crate) fn owns_local_part(&self, pool: &ServiceName, now: Instant) -> bool {
         let Some(split) = self.splits.get(pool) else { return false };
         let own = split.part_of(&self.own_hall);
         self.owner_of_part(pool, split, own, now) == Owner::This
@@ -111,12 +111,12 @@
         match owner {
             Owner::Unknown => None,
             Owner::Peer(vm) => self.fleet.peers.get(vm)?.pools.get(pool.as_str()).cloned(),
-            Owner::This => self.load_here(pool, now),
+            Owner::This => self.local_load(pool, now),
         }
     }
 
     /// What this VM has to do for a pool.
-    pub(crate) fn load_here(&self, name: &ServiceName, now: Instant) -> Option<PoolLoad> {
+    pub(crate) fn local_load(&self, name: &ServiceName, now: Instant) -> Option<PoolLoad> {
         let pool = self.pools.get(name)?;
         let queue = pool.queue(now);
         let late = pool.waiting_pieces().saturating_sub(queue.total());
@@ -124,14 +124,14 @@
             turnaround: pool.expected_turnaround(),
             queue,
             late: late as f64,
-            coming: self.coming_to(name, now),
+            coming: self.incoming_pieces(name, now),
             rate: pool.rate(now),
             at: now,
         })
     }
 
     /// Pieces on their way to a pool from earlier stages, of all VMs.
-    pub(crate) fn coming_to(&self, name: &ServiceName, now: Instant) -> f64 {
+    pub(crate) fn incoming_pieces(&self, name: &ServiceName, now: Instant) -> f64 {
         let peers = self
             .splits
             .get(name)
--- a/gateway/src/pages.rs
+++ b/gateway/src/pages.rs
@@ -19,7 +19,7 @@
 use tokio::time::sleep;
 
 use crate::app::App;
-use crate::owners::name_of;
+use crate::owner_selection::owner_name;
 use crate::shared::Shared;
 use crate::stored_refusals;
 
@@ -141,7 +141,7 @@
         let held = target.and_then(|target| target.rate_limited_until);
         let account = target.map(|target| shared.account_owner_known(&target.service, now));
         json!({
-            "account_at": account.map(|owner| name_of(&owner)),
+            "account_at": account.map(|owner| owner_name(&owner)),
             "held_ms": held.map(|until| until.saturating_duration_since(now).as_millis() as u64),
             "target": lifetime.target.as_str(),
             "born": lifetime.born,
@@ -176,7 +176,7 @@
             .map(|(name, pool)| {
                 json!({
                     "pool": name.as_str(),
-                    "filled_by": name_of(&shared.owner_of(name, now)),
+                    "filled_by": owner_name(&shared.expected_owner(name, now)),
                     "turn_ms": pool.expected_turnaround().as_millis() as u64,
                     "queue": pool.queue(now).total(),
                     "queue_by_slack": pool.queue(now).counts().collect::<Vec<_>>(),
--- a/gateway/src/news.rs
+++ b/gateway/src/peer_sync.rs
@@ -15,7 +15,7 @@
 
 use crate::app::App;
 use crate::halls::look_at_pools;
-use crate::links::Link;
+use crate::outbound_links::Link;
 use crate::shared::Shared;
 
 /// Bytes of changes in one message: 26 ms of a link of 10 Mbit/s, a fraction of the pause between
@@ -90,7 +90,7 @@
     let mut assembly = Assembler::after(app.hub.with(|shared, _| shared.view.as_of()));
     let mut known = u64::MAX;
     for number in 1.. {
-        let news = link.ask(ask_of(&assembly));
+        let news = link.request_changes(ask_of(&assembly));
         let news = timeout(PART_WAIT, news).await.ok()?.ok()?;
         // Only what the peer knew at the first part is sure to have come by the last one.
         known = known.min(news.as_of);
@@ -137,7 +137,7 @@
 }
 
 /// The next part of what a peer asks for.
-pub(crate) fn answer(view: &View, ask: Ask) -> News {
+pub(crate) fn answer_request(view: &View, ask: Ask) -> News {
     let begun_bytes = usize::try_from(ask.begun_bytes).unwrap_or(usize::MAX);
     let ask = store_view::BatchRequest {
         after: Position { revision: ask.known_revision, key: ask.known_key },
--- a/gateway/src/permits.rs
+++ b/gateway/src/permits.rs
@@ -18,7 +18,7 @@
 
 use crate::app::App;
 use crate::hub::now;
-use crate::rate_words::{rate_from, rate_of};
+use crate::rate_messages::{decode_rate, encode_rate};
 use crate::shared::Shared;
 
 /// Longest wait for the word of the VM that holds an account: dozens of ways between halls.
@@ -147,7 +147,7 @@
 
 async fn ask_peer(app: &App, vm: &VmName, ask: PermitAsk) -> Option<Decision> {
     let link = app.links.borrow().get(vm).cloned()?;
-    let told = timeout(ASK_WAIT, link.ask_permit(ask)).await.ok()?.ok()?;
+    let told = timeout(ASK_WAIT, link.request_permit(ask)).await.ok()?.ok()?;
     let wait = Duration::from_millis(u64::from(told.wait_ms));
     Some(if told.granted { Decision::Granted(wait) } else { Decision::Denied(wait) })
 }
@@ -157,17 +157,17 @@
         let lifetime = Lifetime::from(target);
         let own = shared.rates.own_observations(&lifetime).cloned().unwrap_or_default();
         let within_ms = u32::try_from(within.as_millis()).unwrap_or(u32::MAX);
-        let rate = Some(rate_of(&lifetime, &own, now));
+        let rate = Some(encode_rate(&lifetime, &own, now));
         PermitAsk { number: 0, rate, within_ms, passed_on: false }
     })
 }
 
 /// Answers a peer that asks for a permit; `None` if what it asks for can't be read.
 pub(crate) async fn answer(app: &App, vm: &str, ask: PermitAsk) -> Option<Told> {
-    let (lifetime, belief) = ask.rate.as_ref().and_then(|rate| rate_from(rate, now()))?;
+    let (lifetime, belief) = ask.rate.as_ref().and_then(|rate| decode_rate(rate, now()))?;
     let number = ask.number;
     let owner = app.hub.with(|shared, now| {
-        shared.take_told_rate(lifetime.clone(), &belief, vm, now);
+        shared.merge_peer_rate(lifetime.clone(), &belief, vm, now);
         let service = shared.targets.service_of(&lifetime.target).cloned()?;
         Some(shared.account_owner(&service, now))
     });
@@ -252,7 +252,7 @@
     fn hold_back(&mut self, target: &Target, until: Instant) {
         let lifetime = Lifetime::from(target);
         self.rates.hold_until(&lifetime, until);
-        self.words_changed(&lifetime);
+        self.announcements_changed(&lifetime);
     }
 
     /// Sends nothing before `until` to any target of a service that names a rate.
--- a/gateway/src/piece_news.rs
+++ b/gateway/src/piece_news.rs
@@ -8,7 +8,7 @@
 use tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender};
 
 use crate::app::App;
-use crate::links::ToDialer;
+use crate::outbound_links::DialerSender;
 use crate::releases;
 
 /// A stage of a request, and how often it had been submitted before: news of an earlier time that
@@ -55,7 +55,7 @@
 
 /// A peer that gets the results of a submission.
 pub(crate) struct PeerSink {
-    pub(crate) tx: ToDialer,
+    pub(crate) tx: DialerSender,
     /// Its number for the submission.
     pub(crate) number: u64,
     /// The link of its leases; a peer of an older build keeps none.
@@ -86,7 +86,7 @@
         self.rx.close();
         while let Ok(news) = self.rx.try_recv() {
             if let PieceNews::Done { made: PieceOutcome::Stored(handle), .. } = news {
-                releases::give_up(&self.app, &[handle]);
+                releases::release_results(&self.app, &[handle]);
             }
         }
     }
--- a/gateway/src/pool_calls.rs
+++ b/gateway/src/pool_calls.rs
@@ -12,12 +12,12 @@
 
 use crate::app::App;
 use crate::call_counts::{Counts, end_name};
-use crate::held_results::{Maker, Term};
+use crate::held_results::{Origin, ResultExpiry};
 use crate::hub::now;
 use crate::own_calls::{OwnCallMiss, own_call};
 use crate::permits::Permit;
 use crate::piece_news::{PeerSink, PieceNews, Sink};
-use crate::{crashes, link_words, permits, reach, releases, turns};
+use crate::{crashes, input_fetches, link_messages, permits, reach, releases};
 
 /// Time in which an answer is read that has arrived when its call is given up: a VM that stood still has not read it
 /// yet, and nobody else learns the results' handles.
@@ -49,12 +49,12 @@
     let finished = app.hub.with(|shared, _| {
         let jobs = shared.out_of_inputs(pool);
         let pool = shared.pools.get_mut(pool);
-        let give_up = |pool: &mut Pool| -> Vec<Finished> {
+        let release_results = |pool: &mut Pool| -> Vec<Finished> {
             jobs.into_iter()
                 .flat_map(|job| pool.finish_waiting(job, &PieceOutcome::InputGone))
                 .collect()
         };
-        pool.map(give_up)
+        pool.map(release_results)
     });
     if let Some(finished) = finished.filter(|finished| !finished.is_empty()) {
         hand_back(app, pool, finished);
@@ -164,7 +164,7 @@
         async move { own_call(&app, &target, req, permit).await }
     });
     let mut patience = std::pin::pin!(tokio::time::sleep(call.timeout));
-    let mut fetch = std::pin::pin!(turns::inputs_fetched(app, call));
+    let mut fetch = std::pin::pin!(input_fetches::wait_until_fetched(app, call));
     let mut out = app.unreachable_halls.subscribe();
     let mut fetches = true;
     loop {
@@ -208,7 +208,7 @@
     let handles: Vec<String> = handles.collect();
     info!(app.log, "results of a late answer"; "pool" => %pool, "results" => handles.len());
     app.metrics.results_given_up("late_answer", handles.len());
-    drop(releases::give_up_as_owner(&app, handles));
+    drop(releases::release_as_owner(&app, handles));
 }
 
 /// Tells those whose inputs are needed no more: room at their workers is scarcer than time.
@@ -221,7 +221,7 @@
         match sinks.get(&(pool.clone(), job)) {
             // A request that is gone gives its results up by itself.
             Some(Sink::Here(tx, of)) => drop(tx.send(PieceNews::Fetched { of: *of })),
-            Some(Sink::Peer(peer)) => link_words::send_fetched(&peer.tx, peer.number),
+            Some(Sink::Peer(peer)) => link_messages::send_fetched(&peer.tx, peer.number),
             None => {}
         }
     }
@@ -284,7 +284,12 @@
         match sinks.get(&(pool.clone(), job)) {
             Some(Sink::Here(tx, of)) => {
                 if let PieceOutcome::Stored(handle) = &outcome {
-                    app.held.add(handle, Maker::Here, Term { until: now + life, life }, now);
+                    app.held.add(
+                        handle,
+                        Origin::Local,
+                        ResultExpiry { until: now + life, life },
+                        now,
+                    );
                 }
                 if tx.send(PieceNews::Done { of: *of, piece, made: outcome.clone() }).is_err() {
                     unread.extend(outcome.handle().map(str::to_owned));
@@ -292,7 +297,7 @@
             }
             Some(Sink::Peer(peer)) => {
                 grant(app, pool, peer, &outcome);
-                link_words::send_done(&peer.tx, peer.number, piece, outcome);
+                link_messages::send_done(&peer.tx, peer.number, piece, outcome);
             }
             None => {}
         }
@@ -305,5 +310,5 @@
         }
     });
     drop(sinks);
-    releases::give_up(app, &unread);
+    releases::release_results(app, &unread);
 }
--- a/gateway/src/rate_words.rs
+++ b/gateway/src/rate_messages.rs
@@ -16,7 +16,7 @@
 const PARTS: f64 = 1000.0;
 
 /// What this VM heard of a target's rate, as it tells peers.
-pub(crate) fn rate_of(lifetime: &Lifetime, own: &RateObservations, now: Instant) -> Rate {
+pub(crate) fn encode_rate(lifetime: &Lifetime, own: &RateObservations, now: Instant) -> Rate {
     let age = |at: Instant| millis(now.saturating_duration_since(at));
     let named = |(limit, at): (RateLimit, Instant)| NamedRate {
         thousandths: (limit.per_s() * PARTS).round() as u64,
@@ -31,7 +31,7 @@
 }
 
 /// What a peer heard of a target's rate; `None` if it can't be read.
-pub(crate) fn rate_from(rate: &Rate, now: Instant) -> Option<(Lifetime, RateObservations)> {
+pub(crate) fn decode_rate(rate: &Rate, now: Instant) -> Option<(Lifetime, RateObservations)> {
     let ago = |ms: u32| now.checked_sub(Duration::from_millis(u64::from(ms)));
     let after = rate.after_ms.and_then(ago).and_then(|at| at.checked_sub(ON_ITS_WAY));
     let heard = rate.named.iter().filter_map(|named| {
@@ -43,17 +43,17 @@
 }
 
 /// What a peer tells of targets' rates; what can't be read is left out.
-pub(crate) fn rates_of(told: &Rates) -> Vec<(Lifetime, RateObservations)> {
+pub(crate) fn decode_rates(told: &Rates) -> Vec<(Lifetime, RateObservations)> {
     let now = hub::now();
-    told.rates.iter().filter_map(|rate| rate_from(rate, now)).collect()
+    told.rates.iter().filter_map(|rate| decode_rate(rate, now)).collect()
 }
 
 /// What a peer has not been told on a link.
-pub(crate) fn untold_rates(app: &App, cursor: &mut ChangeCursor) -> Option<Rates> {
+pub(crate) fn take_unsent_rates(app: &App, cursor: &mut ChangeCursor) -> Option<Rates> {
     let rates: Vec<Rate> = app.hub.with(|shared, now| {
         let (changes, up_to) = shared.rates.changes_after(*cursor);
         *cursor = up_to;
-        changes.iter().map(|(lifetime, own)| rate_of(lifetime, own, now)).collect()
+        changes.iter().map(|(lifetime, own)| encode_rate(lifetime, own, now)).collect()
     });
     (!rates.is_empty()).then_some(Rates { rates })
 }
--- a/gateway/src/releases.rs
+++ b/gateway/src/releases.rs
@@ -20,12 +20,12 @@
 use tokio::task::{JoinHandle, spawn_local};
 use tokio::time::{MissedTickBehavior, interval, sleep};
 
-use crate::accepted_links::process_has_ended;
 use crate::app::App;
 use crate::connections::SETTLE;
-use crate::held_results::{Maker, Taken};
+use crate::held_results::{Origin, ReleaseBatch};
 use crate::hub::{left, now};
-use crate::links::Link;
+use crate::inbound_links::has_process_ended;
+use crate::outbound_links::Link;
 use crate::own_calls::{OwnCallMiss, own_call};
 use crate::permits;
 use crate::pool_calls::fill_calls;
@@ -58,42 +58,42 @@
 }
 
 /// Gives up results that requests of this VM hold.
-pub(crate) fn give_up(app: &Rc<App>, handles: &[String]) {
-    for Taken { maker, handles, is_ours, until } in app.held.take(handles, now()) {
+pub(crate) fn release_results(app: &Rc<App>, handles: &[String]) {
+    for ReleaseBatch { maker, handles, is_ours, until } in app.held.take(handles, now()) {
         match maker {
-            Maker::Here => drop(give_up_as_owner(app, handles)),
-            Maker::Peer(link) if is_ours => give_up_as_requester(app, &link, handles, until),
-            Maker::Peer(link) => {
-                spawn_local(give_up_for_gone_owner(Rc::clone(app), link, handles));
+            Origin::Local => drop(release_as_owner(app, handles)),
+            Origin::Peer(link) if is_ours => release_through_link(app, &link, handles, until),
+            Origin::Peer(link) => {
+                spawn_local(release_if_owner_ended(Rc::clone(app), link, handles));
             }
         }
     }
 }
 
 /// Gives up results that are their owner's by now, if its process has ended: nobody else does.
-async fn give_up_for_gone_owner(app: Rc<App>, link: Rc<Link>, handles: Vec<String>) {
-    if process_has_ended(link.address).await {
-        tell_as_requester(&app, &link, handles, None);
+async fn release_if_owner_ended(app: Rc<App>, link: Rc<Link>, handles: Vec<String>) {
+    if has_process_ended(link.address).await {
+        release_as_requester(&app, &link, handles, None);
     }
 }
 
 /// Gives up results that requests of this VM hold, if their workers' room is scarce.
-pub(crate) fn give_up_if_scarce(app: &Rc<App>, handles: &[String]) {
+pub(crate) fn release_results_if_scarce(app: &Rc<App>, handles: &[String]) {
     for (maker, handle) in app.held.look_up(handles) {
         match maker {
-            Maker::Here => give_up_if_scarce_as_owner(app, &[handle]),
-            Maker::Peer(link) => link.release_if_scarce(&[handle]),
+            Origin::Local => release_as_owner_if_scarce(app, &[handle]),
+            Origin::Peer(link) => link.release_if_scarce(&[handle]),
         }
     }
 }
 
-fn give_up_as_requester(app: &Rc<App>, link: &Rc<Link>, handles: Vec<String>, until: Instant) {
-    let is_told_here = |handle: &String| link.is_over() || tells_itself(app, handle);
+fn release_through_link(app: &Rc<App>, link: &Rc<Link>, handles: Vec<String>, until: Instant) {
+    let is_told_here = |handle: &String| link.is_closed() || tells_itself(app, handle);
     let (here, through_owner): (Vec<_>, Vec<_>) = handles.into_iter().partition(is_told_here);
-    tell_as_requester(app, link, here, Some(until));
+    release_as_requester(app, link, here, Some(until));
     if !through_owner.is_empty() {
         let given_up_on = link.release(through_owner);
-        tell_as_requester(app, link, given_up_on, None);
+        release_as_requester(app, link, given_up_on, None);
     }
 }
 
@@ -111,21 +111,21 @@
 }
 
 /// Tells the workers of results that a peer had made, before `until` if that is set, and the peer once they have heard.
-pub(crate) fn tell_as_requester(
+pub(crate) fn release_as_requester(
     app: &Rc<App>,
     link: &Rc<Link>,
     handles: Vec<String>,
     until: Option<Instant>,
 ) {
-    app.held.telling(&handles, link.address, now());
+    app.held.record_release_started(&handles, link.address, now());
     for (worker, handles) in by_worker(app, handles) {
         let (app, maker) = (Rc::clone(app), link.address);
         spawn_local(async move {
             let is_heard = tell_until_heard(&app, worker, &handles, Teller::Requester, until).await;
-            app.held.told(&handles, is_heard);
+            app.held.record_release_outcome(&handles, is_heard);
             // Without a link the peer hears of it on the next one.
             if let Some(link) = link_to(&app, maker) {
-                link.tell_heard(&app);
+                link.report_releases(&app);
             }
         });
     }
@@ -148,7 +148,7 @@
 }
 
 /// Gives up results that this VM had made; gives the tasks that tell their workers.
-pub(crate) fn give_up_as_owner(app: &Rc<App>, handles: Vec<String>) -> Vec<JoinHandle<()>> {
+pub(crate) fn release_as_owner(app: &Rc<App>, handles: Vec<String>) -> Vec<JoinHandle<()>> {
     let given_up = take_from_pools(app, &handles);
     let known: Vec<&String> = given_up.iter().flat_map(|(_, told)| &told.handles).collect();
     let unknown = handles.iter().filter(|handle| !known.contains(handle)).cloned().collect();
@@ -176,14 +176,14 @@
 }
 
 /// Takes word that the workers of results have heard that these are given up.
-pub(crate) fn heard_by_workers(app: &Rc<App>, handles: &[String]) {
+pub(crate) fn record_worker_releases(app: &Rc<App>, handles: &[String]) {
     app.hub.with(|shared, _| shared.leases.released(handles));
     for (pool, told) in take_from_pools(app, handles) {
         account(app, &pool, &told, true);
     }
 }
 
-fn give_up_if_scarce_as_owner(app: &Rc<App>, handles: &[String]) {
+fn release_as_owner_if_scarce(app: &Rc<App>, handles: &[String]) {
     let told = app.hub.with(|shared, _| {
         let pools = shared.pools.iter_mut();
         let release = |(name, pool): (&ServiceName, &mut Pool)| {
@@ -198,17 +198,17 @@
 }
 
 /// Takes a peer's word that results are needed no more, or only as long as there is room.
-pub(crate) fn give_up_for_peer(
+pub(crate) fn release_for_peer(
     app: &Rc<App>,
     handles: Vec<String>,
     if_scarce: bool,
 ) -> Vec<JoinHandle<()>> {
     if if_scarce {
-        give_up_if_scarce_as_owner(app, &handles);
+        release_as_owner_if_scarce(app, &handles);
         return Vec::new();
     }
     app.hub.with(|shared, _| shared.leases.released(&handles));
-    give_up_as_owner(app, handles)
+    release_as_owner(app, handles)
 }
 
 /// Gives up results that no request gave up by itself: nobody waits for them, or their room is scarce. Those who hold
@@ -229,7 +229,7 @@
 }
 
 /// Gives up the results of which the leases are over.
-pub(crate) async fn take_over(app: Rc<App>) {
+pub(crate) async fn release_ended_leases(app: Rc<App>) {
     let mut looks = interval(LEASE_LOOK);
     looks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     let mut last = now();
@@ -248,7 +248,7 @@
         for (why, handles) in by_why {
             info!(app.log, "results taken over"; "results" => handles.len(), "why" => ?why);
             app.metrics.results_given_up(why_name(why), handles.len());
-            drop(give_up_as_owner(&app, handles));
+            drop(release_as_owner(&app, handles));
         }
     }
 }
@@ -302,7 +302,7 @@
 }
 
 /// Results of one worker that are given up, and who waits until it has heard.
-pub(crate) struct Word {
+pub(crate) struct QueuedRelease {
     handles: Vec<String>,
     /// After this nobody here tells the worker any more.
     until: Option<Instant>,
@@ -310,7 +310,7 @@
     heard: oneshot::Sender<bool>,
 }
 
-impl Word {
+impl QueuedRelease {
     fn is_ours(&self, now: Instant) -> bool {
         self.until.is_none_or(|until| now < until)
     }
@@ -326,7 +326,7 @@
     until: Option<Instant>,
 ) -> bool {
     let (tx, rx) = oneshot::channel();
-    let word = Word { handles: handles.to_vec(), until, heard: tx };
+    let word = QueuedRelease { handles: handles.to_vec(), until, heard: tx };
     let is_first = {
         let mut words = app.release_words.borrow_mut();
         let is_first = !words.contains_key(&worker);
@@ -368,7 +368,7 @@
 async fn tell_repeatedly(
     app: &Rc<App>,
     worker: SocketAddr,
-    words: &[Word],
+    words: &[QueuedRelease],
     teller: Teller,
 ) -> bool {
     let mut pause = FIRST_PAUSE;
@@ -400,7 +400,7 @@
 }
 
 /// Results that are not given up by somebody else by now.
-fn still_to_tell(words: &[Word]) -> Vec<String> {
+fn still_to_tell(words: &[QueuedRelease]) -> Vec<String> {
     let now = now();
     let words = words.iter().filter(|word| word.is_ours(now));
     words.flat_map(|word| word.handles.clone()).collect()
--- a/gateway/src/run.rs
+++ b/gateway/src/run.rs
@@ -26,8 +26,8 @@
 use crate::settings::Settings;
 use crate::shared::Shared;
 use crate::{
-    accepted_links, accounts, callers, dials, logs, news, own_entry, pages, reach, releases,
-    settings, stops, store, stored_refusals,
+    accounts, callers, inbound_links, link_dialer, logs, own_entry, pages, peer_sync, reach,
+    releases, settings, stops, store_watch, stored_refusals,
 };
 
 /// Pause between two looks at connections at rest.
@@ -90,15 +90,15 @@
     }
     spawn_local(pages::serve(Rc::clone(app), ready_listener));
     spawn_local(callers::accept(Rc::clone(app), callers_listener));
-    spawn_local(accepted_links::accept(Rc::clone(app), peers_listener));
-    spawn_local(dials::dial_all(Rc::clone(app)));
+    spawn_local(inbound_links::accept(Rc::clone(app), peers_listener));
+    spawn_local(link_dialer::maintain_links(Rc::clone(app)));
     spawn_local(reach::follow(Rc::clone(app)));
-    spawn_local(store::follow(Rc::clone(app)));
-    spawn_local(own_entry::keep(Rc::clone(app)));
-    spawn_local(news::follow(Rc::clone(app)));
+    spawn_local(store_watch::follow(Rc::clone(app)));
+    spawn_local(own_entry::maintain(Rc::clone(app)));
+    spawn_local(peer_sync::follow(Rc::clone(app)));
     spawn_local(accounts::keep(Rc::clone(app)));
     spawn_local(stored_refusals::keep(Rc::clone(app)));
-    spawn_local(releases::take_over(Rc::clone(app)));
+    spawn_local(releases::release_ended_leases(Rc::clone(app)));
     spawn_local(clean(Rc::clone(app)));
     info!(app.log, "started"; "callers" => %cfg.callers, "peers" => %cfg.peers,
         "store" => %cfg.store, "hall" => %cfg.hall, "policy" => ?cfg.policy);
--- a/gateway/src/shared.rs
+++ b/gateway/src/shared.rs
@@ -21,7 +21,7 @@
 use tokio::sync::watch;
 
 use crate::admission::Admission;
-use crate::belief::Behind;
+use crate::configuration_lag::ConfigurationLag;
 use crate::in_work::Works;
 use crate::settings::{ColdMargin, Policy, Settings};
 
@@ -60,7 +60,7 @@
     pub(crate) contact: StoreContact,
     /// Whether this VM's watch of the store tells nothing while peers learn more.
     pub(crate) stall_detector: StallDetector,
-    pub(crate) behind: Behind,
+    pub(crate) behind: ConfigurationLag,
     /// Time within which a change of the configuration must be in force.
     pub(crate) in_force: Duration,
     /// The times of the stop that began.
@@ -135,7 +135,7 @@
             own_hall: cfg.hall.clone(),
             contact: StoreContact::default(),
             stall_detector: StallDetector::default(),
-            behind: Behind::default(),
+            behind: ConfigurationLag::default(),
             in_force: cfg.in_force(),
             stop: None,
             departures: Departures::default(),
@@ -201,7 +201,7 @@
                     self.compare_versions(now);
                 }
                 Change::Put(key, value) if key.starts_with(prefix) => {
-                    self.take_target(&key, &value, from, now);
+                    self.apply_target(&key, &value, from, now);
                     new_targets = true;
                 }
                 Change::Put(key, value) if key.starts_with(evacuations) => {
@@ -213,7 +213,7 @@
                 }
                 Change::Removed(key) => match key.strip_prefix(prefix) {
                     Some(id) => {
-                        self.lost_target(id, from, now);
+                        self.target_entry_removed(id, from, now);
                         new_targets = true;
                     }
                     None => self.list_vm(&key, None, now),
--- a/gateway/src/stages.rs
+++ b/gateway/src/stages.rs
@@ -16,8 +16,8 @@
 
 use crate::admission::InFlight;
 use crate::app::App;
-use crate::gone_inputs::{self, Cause};
 use crate::hub::now;
+use crate::missing_inputs::{self, Cause};
 use crate::piece_news::{Inbox, PieceNews, StageTurn};
 use crate::releases;
 use crate::requests::Accepted;
@@ -111,14 +111,14 @@
 
     fn release(&mut self) {
         if std::mem::replace(&mut self.kept, Kept::No) != Kept::No {
-            releases::give_up(&self.app, &self.results());
+            releases::release_results(&self.app, &self.results());
         }
     }
 
     fn release_if_scarce(&mut self) {
         if self.kept == Kept::Yes {
             self.kept = Kept::IfRoom;
-            releases::give_up_if_scarce(&self.app, &self.results());
+            releases::release_results_if_scarce(&self.app, &self.results());
         }
     }
 
@@ -142,7 +142,7 @@
 
     /// Why the engine found an input gone.
     pub(crate) fn cause_of_gone(&self, app: &App) -> Cause {
-        gone_inputs::cause(app, &self.inputs())
+        missing_inputs::find_cause(app, &self.inputs())
     }
 
     /// Time within which the engine that was sent the request has fetched the results.
@@ -229,7 +229,7 @@
         of.entry
             .stages
             .iter()
-            .any(|stage| shared.owner_near(&stage.pool, None, now) == Owner::Unknown)
+            .any(|stage| shared.preferred_owner(&stage.pool, None, now) == Owner::Unknown)
     };
     let until = tokio::time::Instant::from_std(of.until.min(now() + SETTLE_TIME));
     while of.app.hub.with(|shared, now| is_unknown(shared, now)) {
@@ -257,7 +257,7 @@
         PieceNews::Done { of: turn, piece, made: PieceOutcome::Stored(handle) } => {
             let index = turn.stage as usize;
             if !runs[index].take(piece, &handle) {
-                releases::give_up(of.app, &[handle]);
+                releases::release_results(of.app, &[handle]);
             } else if runs[index].is_done() {
                 release_used(of.entry, runs);
                 submit_ready(of, runs, tx);
@@ -324,7 +324,7 @@
 fn cause_of_gone(of: &StagesOf<'_>, runs: &[StageRun], index: usize) -> Cause {
     let needs = of.entry.stages[index].needs.iter();
     let inputs: Vec<String> = needs.flat_map(|need| runs[*need].results()).collect();
-    gone_inputs::cause(of.app, &inputs)
+    missing_inputs::find_cause(of.app, &inputs)
 }
 
 /// Forgets what a stage made, and what it needs too where that was given up.
--- a/gateway/src/store_connection.rs
+++ b/gateway/src/store_connection.rs
@@ -28,11 +28,11 @@
 
 /// Why a call to the store gave nothing.
 #[derive(Debug, Display)]
-pub(crate) enum Miss {
+pub(crate) enum StoreCallError {
     /// the history before the wanted revision is forgotten
-    Forgotten,
+    HistoryCompacted,
     /// the lease is over
-    NoLease,
+    LeaseNotFound,
     /// {0}; it may have been done
     Failed(String),
 }
@@ -44,7 +44,7 @@
 }
 
 /// An answer that has begun.
-pub(crate) struct Begun {
+pub(crate) struct OpenAnswer {
     kind: &'static str,
     status: StatusCode,
     body: Incoming,
@@ -75,7 +75,7 @@
         kind: &'static str,
         call: StoreCall,
         wait: Duration,
-    ) -> Result<Bytes, Miss> {
+    ) -> Result<Bytes, StoreCallError> {
         let begun = self.begin(kind, call, wait).await?;
         self.finish(begun).await
     }
@@ -86,17 +86,17 @@
         kind: &'static str,
         call: StoreCall,
         wait: Duration,
-    ) -> Result<Begun, Miss> {
+    ) -> Result<OpenAnswer, StoreCallError> {
         let sent = timeout(wait + SILENCE_TIMEOUT, self.send(call)).await;
         match sent.unwrap_or_else(|_| Err("no answer in time".to_owned())) {
-            Ok((status, body)) => Ok(Begun { kind, status, body, began: now() }),
+            Ok((status, body)) => Ok(OpenAnswer { kind, status, body, began: now() }),
             Err(problem) => Err(self.failed(kind, problem)),
         }
     }
 
     /// Reads the rest of an answer for as long as bytes come.
-    pub(crate) async fn finish(&mut self, begun: Begun) -> Result<Bytes, Miss> {
-        let Begun { kind, status, mut body, began } = begun;
+    pub(crate) async fn finish(&mut self, begun: OpenAnswer) -> Result<Bytes, StoreCallError> {
+        let OpenAnswer { kind, status, mut body, began } = begun;
         let mut buf = BytesMut::new();
         loop {
             let frame = match timeout(SILENCE_TIMEOUT, body.frame()).await {
@@ -116,16 +116,16 @@
         self.app.metrics.platform_call(kind, true);
         match status {
             StatusCode::OK => Ok(buf.freeze()),
-            StatusCode::GONE => Err(Miss::Forgotten),
-            StatusCode::NOT_FOUND => Err(Miss::NoLease),
-            other => Err(Miss::Failed(format!("status {}", other.as_u16()))),
+            StatusCode::GONE => Err(StoreCallError::HistoryCompacted),
+            StatusCode::NOT_FOUND => Err(StoreCallError::LeaseNotFound),
+            other => Err(StoreCallError::Failed(format!("status {}", other.as_u16()))),
         }
     }
 
-    fn failed(&mut self, kind: &'static str, problem: String) -> Miss {
+    fn failed(&mut self, kind: &'static str, problem: String) -> StoreCallError {
         self.app.metrics.platform_call(kind, false);
         self.close();
-        Miss::Failed(problem)
+        StoreCallError::Failed(problem)
     }
 
     async fn send(&mut self, call: StoreCall) -> Result<(StatusCode, Incoming), String> {
--- a/gateway/src/store.rs
+++ b/gateway/src/store_watch.rs
@@ -12,7 +12,7 @@
 use crate::app::App;
 use crate::halls::look_at_pools;
 use crate::shared::vms_prefix;
-use crate::store_connection::{Begun, Miss, StoreConnection};
+use crate::store_connection::{OpenAnswer, StoreCallError, StoreConnection};
 
 /// Longest wait of a watch. Each one is a counted call; that the store is out of reach shows sooner,
 /// in the renewals of this VM's lease, which cost a tenth of it.
@@ -26,7 +26,7 @@
 const FIRST_PAUSE: Duration = Duration::from_millis(80);
 /// Longest pause after a failed call: refused calls count too, and a store that is back is found
 /// well within the seconds that changes may take after its return.
-pub(crate) const LONGEST_PAUSE: Duration = Duration::from_millis(500);
+pub(crate) const MAX_RETRY_PAUSE: Duration = Duration::from_millis(500);
 
 /// Pauses between failed calls, each twice as long as the one before.
 struct Pauses(Duration);
@@ -38,7 +38,7 @@
 
     async fn pause(&mut self) {
         sleep(self.0).await;
-        self.0 = (self.0 * 2).min(LONGEST_PAUSE);
+        self.0 = (self.0 * 2).min(MAX_RETRY_PAUSE);
     }
 }
 
@@ -64,7 +64,7 @@
         known = known.max(app.hub.with(|shared, _| shared.view.as_of()));
         if !*app.store_reached.borrow() {
             if let Err(miss) = probe(app, store).await {
-                failed(app, "probe", &miss);
+                record_failure(app, "probe", &miss);
                 pauses.pause().await;
             }
             continue;
@@ -74,12 +74,12 @@
                 known = known.max(as_of);
                 pauses = Pauses::new();
             }
-            Err(Miss::Forgotten) => {
+            Err(StoreCallError::HistoryCompacted) => {
                 info!(app.log, "the store forgot its history"; "after" => known);
                 return;
             }
             Err(miss) => {
-                failed(app, "watch", &miss);
+                record_failure(app, "watch", &miss);
                 pauses.pause().await;
             }
         }
@@ -126,7 +126,7 @@
         match list(app, store, &mut listing, freshness).await {
             Ok(()) => break,
             Err(miss) => {
-                failed(app, "list", &miss);
+                record_failure(app, "list", &miss);
                 pauses.pause().await;
             }
         }
@@ -147,7 +147,7 @@
     store: &mut StoreConnection,
     so_far: &mut Listing,
     freshness: Freshness,
-) -> Result<(), Miss> {
+) -> Result<(), StoreCallError> {
     let adapter = app.adapter.intents;
     let prefixes = [
         adapter.intent_key,
@@ -164,7 +164,7 @@
         so_far.as_of = Some(as_of);
         let more = page.truncated && !page.items.is_empty();
         so_far.items.extend(page.items.into_iter().map(item));
-        heard(app);
+        record_success(app);
         if more {
             continue;
         }
@@ -179,11 +179,15 @@
 }
 
 /// Waits for changes after a revision once; gives the revision up to which all is known then.
-async fn watch(app: &Rc<App>, store: &mut StoreConnection, known: u64) -> Result<u64, Miss> {
+async fn watch(
+    app: &Rc<App>,
+    store: &mut StoreConnection,
+    known: u64,
+) -> Result<u64, StoreCallError> {
     let Some(begun) = changes_after(app, store, known).await? else { return Ok(known) };
     let body = store.finish(begun).await?;
     let page = (app.adapter.store.read_watch)(&body).map_err(unreadable)?;
-    heard(app);
+    record_success(app);
     let (as_of, changed) = (page.as_of, !page.items.is_empty());
     take(app, page);
     if changed {
@@ -201,10 +205,10 @@
 /// Asks a store that was lost for this VM's own entry: an answer shows that it is back. Such a read may
 /// be old, which costs a tenth of a counted call; refused calls count too, and an outage of 5 s takes a
 /// dozen of them at each VM.
-async fn probe(app: &Rc<App>, store: &mut StoreConnection) -> Result<(), Miss> {
+async fn probe(app: &Rc<App>, store: &mut StoreConnection) -> Result<(), StoreCallError> {
     let key = format!("{}{}", vms_prefix(&app.adapter), app.cfg.vm);
     let call = (app.adapter.store.list)(&key, None, Freshness::MayBeStale);
-    store.call("probe", call, Duration::ZERO).await.map(|_| heard(app))
+    store.call("probe", call, Duration::ZERO).await.map(|_| record_success(app))
 }
 
 /// Asks for changes; `None` if the store was lost while it was waited for, or peers know more than the
@@ -213,7 +217,7 @@
     app: &Rc<App>,
     store: &mut StoreConnection,
     known: u64,
-) -> Result<Option<Begun>, Miss> {
+) -> Result<Option<OpenAnswer>, StoreCallError> {
     let mut reached = app.store_reached.subscribe();
     // One watch over all keys: a counted call each, and one revision for all of them.
     let call = (app.adapter.store.watch)("", known, WATCH_WAIT);
@@ -245,8 +249,8 @@
     Item { key: item.key, revision: item.revision, value: item.value }
 }
 
-pub(crate) fn unreadable(e: errors::Error) -> Miss {
-    Miss::Failed(e.to_string())
+pub(crate) fn unreadable(e: errors::Error) -> StoreCallError {
+    StoreCallError::Failed(e.to_string())
 }
 
 /// Ends when the store was reached and is not any more.
@@ -258,7 +262,7 @@
 }
 
 /// A whole answer came from the store.
-pub(crate) fn heard(app: &App) {
+pub(crate) fn record_success(app: &App) {
     app.store_reached.send_if_modified(|reached| !std::mem::replace(reached, true));
     if app.hub.with(|shared, now| shared.contact.record_answer(now)) {
         info!(app.log, "store regained");
@@ -266,7 +270,7 @@
 }
 
 /// A call to the store failed.
-pub(crate) fn failed(app: &App, what: &str, miss: &Miss) {
+pub(crate) fn record_failure(app: &App, what: &str, miss: &StoreCallError) {
     let (newly, lost, age) = app.hub.with(|shared, now| {
         let newly = shared.contact.record_failure(now);
         (newly, !shared.contact.is_receiving(now), shared.contact.age(now))
--- a/gateway/src/stored_refusals.rs
+++ b/gateway/src/stored_refusals.rs
@@ -14,8 +14,8 @@
 use crate::app::App;
 use crate::hub;
 use crate::shared::Shared;
-use crate::store::unreadable;
-use crate::store_connection::{Miss, StoreConnection};
+use crate::store_connection::{StoreCallError, StoreConnection};
+use crate::store_watch::unreadable;
 
 /// Pause between two looks at what is to be written into the store: peers hear of it by links.
 const WRITE_LOOK: Duration = Duration::from_millis(500);
@@ -94,7 +94,7 @@
     app: &App,
     store: &mut StoreConnection,
     refused: &RefusedRequest,
-) -> Result<(), Miss> {
+) -> Result<(), StoreCallError> {
     let key = app.hub.with(|shared, _| key_of(shared, &refused.digest));
     let known = StoredRefusal::of(refused);
     let stands = app.hub.with(|shared, _| {
@@ -113,7 +113,7 @@
     store: &mut StoreConnection,
     key: &str,
     stored: &StoredRefusal,
-) -> Result<(), Miss> {
+) -> Result<(), StoreCallError> {
     let lasts = app.cfg.quarantine.lasts().min(LONGEST_LEASE);
     let body = store.call("lease", (app.adapter.store.lease)(lasts), Duration::ZERO).await?;
     let lease = (app.adapter.store.read_lease)(&body).map_err(unreadable)?;
--- a/gateway/src/target_words.rs
+++ b/gateway/src/target_announcements.rs
@@ -16,14 +16,14 @@
 use crate::app::App;
 use crate::halls::look_at_pools;
 use crate::hub::now;
-use crate::rate_words::rates_of;
+use crate::rate_messages::decode_rates;
 use crate::shared::Shared;
 
 /// Most words that are told of: targets may say anything.
 const MOST_UNKNOWN: usize = 64;
 
 /// Takes what the answer to a request says of the target that gave it; the request was sent at `sent` or later.
-pub(crate) fn heard(app: &Rc<App>, target: &Target, answer: &AnswerHead, sent: Instant) {
+pub(crate) fn apply_answer(app: &Rc<App>, target: &Target, answer: &AnswerHead, sent: Instant) {
     let speaks_for_it = match answer.evidence {
         Evidence::Answered | Evidence::Declined | Evidence::InputGone => true,
         // Another lifetime speaks, or what came may be spoilt in all its parts.
@@ -35,7 +35,7 @@
 }
 
 /// Takes what the answer to a call of this system's own says, which carries no request's id.
-pub(crate) fn heard_of_own_call(
+pub(crate) fn apply_own_call_answer(
     app: &Rc<App>,
     target: &Target,
     answer: &AnswerHead,
@@ -66,7 +66,7 @@
 
 /// Looks for words in an answer that nobody here knows, and tells each once: what a target says and nobody heeds
 /// is seen before it hurts.
-pub(crate) fn look_for_unknown(app: &App, target: &Target, answer: &Parts) {
+pub(crate) fn report_unknown_headers(app: &App, target: &Target, answer: &Parts) {
     for name in (app.adapter.calls.unknown_headers)(answer) {
         let is_new = app.hub.with(|shared, _| {
             let word = (target.service.clone(), name.clone());
@@ -93,26 +93,26 @@
     let sighting = RateObservation { limit, sent, received: now() };
     let changed = app.hub.with(|shared, now| shared.take_rate(target, sighting, now));
     if changed {
-        rates_changed(app);
+        on_rates_changed(app);
     }
 }
 
 /// Takes what a peer heard of targets' rates.
-pub(crate) fn rates_from_peer(app: &Rc<App>, peer: &str, rates: &Rates) {
-    for (lifetime, belief) in rates_of(rates) {
-        app.hub.with(|shared, now| shared.take_told_rate(lifetime, &belief, peer, now));
+pub(crate) fn apply_peer_rates(app: &Rc<App>, peer: &str, rates: &Rates) {
+    for (lifetime, belief) in decode_rates(rates) {
+        app.hub.with(|shared, now| shared.merge_peer_rate(lifetime, &belief, peer, now));
     }
-    rates_changed(app);
+    on_rates_changed(app);
 }
 
 /// Links to whoever holds the accounts are wanted, and pools may be called otherwise.
-pub(crate) fn rates_changed(app: &Rc<App>) {
+pub(crate) fn on_rates_changed(app: &Rc<App>) {
     app.vms_changed.notify_one();
     look_at_pools(app);
 }
 
 /// Takes what a peer heard of targets that leave.
-pub(crate) fn heard_from_peer(app: &Rc<App>, peer: &str, departures: Vec<Departure>) {
+pub(crate) fn apply_peer_departures(app: &Rc<App>, peer: &str, departures: Vec<Departure>) {
     for Departure { lifetime, announced_at: said } in departures {
         let service = app.hub.with(|shared, now| {
             let service = shared.targets.service_of(&lifetime.target).cloned();
@@ -137,7 +137,7 @@
             "from" => from, "said_ms" => now.saturating_duration_since(said).as_millis(),
             "entry_leaving" => entry.map(|entry| entry.leaving),
             "store_heard_ms" => self.contact.age(now).map(|age| age.as_millis()));
-        self.words_changed(&lifetime);
+        self.announcements_changed(&lifetime);
         self.word_known.send_replace(());
         true
     }
@@ -153,7 +153,7 @@
     }
 
     /// Takes what a peer heard itself of a target's rate.
-    pub(crate) fn take_told_rate(
+    pub(crate) fn merge_peer_rate(
         &mut self,
         lifetime: Lifetime,
         belief: &RateObservations,
@@ -170,7 +170,7 @@
         info!(self.log, "target's rate changed"; "target" => %lifetime.target, "born" => lifetime.born,
             "per_s" => per_s(change.now), "before" => per_s(change.before), "from" => from);
         self.hold_worker(lifetime, now);
-        self.words_changed(lifetime);
+        self.announcements_changed(lifetime);
     }
 
     /// Takes that a target wants no work from this VM for some time.
@@ -182,16 +182,16 @@
         }
         info!(self.log, "target wants to be left alone"; "target" => %lifetime.target,
             "born" => lifetime.born, "for_ms" => time.as_millis());
-        self.words_changed(lifetime);
+        self.announcements_changed(lifetime);
     }
 
     /// Tells all who choose targets what one said of itself.
-    pub(crate) fn words_changed(&mut self, lifetime: &Lifetime) {
+    pub(crate) fn announcements_changed(&mut self, lifetime: &Lifetime) {
         let known = self.targets.get(&lifetime.target).cloned();
         let Some(mut target) = known.filter(|known| Lifetime::from(known) == *lifetime) else {
             return;
         };
-        self.add_words(&mut target);
+        self.add_announcements(&mut target);
         self.targets.update_announced(&target);
         if self.pools.contains_key(&target.service) {
             self.sync_pools();
@@ -200,7 +200,7 @@
     }
 
     /// Adds to a target's entry what the target said in answers.
-    pub(crate) fn add_words(&self, target: &mut Target) {
+    pub(crate) fn add_announcements(&self, target: &mut Target) {
         target.leaving |= self.departures.announced_at(target).is_some();
         target.backoff_until = self.left_alone.until(target);
         target.rate_limited_until = self.rates.held_until(target);
@@ -210,7 +210,7 @@
 
     /// For how long nothing may be sent to any target of a service, if some of them want no more than to be
     /// left alone for that time.
-    pub(crate) fn opens_in(&self, service: &ServiceName, now: Instant) -> Option<Duration> {
+    pub(crate) fn time_until_open(&self, service: &ServiceName, now: Instant) -> Option<Duration> {
         let opens = self.targets.opens_at(service, now)?;
         Some(opens.saturating_duration_since(now)).filter(|time| !time.is_zero())
     }
--- a/gateway/src/target_entries.rs
+++ b/gateway/src/target_entries.rs
@@ -14,7 +14,7 @@
 
 impl Shared {
     /// Takes what an entry says of its target, unless it is older than what is known.
-    pub(crate) fn take_target(&mut self, key: &str, value: &[u8], from: &str, now: Instant) {
+    pub(crate) fn apply_target(&mut self, key: &str, value: &[u8], from: &str, now: Instant) {
         match (self.adapter.intents.target)(key, value) {
             Ok(target) => self.put_target(target, from, now),
             Err(e) => {
@@ -36,7 +36,7 @@
     }
 
     fn put_target(&mut self, mut target: Target, from: &str, now: Instant) {
-        self.add_words(&mut target);
+        self.add_announcements(&mut target);
         info!(self.log, "target known"; "target" => %target.id,
             "service" => %target.service, "address" => %target.address,
             "hall" => %target.hall, "leaving" => target.leaving,
@@ -58,7 +58,7 @@
     }
 
     /// An entry is gone.
-    pub(crate) fn lost_target(&mut self, id: &str, from: &str, now: Instant) {
+    pub(crate) fn target_entry_removed(&mut self, id: &str, from: &str, now: Instant) {
         let Ok(id) = TargetName::new(id) else { return };
         if let Some(until) = self.contact.grace_until(now) {
             info!(self.log, "target's entry lapsed around an outage"; "target" => %id,
@@ -80,12 +80,12 @@
     }
 
     /// When the first entry that lapsed around an outage is taken as gone.
-    pub(crate) fn next_lapse_end(&self) -> Option<Instant> {
+    pub(crate) fn next_grace_end(&self) -> Option<Instant> {
         self.lapsed.values().min().copied()
     }
 
     /// Takes as gone what lapsed around an outage and did not come back.
-    pub(crate) fn end_lapses(&mut self, now: Instant) {
+    pub(crate) fn expire_lapsed_targets(&mut self, now: Instant) {
         let over = |at: &Instant| *at <= now;
         let gone: Vec<TargetName> =
             self.lapsed.iter().filter(|(_, at)| over(at)).map(|(id, _)| id.clone()).collect();
--- a/gateway/src/tries.rs
+++ b/gateway/src/tries.rs
@@ -20,7 +20,7 @@
 use crate::permits::{self, AtItsRate, Permit};
 use crate::reach;
 use crate::requests::{Accepted, call_of};
-use crate::target_words;
+use crate::target_announcements;
 
 /// When to come back while no target can be used.
 pub(crate) const NO_TARGET_WAIT: Duration = Duration::from_millis(700);
@@ -294,8 +294,8 @@
     ) -> Result<(http::response::Parts, AnswerHead, Incoming, Carrier), Missed> {
         let (head, body) = answer.into_parts();
         let read = (self.app.adapter.calls.read_head)(&head, &self.req.id);
-        target_words::look_for_unknown(&self.app, &a_try.pick.target, &head);
-        target_words::heard(&self.app, &a_try.pick.target, &read, self.began);
+        target_announcements::report_unknown_headers(&self.app, &a_try.pick.target, &head);
+        target_announcements::apply_answer(&self.app, &a_try.pick.target, &read, self.began);
         let key = a_try.pick.key;
         if let (Some(load), true) = (read.load, read.evidence != Evidence::Crossed) {
             self.app.hub.with(|shared, now| {
@@ -403,7 +403,7 @@
     /// When a caller should come back: once the first target does not want to be left alone any more, or after
     /// `usual` if some target may be sent work now.
     fn come_back(&self, usual: Duration) -> Duration {
-        let opens = self.app.hub.with(|shared, now| shared.opens_in(&self.req.service, now));
+        let opens = self.app.hub.with(|shared, now| shared.time_until_open(&self.req.service, now));
         opens.map_or(usual, |time| time + usual.mul_f64(rand::random()))
     }
 
--- a/gateway/src/work.rs
+++ b/gateway/src/work.rs
@@ -8,7 +8,7 @@
 use tokio::sync::mpsc::UnboundedSender;
 
 use crate::app::App;
-use crate::links::Link;
+use crate::outbound_links::Link;
 use crate::piece_news::{PieceNews, Sink, StageTurn};
 use crate::pool_calls::fill_calls;
 
@@ -41,7 +41,7 @@
     news: &UnboundedSender<PieceNews>,
 ) -> Submitted {
     let (near, draw) = (submission.preferred_hall.as_ref(), rand::random());
-    let owner = app.hub.with(|shared, now| shared.owner_for(pool, near, draw, now));
+    let owner = app.hub.with(|shared, now| shared.choose_owner(pool, near, draw, now));
     let link = match owner {
         Owner::Peer(vm) => app.links.borrow().get(&vm).cloned(),
         Owner::This | Owner::Unknown => None,
