--- a/gateway/src/attempts.rs
+++ b/gateway/src/attempts.rs
@@ -18,7 +18,7 @@
 use crate::hub::{left, now};
 use crate::permits::{self, AtItsRate, Permit};
 use crate::requests::{AcceptedRequest, call_of};
-use crate::{crashes, reach, target_words};
+use crate::{crashes, reach, target_announcements};
 
 /// When to come back while no target can be used.
 pub(crate) const NO_TARGET_RETRY_AFTER: Duration = Duration::from_millis(700);
@@ -292,8 +292,8 @@
     ) -> Result<(http::response::Parts, AnswerHead, Incoming, TargetConnection), AttemptError> {
         let (head, body) = answer.into_parts();
         let read = (self.app.adapter.calls.read_head)(&head, &self.req.id);
-        target_words::look_for_unknown(&self.app, &attempt.pick.target, &head);
-        target_words::heard(&self.app, &attempt.pick.target, &read, self.began);
+        target_announcements::report_unknown_headers(&self.app, &attempt.pick.target, &head);
+        target_announcements::apply_answer(&self.app, &attempt.pick.target, &read, self.began);
         let key = attempt.pick.key;
         if let (Some(load), true) = (read.load, read.evidence != Evidence::Crossed) {
             self.app.hub.with(|shared, now| {
@@ -401,7 +401,7 @@
     /// When a caller should come back: once the first target does not want to be left alone any more, or after
     /// `usual` if some target may be sent work now.
     fn come_back(&self, usual: Duration) -> Duration {
-        let opens = self.app.hub.with(|shared, now| shared.opens_in(&self.req.service, now));
+        let opens = self.app.hub.with(|shared, now| shared.time_until_open(&self.req.service, now));
         opens.map_or(usual, |time| time + usual.mul_f64(rand::random()))
     }
 
--- a/gateway/src/lib.rs
+++ b/gateway/src/lib.rs
@@ -1,36 +1,37 @@
 //! The serving path: callers, stages, targets, peers and the store, as tasks of one thread around
 //! one actor that holds what they share.
 
-mod accepted_links;
 mod accounts;
 mod active_requests;
 mod admission;
 mod answers;
 mod app;
 mod attempts;
-mod belief;
 mod call_counts;
 mod callers;
+mod configuration_lag;
 mod connections;
 mod crashes;
-mod dials;
 pub mod events;
-mod gone_inputs;
 mod halls;
 mod held_results;
 mod hub;
-mod link_words;
-mod links;
+mod inbound_links;
+mod input_fetches;
+mod link_dialer;
+mod link_messages;
 mod logs;
-mod news;
+mod missing_inputs;
+mod outbound_links;
 mod own_calls;
 mod own_entry;
-mod owners;
+mod owner_selection;
 mod pages;
+mod peer_sync;
 mod permits;
 mod piece_events;
 mod pool_calls;
-mod rate_words;
+mod rate_messages;
 mod reach;
 mod releases;
 mod request_stages;
@@ -40,16 +41,16 @@
 mod shared;
 mod stages;
 mod stops;
-mod store;
 mod store_connection;
+mod store_watch;
 mod stored_refusals;
 mod stream_forwarding;
 mod stream_reader;
 mod streams;
 mod submissions;
+mod target_announcements;
 mod target_entries;
-mod target_words;
-mod turns;
 mod whole_answers;
 
 pub use run::run;
+
