--- a/gateway/src/accepted_links.rs
+++ b/gateway/src/accepted_links.rs
@@ -93,7 +93,7 @@
     beats.set_missed_tick_behavior(MissedTickBehavior::Delay);
     let mut heard = tokio::time::Instant::now();
     let mut told = Told::default();
-    let mut known = app.hub.with(|shared, _| shared.word_known.subscribe());
+    let mut known = app.hub.with(|shared, _| shared.peer_update_pending.subscribe());
     loop {
         tokio::select! {
             _ = known.changed() => {
@@ -114,7 +114,7 @@
                     meet(&app, &name, Some(hello));
                     let address = hello.peers.parse::<SocketAddr>().ok();
                     let heard = address.map(|address| (address, hello.incarnation));
-                    app.heard_at.borrow_mut().extend(heard);
+                    app.new_peer_addresses.borrow_mut().extend(heard);
                     app.vms_changed.notify_one();
                     leases = open_leases(&app, &name, hello, &tx);
                     vm = Some(name);
@@ -231,7 +231,7 @@
         }
         from_dialer::Kind::Crashes(crashes) => {
             app.hub
-                .with(|shared, now| shared.take_crashes(&crashes_of(&crashes), vm.as_str(), now));
+                .with(|shared, now| shared.merge_crashes(&crashes_of(&crashes), vm.as_str(), now));
         }
         from_dialer::Kind::Rates(rates) => target_words::rates_from_peer(app, vm.as_str(), &rates),
         from_dialer::Kind::PermitAsk(ask) => {
--- a/gateway/src/admission.rs
+++ b/gateway/src/admission.rs
@@ -123,7 +123,7 @@
 /// # Errors
 /// The refusal, with the time to come back.
 pub(crate) fn admit(app: &Rc<App>, req: &Accepted) -> Result<InFlight, Refusal> {
-    if let Some(retry_after) = app.hub.with(|shared, now| shared.closed_for(req, now)) {
+    if let Some(retry_after) = app.hub.with(|shared, now| shared.closed_retry_after(req, now)) {
         info!(app.log, "not admitted"; "request" => %req.id, "entry" => &req.entry.name,
             "come_back_ms" => retry_after.as_millis(),
             "why" => "no target of a service that it needs may be sent work in its time");
@@ -173,7 +173,7 @@
 
 /// Time until the first event.
 fn expected_time(shared: &Shared, req: &Accepted, now: Instant) -> Duration {
-    stages_time(shared, req, now) + shared.first_event(&req.service)
+    stages_time(shared, req, now) + shared.first_event_time(&req.service)
 }
 
 /// Time that the stages take, along the longest way through them.
@@ -215,7 +215,7 @@
 /// The place of a stage's pieces in its pool's order.
 fn stage_due(shared: &Shared, req: &Accepted, index: usize) -> Instant {
     let after = time_after(&req.intent, &req.entry, &req.head.pieces, index);
-    let after = after + shared.first_event(&req.service);
+    let after = after + shared.first_event_time(&req.service);
     let due = (req.arrived + req.entry.latency_goal).checked_sub(after).unwrap_or(req.arrived);
     batching::effective_due(due, req.urgency)
 }
--- a/gateway/src/app.rs
+++ b/gateway/src/app.rs
@@ -36,41 +36,41 @@
     /// Who gets the results of pieces whose calls this VM fills.
     pub(crate) sinks: RefCell<BTreeMap<(ServiceName, JobKey), Sink>>,
     /// Results that are given up, by workers that are being told.
-    pub(crate) release_words: RefCell<HashMap<SocketAddr, Vec<Word>>>,
+    pub(crate) release_notices: RefCell<HashMap<SocketAddr, Vec<Word>>>,
     /// Results that requests of this VM hold.
     pub(crate) held: HeldResults,
     /// Ways to the peers that hold results which this VM had made.
     pub(crate) lease_links: RefCell<HashMap<LinkKey, ToDialer>>,
     /// Pools with a look at their queue already planned.
-    pub(crate) planned_looks: RefCell<HashMap<ServiceName, tokio::time::Instant>>,
+    pub(crate) planned_pool_checks: RefCell<HashMap<ServiceName, tokio::time::Instant>>,
     /// Addresses to which links are wanted.
     pub(crate) wanted_links: RefCell<BTreeSet<SocketAddr>>,
     /// Where VMs take links of which the first word was heard since the last look, and the incarnation of
     /// their process. Dialling them anew
     /// at once ends the time in which VMs that start together have owners of their own (1.5 s before):
     /// 0.004 to 0.007 of a loaded day.
-    pub(crate) heard_at: RefCell<BTreeMap<SocketAddr, u64>>,
+    pub(crate) new_peer_addresses: RefCell<BTreeMap<SocketAddr, u64>>,
     /// The last heartbeat that was put together, and when.
-    pub(crate) last_beat: RefCell<Option<(tokio::time::Instant, Beat)>>,
+    pub(crate) last_heartbeat: RefCell<Option<(tokio::time::Instant, Beat)>>,
     /// Told when the list of VMs changes.
     pub(crate) vms_changed: Notify,
     /// Data halls that are out of reach.
     pub(crate) unreachable_halls: tokio::sync::watch::Sender<UnreachableHalls>,
     /// Whether the last call to the store was answered.
-    pub(crate) store_reached: tokio::sync::watch::Sender<bool>,
+    pub(crate) store_reachable: tokio::sync::watch::Sender<bool>,
     /// Told when the watch of the store stands still.
-    pub(crate) watch_stands_still: Notify,
+    pub(crate) watch_stalled: Notify,
     /// Told when the process begins to stop.
     pub(crate) stopping: tokio::sync::watch::Sender<bool>,
     /// Callers' connections that are open.
-    pub(crate) open_callers: Cell<usize>,
+    pub(crate) open_caller_connections: Cell<usize>,
     /// Told when connections at rest are to be closed.
     pub(crate) closing: tokio::sync::watch::Sender<bool>,
 }
 
 impl App {
     /// Whether this VM has dialled a link to an address that stands.
-    pub(crate) fn is_linked_at(&self, address: SocketAddr) -> bool {
+    pub(crate) fn has_link_to(&self, address: SocketAddr) -> bool {
         self.links.borrow().values().any(|link| link.address == address)
     }
 }
--- a/gateway/src/callers.rs
+++ b/gateway/src/callers.rs
@@ -51,14 +51,14 @@
 
 impl Open {
     fn new(app: &Rc<App>) -> Self {
-        app.open_callers.update(|open| open + 1);
+        app.open_caller_connections.update(|open| open + 1);
         Open(Rc::clone(app))
     }
 }
 
 impl Drop for Open {
     fn drop(&mut self) {
-        self.0.open_callers.update(|open| open - 1);
+        self.0.open_caller_connections.update(|open| open - 1);
     }
 }
 
--- a/gateway/src/crashes.rs
+++ b/gateway/src/crashes.rs
@@ -32,12 +32,12 @@
 
 /// A target's connection ended under a request, in the middle of its answer or before it: it is looked
 /// whether the target has ended.
-pub(crate) async fn connection_broke(app: &Rc<App>, req: &Accepted, a_try: &Try) {
+pub(crate) async fn check_broken_connection(app: &Rc<App>, req: &Accepted, a_try: &Try) {
     broke(app, &[req.content], &a_try.pick.target, a_try.lifetime).await;
 }
 
 /// A worker's connection ended under a call with pieces of these.
-pub(crate) async fn call_broke(
+pub(crate) async fn check_broken_call(
     app: &Rc<App>,
     contents: &[RequestDigest],
     target: &Target,
@@ -82,12 +82,16 @@
 }
 
 /// A target ran a request to a good end.
-pub(crate) fn completed(app: &App, req: &Accepted) {
+pub(crate) fn request_completed(app: &App, req: &Accepted) {
     app.hub.with(|shared, now| shared.quarantine.request_completed(req.content, now));
 }
 
 /// What the pieces of a call are part of, each once.
-pub(crate) fn contents_of_call(app: &App, pool: &ServiceName, call: &Call) -> Vec<RequestDigest> {
+pub(crate) fn request_digests_of_call(
+    app: &App,
+    pool: &ServiceName,
+    call: &Call,
+) -> Vec<RequestDigest> {
     app.hub.with(|shared, _| {
         let pool = shared.pools.get(pool);
         let of = |(job, _): &(JobKey, u32)| pool?.submission(*job)?.content;
@@ -116,7 +120,7 @@
 
 /// Ends once a request is refused that waits for its stages or at a target.
 pub(crate) async fn until_refused(app: &App, req: &Accepted, may_have_run: bool) -> Refusal {
-    let mut known = app.hub.with(|shared, _| shared.crashes_known.subscribe());
+    let mut known = app.hub.with(|shared, _| shared.crashes_changed.subscribe());
     loop {
         // The sender lives as long as the shared state.
         if known.changed().await.is_err() {
@@ -193,7 +197,7 @@
     }
 
     /// Takes what a peer or the store tells.
-    pub(crate) fn take_crashes(&mut self, crashes: &[Crash], from: &str, now: Instant) {
+    pub(crate) fn merge_crashes(&mut self, crashes: &[Crash], from: &str, now: Instant) {
         let new = self.quarantine.merge(crashes, now);
         self.announce(&new, from, now);
     }
@@ -202,8 +206,8 @@
     /// targets ended within 0.6 s under one request that returned each 0.1 s (soak, seed 503).
     fn announce(&self, new: &[Crash], from: &str, now: Instant) {
         if !new.is_empty() {
-            self.crashes_known.send_replace(());
-            self.word_known.send_replace(());
+            self.crashes_changed.send_replace(());
+            self.peer_update_pending.send_replace(());
         }
         for crash in new {
             let refused = self.quarantine.refused_for(&crash.digest, now);
--- a/gateway/src/dials.rs
+++ b/gateway/src/dials.rs
@@ -28,7 +28,7 @@
     /// anew, once for each process. More often, two VMs that dial each other would each end the
     /// other's dial without end.
     fn heard(&mut self, app: &App, address: SocketAddr, incarnation: u64) {
-        if app.is_linked_at(address)
+        if app.has_link_to(address)
             || self.begun_anew.insert(address, incarnation) == Some(incarnation)
         {
             return;
@@ -57,7 +57,7 @@
 pub(crate) async fn dial_all(app: Rc<App>) {
     let mut dials = Dials::default();
     loop {
-        for (address, incarnation) in app.heard_at.take() {
+        for (address, incarnation) in app.new_peer_addresses.take() {
             dials.heard(&app, address, incarnation);
         }
         let wanted = wanted(&app);
@@ -68,11 +68,11 @@
             shared.fleet.forget_silent(now);
             shared.end_lapses(now);
             shared.departures.remove_expired(now);
-            shared.left_alone.remove_expired(now);
+            shared.backoffs.remove_expired(now);
             shared.rates.remove_expired(now);
-            shared.accounts.remove_expired(now);
+            shared.token_buckets.remove_expired(now);
             shared.look_at_accounts(now);
-            shared.share_cold(now);
+            shared.update_cold_shares(now);
         });
     }
 }
--- a/gateway/src/reach.rs
+++ b/gateway/src/hall_reachability.rs
@@ -15,7 +15,7 @@
 
 use crate::app::App;
 use crate::connections::connect;
-use crate::halls::look_at_pools;
+use crate::halls::recheck_pools;
 use crate::hub::now;
 
 /// Targets of a hall that are asked at once: one of them may be gone by itself.
@@ -24,7 +24,7 @@
 const TRUSTED: Duration = Duration::from_secs(1);
 
 /// Keeps the list of halls out of reach for as long as the process runs.
-pub(crate) async fn follow(app: Rc<App>) {
+pub(crate) async fn monitor(app: Rc<App>) {
     let mut looks = interval(HEARTBEAT_INTERVAL);
     looks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     let mut answered: BTreeMap<HallName, Instant> = BTreeMap::new();
@@ -82,12 +82,12 @@
         }
     });
     let out = app.unreachable_halls.borrow().clone();
-    app.hub.with(|shared, _| shared.set_out_halls(out));
-    look_at_pools(app);
+    app.hub.with(|shared, _| shared.set_unreachable_halls(out));
+    recheck_pools(app);
 }
 
 /// Ends when a hall is out of reach.
-pub(crate) async fn lost(out: &mut Receiver<UnreachableHalls>, hall: &HallName) {
+pub(crate) async fn until_unreachable(out: &mut Receiver<UnreachableHalls>, hall: &HallName) {
     if out.wait_for(|out| out.contains(hall)).await.is_err() {
         // The process is ending.
         std::future::pending::<()>().await;
--- a/gateway/src/halls.rs
+++ b/gateway/src/halls.rs
@@ -24,7 +24,7 @@
 
 impl Shared {
     /// Takes that operators take a hall's targets out of service.
-    pub(crate) fn take_evacuation(&mut self, key: &str, value: &[u8], from: &str, now: Instant) {
+    pub(crate) fn apply_evacuation(&mut self, key: &str, value: &[u8], from: &str, now: Instant) {
         match (self.adapter.intents.evacuation)(key, value) {
             Ok(hall) => self.evacuate(hall, from, now),
             Err(e) => {
@@ -63,7 +63,7 @@
     }
 
     /// Halls are out of reach, or within it again.
-    pub(crate) fn set_out_halls(&mut self, out: UnreachableHalls) {
+    pub(crate) fn set_unreachable_halls(&mut self, out: UnreachableHalls) {
         self.halls.set_out_of_reach(out.clone());
         self.fleet.unreachable_halls = out;
         self.spread_halls();
@@ -71,15 +71,15 @@
 
     /// Tells all who choose targets which halls are used how.
     fn spread_halls(&mut self) {
-        self.choices_changed = true;
+        self.eligibility_changed = true;
         self.targets.set_halls(self.halls.clone());
         self.pools.values_mut().for_each(|pool| pool.set_halls(self.halls.clone()));
     }
 
     /// Works out what this VM may send to each cold target.
-    pub(crate) fn share_cold(&mut self, now: Instant) {
+    pub(crate) fn update_cold_shares(&mut self, now: Instant) {
         let Some(intent) = self.intent.clone() else { return };
-        let (fleet, margin) = (&self.fleet, self.cold);
+        let (fleet, margin) = (&self.fleet, self.cold_margin);
         let vms = fleet.size();
         let share = |target: &Target, targets: usize| {
             // A service without a rate has no cold targets.
@@ -102,7 +102,7 @@
 
     /// When to come back with a request that needs a service none of whose targets may be sent work while
     /// the request lasts; `None` if it may be served.
-    pub(crate) fn closed_for(&self, req: &Accepted, now: Instant) -> Option<Duration> {
+    pub(crate) fn closed_retry_after(&self, req: &Accepted, now: Instant) -> Option<Duration> {
         let stages = req.entry.stages.iter().zip(pieces_of(&req.entry, &req.head));
         let pools = stages.filter(|(_, pieces)| *pieces > 0).map(|(stage, _)| &stage.pool);
         let closed = |service: &ServiceName| {
@@ -140,9 +140,9 @@
 
 /// Looks at the pools again if targets may be chosen otherwise than before: what waits for workers that are
 /// all out of service, or leave, is told so at once.
-pub(crate) fn look_at_pools(app: &Rc<App>) {
+pub(crate) fn recheck_pools(app: &Rc<App>) {
     let pools: Vec<ServiceName> = app.hub.with(|shared, _| {
-        let changed = std::mem::take(&mut shared.choices_changed);
+        let changed = std::mem::take(&mut shared.eligibility_changed);
         if changed { shared.pools.keys().cloned().collect() } else { Vec::new() }
     });
     pools.iter().for_each(|pool| pool_calls::fill_calls(app, pool));
--- a/gateway/src/pages.rs
+++ b/gateway/src/http_endpoints.rs
@@ -86,7 +86,8 @@
 fn metrics(app: &App) -> (StatusCode, String) {
     app.hub.with(|shared, now| {
         let version = shared.intent.as_ref().map_or(0, |intent| intent.version);
-        app.metrics.set_state(u64::try_from(shared.works.len()).unwrap_or(u64::MAX), version);
+        app.metrics
+            .set_state(u64::try_from(shared.active_requests.len()).unwrap_or(u64::MAX), version);
         app.metrics.set_belief_ages(shared.contact.age(now), shared.behind.age(now));
         let evacuated = u64::try_from(shared.halls.evacuated().len()).unwrap_or(u64::MAX);
         let cold = u64::try_from(shared.cold_targets).unwrap_or(u64::MAX);
@@ -131,7 +132,7 @@
             "left_ms": until.saturating_duration_since(now).as_millis() as u64,
         })
     };
-    shared.left_alone.all(now).map(word).collect()
+    shared.backoffs.all(now).map(word).collect()
 }
 
 /// Lifetimes of targets that named the rate which they take.
@@ -201,11 +202,11 @@
             "configuration": shared.intent.as_ref().map(|intent| intent.version),
             "as_of": shared.view.as_of(),
             "behind_ms": shared.behind.age(now).map(|age| age.as_millis() as u64),
-            "watches_store": shared.watches,
+            "watches_store": shared.watches_store,
             "store_lost": shared.contact.is_lost(now),
             "store_heard_ms": shared.contact.age(now).map(|age| age.as_millis() as u64),
             "stopping": shared.is_stopping(),
-            "in_work": shared.works.len(),
+            "in_work": shared.active_requests.len(),
             "targets": shared.targets.len(),
             "halls_out_of_reach": shared.fleet.unreachable_halls.iter().map(|hall| hall.as_str()).collect::<Vec<_>>(),
             "halls_evacuated": shared.halls.evacuated().iter().map(|hall| hall.as_str()).collect::<Vec<_>>(),
--- a/gateway/src/in_work.rs
+++ b/gateway/src/in_work.rs
@@ -72,7 +72,7 @@
             head_sent: false,
             passing: None,
         };
-        let key = app.hub.with(|shared, _| shared.works.insert(work));
+        let key = app.hub.with(|shared, _| shared.active_requests.insert(work));
         InWork { app: Rc::clone(app), key }
     }
 
@@ -84,13 +84,13 @@
 
 impl Drop for InWork {
     fn drop(&mut self) {
-        self.app.hub.with(|shared, _| shared.works.remove(self.key));
+        self.app.hub.with(|shared, _| shared.active_requests.remove(self.key));
     }
 }
 
 /// Notes something of a request while it is in work.
 pub(crate) fn note(app: &App, key: WorkKey, change: impl FnOnce(&mut Work)) {
-    app.hub.with(|shared, _| shared.works.get_mut(key).map(change));
+    app.hub.with(|shared, _| shared.active_requests.get_mut(key).map(change));
 }
 
 /// Notes what a request waits for.
--- a/gateway/src/link_words.rs
+++ b/gateway/src/link_words.rs
@@ -39,7 +39,7 @@
 /// an owner tells 294 others five times a second.
 pub(crate) fn beat(app: &App) -> Beat {
     let now = tokio::time::Instant::now();
-    let mut last = app.last_beat.borrow_mut();
+    let mut last = app.last_heartbeat.borrow_mut();
     match &*last {
         Some((at, beat)) if now.duration_since(*at) < BEAT_LIFE => beat.clone(),
         _ => {
@@ -54,7 +54,7 @@
         as_of: shared.view.as_of(),
         draining: shared.is_stopping(),
         store_age_ms: shared.contact.age(now).map(millis),
-        watches: shared.watches && !shared.contact.is_lost(now),
+        watches: shared.watches_store && !shared.contact.is_lost(now),
         configuration: shared.intent.as_ref().map_or(0, |intent| intent.version),
         loads: shared
             .targets
--- a/gateway/src/links.rs
+++ b/gateway/src/links.rs
@@ -365,7 +365,7 @@
     beats.set_missed_tick_behavior(MissedTickBehavior::Delay);
     let mut heard = tokio::time::Instant::now();
     let mut told = Told::default();
-    let mut known = app.hub.with(|shared, _| shared.word_known.subscribe());
+    let mut known = app.hub.with(|shared, _| shared.peer_update_pending.subscribe());
     loop {
         tokio::select! {
             _ = known.changed() => {
@@ -387,7 +387,7 @@
                         }
                         from_owner::Kind::News(news) => link.take_news(news),
                         from_owner::Kind::Crashes(crashes) => app.hub.with(|shared, now| {
-                            shared.take_crashes(&crashes_of(&crashes), vm.as_str(), now);
+                            shared.merge_crashes(&crashes_of(&crashes), vm.as_str(), now);
                         }),
                         from_owner::Kind::Departures(departures) => {
                             let departures = departures_of(&departures);
--- a/gateway/src/news.rs
+++ b/gateway/src/news.rs
@@ -14,7 +14,7 @@
 use tokio::time::{MissedTickBehavior, interval, sleep, timeout};
 
 use crate::app::App;
-use crate::halls::look_at_pools;
+use crate::halls::recheck_pools;
 use crate::links::Link;
 use crate::shared::Shared;
 
@@ -45,7 +45,7 @@
         if fetch(&app, &vm, &link).await.is_none() {
             debug!(app.log, "no news from a peer"; "peer" => %vm);
             silent = Some(vm);
-        } else if *app.store_reached.borrow() {
+        } else if *app.store_reachable.borrow() {
             sleep(app.cfg.in_force() / GATHER_PART).await;
         }
     }
@@ -62,9 +62,9 @@
         let ahead = || links.iter().filter(|(vm, _)| knows(vm) > known);
         let most = ahead().map(|(vm, _)| knows(vm)).max();
         shared.stall_detector.update(known, most.unwrap_or(known), now);
-        let follows = shared.watches || shared.asks_store;
+        let follows = shared.watches_store || shared.prefers_store;
         let store_tells = !shared.contact.is_lost(now) || shared.contact.is_receiving(now);
-        if follows && store_tells && !watch_stands_still(app, shared, now) {
+        if follows && store_tells && !watch_stalled(app, shared, now) {
             return None;
         }
         let others = ahead().filter(|(vm, _)| silent.as_ref() != Some(vm));
@@ -74,13 +74,13 @@
 }
 
 /// Whether the watch tells nothing while peers know more; it is begun anew then.
-fn watch_stands_still(app: &App, shared: &Shared, now: Instant) -> bool {
+fn watch_stalled(app: &App, shared: &Shared, now: Instant) -> bool {
     let borne = shared.in_force.mul_f64(STANDSTILL_PART);
     let stands_still =
         shared.stall_detector.has_stalled_for(borne, now) && !shared.contact.is_receiving(now);
     if stands_still {
         warn!(app.log, "watch of the store stands still"; "as_of" => shared.view.as_of());
-        app.watch_stands_still.notify_waiters();
+        app.watch_stalled.notify_waiters();
     }
     stands_still
 }
@@ -104,12 +104,12 @@
             if news.is_last {
                 shared.view.advance_to(known);
             } else if number >= MOST_PARTS && !shared.contact.is_lost(now) {
-                shared.asks_store = true;
+                shared.prefers_store = true;
             }
         });
-        look_at_pools(app);
+        recheck_pools(app);
         app.vms_changed.notify_one();
-        if news.is_last || app.hub.with(|shared, _| shared.asks_store) {
+        if news.is_last || app.hub.with(|shared, _| shared.prefers_store) {
             break;
         }
     }
--- a/gateway/src/own_entry.rs
+++ b/gateway/src/own_entry.rs
@@ -34,7 +34,7 @@
 
 /// Waits until the store answers; one task asks a store that is lost, the others wait for it.
 async fn wait_reached(app: &App) {
-    let mut reached = app.store_reached.subscribe();
+    let mut reached = app.store_reachable.subscribe();
     // It fails only when the process ends.
     drop(reached.wait_for(|reached| *reached).await);
 }
--- a/gateway/src/permits.rs
+++ b/gateway/src/permits.rs
@@ -138,7 +138,7 @@
     let owner = app.hub.with(|shared, now| shared.account_owner(&target.service, now));
     match owner {
         Owner::This => Some(app.hub.with(|shared, now| {
-            shared.accounts.acquire(&Lifetime::from(target), limit, within, now)
+            shared.token_buckets.acquire(&Lifetime::from(target), limit, within, now)
         })),
         Owner::Peer(vm) => ask_peer(app, &vm, question(app, target, within)).await,
         Owner::Unknown => None,
@@ -191,7 +191,7 @@
 fn decide_here(app: &App, lifetime: &Lifetime, ask: &PermitAsk) -> Decision {
     let within = Duration::from_millis(u64::from(ask.within_ms));
     app.hub.with(|shared, now| match shared.rates.limit_of(lifetime) {
-        Some(limit) => shared.accounts.acquire(lifetime, limit, within, now),
+        Some(limit) => shared.token_buckets.acquire(lifetime, limit, within, now),
         // Others have heard since that it takes whatever comes.
         None => Decision::Granted(Duration::ZERO),
     })
@@ -202,11 +202,11 @@
     /// does not know what that one handed out.
     pub(crate) fn account_owner(&mut self, service: &ServiceName, now: Instant) -> Owner {
         let owner = self.account_owner_known(service, now);
-        let before = self.account_owners.insert(service.clone(), owner.clone());
+        let before = self.token_bucket_owners.insert(service.clone(), owner.clone());
         if owner == Owner::This && before.is_some_and(|before| before != Owner::This) {
             let targets: Vec<Lifetime> =
                 self.targets.of_service(service).map(Lifetime::from).collect();
-            targets.iter().for_each(|lifetime| self.accounts.remove(lifetime));
+            targets.iter().for_each(|lifetime| self.token_buckets.remove(lifetime));
         }
         owner
     }
@@ -267,7 +267,7 @@
     fn spend(&mut self, target: &Target, now: Instant) {
         let lifetime = Lifetime::from(target);
         let Some(limit) = self.rates.limit(target) else { return };
-        let wait = self.accounts.consume(&lifetime, limit, now);
+        let wait = self.token_buckets.consume(&lifetime, limit, now);
         self.hold_back(target, now + wait);
     }
 
@@ -278,7 +278,7 @@
             return;
         }
         if let Some(limit) = self.rates.limit(&target) {
-            let wait = self.accounts.wait(lifetime, limit, now);
+            let wait = self.token_buckets.wait(lifetime, limit, now);
             self.rates.hold_until(lifetime, now + wait);
         }
     }
--- a/gateway/src/plain.rs
+++ b/gateway/src/plain.rs
@@ -75,7 +75,7 @@
     let body = match body.collect().await {
         Ok(body) => body.to_bytes(),
         Err(e) => {
-            crashes::connection_broke(app, tries.req(), &a_try).await;
+            crashes::check_broken_connection(app, tries.req(), &a_try).await;
             a_try.end(TargetOutcome::Failed);
             tries.set_may_have_run();
             return Ok(Err(Missed::Lost(e.to_string())));
@@ -85,9 +85,9 @@
         app.rest(carrier, read.keep_alive);
     }
     // It also lives on after a failure of its own.
-    crashes::completed(app, tries.req());
+    crashes::request_completed(app, tries.req());
     let took = now() - tries.began();
-    app.hub.with(|shared, _| shared.learn_passing(&tries.req().entry.name, took));
+    app.hub.with(|shared, _| shared.record_response_time(&tries.req().entry.name, took));
     let own_failure = head.status.is_server_error();
     a_try.end(if own_failure { TargetOutcome::OwnFailure } else { TargetOutcome::Answered });
     if own_failure {
--- a/gateway/src/pool_calls.rs
+++ b/gateway/src/pool_calls.rs
@@ -17,7 +17,7 @@
 use crate::own_calls::{OwnCallMiss, own_call};
 use crate::permits::Permit;
 use crate::piece_news::{PeerSink, PieceNews, Sink};
-use crate::{crashes, link_words, permits, reach, releases, turns};
+use crate::{crashes, hall_reachability, link_words, permits, releases, turns};
 
 /// Time in which an answer is read that has arrived when its call is given up: a VM that stood still has not read it
 /// yet, and nobody else learns the results' handles.
@@ -47,7 +47,7 @@
 /// Hands back pieces whose inputs are out of reach: the VM of the request has them made anew.
 fn end_without_inputs(app: &Rc<App>, pool: &ServiceName) {
     let finished = app.hub.with(|shared, _| {
-        let jobs = shared.out_of_inputs(pool);
+        let jobs = shared.jobs_with_unreachable_inputs(pool);
         let pool = shared.pools.get_mut(pool);
         let give_up = |pool: &mut Pool| -> Vec<Finished> {
             jobs.into_iter()
@@ -91,17 +91,17 @@
 }
 
 fn plan_look(app: &Rc<App>, pool: &ServiceName, at: tokio::time::Instant) {
-    let planned = app.planned_looks.borrow().get(pool).copied();
+    let planned = app.planned_pool_checks.borrow().get(pool).copied();
     if planned.is_some_and(|planned| planned <= at) {
         return;
     }
-    app.planned_looks.borrow_mut().insert(pool.clone(), at);
+    app.planned_pool_checks.borrow_mut().insert(pool.clone(), at);
     let (app, pool) = (Rc::clone(app), pool.clone());
     spawn_local(async move {
         tokio::time::sleep_until(at).await;
-        let mine = app.planned_looks.borrow().get(&pool) == Some(&at);
+        let mine = app.planned_pool_checks.borrow().get(&pool) == Some(&at);
         if mine {
-            app.planned_looks.borrow_mut().remove(&pool);
+            app.planned_pool_checks.borrow_mut().remove(&pool);
             fill_calls(&app, &pool);
         }
     });
@@ -111,14 +111,14 @@
 async fn make(app: Rc<App>, pool: ServiceName, call: Call, permit: Permit) {
     let pieces = piece_calls(&app, &pool, &call);
     let began = now();
-    let contents = crashes::contents_of_call(&app, &pool, &call);
+    let contents = crashes::request_digests_of_call(&app, &pool, &call);
     let end = if pieces.len() == call.pieces.len() {
         let lifetime = app.hub.with(|shared, _| shared.lifetime_of(&call.target));
         let req = (app.adapter.calls.pool_call)(&call.target.id, &pieces);
         match send(&app, &pool, &call, req, permit).await {
             Ok(end) => end,
             Err(CallBroke) => {
-                crashes::call_broke(&app, &contents, &call.target, lifetime).await;
+                crashes::check_broken_call(&app, &contents, &call.target, lifetime).await;
                 CallEnd::Failed
             }
         }
@@ -181,7 +181,8 @@
                 fetches = false;
                 tell_fetched(app, pool, call.key);
             }
-            () = reach::lost(&mut out, &call.target.hall) => return Ok(CallEnd::OutOfReach),
+            () = hall_reachability::until_unreachable(&mut out, &call.target.hall) =>
+                return Ok(CallEnd::OutOfReach),
         }
     }
 }
--- a/gateway/src/accounts.rs
+++ b/gateway/src/pool_log.rs
@@ -20,7 +20,7 @@
 const KB: u64 = 1000;
 
 /// Logs for as long as the process runs.
-pub(crate) async fn keep(app: Rc<App>) {
+pub(crate) async fn run(app: Rc<App>) {
     let mut looks = interval(HEARTBEAT_INTERVAL);
     looks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     let mut owners = HashMap::new();
--- a/gateway/src/releases.rs
+++ b/gateway/src/releases.rs
@@ -328,7 +328,7 @@
     let (tx, rx) = oneshot::channel();
     let word = Word { handles: handles.to_vec(), until, heard: tx };
     let is_first = {
-        let mut words = app.release_words.borrow_mut();
+        let mut words = app.release_notices.borrow_mut();
         let is_first = !words.contains_key(&worker);
         words.entry(worker).or_default().push(word);
         is_first
@@ -347,9 +347,9 @@
         if let Some(time) = target.and_then(|target| permits::gathers_for(&app, &target)) {
             sleep(time).await;
         }
-        let words = app.release_words.borrow_mut().insert(worker, Vec::new()).unwrap_or_default();
+        let words = app.release_notices.borrow_mut().insert(worker, Vec::new()).unwrap_or_default();
         if words.is_empty() {
-            app.release_words.borrow_mut().remove(&worker);
+            app.release_notices.borrow_mut().remove(&worker);
             return;
         }
         let heard = tell_repeatedly(&app, worker, &words, teller).await;
@@ -420,7 +420,7 @@
 async fn send(app: &Rc<App>, target: &Target, handles: &[String]) -> Told {
     // Without a pause the word goes out at once: even a pause of no length takes a tick of the clock, in which this
     // VM may be killed.
-    if let Some(until) = app.hub.with(|shared, _| shared.left_alone.until(target)) {
+    if let Some(until) = app.hub.with(|shared, _| shared.backoffs.until(target)) {
         let pause = left(until);
         if pause > LONGEST_LEFT_ALONE {
             return Told::Missed("it wants to be left alone".to_owned());
--- a/gateway/src/request_stages.rs
+++ b/gateway/src/request_stages.rs
@@ -28,7 +28,7 @@
     if req.entry.stages.is_empty() || req.head.pieces.iter().all(|count| *count == 0) {
         return Ok(None);
     }
-    let first_event = app.hub.with(|shared, _| shared.first_event(&req.service));
+    let first_event = app.hub.with(|shared, _| shared.first_event_time(&req.service));
     let size = size_of(app, req, None);
     let of = StagesOf {
         app,
--- a/gateway/src/requests.rs
+++ b/gateway/src/requests.rs
@@ -19,8 +19,8 @@
 use crate::app::App;
 use crate::hub::now;
 use crate::in_work::{InWork, WorkKey};
-use crate::stops::ELSEWHERE;
-use crate::{crashes, in_work, plain, stops, streams};
+use crate::shutdown::RETRY_ELSEWHERE_AFTER;
+use crate::{crashes, in_work, plain, shutdown, streams};
 
 /// Longest time for a caller that names none, where its entry is not known yet.
 const BODY_WAIT: Duration = Duration::from_secs(20);
@@ -70,7 +70,7 @@
     let in_work = InWork::new(&app, id.clone(), arrived);
     let accepted = tokio::select! {
         accepted = accept(&app, parts, head, body, in_work.key()) => accepted,
-        told = stops::last_word(&app, in_work.key()) => Err(("stopping", told)),
+        told = shutdown::until_refused(&app, in_work.key()) => Err(("stopping", told)),
     };
     let accepted = match accepted {
         Ok(accepted) => accepted,
@@ -88,7 +88,8 @@
     let mut ending = Ending { app, req: &req, told: false };
     let (answer, outcome) = tokio::select! {
         served = serve_to_end(app, &req, &in_work) => served,
-        told = stops::last_word(app, req.work) => (refusal(app, told, Some(&req.id)), "stopping"),
+        told = shutdown::until_refused(app, req.work) =>
+            (refusal(app, told, Some(&req.id)), "stopping"),
     };
     ending.told = true;
     let took = now() - req.arrived;
@@ -108,7 +109,7 @@
     if let Some(told) = crashes::refusal(app, req, false) {
         return (refusal(app, told, Some(&req.id)), "quarantined");
     }
-    if let Some(told) = stops::refusal(app, req) {
+    if let Some(told) = shutdown::refusal(app, req) {
         return (refusal(app, told, Some(&req.id)), "stopping");
     }
     if req.entry.streams {
@@ -127,11 +128,11 @@
     work: WorkKey,
 ) -> Result<Accepted, (&'static str, Refusal)> {
     let arrived = now();
-    let elsewhere = Refusal::NotRun { retry_after: ELSEWHERE };
+    let elsewhere = Refusal::NotRun { retry_after: RETRY_ELSEWHERE_AFTER };
     let intent = app.hub.with(|shared, _| shared.intent.clone());
     let intent = intent.ok_or(("no configuration", elsewhere))?;
     if is_late_in_stop(app) {
-        return Err(("stopping", app.hub.with(|shared, now| shared.come_back_elsewhere(now))));
+        return Err(("stopping", app.hub.with(|shared, now| shared.retry_later_refusal(now))));
     }
     let id = head.id.clone().ok_or(("no id", Refusal::Malformed))?;
     let host = host_of(&parts).unwrap_or_default();
@@ -151,7 +152,7 @@
     let body = read_body(body, intent.bounds.body_bytes, until).await?;
     let passing = app.hub.with(|shared, now| {
         shared.count_request(&service, now);
-        shared.passing_time(&entry.name)
+        shared.response_time(&entry.name)
     });
     in_work::note(app, work, |work| work.passing = passing);
     let urgency = customer.as_ref().and_then(|c| c.urgency).unwrap_or(entry.urgency);
--- a/gateway/src/run.rs
+++ b/gateway/src/run.rs
@@ -26,8 +26,8 @@
 use crate::settings::Settings;
 use crate::shared::Shared;
 use crate::{
-    accepted_links, accounts, callers, dials, logs, news, own_entry, pages, reach, releases,
-    settings, stops, store, stored_refusals,
+    accepted_links, callers, dials, hall_reachability, http_endpoints, logs, news, own_entry,
+    pool_log, releases, settings, shutdown, store, stored_refusals,
 };
 
 /// Pause between two looks at connections at rest.
@@ -58,19 +58,19 @@
             metrics,
             links: RefCell::new(HashMap::new()),
             sinks: RefCell::new(BTreeMap::new()),
-            release_words: RefCell::default(),
+            release_notices: RefCell::default(),
             held: HeldResults::default(),
             lease_links: RefCell::default(),
-            planned_looks: RefCell::new(HashMap::new()),
+            planned_pool_checks: RefCell::new(HashMap::new()),
             wanted_links: RefCell::default(),
-            heard_at: RefCell::default(),
-            last_beat: RefCell::default(),
+            new_peer_addresses: RefCell::default(),
+            last_heartbeat: RefCell::default(),
             vms_changed: Notify::new(),
             unreachable_halls: watch::channel(UnreachableHalls::new()).0,
-            store_reached: watch::channel(false).0,
-            watch_stands_still: Notify::new(),
+            store_reachable: watch::channel(false).0,
+            watch_stalled: Notify::new(),
             stopping: watch::channel(false).0,
-            open_callers: Cell::new(0),
+            open_caller_connections: Cell::new(0),
             closing: watch::channel(false).0,
         });
         serve(&app, &path).await
@@ -86,18 +86,18 @@
     let ready_listener = listen(cfg.ready).await?;
     let peers_listener = listen(cfg.peers).await?;
     if let Some(address) = cfg.operations {
-        spawn_local(pages::serve(Rc::clone(app), listen(address).await?));
+        spawn_local(http_endpoints::serve(Rc::clone(app), listen(address).await?));
     }
-    spawn_local(pages::serve(Rc::clone(app), ready_listener));
+    spawn_local(http_endpoints::serve(Rc::clone(app), ready_listener));
     spawn_local(callers::accept(Rc::clone(app), callers_listener));
     spawn_local(accepted_links::accept(Rc::clone(app), peers_listener));
     spawn_local(dials::dial_all(Rc::clone(app)));
-    spawn_local(reach::follow(Rc::clone(app)));
+    spawn_local(hall_reachability::monitor(Rc::clone(app)));
     spawn_local(store::follow(Rc::clone(app)));
     spawn_local(own_entry::keep(Rc::clone(app)));
     spawn_local(news::follow(Rc::clone(app)));
-    spawn_local(accounts::keep(Rc::clone(app)));
-    spawn_local(stored_refusals::keep(Rc::clone(app)));
+    spawn_local(pool_log::run(Rc::clone(app)));
+    spawn_local(stored_refusals::run(Rc::clone(app)));
     spawn_local(releases::take_over(Rc::clone(app)));
     spawn_local(clean(Rc::clone(app)));
     info!(app.log, "started"; "callers" => %cfg.callers, "peers" => %cfg.peers,
@@ -172,16 +172,16 @@
         app.hub.with(|shared, _| {
             shared.stop.iter_mut().for_each(|plan| plan.record_timer_delay(late))
         });
-        let in_work = app.hub.with(|shared, _| shared.works.len());
-        let is_written = in_work == 0 && app.open_callers.get() == 0;
+        let in_work = app.hub.with(|shared, _| shared.active_requests.len());
+        let is_written = in_work == 0 && app.open_caller_connections.get() == 0;
         if !closing && now >= plan.closes_idle_at() {
             closing = true;
             app.closing.send_replace(true);
         }
         if (closing && is_written) || now >= plan.exits_at() {
             info!(app.log, "last requests ended"; "in_work" => in_work,
-                "open_connections" => app.open_callers.get());
-            stops::tell_closed(app);
+                "open_connections" => app.open_caller_connections.get());
+            shutdown::log_closed_requests(app);
             break;
         }
         sleep(STOP_LOOK).await;
--- a/gateway/src/shared.rs
+++ b/gateway/src/shared.rs
@@ -54,9 +54,9 @@
     /// How each pool is split.
     pub(crate) splits: BTreeMap<ServiceName, Split>,
     /// Whether this VM follows the store itself.
-    pub(crate) watches: bool,
+    pub(crate) watches_store: bool,
     /// Whether the next changes are better read from the store than from a peer.
-    pub(crate) asks_store: bool,
+    pub(crate) prefers_store: bool,
     pub(crate) contact: StoreContact,
     /// Whether this VM's watch of the store tells nothing while peers learn more.
     pub(crate) stall_detector: StallDetector,
@@ -68,38 +68,38 @@
     /// Targets that said in answers that they leave, to this VM or to peers.
     pub(crate) departures: Departures,
     /// Targets that want no work from this VM for some time.
-    pub(crate) left_alone: Backoffs,
+    pub(crate) backoffs: Backoffs,
     /// Rates that targets name as the most that they take.
     pub(crate) rates: RateLimits,
     /// Words in answers that nobody here knows, by service.
     pub(crate) unknown_words: BTreeSet<(ServiceName, String)>,
     /// Accounts of such targets that this VM holds.
-    pub(crate) accounts: TokenBuckets,
+    pub(crate) token_buckets: TokenBuckets,
     /// Who held the accounts of each service when last looked at.
-    pub(crate) account_owners: BTreeMap<ServiceName, Owner>,
+    pub(crate) token_bucket_owners: BTreeMap<ServiceName, Owner>,
     /// Told when there is something to tell peers.
-    pub(crate) word_known: watch::Sender<()>,
+    pub(crate) peer_update_pending: watch::Sender<()>,
     /// Halls whose targets are not used as others are.
     pub(crate) halls: Halls,
     /// Whether targets may be chosen otherwise than when the pools were last looked at.
-    pub(crate) choices_changed: bool,
+    pub(crate) eligibility_changed: bool,
     /// What operators bear beyond the rate of cold targets.
-    pub(crate) cold: ColdMargin,
+    pub(crate) cold_margin: ColdMargin,
     /// Targets that were cold when last looked at.
     pub(crate) cold_targets: usize,
     /// Requests in work.
-    pub(crate) works: Works,
+    pub(crate) active_requests: Works,
     order: Order,
     rules: FleetRetryRules,
     budgets: HashMap<ServiceName, FleetRetryBudget>,
     first_events: HashMap<ServiceName, Duration>,
     /// Times from being sent to a target to the end of the answer, by entry.
-    passing_times: HashMap<String, ResponseTime>,
+    response_times: HashMap<String, ResponseTime>,
     pub(crate) admission: Admission,
     /// Requests that end targets.
     pub(crate) quarantine: Quarantine,
     /// Told when an end of a target under requests becomes known, which peers are told at once.
-    pub(crate) crashes_known: watch::Sender<()>,
+    pub(crate) crashes_changed: watch::Sender<()>,
     /// Targets whose entries lapsed around an outage, and when they are taken as gone.
     pub(crate) lapsed: HashMap<TargetName, Instant>,
     /// Leases of the results that this VM had made for peers.
@@ -129,8 +129,8 @@
             pools: BTreeMap::new(),
             first_seen: HashMap::new(),
             splits: BTreeMap::new(),
-            watches: true,
-            asks_store: false,
+            watches_store: true,
+            prefers_store: false,
             fleet: Fleet::new(cfg.vm.clone(), own_entry(cfg), incarnation, now),
             own_hall: cfg.hall.clone(),
             contact: StoreContact::default(),
@@ -139,17 +139,17 @@
             in_force: cfg.in_force(),
             stop: None,
             departures: Departures::default(),
-            left_alone: Backoffs::default(),
+            backoffs: Backoffs::default(),
             rates: RateLimits::default(),
             unknown_words: BTreeSet::new(),
-            accounts: TokenBuckets::default(),
-            account_owners: BTreeMap::new(),
-            word_known: watch::channel(()).0,
+            token_buckets: TokenBuckets::default(),
+            token_bucket_owners: BTreeMap::new(),
+            peer_update_pending: watch::channel(()).0,
             halls: Halls::default(),
-            choices_changed: false,
-            cold: cfg.cold,
+            eligibility_changed: false,
+            cold_margin: cfg.cold,
             cold_targets: 0,
-            works: Works::default(),
+            active_requests: Works::default(),
             order,
             rules: FleetRetryRules {
                 ratio: cfg.repeats.ratio,
@@ -158,10 +158,10 @@
             },
             budgets: HashMap::new(),
             first_events: HashMap::new(),
-            passing_times: HashMap::new(),
+            response_times: HashMap::new(),
             admission: Admission::default(),
             quarantine: Quarantine::new(cfg.quarantine.rules()),
-            crashes_known: watch::channel(()).0,
+            crashes_changed: watch::channel(()).0,
             lapsed: HashMap::new(),
             leases: Leases::default(),
         }
@@ -205,7 +205,7 @@
                     new_targets = true;
                 }
                 Change::Put(key, value) if key.starts_with(evacuations) => {
-                    self.take_evacuation(&key, &value, from, now);
+                    self.apply_evacuation(&key, &value, from, now);
                 }
                 Change::Put(key, value) => self.list_vm(&key, Some(&value), now),
                 Change::Removed(key) if key.starts_with(evacuations) => {
@@ -223,12 +223,12 @@
         if new_targets {
             self.sync_pools();
         }
-        self.share_cold(now);
+        self.update_cold_shares(now);
     }
 
     /// Takes what a VM wrote of itself or of a request that is refused.
     fn list_vm(&mut self, key: &str, value: Option<&[u8]>, now: Instant) {
-        if value.is_some_and(|value| self.take_stored_refusal(key, value, now)) {
+        if value.is_some_and(|value| self.apply_stored_refusal(key, value, now)) {
             return;
         }
         let Some(vm) = key.strip_prefix(&vms_prefix(&self.adapter)) else { return };
@@ -254,7 +254,7 @@
                 }
                 info!(self.log, "configuration in force"; "version" => intent.version,
                     "entries" => intent.entries().count(), "from" => from, "as_of" => as_of);
-                self.forget_passing_times(&intent);
+                self.forget_response_times(&intent);
                 self.intent = Some(Arc::new(intent));
                 self.sync_pools();
             }
@@ -267,9 +267,9 @@
     }
 
     /// Forgets what was learned of entries that a configuration does not have.
-    fn forget_passing_times(&mut self, intent: &Intent) {
+    fn forget_response_times(&mut self, intent: &Intent) {
         let names: HashSet<&str> = intent.entries().map(|entry| entry.name.as_str()).collect();
-        self.passing_times.retain(|name, _| names.contains(name.as_str()));
+        self.response_times.retain(|name, _| names.contains(name.as_str()));
     }
 
     pub(crate) fn sync_pools(&mut self) {
@@ -309,33 +309,33 @@
     }
 
     /// Takes a repeat from the budget, if one is left.
-    pub(crate) fn take_repeat(&mut self, service: &ServiceName, now: Instant) -> bool {
+    pub(crate) fn try_take_retry(&mut self, service: &ServiceName, now: Instant) -> bool {
         let vms = self.fleet.size();
         self.budgets.entry(service.clone()).or_default().try_take(&self.rules, vms, now)
     }
 
     /// Learns how long a service takes to a first event.
-    pub(crate) fn learn_first_event(&mut self, service: &ServiceName, took: Duration) {
+    pub(crate) fn record_first_event_time(&mut self, service: &ServiceName, took: Duration) {
         let learned = self.first_events.entry(service.clone()).or_insert(took);
         *learned = learned.mul_f64(1.0 - FIRST_EVENT_WEIGHT) + took.mul_f64(FIRST_EVENT_WEIGHT);
     }
 
     /// Time that a service takes to a first event.
-    pub(crate) fn first_event(&self, service: &ServiceName) -> Duration {
+    pub(crate) fn first_event_time(&self, service: &ServiceName) -> Duration {
         self.first_events.get(service).copied().unwrap_or(FIRST_EVENT)
     }
 
     /// Takes how long a request of an entry took from being sent to its target to the end of its answer.
-    pub(crate) fn learn_passing(&mut self, entry: &str, took: Duration) {
-        match self.passing_times.get_mut(entry) {
+    pub(crate) fn record_response_time(&mut self, entry: &str, took: Duration) {
+        match self.response_times.get_mut(entry) {
             Some(time) => time.record(took),
-            None => drop(self.passing_times.insert(entry.to_owned(), ResponseTime::new(took))),
+            None => drop(self.response_times.insert(entry.to_owned(), ResponseTime::new(took))),
         }
     }
 
     /// Time that few requests of an entry take longer than, as far as it was seen.
-    pub(crate) fn passing_time(&self, entry: &str) -> Option<Duration> {
-        self.passing_times.get(entry).map(ResponseTime::upper_bound)
+    pub(crate) fn response_time(&self, entry: &str) -> Option<Duration> {
+        self.response_times.get(entry).map(ResponseTime::upper_bound)
     }
 
     /// Whether a result lies in a hall that is out of reach.
@@ -346,7 +346,7 @@
     }
 
     /// Submissions to a pool of this VM that need results which are out of reach.
-    pub(crate) fn out_of_inputs(&self, pool: &ServiceName) -> Vec<JobKey> {
+    pub(crate) fn jobs_with_unreachable_inputs(&self, pool: &ServiceName) -> Vec<JobKey> {
         if self.fleet.unreachable_halls.is_empty() {
             return Vec::new();
         }
@@ -358,7 +358,7 @@
     }
 
     /// The hall in which most of the inputs lie.
-    pub(crate) fn hall_of_inputs(&self, handles: &[String]) -> Option<HallName> {
+    pub(crate) fn hall_of_most_inputs(&self, handles: &[String]) -> Option<HallName> {
         let mut counts: BTreeMap<&HallName, usize> = BTreeMap::new();
         for handle in handles {
             let worker = (self.adapter.calls.worker_address)(handle);
--- a/gateway/src/stops.rs
+++ b/gateway/src/shutdown.rs
@@ -15,7 +15,7 @@
 use crate::shared::Shared;
 
 /// When to come back where another VM serves.
-pub(crate) const ELSEWHERE: Duration = Duration::from_millis(50);
+pub(crate) const RETRY_ELSEWHERE_AFTER: Duration = Duration::from_millis(50);
 /// Time in which a process that ended is started again and ready; those who come back then come within as long.
 const START: Duration = Duration::from_secs(1);
 /// Pause between two looks at a request while the process stops.
@@ -39,9 +39,9 @@
     }
 
     /// Refuses a request that another VM may serve, or this one once it was started again.
-    pub(crate) fn come_back_elsewhere(&self, now: Instant) -> Refusal {
+    pub(crate) fn retry_later_refusal(&self, now: Instant) -> Refusal {
         let returns = self.stop.filter(|_| !self.fleet.others_serve(now));
-        let retry_after = returns.map_or(ELSEWHERE, |plan| {
+        let retry_after = returns.map_or(RETRY_ELSEWHERE_AFTER, |plan| {
             let ends = plan.exits_at().saturating_duration_since(now);
             ends + START.mul_f64(1.0 + rand::random::<f64>())
         });
@@ -49,12 +49,12 @@
     }
 
     /// What the caller of a request is told now, if it can't be served on.
-    fn last_word(&self, key: WorkKey, now: Instant) -> Option<Refusal> {
+    fn stop_refusal(&self, key: WorkKey, now: Instant) -> Option<Refusal> {
         let plan = self.stop?;
-        let work = self.works.get(key)?;
-        match plan.decide(work.progress(), work.passing, self.works.len(), now) {
+        let work = self.active_requests.get(key)?;
+        match plan.decide(work.progress(), work.passing, self.active_requests.len(), now) {
             StopDecision::Continue => None,
-            StopDecision::RejectNotRun => Some(self.come_back_elsewhere(now)),
+            StopDecision::RejectNotRun => Some(self.retry_later_refusal(now)),
             StopDecision::ReportLost => Some(Refusal::Failed),
         }
     }
@@ -62,14 +62,14 @@
 
 /// Ends once the process stops and can't serve a request to its end; gives what its caller is told. Raced against all
 /// that a request waits for, so that no wait has to know of the stop.
-pub(crate) async fn last_word(app: &App, key: WorkKey) -> Refusal {
+pub(crate) async fn until_refused(app: &App, key: WorkKey) -> Refusal {
     let mut stopping = app.stopping.subscribe();
     loop {
         // The sender lives as long as the process.
         drop(stopping.wait_for(|stopping| *stopping).await);
         let word = app.hub.with(|shared, now| {
-            let word = shared.last_word(key, now)?;
-            Some((word, shared.works.get(key).map(|work| (work.waits, work.id.clone()))))
+            let word = shared.stop_refusal(key, now)?;
+            Some((word, shared.active_requests.get(key).map(|work| (work.waits, work.id.clone()))))
         });
         if let Some((word, work)) = word {
             if let Some((waits, id)) = work {
@@ -87,10 +87,10 @@
 pub(crate) fn refusal(app: &App, req: &Accepted) -> Option<Refusal> {
     let (expected, refusal) = app.hub.with(|shared, now| {
         let plan = shared.stop?;
-        let passing = shared.passing_time(&req.entry.name).unwrap_or_default();
+        let passing = shared.response_time(&req.entry.name).unwrap_or_default();
         let expected = admission::stages_time(shared, req, now) + passing;
-        let can_serve = plan.can_serve(expected, shared.works.len(), now);
-        (!can_serve).then(|| (expected, shared.come_back_elsewhere(now)))
+        let can_serve = plan.can_serve(expected, shared.active_requests.len(), now);
+        (!can_serve).then(|| (expected, shared.retry_later_refusal(now)))
     })?;
     info!(app.log, "not admitted"; "request" => %req.id, "entry" => &req.entry.name,
         "expected_ms" => expected.as_millis(), "why" => "the process stops before");
@@ -98,9 +98,9 @@
 }
 
 /// Tells of each request that the end of the process closes.
-pub(crate) fn tell_closed(app: &App) {
+pub(crate) fn log_closed_requests(app: &App) {
     app.hub.with(|shared, _| {
-        for work in shared.works.values() {
+        for work in shared.active_requests.values() {
             let id = work.id.as_ref().map(ToString::to_string);
             warn!(app.log, "request closed by the stop"; "request" => id,
                 "waits_for" => work.waits.name(), "may_have_run" => work.may_have_run,
--- a/gateway/src/stages.rs
+++ b/gateway/src/stages.rs
@@ -411,7 +411,7 @@
 ) -> Option<HallName> {
     let stage = &of.entry.stages[index];
     if !inputs.is_empty() {
-        return of.app.hub.with(|shared, _| shared.hall_of_inputs(inputs));
+        return of.app.hub.with(|shared, _| shared.hall_of_most_inputs(inputs));
     }
     let used_by_stages = of.entry.stages.iter().any(|other| other.needs.contains(&index));
     let bytes = stage.result_bytes * u64::from(runs[index].pieces);
--- a/gateway/src/store.rs
+++ b/gateway/src/store.rs
@@ -10,7 +10,7 @@
 use tokio::time::sleep;
 
 use crate::app::App;
-use crate::halls::look_at_pools;
+use crate::halls::recheck_pools;
 use crate::shared::vms_prefix;
 use crate::store_connection::{Begun, Miss, StoreConnection};
 
@@ -62,7 +62,7 @@
     loop {
         rely_on_peers(app).await;
         known = known.max(app.hub.with(|shared, _| shared.view.as_of()));
-        if !*app.store_reached.borrow() {
+        if !*app.store_reachable.borrow() {
             if let Err(miss) = probe(app, store).await {
                 failed(app, "probe", &miss);
                 pauses.pause().await;
@@ -89,10 +89,10 @@
 /// Waits for as long as peers that follow the store are heard and the store is in reach.
 async fn rely_on_peers(app: &App) {
     loop {
-        let reached = *app.store_reached.borrow();
+        let reached = *app.store_reachable.borrow();
         let (watched, watches) = app.hub.with(|shared, now| {
-            let watches = !reached || shared.asks_store || shared.fleet.must_watch_store(now);
-            (std::mem::replace(&mut shared.watches, watches), watches)
+            let watches = !reached || shared.prefers_store || shared.fleet.must_watch_store(now);
+            (std::mem::replace(&mut shared.watches_store, watches), watches)
         });
         if watched != watches {
             info!(app.log, "who follows the store"; "this_vm" => watches, "reached" => reached);
@@ -170,7 +170,7 @@
         }
         let items = std::mem::take(&mut so_far.items);
         app.hub.with(|shared, now| shared.merge_listing(prefix, items, as_of, now));
-        look_at_pools(app);
+        recheck_pools(app);
         so_far.known = Some(so_far.known.map_or(as_of, |known| known.min(as_of)));
         so_far.as_of = None;
         so_far.done += 1;
@@ -214,13 +214,13 @@
     store: &mut StoreConnection,
     known: u64,
 ) -> Result<Option<Begun>, Miss> {
-    let mut reached = app.store_reached.subscribe();
+    let mut reached = app.store_reachable.subscribe();
     // One watch over all keys: a counted call each, and one revision for all of them.
     let call = (app.adapter.store.watch)("", known, WATCH_WAIT);
     tokio::select! {
         begun = store.begin("watch", call, WATCH_WAIT) => return begun.map(Some),
         () = lost(&mut reached) => {}
-        () = app.watch_stands_still.notified() => {}
+        () = app.watch_stalled.notified() => {}
     }
     store.close();
     Ok(None)
@@ -233,9 +233,9 @@
         let items = page.items.into_iter().map(item).collect();
         shared.merge(items, "store", now);
         shared.view.advance_to(page.as_of);
-        shared.asks_store = false;
+        shared.prefers_store = false;
     });
-    look_at_pools(app);
+    recheck_pools(app);
     if vms {
         app.vms_changed.notify_one();
     }
@@ -259,7 +259,7 @@
 
 /// A whole answer came from the store.
 pub(crate) fn heard(app: &App) {
-    app.store_reached.send_if_modified(|reached| !std::mem::replace(reached, true));
+    app.store_reachable.send_if_modified(|reached| !std::mem::replace(reached, true));
     if app.hub.with(|shared, now| shared.contact.record_answer(now)) {
         info!(app.log, "store regained");
     }
@@ -272,7 +272,7 @@
         (newly, !shared.contact.is_receiving(now), shared.contact.age(now))
     });
     if lost {
-        app.store_reached.send_if_modified(|reached| std::mem::replace(reached, false));
+        app.store_reachable.send_if_modified(|reached| std::mem::replace(reached, false));
     }
     if newly {
         warn!(app.log, "store lost"; "call" => what, "why" => %miss,
--- a/gateway/src/stored_refusals.rs
+++ b/gateway/src/stored_refusals.rs
@@ -47,7 +47,7 @@
 
 impl Shared {
     /// Takes what the store tells under this system's own prefix, if it is a refused request.
-    pub(crate) fn take_stored_refusal(&mut self, key: &str, value: &[u8], now: Instant) -> bool {
+    pub(crate) fn apply_stored_refusal(&mut self, key: &str, value: &[u8], now: Instant) -> bool {
         let prefix = keys_prefix(self);
         let Some(content) = key.strip_prefix(&prefix) else { return false };
         let stored: Result<StoredRefusal, _> = serde_json::from_slice(value);
@@ -58,7 +58,7 @@
         let lifetimes = stored.ended.iter().filter_map(|text| Lifetime::parse(text));
         let crashes: Vec<Crash> =
             lifetimes.map(|lifetime| Crash { digest: content, lifetime, cleared: false }).collect();
-        self.take_crashes(&crashes, "store", now);
+        self.merge_crashes(&crashes, "store", now);
         self.quarantine.renew(&content, now);
         true
     }
@@ -66,7 +66,7 @@
 
 /// Writes refused requests into the store, which keeps them when all VMs lose power, and forgets what is
 /// over; for as long as the process runs.
-pub(crate) async fn keep(app: Rc<App>) {
+pub(crate) async fn run(app: Rc<App>) {
     let mut store = StoreConnection::new(&app);
     let mut looks = interval(WRITE_LOOK);
     looks.set_missed_tick_behavior(MissedTickBehavior::Delay);
@@ -77,7 +77,7 @@
             forgot = now;
             app.hub.with(|shared, now| shared.quarantine.remove_expired(now));
         }
-        if !*app.store_reached.borrow() {
+        if !*app.store_reachable.borrow() {
             continue;
         }
         let unwritten = app.hub.with(|shared, now| shared.quarantine.unwritten(now));
--- a/gateway/src/stream_passing.rs
+++ b/gateway/src/stream_passing.rs
@@ -69,9 +69,9 @@
         return;
     }
     if outcome == "whole" {
-        crashes::completed(&stream.app, req);
+        crashes::request_completed(&stream.app, req);
         let took = now() - stream.tries.began();
-        stream.app.hub.with(|shared, _| shared.learn_passing(&stream.req.entry.name, took));
+        stream.app.hub.with(|shared, _| shared.record_response_time(&stream.req.entry.name, took));
         let Reader { answer, .. } = *stream.reader;
         let Answer { read, carrier, mut a_try, .. } = answer;
         a_try.end(TargetOutcome::Answered);
@@ -109,8 +109,12 @@
             }
             Ok(Next::End) => return Passed::Whole,
             Ok(Next::Broken(why)) => {
-                crashes::connection_broke(&stream.app, &stream.req, &stream.reader.answer.a_try)
-                    .await;
+                crashes::check_broken_connection(
+                    &stream.app,
+                    &stream.req,
+                    &stream.reader.answer.a_try,
+                )
+                .await;
                 why
             }
             Ok(Next::OutOfReach) => OUT_OF_REACH.to_owned(),
--- a/gateway/src/stream_reader.rs
+++ b/gateway/src/stream_reader.rs
@@ -8,7 +8,7 @@
 
 use crate::app::App;
 use crate::events::{Event, Splitter};
-use crate::reach;
+use crate::hall_reachability;
 use crate::tries::{Answer, Missed, Tries};
 
 /// Reads one try's events.
@@ -48,7 +48,7 @@
         tokio::select! {
             biased;
             next = next_event(&mut answer.body, splitter) => next,
-            () = reach::lost(out, hall), if repeatable => Next::OutOfReach,
+            () = hall_reachability::until_unreachable(out, hall), if repeatable => Next::OutOfReach,
         }
     }
 }
--- a/gateway/src/streams.rs
+++ b/gateway/src/streams.rs
@@ -90,7 +90,7 @@
         let missed = match timeout_at(limit, trying).await {
             Ok(Ok(Ok(First::Stream(reader, first)))) => {
                 app.hub.with(|shared, now| {
-                    shared.learn_first_event(&req.service, now - tries.began());
+                    shared.record_first_event_time(&req.service, now - tries.began());
                 });
                 let (app, req) = (Rc::clone(app), Rc::clone(req));
                 let stream = Stream { app, req, tries, size, reader, results, last: None };
@@ -185,7 +185,7 @@
         // A stream with no event is an answer too, if it was read to its end.
         Next::End => Ok(Ok(First::Stream(Box::new(reader), Vec::new()))),
         Next::Broken(why) => {
-            crashes::connection_broke(tries.app(), tries.req(), &reader.answer.a_try).await;
+            crashes::check_broken_connection(tries.app(), tries.req(), &reader.answer.a_try).await;
             Ok(Err(reader.lost(tries, why)))
         }
         Next::OutOfReach => Ok(Err(reader.lost(tries, OUT_OF_REACH.to_owned()))),
@@ -196,13 +196,13 @@
 async fn whole_answer(app: &Rc<App>, req: &Accepted, answer: Answer) -> Result<Begun, Refusal> {
     let Answer { head, read, body, carrier, mut a_try } = answer;
     let Ok(body) = body.collect().await else {
-        crashes::connection_broke(app, req, &a_try).await;
+        crashes::check_broken_connection(app, req, &a_try).await;
         return Err(Refusal::Failed);
     };
     if !read.closes {
         app.rest(carrier, read.keep_alive);
     }
-    crashes::completed(app, req);
+    crashes::request_completed(app, req);
     a_try.end(if head.status.is_server_error() {
         TargetOutcome::OwnFailure
     } else {
--- a/gateway/src/target_words.rs
+++ b/gateway/src/target_words.rs
@@ -14,7 +14,7 @@
 use slog::{debug, info, warn};
 
 use crate::app::App;
-use crate::halls::look_at_pools;
+use crate::halls::recheck_pools;
 use crate::hub::now;
 use crate::rate_words::rates_of;
 use crate::shared::Shared;
@@ -61,7 +61,7 @@
     if newly_leaves {
         app.metrics.target_departed(target.service.as_str(), "answer");
     }
-    look_at_pools(app);
+    recheck_pools(app);
 }
 
 /// Looks for words in an answer that nobody here knows, and tells each once: what a target says and nobody heeds
@@ -108,7 +108,7 @@
 /// Links to whoever holds the accounts are wanted, and pools may be called otherwise.
 pub(crate) fn rates_changed(app: &Rc<App>) {
     app.vms_changed.notify_one();
-    look_at_pools(app);
+    recheck_pools(app);
 }
 
 /// Takes what a peer heard of targets that leave.
@@ -123,7 +123,7 @@
             app.metrics.target_departed(service.as_str(), "peer");
         }
     }
-    look_at_pools(app);
+    recheck_pools(app);
 }
 
 impl Shared {
@@ -138,7 +138,7 @@
             "entry_leaving" => entry.map(|entry| entry.leaving),
             "store_heard_ms" => self.contact.age(now).map(|age| age.as_millis()));
         self.words_changed(&lifetime);
-        self.word_known.send_replace(());
+        self.peer_update_pending.send_replace(());
         true
     }
 
@@ -148,7 +148,7 @@
         let change = self.rates.record(lifetime.clone(), sighting);
         let Some(change) = change else { return false };
         self.rate_changed(&lifetime, change, "its answer", now);
-        self.word_known.send_replace(());
+        self.peer_update_pending.send_replace(());
         true
     }
 
@@ -177,7 +177,7 @@
     fn leave_alone(&mut self, lifetime: &Lifetime, time: Duration, now: Instant) {
         // No clock goes on for long enough to overflow here: the time is at most a day.
         let until = now + time;
-        if !self.left_alone.record(lifetime.clone(), until) {
+        if !self.backoffs.record(lifetime.clone(), until) {
             return;
         }
         info!(self.log, "target wants to be left alone"; "target" => %lifetime.target,
@@ -195,14 +195,14 @@
         self.targets.update_announced(&target);
         if self.pools.contains_key(&target.service) {
             self.sync_pools();
-            self.choices_changed = true;
+            self.eligibility_changed = true;
         }
     }
 
     /// Adds to a target's entry what the target said in answers.
     pub(crate) fn add_words(&self, target: &mut Target) {
         target.leaving |= self.departures.announced_at(target).is_some();
-        target.backoff_until = self.left_alone.until(target);
+        target.backoff_until = self.backoffs.until(target);
         target.rate_limited_until = self.rates.held_until(target);
         let limit = self.rates.limit(target);
         target.request_interval = limit.map(|limit| Duration::from_secs_f64(1.0 / limit.per_s()));
--- a/gateway/src/tries.rs
+++ b/gateway/src/tries.rs
@@ -15,10 +15,10 @@
 use crate::app::App;
 use crate::connections::{Carrier, NoAnswer};
 use crate::crashes;
+use crate::hall_reachability;
 use crate::hub::{left, now};
 use crate::in_work::{self, Waits};
 use crate::permits::{self, AtItsRate, Permit};
-use crate::reach;
 use crate::requests::{Accepted, call_of};
 use crate::target_words;
 
@@ -176,7 +176,7 @@
         let sent = tokio::select! {
             sent = sending => sent,
             // What may run once only is waited for: the hall may come back with its answer.
-            () = reach::lost(&mut out, &target.hall), if self.req.entry.repeatable => {
+            () = hall_reachability::until_unreachable(&mut out, &target.hall), if self.req.entry.repeatable => {
                 Err(NoAnswer::GivenUp(OUT_OF_REACH.to_owned()))
             }
             // It may still wait there, and would end that target as well; what was sent may run.
@@ -198,7 +198,7 @@
                 Err(Missed::NotReached)
             }
             Err(NoAnswer::Broke(why)) => {
-                crashes::connection_broke(&self.app, &self.req, &a_try).await;
+                crashes::check_broken_connection(&self.app, &self.req, &a_try).await;
                 a_try.end(TargetOutcome::Failed);
                 Err(Missed::Lost(why))
             }
@@ -232,9 +232,9 @@
 
     /// Whether a try may have run the request.
     pub(crate) fn may_have_run(&self) -> bool {
-        self.app
-            .hub
-            .with(|shared, _| shared.works.get(self.req.work).is_some_and(|work| work.may_have_run))
+        self.app.hub.with(|shared, _| {
+            shared.active_requests.get(self.req.work).is_some_and(|work| work.may_have_run)
+        })
     }
 
     /// Chooses the best target that was not tried and takes another request now.
@@ -378,7 +378,7 @@
 
     /// Takes a repeat from the fleet's budget, if one is left.
     fn takes_repeat(&self) -> bool {
-        self.app.hub.with(|shared, now| shared.take_repeat(&self.req.service, now))
+        self.app.hub.with(|shared, now| shared.try_take_retry(&self.req.service, now))
     }
 
     /// A refusal as it is true of a request that may have run in an earlier try.
