--- a/gateway/src/attempts.rs
+++ b/gateway/src/attempts.rs
@@ -18,7 +18,7 @@
 use crate::hub::{left, now};
 use crate::permits::{self, AtItsRate, Permit};
 use crate::requests::{AcceptedRequest, call_of};
-use crate::{crashes, reach, target_announcements};
+use crate::{crashes, hall_reachability, target_announcements};
 
 /// When to come back while no target can be used.
 pub(crate) const NO_TARGET_RETRY_AFTER: Duration = Duration::from_millis(700);
@@ -174,7 +174,7 @@
         let sent = tokio::select! {
             sent = sending => sent,
             // What may run once only is waited for: the hall may come back with its answer.
-            () = reach::lost(&mut out, &target.hall), if self.req.entry.repeatable => {
+            () = hall_reachability::until_unreachable(&mut out, &target.hall), if self.req.entry.repeatable => {
                 Err(SendError::GivenUp(OUT_OF_REACH.to_owned()))
             }
             // It may still wait there, and would end that target as well; what was sent may run.
@@ -196,7 +196,7 @@
                 Err(AttemptError::NotReached)
             }
             Err(SendError::Broke(why)) => {
-                crashes::connection_broke(&self.app, &self.req, &attempt).await;
+                crashes::check_broken_connection(&self.app, &self.req, &attempt).await;
                 attempt.end(TargetOutcome::Failed);
                 Err(AttemptError::Lost(why))
             }
@@ -376,7 +376,7 @@
 
     /// Takes a repeat from the fleet's budget, if one is left.
     fn takes_repeat(&self) -> bool {
-        self.app.hub.with(|shared, now| shared.take_repeat(&self.req.service, now))
+        self.app.hub.with(|shared, now| shared.try_take_retry(&self.req.service, now))
     }
 
     /// A refusal as it is true of a request that may have run in an earlier try.
--- a/gateway/src/pages.rs
+++ b/gateway/src/http_endpoints.rs
@@ -132,7 +132,7 @@
             "left_ms": until.saturating_duration_since(now).as_millis() as u64,
         })
     };
-    shared.left_alone.all(now).map(word).collect()
+    shared.backoffs.all(now).map(word).collect()
 }
 
 /// Lifetimes of targets that named the rate which they take.
@@ -202,7 +202,7 @@
             "configuration": shared.intent.as_ref().map(|intent| intent.version),
             "as_of": shared.view.as_of(),
             "behind_ms": shared.behind.age(now).map(|age| age.as_millis() as u64),
-            "watches_store": shared.watches,
+            "watches_store": shared.watches_store,
             "store_lost": shared.contact.is_lost(now),
             "store_heard_ms": shared.contact.age(now).map(|age| age.as_millis() as u64),
             "stopping": shared.is_stopping(),
--- a/gateway/src/lib.rs
+++ b/gateway/src/lib.rs
@@ -1,7 +1,6 @@
 //! The serving path: callers, stages, targets, peers and the store, as tasks of one thread around
 //! one actor that holds what they share.
 
-mod accounts;
 mod active_requests;
 mod admission;
 mod answers;
@@ -13,8 +12,10 @@
 mod connections;
 mod crashes;
 pub mod events;
+mod hall_reachability;
 mod halls;
 mod held_results;
+mod http_endpoints;
 mod hub;
 mod inbound_links;
 mod input_fetches;
@@ -26,21 +27,20 @@
 mod own_calls;
 mod own_entry;
 mod owner_selection;
-mod pages;
 mod peer_sync;
 mod permits;
 mod piece_events;
 mod pool_calls;
+mod pool_log;
 mod rate_messages;
-mod reach;
 mod releases;
 mod request_stages;
 mod requests;
 mod run;
 pub mod settings;
 mod shared;
+mod shutdown;
 mod stages;
-mod stops;
 mod store_connection;
 mod store_watch;
 mod stored_refusals;
--- a/gateway/src/requests.rs
+++ b/gateway/src/requests.rs
@@ -19,8 +19,8 @@
 use crate::answers::{AnswerBody, refusal};
 use crate::app::App;
 use crate::hub::now;
-use crate::stops::ELSEWHERE;
-use crate::{active_requests, crashes, stops, streams, whole_answers};
+use crate::shutdown::RETRY_ELSEWHERE_AFTER;
+use crate::{active_requests, crashes, shutdown, streams, whole_answers};
 
 /// Longest time for a caller that names none, where its entry is not known yet.
 const BODY_WAIT: Duration = Duration::from_secs(20);
@@ -70,7 +70,7 @@
     let in_work = ActiveRequestGuard::new(&app, id.clone(), arrived);
     let accepted = tokio::select! {
         accepted = accept(&app, parts, head, body, in_work.key()) => accepted,
-        told = stops::last_word(&app, in_work.key()) => Err(("stopping", told)),
+        told = shutdown::until_refused(&app, in_work.key()) => Err(("stopping", told)),
     };
     let accepted = match accepted {
         Ok(accepted) => accepted,
@@ -92,7 +92,8 @@
     let mut ending = Ending { app, req: &req, told: false };
     let (answer, outcome) = tokio::select! {
         served = serve_to_end(app, &req, &in_work) => served,
-        told = stops::last_word(app, req.active_key) => (refusal(app, told, Some(&req.id)), "stopping"),
+        told = shutdown::until_refused(app, req.active_key) =>
+            (refusal(app, told, Some(&req.id)), "stopping"),
     };
     ending.told = true;
     let took = now() - req.arrived;
@@ -112,7 +113,7 @@
     if let Some(told) = crashes::refusal(app, req, false) {
         return (refusal(app, told, Some(&req.id)), "quarantined");
     }
-    if let Some(told) = stops::refusal(app, req) {
+    if let Some(told) = shutdown::refusal(app, req) {
         return (refusal(app, told, Some(&req.id)), "stopping");
     }
     if req.entry.streams {
@@ -131,11 +132,11 @@
     active_key: ActiveRequestKey,
 ) -> Result<AcceptedRequest, (&'static str, Refusal)> {
     let arrived = now();
-    let elsewhere = Refusal::NotRun { retry_after: ELSEWHERE };
+    let elsewhere = Refusal::NotRun { retry_after: RETRY_ELSEWHERE_AFTER };
     let intent = app.hub.with(|shared, _| shared.intent.clone());
     let intent = intent.ok_or(("no configuration", elsewhere))?;
     if is_late_in_stop(app) {
-        return Err(("stopping", app.hub.with(|shared, now| shared.come_back_elsewhere(now))));
+        return Err(("stopping", app.hub.with(|shared, now| shared.retry_later_refusal(now))));
     }
     let id = head.id.clone().ok_or(("no id", Refusal::Malformed))?;
     let host = host_of(&parts).unwrap_or_default();
@@ -155,7 +156,7 @@
     let body = read_body(body, intent.bounds.body_bytes, deadline).await?;
     let response_time = app.hub.with(|shared, now| {
         shared.count_request(&service, now);
-        shared.passing_time(&entry.name)
+        shared.response_time(&entry.name)
     });
     active_requests::note(app, active_key, |request| request.response_time = response_time);
     let urgency = customer.as_ref().and_then(|c| c.urgency).unwrap_or(entry.urgency);
--- a/gateway/src/stream_reader.rs
+++ b/gateway/src/stream_reader.rs
@@ -9,7 +9,7 @@
 use crate::app::App;
 use crate::attempts::{Answer, AttemptError, Attempts};
 use crate::events::{Event, Splitter};
-use crate::reach;
+use crate::hall_reachability;
 
 /// Reads one try's events.
 pub(crate) struct Reader {
@@ -48,7 +48,7 @@
         tokio::select! {
             biased;
             next = next_event(&mut answer.body, splitter) => next,
-            () = reach::lost(out, hall), if repeatable => Next::OutOfReach,
+            () = hall_reachability::until_unreachable(out, hall), if repeatable => Next::OutOfReach,
         }
     }
 }
--- a/gateway/src/streams.rs
+++ b/gateway/src/streams.rs
@@ -90,7 +90,7 @@
         let missed = match timeout_at(limit, trying).await {
             Ok(Ok(Ok(First::Stream(reader, first)))) => {
                 app.hub.with(|shared, now| {
-                    shared.learn_first_event(&req.service, now - tries.began());
+                    shared.record_first_event_time(&req.service, now - tries.began());
                 });
                 let (app, req) = (Rc::clone(app), Rc::clone(req));
                 let stream = Stream { app, req, tries, size, reader, results, last: None };
@@ -185,7 +185,7 @@
         // A stream with no event is an answer too, if it was read to its end.
         Next::End => Ok(Ok(First::Stream(Box::new(reader), Vec::new()))),
         Next::Broken(why) => {
-            crashes::connection_broke(tries.app(), tries.req(), &reader.answer.attempt).await;
+            crashes::check_broken_connection(tries.app(), tries.req(), &reader.answer.attempt).await;
             Ok(Err(reader.lost(tries, why)))
         }
         Next::OutOfReach => Ok(Err(reader.lost(tries, OUT_OF_REACH.to_owned()))),
@@ -200,13 +200,13 @@
 ) -> Result<Begun, Refusal> {
     let Answer { head, read, body, carrier, mut attempt } = answer;
     let Ok(body) = body.collect().await else {
-        crashes::connection_broke(app, req, &attempt).await;
+        crashes::check_broken_connection(app, req, &attempt).await;
         return Err(Refusal::Failed);
     };
     if !read.closes {
         app.rest(carrier, read.keep_alive);
     }
-    crashes::completed(app, req);
+    crashes::request_completed(app, req);
     attempt.end(if head.status.is_server_error() {
         TargetOutcome::OwnFailure
     } else {
