--- a/daemon/src/answer.rs
+++ b/daemon/src/answer.rs
@@ -15,15 +15,19 @@
 const STREAMING: &str = "streaming";
 
 /// A whole answer.
-pub(crate) fn whole(answer: &Answer) -> Response<Body> {
-    with_head(200, answer.outcome.as_str(), &answer.request_id, json_body(answer))
+pub(crate) fn whole_response(answer: &Answer) -> Response<Body> {
+    response_with_head(200, answer.outcome.as_str(), &answer.request_id, json_body(answer))
 }
 
 /// A refusal.
-pub(crate) fn refused(id: &RequestId, stages: Vec<StageRun>, refusal: &Refusal) -> Response<Body> {
+pub(crate) fn refused_response(
+    id: &RequestId,
+    stages: Vec<StageRun>,
+    refusal: &Refusal,
+) -> Response<Body> {
     let answer = Answer::refused(id.clone(), stages, refusal);
     let body = json_body(&answer);
-    let mut rx = with_head(refusal.status(), refusal.outcome.as_str(), id, body);
+    let mut rx = response_with_head(refusal.status(), refusal.outcome.as_str(), id, body);
     if let Some(wait) = refusal.come_back {
         // The header has whole seconds; the body has the exact milliseconds.
         let seconds = wait.as_secs() + u64::from(wait.subsec_nanos() > 0);
@@ -36,7 +40,7 @@
     whole_body(serde_json::to_vec(answer).unwrap_or_default())
 }
 
-fn with_head(status: u16, outcome: &str, id: &RequestId, body: Body) -> Response<Body> {
+fn response_with_head(status: u16, outcome: &str, id: &RequestId, body: Body) -> Response<Body> {
     let mut rx = Response::new(body);
     *rx.status_mut() = hyper::StatusCode::from_u16(status).unwrap_or_default();
     let headers = rx.headers_mut();
@@ -83,7 +87,7 @@
     pub(crate) fn token(&mut self, number: u64, token: &str) -> Result<(), CallerGone> {
         if let Some(head) = self.head.take() {
             let (tx, rx) = mpsc::channel(STREAM_BUFFER);
-            let mut answer = with_head(200, STREAMING, &self.id, streamed_body(rx));
+            let mut answer = response_with_head(200, STREAMING, &self.id, streamed_body(rx));
             let headers = answer.headers_mut();
             headers.insert(CONTENT_TYPE, HeaderValue::from_static("text/event-stream"));
             headers.insert(CACHE_CONTROL, HeaderValue::from_static("no-store"));
@@ -97,7 +101,7 @@
     pub(crate) fn finish(mut self, answer: &Answer) {
         if let Some(head) = self.head.take() {
             // A caller that is gone needs no answer.
-            let _ = head.send(whole(answer));
+            let _ = head.send(whole_response(answer));
             return;
         }
         // The channel's end is the stream's clean end.
@@ -107,7 +111,7 @@
     /// Ends with a refusal; a stream that has begun is told why, then cut.
     pub(crate) fn refuse(mut self, stages: Vec<StageRun>, refusal: &Refusal) {
         if let Some(head) = self.head.take() {
-            let _ = head.send(refused(&self.id, stages, refusal));
+            let _ = head.send(refused_response(&self.id, stages, refusal));
             return;
         }
         let answer = Answer::refused(self.id.clone(), stages, refusal);
--- a/daemon/src/callers.rs
+++ b/daemon/src/callers.rs
@@ -12,36 +12,36 @@
 use tokio::sync::{Semaphore, watch};
 
 use crate::answer::{self, AnswerPort};
-use crate::claim::refused_before_claim;
+use crate::claims::refusal_before_claim;
 use crate::pipeline::{self, Pipeline};
 
 /// When to ask again while as many requests as allowed are in work.
-const FULL_WAIT: Duration = Duration::from_millis(200);
+const FULL_RETRY_AFTER: Duration = Duration::from_millis(200);
 
 /// What every request needs.
-pub(crate) struct CallersSide {
+pub(crate) struct CallerServer {
     pub(crate) pipeline: Pipeline,
     /// One permit for each request that may be in work.
-    pub(crate) free: Arc<Semaphore>,
+    pub(crate) permits: Arc<Semaphore>,
     /// Turns true when the time to finish is over.
-    pub(crate) cut: watch::Receiver<bool>,
+    pub(crate) abort: watch::Receiver<bool>,
 }
 
 /// Answers one request.
-pub(crate) async fn handle(side: Arc<CallersSide>, req: Request<Incoming>) -> Response<Body> {
+pub(crate) async fn handle(server: Arc<CallerServer>, req: Request<Incoming>) -> Response<Body> {
     let arrived = Instant::now();
-    match take(&side, req, arrived).await {
+    match process(&server, req, arrived).await {
         Ok(answer) => answer,
-        Err((id, refusal)) => answer::refused(&id, Vec::new(), &refusal),
+        Err((id, refusal)) => answer::refused_response(&id, Vec::new(), &refusal),
     }
 }
 
-async fn take(
-    side: &Arc<CallersSide>,
+async fn process(
+    server: &Arc<CallerServer>,
     req: Request<Incoming>,
     arrived: Instant,
 ) -> Result<Response<Body>, (RequestId, Refusal)> {
-    let limits = &side.pipeline.cfg.limits;
+    let limits = &server.pipeline.cfg.limits;
     let id = caller_request::request_id(req.headers()).map_err(|r| (RequestId::mint(), r))?;
     let with_id = |refusal: Refusal| (id.0.clone(), refusal);
     if !req.uri().path().starts_with(caller_request::SERVICES_PATH) {
@@ -52,7 +52,7 @@
         let refusal = Refusal::not_run(Reason::BadRequest, "expected method POST");
         return Err(with_id(refusal));
     }
-    let asked = caller_request::parse(
+    let parsed = caller_request::parse(
         req.uri().path(),
         req.headers(),
         id.clone(),
@@ -66,27 +66,27 @@
     serde_json::from_slice::<IgnoredAny>(&body)
         .map_err(|e| with_id(Refusal::not_run(Reason::BadRequest, format!("body: {e}"))))?;
 
-    let permit = Arc::clone(&side.free).try_acquire_owned().map_err(|_| {
+    let permit = Arc::clone(&server.permits).try_acquire_owned().map_err(|_| {
         let detail = format!("{} requests are in work", limits.requests);
-        let refusal = Refusal::not_run(Reason::QueueFull, detail).come_back_in(FULL_WAIT);
-        with_id(refused_before_claim(&asked, refusal))
+        let refusal = Refusal::not_run(Reason::QueueFull, detail).come_back_in(FULL_RETRY_AFTER);
+        with_id(refusal_before_claim(&parsed, refusal))
     })?;
-    let repeatable = asked.repeatable;
-    let (port, head) = AnswerPort::new(asked.id.clone());
-    let worker = Arc::clone(side);
+    let repeatable = parsed.repeatable;
+    let (port, head) = AnswerPort::new(parsed.id.clone());
+    let request_server = Arc::clone(server);
     tokio::task::spawn_blocking(move || {
-        pipeline::run(&worker.pipeline, &asked, &body, port);
+        pipeline::run(&request_server.pipeline, &parsed, &body, port);
         drop(permit);
     });
-    let mut cut = side.cut.clone();
+    let mut abort = server.abort.clone();
     tokio::select! {
-        answer = head => answer.map_err(|_| with_id(stopped(repeatable))),
-        _ = cut.wait_for(|cut| *cut) => Err(with_id(stopped(repeatable))),
+        answer = head => answer.map_err(|_| with_id(shutdown_refusal(repeatable))),
+        _ = abort.wait_for(|abort| *abort) => Err(with_id(shutdown_refusal(repeatable))),
     }
 }
 
 /// The answer to a request that was still in work when the time to finish was over.
-fn stopped(repeatable: bool) -> Refusal {
+fn shutdown_refusal(repeatable: bool) -> Refusal {
     let detail = "the time to finish was over";
     if repeatable {
         Refusal::failed(Reason::Stopping, detail)
--- a/daemon/src/in_force.rs
+++ b/daemon/src/configuration.rs
@@ -8,7 +8,7 @@
 use serde::Serialize;
 
 /// Older configurations kept, to tell peers only what changed.
-const KEPT: usize = 8;
+const MAX_KEPT: usize = 8;
 
 /// From where a configuration came.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
@@ -22,7 +22,7 @@
 
 /// One accepted configuration. A request keeps the one under which it began.
 #[derive(Debug)]
-pub(crate) struct InForce {
+pub(crate) struct Configuration {
     pub(crate) revision: Revision,
     pub(crate) catalogue: Catalogue,
     pub(crate) source: Source,
@@ -30,24 +30,24 @@
 
 /// The newest configuration and the few before it; revisions only rise.
 #[derive(Debug, Default)]
-pub(crate) struct History {
-    newest_first: VecDeque<Arc<InForce>>,
+pub(crate) struct ConfigurationHistory {
+    newest_first: VecDeque<Arc<Configuration>>,
 }
 
-impl History {
+impl ConfigurationHistory {
     /// Takes the configuration if its revision is higher than any before.
-    pub(crate) fn take(&mut self, offered: InForce) -> Option<Arc<InForce>> {
-        if offered.revision <= self.revision() {
+    pub(crate) fn accept(&mut self, candidate: Configuration) -> Option<Arc<Configuration>> {
+        if candidate.revision <= self.revision() {
             return None;
         }
-        let taken = Arc::new(offered);
-        self.newest_first.push_front(Arc::clone(&taken));
-        self.newest_first.truncate(KEPT);
-        Some(taken)
+        let accepted = Arc::new(candidate);
+        self.newest_first.push_front(Arc::clone(&accepted));
+        self.newest_first.truncate(MAX_KEPT);
+        Some(accepted)
     }
 
     /// The configuration in force.
-    pub(crate) fn current(&self) -> Option<&Arc<InForce>> {
+    pub(crate) fn current(&self) -> Option<&Arc<Configuration>> {
         self.newest_first.front()
     }
 
@@ -57,7 +57,7 @@
     }
 
     /// The configuration with this revision, if it is kept.
-    pub(crate) fn at(&self, revision: Revision) -> Option<&Arc<InForce>> {
+    pub(crate) fn with_revision(&self, revision: Revision) -> Option<&Arc<Configuration>> {
         self.newest_first.iter().find(|c| c.revision == revision)
     }
 }
--- a/daemon/src/messages.rs
+++ b/daemon/src/console.rs
@@ -5,11 +5,11 @@
 use errors::Error;
 
 /// The settings were checked and can be taken.
-pub fn settings_fine(path: &Path) {
+pub fn print_settings_valid(path: &Path) {
     println!("{}: settings are fine", path.display());
 }
 
 /// The daemon can't go on.
-pub fn failed(e: &Error) {
+pub fn print_error(e: &Error) {
     eprintln!("saddleraild: {e}");
 }
--- a/daemon/src/dispatcher.rs
+++ b/daemon/src/dispatcher.rs
@@ -10,17 +10,17 @@
 use store_client::ListedVm;
 use tokio::sync::oneshot;
 
-use crate::ask::{Message, Setup};
+use crate::configuration::ConfigurationHistory;
+use crate::dispatcher_messages::{Message, Setup};
 use crate::dump::{FleetView, FleetVm, StateDump};
-use crate::in_force::History;
-use crate::leaving::Leaving;
+use crate::leaving_targets::LeavingTargets;
 use crate::units::millis;
-use crate::waiting::WaitingThreads;
+use crate::waiting_threads::WaitingThreads;
 
 /// Time between two looks at the queues.
-const TICK: Duration = Duration::from_millis(20);
+const TICK_INTERVAL: Duration = Duration::from_millis(20);
 /// Time between two looks at what grows old: marks, adverts, peers' loads.
-const SLOW_TICK: Duration = Duration::from_millis(500);
+const SLOW_TICK_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Shared state and decisions of a VM.
 pub(crate) struct Dispatcher {
@@ -28,15 +28,15 @@
     pub(crate) router: Router,
     pub(crate) journal: Journal,
     pub(crate) waiting: WaitingThreads,
-    pub(crate) history: History,
+    pub(crate) history: ConfigurationHistory,
     pub(crate) roster: Roster,
-    pub(crate) pace: RoundPacer,
-    pub(crate) leaving: Leaving,
+    pub(crate) round_pacer: RoundPacer,
+    pub(crate) leaving: LeavingTargets,
     /// The platform's list as last read.
-    pub(crate) listed: Vec<ListedVm>,
+    pub(crate) vm_list: Vec<ListedVm>,
     pub(crate) sequence: u64,
     /// The revision that was told to some peers when it came into force.
-    pub(crate) announced: ids::Revision,
+    pub(crate) announced_revision: ids::Revision,
     pub(crate) in_work: usize,
     /// Fence under which this VM gives its hall's orders, if it does.
     pub(crate) orders_fence: Option<u64>,
@@ -52,20 +52,20 @@
         };
         let roster = Roster::new(&setup.cfg.vm, setup.cfg.hall.clone());
         let own = Sharer { vm: setup.cfg.vm.clone(), hall: setup.cfg.hall.clone() };
-        after!(TICK, [cx], tick());
-        after!(SLOW_TICK, [cx], slow_tick());
+        after!(TICK_INTERVAL, [cx], tick());
+        after!(SLOW_TICK_INTERVAL, [cx], slow_tick());
         Some(Dispatcher {
             router: Router::new(policy, own, rand::random(), cx.now()),
             setup,
             journal: Journal::default(),
             waiting: WaitingThreads::default(),
-            history: History::default(),
+            history: ConfigurationHistory::default(),
             roster,
-            pace: RoundPacer::default(),
-            leaving: Leaving::default(),
-            listed: Vec::new(),
+            round_pacer: RoundPacer::default(),
+            leaving: LeavingTargets::default(),
+            vm_list: Vec::new(),
             sequence: 0,
-            announced: ids::Revision(0),
+            announced_revision: ids::Revision(0),
             in_work: 0,
             orders_fence: None,
             draining: false,
@@ -75,37 +75,37 @@
     pub(crate) fn handle(&mut self, cx: CX![], message: Message) {
         let now = cx.now();
         match message {
-            Message::Begin(ask, reply) => answer(reply, self.begin(ask)),
-            Message::Admit(ask, reply) => answer(reply, self.admit(&ask, now)),
-            Message::Slot(ask, reply) => self.slot(ask, reply, now),
+            Message::Begin(req, reply) => send_reply(reply, self.begin_request(req)),
+            Message::Admit(req, reply) => send_reply(reply, self.admit(&req, now)),
+            Message::Slot(req, reply) => self.request_slot(req, reply, now),
             Message::CallEnded(ended) => self.call_ended(*ended, now),
-            Message::MayRetry(tries, reply) => answer(reply, self.router.may_retry(tries, now)),
-            Message::Ended { submission, revision, outcome, reason, took } => {
-                self.ended(submission, outcome, reason, took);
+            Message::MayRetry(tries, reply) => send_reply(reply, self.router.may_retry(tries, now)),
+            Message::RequestEnded { submission, revision, outcome, reason, took } => {
+                self.request_ended(submission, outcome, reason, took);
                 let updates = self.router.end_request(revision);
-                self.send(updates);
+                self.apply_wait_updates(updates);
             }
-            Message::Offer(offered) => self.offer(*offered, now),
-            Message::Current(have, reply) => answer(reply, self.current(have)),
-            Message::StartRound(reply) => answer(reply, self.start_round(now)),
-            Message::Heard(news) => self.heard(news, now),
-            Message::RoundTook(bytes) => self.pace.record_round(bytes),
+            Message::OfferConfiguration(offered) => self.offer_configuration(*offered, now),
+            Message::Configurations(have, reply) => send_reply(reply, self.configurations(have)),
+            Message::StartRound(reply) => send_reply(reply, self.start_round(now)),
+            Message::PeerNews(news) => self.merge_news(news, now),
+            Message::RoundBytes(bytes) => self.round_pacer.record_round(bytes),
             Message::NewsFor(known, reply) => {
-                answer(reply, (self.advert(), self.roster.delta_for(&known)))
+                send_reply(reply, (self.advert(), self.roster.delta_for(&known)))
             }
-            Message::Listed(vms) => self.listed(vms, now),
-            Message::ReadsPlatform(reply) => answer(reply, self.reads_platform(now)),
-            Message::HoldsOrders(fence) => self.orders_fence = fence,
+            Message::VmList(vms) => self.update_vm_list(vms, now),
+            Message::ReadsPlatform(reply) => send_reply(reply, self.reads_platform(now)),
+            Message::OrdersFence(fence) => self.orders_fence = fence,
             Message::Drain => self.drain(),
-            Message::InWork(reply) => answer(reply, self.in_work),
+            Message::InWork(reply) => send_reply(reply, self.in_work),
             Message::Ready(reply) => {
-                answer(reply, !self.draining && self.history.current().is_some());
+                send_reply(reply, !self.draining && self.history.current().is_some());
             }
-            Message::Dump(reply) => answer(reply, self.dump(now)),
-            Message::Fleet(reply) => answer(reply, self.fleet_view(now)),
-            Message::Revision(reply) => answer(reply, self.history.revision()),
+            Message::Dump(reply) => send_reply(reply, self.dump(now)),
+            Message::Fleet(reply) => send_reply(reply, self.fleet_view(now)),
+            Message::Revision(reply) => send_reply(reply, self.history.revision()),
             Message::Explain(id, reply) => {
-                answer(reply, self.journal.find(&id).cloned().collect());
+                send_reply(reply, self.journal.find(&id).cloned().collect());
             }
         }
     }
@@ -113,22 +113,22 @@
     fn tick(&mut self, cx: CX![]) {
         let now = cx.now();
         let updates = self.router.tick(now);
-        self.send(updates);
-        after!(TICK, [cx], tick());
+        self.apply_wait_updates(updates);
+        after!(TICK_INTERVAL, [cx], tick());
     }
 
     fn slow_tick(&mut self, cx: CX![]) {
         let now = cx.now();
-        self.leaving.forget_old(now);
+        self.leaving.remove_expired(now);
         self.roster.remove_expired(now);
-        self.spread_peer_word(now);
+        self.apply_peer_state(now);
         let revision = self.history.revision().0;
         self.setup.metrics.set_state(self.in_work as u64, revision);
-        after!(SLOW_TICK, [cx], slow_tick());
+        after!(SLOW_TICK_INTERVAL, [cx], slow_tick());
     }
 
     fn dump(&self, now: Instant) -> StateDump {
-        let interval = self.pace.interval();
+        let interval = self.round_pacer.interval();
         StateDump {
             vm: self.setup.cfg.vm.clone(),
             hall: self.setup.cfg.hall.clone(),
@@ -144,22 +144,22 @@
             round_interval_ms: millis(interval),
             reads_platform: self.reads_platform(now).0,
             targets: self.router.dump(now),
-            vms: self.roster.all(interval, now).map(FleetVm::of).collect(),
+            vms: self.roster.all(interval, now).map(FleetVm::from_advert).collect(),
         }
     }
 
     fn fleet_view(&self, now: Instant) -> FleetView {
-        let interval = self.pace.interval();
+        let interval = self.round_pacer.interval();
         FleetView {
             vm: self.setup.cfg.vm.clone(),
             hall: self.setup.cfg.hall.clone(),
             revision: self.history.revision(),
-            vms: self.roster.all(interval, now).map(FleetVm::of).collect(),
+            vms: self.roster.all(interval, now).map(FleetVm::from_advert).collect(),
         }
     }
 }
 
-pub(crate) fn answer<T>(reply: oneshot::Sender<T>, value: T) {
+pub(crate) fn send_reply<T>(reply: oneshot::Sender<T>, value: T) {
     // Whoever asked may have given up; then the answer has no use.
     let _ = reply.send(value);
 }
--- a/daemon/src/ask.rs
+++ b/daemon/src/dispatcher_messages.rs
@@ -19,9 +19,9 @@
 use telemetry::Metrics;
 use tokio::sync::{Notify, oneshot};
 
+use crate::configuration::Configuration;
 use crate::dump::{FleetView, StateDump};
-use crate::in_force::InForce;
-use crate::waiting::SlotReply;
+use crate::waiting_threads::SlotReply;
 
 /// What the dispatcher is started with.
 pub(crate) struct Setup {
@@ -35,7 +35,7 @@
 
 /// A request at its begin.
 #[derive(Debug, Clone)]
-pub(crate) struct BeginAsk {
+pub(crate) struct BeginRequest {
     pub(crate) id: RequestId,
     pub(crate) service: ServiceName,
     pub(crate) customer: CustomerName,
@@ -46,24 +46,24 @@
 
 /// A request that was begun: the configuration it keeps and its number.
 #[derive(Debug, Clone)]
-pub(crate) struct Begun {
-    pub(crate) in_force: Arc<InForce>,
+pub(crate) struct BegunRequest {
+    pub(crate) configuration: Arc<Configuration>,
     pub(crate) priority: Priority,
     pub(crate) submission: Submission,
 }
 
-impl Begun {
+impl BegunRequest {
     /// The service as it stood when the request began.
     pub(crate) fn service<'a>(&'a self, name: &ServiceName) -> Option<&'a Service> {
-        self.in_force.catalogue.services.get(name)
+        self.configuration.catalogue.services.get(name)
     }
 }
 
 /// A stage's call that needs a slot.
 #[derive(Debug, Clone)]
-pub(crate) struct SlotAsk {
+pub(crate) struct StageSlotRequest {
     pub(crate) id: RequestId,
-    pub(crate) in_force: Arc<InForce>,
+    pub(crate) configuration: Arc<Configuration>,
     pub(crate) submission: Submission,
     pub(crate) service: ServiceName,
     pub(crate) stage: usize,
@@ -77,12 +77,12 @@
     pub(crate) attempt_number: u32,
 }
 
-impl SlotAsk {
+impl StageSlotRequest {
     /// The request to the router; `None` if the configuration does not have the service.
-    pub(crate) fn request(&self) -> Option<SlotRequest<'_>> {
+    pub(crate) fn to_slot_request(&self) -> Option<SlotRequest<'_>> {
         Some(SlotRequest {
-            revision: self.in_force.revision,
-            service: self.in_force.catalogue.services.get(&self.service)?,
+            revision: self.configuration.revision,
+            service: self.configuration.catalogue.services.get(&self.service)?,
             stage: self.stage,
             customer: &self.customer,
             priority: self.priority,
@@ -122,27 +122,27 @@
 
 /// Everything that others ask of the dispatcher.
 pub(crate) enum Message {
-    Begin(BeginAsk, oneshot::Sender<Result<Begun, Refusal>>),
-    Admit(SlotAsk, oneshot::Sender<Admission>),
-    Slot(SlotAsk, oneshot::Sender<SlotReply>),
+    Begin(BeginRequest, oneshot::Sender<Result<BegunRequest, Refusal>>),
+    Admit(StageSlotRequest, oneshot::Sender<Admission>),
+    Slot(StageSlotRequest, oneshot::Sender<SlotReply>),
     CallEnded(Box<EndedCall>),
     MayRetry(u32, oneshot::Sender<bool>),
-    Ended {
+    RequestEnded {
         submission: Submission,
         revision: Revision,
         outcome: Outcome,
         reason: Option<Reason>,
         took: Duration,
     },
-    Offer(Box<InForce>),
-    Current(Revision, oneshot::Sender<CatalogueView>),
+    OfferConfiguration(Box<Configuration>),
+    Configurations(Revision, oneshot::Sender<ConfigurationPair>),
     StartRound(oneshot::Sender<Round>),
-    Heard(Delta),
-    RoundTook(u64),
+    PeerNews(Delta),
+    RoundBytes(u64),
     NewsFor(Vec<DigestEntry>, oneshot::Sender<(Advert, Delta)>),
-    Listed(Vec<ListedVm>),
+    VmList(Vec<ListedVm>),
     ReadsPlatform(oneshot::Sender<(bool, Revision)>),
-    HoldsOrders(Option<u64>),
+    OrdersFence(Option<u64>),
     Drain,
     InWork(oneshot::Sender<usize>),
     Ready(oneshot::Sender<bool>),
@@ -153,4 +153,4 @@
 }
 
 /// The configuration in force and, if still kept, the one that a peer has.
-pub(crate) type CatalogueView = (Option<Arc<InForce>>, Option<Arc<InForce>>);
+pub(crate) type ConfigurationPair = (Option<Arc<Configuration>>, Option<Arc<Configuration>>);
--- a/daemon/src/dump.rs
+++ b/daemon/src/dump.rs
@@ -7,7 +7,7 @@
 use routing::TargetDump;
 use serde::Serialize;
 
-use crate::in_force::Source;
+use crate::configuration::Source;
 
 /// Everything an operator may want to see of one VM.
 #[derive(Debug, Serialize)]
@@ -51,7 +51,7 @@
 }
 
 impl FleetVm {
-    pub(crate) fn of((advert, age): (&Advert, AdvertAge)) -> Self {
+    pub(crate) fn from_advert((advert, age): (&Advert, AdvertAge)) -> Self {
         FleetVm {
             vm: advert.vm.clone(),
             hall: advert.hall.clone(),
--- a/daemon/src/leaving.rs
+++ b/daemon/src/leaving_targets.rs
@@ -6,30 +6,30 @@
 use ids::TargetName;
 
 /// A first-hand word holds for this long after it was last heard.
-const LIFE: Duration = Duration::from_secs(60);
+const REPORT_TTL: Duration = Duration::from_secs(60);
 
 /// First-hand words on leaving: from the VM list or from the target itself.
 ///
 /// Only these are passed on, so that two VMs can't keep a word alive between them.
 #[derive(Debug, Default)]
-pub(crate) struct Leaving {
+pub(crate) struct LeavingTargets {
     first_hand: HashMap<TargetName, Instant>,
 }
 
-impl Leaving {
+impl LeavingTargets {
     /// Notes a first-hand word; says whether it is new.
-    pub(crate) fn note(&mut self, name: TargetName, now: Instant) -> bool {
+    pub(crate) fn record(&mut self, name: TargetName, now: Instant) -> bool {
         self.first_hand.insert(name, now).is_none()
     }
 
     /// Drops words on targets that are no longer declared; one that is declared again is new.
-    pub(crate) fn keep_declared(&mut self, declared: impl Fn(&TargetName) -> bool) {
+    pub(crate) fn retain_declared(&mut self, declared: impl Fn(&TargetName) -> bool) {
         self.first_hand.retain(|name, _| declared(name));
     }
 
     /// Drops words that are too old.
-    pub(crate) fn forget_old(&mut self, now: Instant) {
-        self.first_hand.retain(|_, at| now.saturating_duration_since(*at) < LIFE);
+    pub(crate) fn remove_expired(&mut self, now: Instant) {
+        self.first_hand.retain(|_, at| now.saturating_duration_since(*at) < REPORT_TTL);
     }
 
     /// The first-hand words, to pass on.
@@ -38,7 +38,7 @@
     }
 
     /// All targets that leave, with what peers say.
-    pub(crate) fn all<'a>(
+    pub(crate) fn all_leaving<'a>(
         &'a self,
         peers: impl Iterator<Item = &'a TargetName>,
     ) -> HashSet<&'a TargetName> {
--- a/daemon/src/lib.rs
+++ b/daemon/src/lib.rs
@@ -2,15 +2,16 @@
 //! operators, around one dispatcher that holds the shared state and takes the decisions.
 
 mod answer;
-mod ask;
 mod callers;
-mod claim;
+mod claims;
+mod configuration;
+pub mod console;
 mod dispatcher;
+mod dispatcher_messages;
+mod dispatcher_thread;
 mod dump;
 mod fleet;
-mod in_force;
-mod leaving;
-pub mod messages;
+mod leaving_targets;
 mod operations;
 mod orders;
 mod peer_links;
@@ -18,9 +19,8 @@
 mod pipeline;
 mod platform_reader;
 mod requests;
-mod runtime;
 mod start;
 mod units;
-mod waiting;
+mod waiting_threads;
 
 pub use start::run;
--- a/daemon/src/main.rs
+++ b/daemon/src/main.rs
@@ -5,7 +5,7 @@
 
 use clap::{Arg, ArgAction, ArgMatches, Command, value_parser};
 
-use saddleraild::{messages, run};
+use saddleraild::{console, run};
 
 /// Subcommand that serves with the adapter of the users' platform.
 const SERVE: &str = "serve";
@@ -65,18 +65,18 @@
     let cfg = match load(&path) {
         Ok(cfg) => cfg,
         Err(e) => {
-            messages::failed(&e);
+            console::print_error(&e);
             return ExitCode::from(BAD_SETTINGS);
         }
     };
     if args.get_flag("check") {
-        messages::settings_fine(&path);
+        console::print_settings_valid(&path);
         return ExitCode::SUCCESS;
     }
     match run(path, cfg) {
         Ok(()) => ExitCode::SUCCESS,
         Err(e) => {
-            messages::failed(&e);
+            console::print_error(&e);
             ExitCode::from(NOT_STARTED)
         }
     }
--- a/daemon/src/operations.rs
+++ b/daemon/src/operations.rs
@@ -10,15 +10,15 @@
 use telemetry::Metrics;
 use tiny_http::{Header, Method, Request, Response, Server};
 
-use crate::ask::Message;
-use crate::runtime::{Desk, Gone};
+use crate::dispatcher_messages::Message;
+use crate::dispatcher_thread::{DispatcherHandle, DispatcherStopped};
 
 /// Path before the request id of an explanation.
 const EXPLAIN_PATH: &str = "/explain/";
 
 /// What the page needs.
 pub(crate) struct Operations {
-    pub(crate) desk: Desk,
+    pub(crate) dispatcher: DispatcherHandle,
     pub(crate) metrics: Arc<Metrics>,
     pub(crate) log: Logger,
 }
@@ -57,8 +57,8 @@
                     drop(server);
                     server = loop {
                         thread::sleep(std::time::Duration::from_millis(100));
-                        if let Ok(again) = Server::http(address) {
-                            break again;
+                        if let Ok(new_server) = Server::http(address) {
+                            break new_server;
                         }
                     };
                 }
@@ -71,9 +71,9 @@
             (Method::Get, "/live") => text(200, "alive"),
             (Method::Get, "/ready") => self.ready(),
             (Method::Get, "/metrics") => self.metrics_page(),
-            (Method::Get, "/state") => self.json(self.desk.ask(Message::Dump)),
-            (Method::Get, "/vms") => self.json(self.desk.ask(Message::Fleet)),
-            (Method::Get, "/revision") => self.json(self.desk.ask(Message::Revision)),
+            (Method::Get, "/state") => self.json(self.dispatcher.ask(Message::Dump)),
+            (Method::Get, "/vms") => self.json(self.dispatcher.ask(Message::Fleet)),
+            (Method::Get, "/revision") => self.json(self.dispatcher.ask(Message::Revision)),
             (Method::Get, url) if url.starts_with(EXPLAIN_PATH) => self.explain(url),
             (Method::Get, _) => text(404, "no such page"),
             _ => text(405, "expected method GET"),
@@ -88,9 +88,9 @@
     }
 
     fn ready(&self) -> Page {
-        match self.desk.ask(Message::Ready) {
+        match self.dispatcher.ask(Message::Ready) {
             Ok(true) => text(200, "ready"),
-            Ok(false) | Err(Gone) => text(503, "not ready"),
+            Ok(false) | Err(DispatcherStopped) => text(503, "not ready"),
         }
     }
 
@@ -103,19 +103,19 @@
 
     fn explain(&self, url: &str) -> Page {
         match RequestId::new(url.trim_start_matches(EXPLAIN_PATH)) {
-            Ok(id) => self.json(self.desk.ask(|reply| Message::Explain(id, reply))),
+            Ok(id) => self.json(self.dispatcher.ask(|reply| Message::Explain(id, reply))),
             Err(e) => text(400, &e.to_string()),
         }
     }
 
-    fn json<T: serde::Serialize>(&self, value: std::result::Result<T, Gone>) -> Page {
+    fn json<T: serde::Serialize>(&self, value: std::result::Result<T, DispatcherStopped>) -> Page {
         match value {
             Ok(value) => Page {
                 status: 200,
                 kind: "application/json",
                 text: serde_json::to_string(&value).unwrap_or_default(),
             },
-            Err(Gone) => text(503, "the process is ending"),
+            Err(DispatcherStopped) => text(503, "the process is ending"),
         }
     }
 }
--- a/daemon/src/orders.rs
+++ b/daemon/src/orders.rs
@@ -12,103 +12,117 @@
 use store_client::{Held, Store};
 use target_calls::{ORDER_TIMEOUT, Order, OrderClient, OrderResult};
 
-use crate::ask::Message;
-use crate::runtime::Desk;
+use crate::dispatcher_messages::Message;
+use crate::dispatcher_thread::DispatcherHandle;
 
 /// Time for which the lease is taken; it is renewed before each order.
-const LEASE: Duration = Duration::from_secs(4);
+const LEASE_DURATION: Duration = Duration::from_secs(4);
 /// Time between two looks at the hall's engines.
-const LOOK: Duration = Duration::from_secs(1);
+const CHECK_INTERVAL: Duration = Duration::from_secs(1);
 /// Engines looked at each time while nothing changes.
-const LOOKS_IN_TURN: usize = 4;
+const CHECKS_PER_INTERVAL: usize = 4;
 /// Time between two orders, since the engines' weight store is rate-limited.
 const ORDER_PAUSE: Duration = Duration::from_millis(200);
 
 /// Gives the orders of one hall while this VM holds its lease.
-pub(crate) struct OrderGiver {
+pub(crate) struct OrderSender {
     pub(crate) vm: VmName,
     pub(crate) hall: HallName,
     pub(crate) incarnation: Incarnation,
     pub(crate) store: Store,
-    pub(crate) desk: Desk,
+    pub(crate) dispatcher: DispatcherHandle,
     pub(crate) log: Logger,
 }
 
 /// The present holding and when it began.
 #[derive(Debug, Clone, Copy)]
-struct Holding {
+struct HeldLease {
     held: Held,
     since: Instant,
 }
 
 /// Starts the thread.
-pub(crate) fn start(giver: OrderGiver) {
-    thread::spawn(move || giver.run());
+pub(crate) fn start(sender: OrderSender) {
+    thread::spawn(move || sender.run());
 }
 
 /// Which engines to look at: all after a change of holder or configuration, else a few in turn, so
 /// that the looks stay few in a large hall.
 #[derive(Debug, Default)]
-struct Turns {
-    all_seen: Option<(u64, Revision)>,
+struct CheckRotation {
+    all_satisfied_at: Option<(u64, Revision)>,
     next: usize,
 }
 
-impl Turns {
+impl CheckRotation {
     /// Engines due at a look under this fence and configuration.
     fn due<'a>(&mut self, targets: &[&'a Target], at: (u64, Revision)) -> Vec<&'a Target> {
-        if self.all_seen != Some(at) {
+        if self.all_satisfied_at != Some(at) {
             return targets.to_vec();
         }
         let from = self.next;
-        self.next = self.next.wrapping_add(LOOKS_IN_TURN);
-        let count = LOOKS_IN_TURN.min(targets.len());
+        self.next = self.next.wrapping_add(CHECKS_PER_INTERVAL);
+        let count = CHECKS_PER_INTERVAL.min(targets.len());
         (0..count).map(|n| targets[from.wrapping_add(n) % targets.len()]).collect()
     }
 }
 
-impl OrderGiver {
+impl OrderSender {
     fn run(&self) {
         let orders = OrderClient::default();
-        let (mut holding, mut turns) = (None, Turns::default());
-        while let Ok((current, _)) = self.desk.ask(|tx| Message::Current(Revision(0), tx)) {
+        let (mut lease, mut rotation) = (None, CheckRotation::default());
+        while let Ok((current, _)) =
+            self.dispatcher.ask(|tx| Message::Configurations(Revision(0), tx))
+        {
             if let Some(current) = current {
-                let ours = |t: &&Target| t.hall == self.hall && !t.wanted.is_empty();
+                let in_own_hall = |t: &&Target| t.hall == self.hall && !t.wanted.is_empty();
                 let targets: Vec<&Target> =
-                    current.catalogue.targets.values().filter(ours).collect();
+                    current.catalogue.targets.values().filter(in_own_hall).collect();
                 if !targets.is_empty() {
-                    self.look(&orders, &targets, current.revision, &mut holding, &mut turns);
+                    self.check_targets(
+                        &orders,
+                        &targets,
+                        current.revision,
+                        &mut lease,
+                        &mut rotation,
+                    );
                 }
             }
-            thread::sleep(LOOK);
+            thread::sleep(CHECK_INTERVAL);
         }
     }
 
-    fn look(
+    fn check_targets(
         &self,
         orders: &OrderClient,
         targets: &[&Target],
         revision: Revision,
-        holding: &mut Option<Holding>,
-        turns: &mut Turns,
+        lease: &mut Option<HeldLease>,
+        rotation: &mut CheckRotation,
     ) {
-        self.renew(holding);
-        let Some(at) = holding.map(|h| (h.held.fence, revision)) else { return };
-        let due = turns.due(targets, at);
-        let right = due.iter().filter(|target| self.see_to(orders, target, holding)).count();
-        turns.all_seen = (right == due.len()).then_some(at);
+        self.renew_lease(lease);
+        let Some(at) = lease.map(|h| (h.held.fence, revision)) else { return };
+        let due = rotation.due(targets, at);
+        let satisfied =
+            due.iter().filter(|target| self.ensure_wanted(orders, target, lease)).count();
+        rotation.all_satisfied_at = (satisfied == due.len()).then_some(at);
     }
 
     /// Orders the target's wanted condition if it is in another; says whether it is in it now.
-    fn see_to(&self, orders: &OrderClient, target: &Target, holding: &mut Option<Holding>) -> bool {
+    fn ensure_wanted(
+        &self,
+        orders: &OrderClient,
+        target: &Target,
+        lease: &mut Option<HeldLease>,
+    ) -> bool {
         let Some(found) = orders.condition(target.address) else { return false };
         if found.wanted == target.wanted {
             return true;
         }
         // The lease may have ended while the target was asked.
-        self.renew(holding);
-        let Some(holding) = holding.filter(|h| may_order(h, target)) else { return false };
-        let order = Order { fence: holding.held.fence, wanted: target.wanted.clone() };
+        self.renew_lease(lease);
+        let Some(lease) = lease.filter(|h| may_order(h, target)) else { return false };
+        let order = Order { fence: lease.held.fence, wanted: target.wanted.clone() };
         let end = orders.send(target.address, &order);
         match &end {
             OrderResult::Taken => info!(self.log, "order taken"; "target" => %target.name,
@@ -121,28 +135,28 @@
     }
 
     /// Takes or renews the lease; without a certain answer it counts as not held.
-    fn renew(&self, holding: &mut Option<Holding>) {
+    fn renew_lease(&self, lease: &mut Option<HeldLease>) {
         let name = format!("orders-{}", self.hall);
         let holder = format!("{}/{}", self.vm, self.incarnation);
-        let held = store_client::hold(&self.store, &name, &holder, LEASE).ok().flatten();
-        let before = *holding;
-        *holding = held.map(|held| match before {
-            Some(old) if old.held.fence == held.fence => Holding { held, since: old.since },
-            _ => Holding { held, since: Instant::now() },
+        let held = store_client::hold(&self.store, &name, &holder, LEASE_DURATION).ok().flatten();
+        let before = *lease;
+        *lease = held.map(|held| match before {
+            Some(old) if old.held.fence == held.fence => HeldLease { held, since: old.since },
+            _ => HeldLease { held, since: Instant::now() },
         });
-        let fence = holding.map(|h| h.held.fence);
+        let fence = lease.map(|h| h.held.fence);
         if fence != before.map(|h| h.held.fence) {
             info!(self.log, "orders lease"; "fence" => ?fence);
-            self.desk.tell(Message::HoldsOrders(fence));
+            self.dispatcher.tell(Message::OrdersFence(fence));
         }
     }
 }
 
 /// Whether an order may be sent now: the lease outlasts it, and an order of the holder before can
 /// not be under way any more to a target that would take it.
-fn may_order(holding: &Holding, target: &Target) -> bool {
+fn may_order(lease: &HeldLease, target: &Target) -> bool {
     let now = Instant::now();
-    let outlasts = now + ORDER_TIMEOUT < holding.held.until;
-    let waited = now >= holding.since + ORDER_TIMEOUT;
+    let outlasts = now + ORDER_TIMEOUT < lease.held.until;
+    let waited = now >= lease.since + ORDER_TIMEOUT;
     outlasts && (target.checks_fence || waited)
 }
--- a/daemon/src/peer_links.rs
+++ b/daemon/src/peer_links.rs
@@ -18,31 +18,31 @@
 use tonic::transport::{Channel, Endpoint, Server};
 use tonic::{Request, Response, Status};
 
-use crate::ask::{Message, Round};
+use crate::dispatcher_messages::{Message, Round};
+use crate::dispatcher_thread::{DispatcherHandle, DispatcherStopped};
 use crate::peer_messages::{
-    advert_from_wire, catalogue_from_reply, catalogue_reply, hello, known_of, news_from_wire,
-    news_to_wire,
+    advert_from_wire, catalogue_from_reply, catalogue_reply, hello_to_wire, known_from_hello,
+    news_from_wire, news_to_wire,
 };
-use crate::runtime::{Desk, Gone};
 
 /// Longest wait for a peer's answer.
-const EXCHANGE_WAIT: Duration = Duration::from_secs(1);
+const EXCHANGE_TIMEOUT: Duration = Duration::from_secs(1);
 /// Longest wait for a connection to a peer.
-const CONNECT_WAIT: Duration = Duration::from_millis(500);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 /// Longest wait for a peer's catalogue.
-const FETCH_WAIT: Duration = Duration::from_secs(3);
+const FETCH_TIMEOUT: Duration = Duration::from_secs(3);
 /// Bytes on the wire that a message costs beside its own, on a warm link: 61 for HTTP/2 and 124 for
 /// TCP/IP segments, measured as `docs/CAPACITY.md` tells.
 const FRAMING_BYTES: u64 = 185;
 /// Shortest time between two rounds, whatever news there is.
-const BREATH: Duration = Duration::from_millis(20);
+const MIN_ROUND_GAP: Duration = Duration::from_millis(20);
 /// Largest catalogue message, in bytes.
-const MAX_MESSAGE: usize = 8 << 20;
+const MAX_MESSAGE_BYTES: usize = 8 << 20;
 
 /// What the links share.
 #[derive(Clone)]
 pub(crate) struct PeerLinks {
-    pub(crate) desk: Desk,
+    pub(crate) dispatcher: DispatcherHandle,
     pub(crate) log: Logger,
     pub(crate) metrics: Arc<Metrics>,
     pub(crate) news: Arc<Notify>,
@@ -51,7 +51,7 @@
 /// Answers peers until the process ends.
 pub(crate) async fn serve(links: PeerLinks, listener: TcpListener) {
     let log = links.log.clone();
-    let service = PeerServer::new(links).max_encoding_message_size(MAX_MESSAGE);
+    let service = PeerServer::new(links).max_encoding_message_size(MAX_MESSAGE_BYTES);
     let incoming = TcpListenerStream::new(listener);
     if let Err(e) = Server::builder().add_service(service).serve_with_incoming(incoming).await {
         warn!(log, "peer service ended"; "problem" => %e);
@@ -60,16 +60,16 @@
 
 /// Holds rounds until the process ends: at the pace that the dispatcher says, at once on news.
 pub(crate) async fn hold_rounds(links: PeerLinks) {
-    let mut channels = Channels::default();
-    while let Ok(round) = links.desk.ask_async(Message::StartRound).await {
+    let mut clients = PeerClients::default();
+    while let Ok(round) = links.dispatcher.ask_async(Message::StartRound).await {
         let interval = round.interval;
         let have = round.own.beat.revision;
-        announce(&links, &mut channels, &round).await;
-        let newest = exchange_with_all(&links, &mut channels, round).await;
+        announce(&links, &mut clients, &round).await;
+        let newest = exchange_with_partners(&links, &mut clients, round).await;
         if let Some((revision, peer)) = newest.filter(|(revision, _)| *revision > have) {
-            fetch(&links, channels.to(peer), revision).await;
+            fetch_configuration(&links, clients.client(peer), revision).await;
         }
-        tokio::time::sleep(BREATH).await;
+        tokio::time::sleep(MIN_ROUND_GAP).await;
         tokio::select! {
             () = tokio::time::sleep(interval) => {}
             () = links.news.notified() => {}
@@ -78,17 +78,17 @@
 }
 
 /// Tells some VMs that do not have it yet of a configuration that came into force.
-async fn announce(links: &PeerLinks, channels: &mut Channels, round: &Round) {
+async fn announce(links: &PeerLinks, clients: &mut PeerClients, round: &Round) {
     let announcement =
         Announcement { revision: round.own.beat.revision.0, peers: round.own.peers.to_string() };
     let mut calls = JoinSet::new();
-    for mut client in round.to_announce.iter().filter_map(|a| channels.to(*a)) {
+    for mut client in round.to_announce.iter().filter_map(|a| clients.client(*a)) {
         let bytes = announcement.encoded_len() as u64 + FRAMING_BYTES;
         links.metrics.control_bytes(bytes, FRAMING_BYTES);
         let announcement = announcement.clone();
         // Whoever does not hear it learns by the rounds.
         calls.spawn(async move {
-            let _ = tokio::time::timeout(EXCHANGE_WAIT, client.announce(announcement)).await;
+            let _ = tokio::time::timeout(EXCHANGE_TIMEOUT, client.announce(announcement)).await;
         });
     }
     while calls.join_next().await.is_some() {}
@@ -96,18 +96,18 @@
 
 /// Connections to peers, made when first used.
 #[derive(Default)]
-struct Channels {
+struct PeerClients {
     by_address: HashMap<SocketAddr, PeerClient<Channel>>,
 }
 
-impl Channels {
-    fn to(&mut self, address: SocketAddr) -> Option<PeerClient<Channel>> {
+impl PeerClients {
+    fn client(&mut self, address: SocketAddr) -> Option<PeerClient<Channel>> {
         if let Some(client) = self.by_address.get(&address) {
             return Some(client.clone());
         }
         let endpoint = Endpoint::from_shared(format!("http://{address}")).ok()?;
-        let channel = endpoint.connect_timeout(CONNECT_WAIT).connect_lazy();
-        let client = PeerClient::new(channel).max_decoding_message_size(MAX_MESSAGE);
+        let channel = endpoint.connect_timeout(CONNECT_TIMEOUT).connect_lazy();
+        let client = PeerClient::new(channel).max_decoding_message_size(MAX_MESSAGE_BYTES);
         self.by_address.insert(address, client.clone());
         Some(client)
     }
@@ -119,15 +119,15 @@
 }
 
 /// Holds one exchange with each partner; the newest revision that one of them has, and where.
-async fn exchange_with_all(
+async fn exchange_with_partners(
     links: &PeerLinks,
-    channels: &mut Channels,
+    clients: &mut PeerClients,
     round: Round,
 ) -> Option<(Revision, SocketAddr)> {
-    let hello = hello(round.own, &round.known);
+    let hello = hello_to_wire(round.own, &round.known);
     let mut exchanges = JoinSet::new();
     for address in round.partners {
-        if let Some(client) = channels.to(address) {
+        if let Some(client) = clients.client(address) {
             exchanges.spawn(exchange(client, address, hello.clone()));
         }
     }
@@ -140,7 +140,7 @@
                 received += news.encoded_len() as u64 + FRAMING_BYTES;
                 let own = news.own.as_ref().and_then(|own| own.beat.as_ref());
                 newest = newest.max(own.map(|beat| (Revision(beat.revision), address)));
-                links.desk.tell(Message::Heard(news_from_wire(news)));
+                links.dispatcher.tell(Message::PeerNews(news_from_wire(news)));
             }
             Ok((address, Err(status))) => {
                 debug!(links.log, "peer silent"; "peer" => %address,
@@ -150,10 +150,10 @@
             Err(_) => {}
         }
     }
-    channels.drop_failed(&failed);
+    clients.drop_failed(&failed);
     links.metrics.control_bytes(sent, received);
     // What this VM answers to others in a round is as much again, on average.
-    links.desk.tell(Message::RoundTook(2 * (sent + received)));
+    links.dispatcher.tell(Message::RoundBytes(2 * (sent + received)));
     newest
 }
 
@@ -162,7 +162,7 @@
     address: SocketAddr,
     hello: Hello,
 ) -> (SocketAddr, Result<News, Status>) {
-    let timed = tokio::time::timeout(EXCHANGE_WAIT, client.exchange(hello)).await;
+    let timed = tokio::time::timeout(EXCHANGE_TIMEOUT, client.exchange(hello)).await;
     let result = match timed {
         Ok(result) => result.map(Response::into_inner),
         Err(_) => Err(Status::deadline_exceeded("no answer in time")),
@@ -171,22 +171,26 @@
 }
 
 /// Takes a newer configuration from a peer that has one, whether or not the store answers.
-async fn fetch(links: &PeerLinks, client: Option<PeerClient<Channel>>, revision: Revision) {
+async fn fetch_configuration(
+    links: &PeerLinks,
+    client: Option<PeerClient<Channel>>,
+    revision: Revision,
+) {
     let Some(mut client) = client else { return };
-    let view = links.desk.ask_async(|tx| Message::Current(Revision(0), tx)).await;
+    let view = links.dispatcher.ask_async(|tx| Message::Configurations(Revision(0), tx)).await;
     let Ok((current, _)) = view else { return };
     let have = current.as_ref().map_or(Revision(0), |c| c.revision);
     if have >= revision {
         return;
     }
     let request = client.fetch_catalogue(CatalogueRequest { have: have.0 });
-    let fetched = match tokio::time::timeout(FETCH_WAIT, request).await {
+    let fetched = match tokio::time::timeout(FETCH_TIMEOUT, request).await {
         Ok(Ok(reply)) => reply.into_inner(),
         Ok(Err(_)) | Err(_) => return,
     };
     links.metrics.control_bytes(FRAMING_BYTES, fetched.encoded_len() as u64 + FRAMING_BYTES);
     match catalogue_from_reply(&fetched, current.as_deref()) {
-        Ok(offered) => links.desk.tell(Message::Offer(Box::new(offered))),
+        Ok(offered) => links.dispatcher.tell(Message::OfferConfiguration(Box::new(offered))),
         Err(e) => warn!(links.log, "peer's catalogue not taken"; "problem" => %e),
     }
 }
@@ -196,14 +200,15 @@
     async fn exchange(&self, request: Request<Hello>) -> Result<Response<News>, Status> {
         let hello = request.into_inner();
         let received = hello.encoded_len() as u64 + FRAMING_BYTES;
-        let known = known_of(&hello);
+        let known = known_from_hello(&hello);
         let adverts = hello.own.into_iter().filter_map(advert_from_wire).collect();
         let (own, news) = self
-            .desk
+            .dispatcher
             .ask_async(|reply| Message::NewsFor(known, reply))
             .await
-            .map_err(|Gone| ending())?;
-        self.desk.tell(Message::Heard(membership::Delta { adverts, heartbeats: Vec::new() }));
+            .map_err(|DispatcherStopped| stopping_status())?;
+        self.dispatcher
+            .tell(Message::PeerNews(membership::Delta { adverts, heartbeats: Vec::new() }));
         let news = news_to_wire(own, news);
         self.metrics.control_bytes(news.encoded_len() as u64 + FRAMING_BYTES, received);
         Ok(Response::new(news))
@@ -217,8 +222,8 @@
         let peer: SocketAddr = announcement.peers.parse().map_err(bad)?;
         let links = self.clone();
         tokio::spawn(async move {
-            let client = Channels::default().to(peer);
-            fetch(&links, client, Revision(announcement.revision)).await;
+            let client = PeerClients::default().client(peer);
+            fetch_configuration(&links, client, Revision(announcement.revision)).await;
         });
         Ok(Response::new(Heard {}))
     }
@@ -229,10 +234,10 @@
     ) -> Result<Response<CatalogueReply>, Status> {
         let have = Revision(request.into_inner().have);
         let (current, old) = self
-            .desk
-            .ask_async(|reply| Message::Current(have, reply))
+            .dispatcher
+            .ask_async(|reply| Message::Configurations(have, reply))
             .await
-            .map_err(|Gone| ending())?;
+            .map_err(|DispatcherStopped| stopping_status())?;
         let current = current.ok_or_else(|| Status::not_found("no configuration in force"))?;
         let reply = catalogue_reply(&current, old.as_deref());
         self.metrics.control_bytes(reply.encoded_len() as u64 + FRAMING_BYTES, FRAMING_BYTES);
@@ -240,6 +245,6 @@
     }
 }
 
-fn ending() -> Status {
+fn stopping_status() -> Status {
     Status::unavailable("the process is ending")
 }
--- a/daemon/src/peer_messages.rs
+++ b/daemon/src/peer_messages.rs
@@ -6,7 +6,7 @@
 use membership::{Advert, Delta, DigestEntry, Heartbeat, NameHash};
 use peering::messages as wire;
 
-use crate::in_force::{InForce, Source};
+use crate::configuration::{Configuration, Source};
 
 pub(crate) fn beat_to_wire(beat: Heartbeat) -> wire::Beat {
     let (load_targets, load_calls) = beat.loads.into_iter().map(|(t, calls)| (t.0, calls)).unzip();
@@ -57,7 +57,7 @@
     })
 }
 
-pub(crate) fn hello(own: Advert, known: &[DigestEntry]) -> wire::Hello {
+pub(crate) fn hello_to_wire(own: Advert, known: &[DigestEntry]) -> wire::Hello {
     wire::Hello {
         own: Some(advert_to_wire(own)),
         known_vms: known.iter().map(|k| k.vm.0).collect(),
@@ -66,7 +66,7 @@
     }
 }
 
-pub(crate) fn known_of(hello: &wire::Hello) -> Vec<DigestEntry> {
+pub(crate) fn known_from_hello(hello: &wire::Hello) -> Vec<DigestEntry> {
     let stamps = hello.known_incarnations.iter().zip(&hello.known_sequences);
     let known = hello.known_vms.iter().zip(stamps);
     known
@@ -95,7 +95,10 @@
 }
 
 /// The reply that leads a peer from `old`, if it is known here, to `now`.
-pub(crate) fn catalogue_reply(now: &InForce, old: Option<&InForce>) -> wire::CatalogueReply {
+pub(crate) fn catalogue_reply(
+    now: &Configuration,
+    old: Option<&Configuration>,
+) -> wire::CatalogueReply {
     let mut reply = wire::CatalogueReply {
         revision: now.revision.0,
         digest: now.catalogue.digest(),
@@ -106,11 +109,11 @@
         return reply;
     };
     let changes = diff(&old.catalogue, &now.catalogue);
-    let (gone, put): (Vec<_>, Vec<_>) =
+    let (removed, upserted): (Vec<_>, Vec<_>) =
         changes.into_iter().partition(|change| change.kind == ChangeKind::Removed);
-    reply.removed = gone.iter().map(|change| change.object.to_string()).collect();
-    let is_put = |document: &Document| put.iter().any(|c| c.object == document.key());
-    let documents = now.catalogue.documents().filter(is_put);
+    reply.removed = removed.iter().map(|change| change.object.to_string()).collect();
+    let is_upserted = |document: &Document| upserted.iter().any(|c| c.object == document.key());
+    let documents = now.catalogue.documents().filter(is_upserted);
     reply.changed = documents.filter_map(|d| serde_json::to_vec(&d).ok()).collect();
     reply
 }
@@ -118,24 +121,24 @@
 /// The configuration that the reply leads to, its digest checked.
 pub(crate) fn catalogue_from_reply(
     reply: &wire::CatalogueReply,
-    have: Option<&InForce>,
-) -> Result<InForce> {
-    let broken = |problem: String| Error::bad_input("a peer's catalogue", problem);
-    let read = |e: serde_json::Error| broken(e.to_string());
+    base: Option<&Configuration>,
+) -> Result<Configuration> {
+    let invalid = |problem: String| Error::bad_input("a peer's catalogue", problem);
+    let decode_error = |e: serde_json::Error| invalid(e.to_string());
     let catalogue = if reply.whole.is_empty() {
-        let mut catalogue: Catalogue = have.map(|have| have.catalogue.clone()).unwrap_or_default();
+        let mut catalogue: Catalogue = base.map(|base| base.catalogue.clone()).unwrap_or_default();
         for key in &reply.removed {
             catalogue.remove(&key.parse::<ObjectKey>()?);
         }
         for document in &reply.changed {
-            catalogue.put(serde_json::from_slice(document).map_err(read)?);
+            catalogue.put(serde_json::from_slice(document).map_err(decode_error)?);
         }
         catalogue
     } else {
-        serde_json::from_slice(&reply.whole).map_err(read)?
+        serde_json::from_slice(&reply.whole).map_err(decode_error)?
     };
     if catalogue.digest() != reply.digest {
-        return Err(broken("its digest is another".to_owned()));
+        return Err(invalid("its digest is another".to_owned()));
     }
-    Ok(InForce { revision: Revision(reply.revision), catalogue, source: Source::Peer })
+    Ok(Configuration { revision: Revision(reply.revision), catalogue, source: Source::Peer })
 }
--- a/daemon/src/pipeline.rs
+++ b/daemon/src/pipeline.rs
@@ -19,20 +19,22 @@
 use telemetry::Metrics;
 
 use crate::answer::AnswerPort;
-use crate::ask::{BeginAsk, Begun, EndedCall, Message, SlotAsk};
-use crate::claim::{claim_id, close, refused_before_claim};
-use crate::runtime::{Desk, Gone};
-use crate::waiting::Granted;
+use crate::claims::{claim_id, close_claim, refusal_before_claim};
+use crate::dispatcher_messages::{
+    BeginRequest, BegunRequest, EndedCall, Message, StageSlotRequest,
+};
+use crate::dispatcher_thread::{DispatcherHandle, DispatcherStopped};
+use crate::waiting_threads::Granted;
 
 /// When to ask again where nothing better is known.
-pub(crate) const SOON: Duration = Duration::from_millis(500);
+pub(crate) const DEFAULT_RETRY_AFTER: Duration = Duration::from_millis(500);
 
 /// What the threads of all requests share.
 pub(crate) struct Pipeline {
     pub(crate) cfg: Settings,
     pub(crate) incarnation: Incarnation,
-    pub(crate) desk: Desk,
-    pub(crate) caller: TargetClient,
+    pub(crate) dispatcher: DispatcherHandle,
+    pub(crate) target_client: TargetClient,
     pub(crate) store: Store,
     pub(crate) log: Logger,
     pub(crate) metrics: Arc<Metrics>,
@@ -42,7 +44,7 @@
 struct Progress<'a> {
     shared: &'a Pipeline,
     req: &'a CallerRequest,
-    begun: &'a Begun,
+    begun: &'a BegunRequest,
     /// Stages that ran, and attempts that may have run (with no cost).
     runs: Vec<StageRun>,
     /// Whether a call was sent whose end was not seen.
@@ -52,7 +54,7 @@
 
 /// Answers one request.
 pub(crate) fn run(shared: &Pipeline, req: &CallerRequest, body: &[u8], port: AnswerPort) {
-    let ask = BeginAsk {
+    let begin_req = BeginRequest {
         id: req.id.clone(),
         service: req.service.clone(),
         customer: req.customer.clone(),
@@ -60,15 +62,15 @@
         arrived: req.arrived,
         deadline: req.deadline,
     };
-    let begun = match shared.desk.ask(|reply| Message::Begin(ask.clone(), reply)) {
+    let begun = match shared.dispatcher.ask(|reply| Message::Begin(begin_req.clone(), reply)) {
         Ok(Ok(begun)) => begun,
         Ok(Err(refusal)) => {
-            let refusal = refused_before_claim(req, refusal);
-            note_end(shared, req, refusal.outcome, Some(refusal.reason));
+            let refusal = refusal_before_claim(req, refusal);
+            record_request_metrics(shared, req, refusal.outcome, Some(refusal.reason));
             return port.refuse(Vec::new(), &refusal);
         }
-        Err(Gone) => {
-            return port.refuse(Vec::new(), &refused_before_claim(req, stopping()));
+        Err(DispatcherStopped) => {
+            return port.refuse(Vec::new(), &refusal_before_claim(req, stopping_refusal()));
         }
     };
     let claim = match claim_id(shared, req) {
@@ -84,23 +86,23 @@
         Ok(output) => {
             let answer = Answer::whole(req.id.clone(), runs, output);
             port.finish(&answer);
-            charge(shared, req, &answer.stages, true);
-            end(shared, req, &begun, Outcome::Whole, None);
-            close(shared, req, claim.as_ref(), Outcome::Whole);
+            record_stage_costs(shared, req, &answer.stages, true);
+            end_request(shared, req, &begun, Outcome::Whole, None);
+            close_claim(shared, req, claim.as_ref(), Outcome::Whole);
         }
         Err(refusal) => {
-            charge(shared, req, &runs, false);
+            record_stage_costs(shared, req, &runs, false);
             end_refused(shared, req, &begun, runs, port, &refusal);
-            close(shared, req, claim.as_ref(), refusal.outcome);
+            close_claim(shared, req, claim.as_ref(), refusal.outcome);
         }
     }
 }
 
-fn stopping() -> Refusal {
-    Refusal::not_run(Reason::Stopping, "the process is ending").come_back_in(SOON)
+fn stopping_refusal() -> Refusal {
+    Refusal::not_run(Reason::Stopping, "the process is ending").come_back_in(DEFAULT_RETRY_AFTER)
 }
 
-fn charge(shared: &Pipeline, req: &CallerRequest, runs: &[StageRun], whole: bool) {
+fn record_stage_costs(shared: &Pipeline, req: &CallerRequest, runs: &[StageRun], whole: bool) {
     for run in runs {
         let cost = run.cost.unwrap_or(0);
         shared.metrics.stage_charged(run.stage.as_str(), req.customer.as_str(), whole, cost);
@@ -110,7 +112,7 @@
 fn end_refused(
     shared: &Pipeline,
     req: &CallerRequest,
-    begun: &Begun,
+    begun: &BegunRequest,
     runs: Vec<StageRun>,
     port: AnswerPort,
     refusal: &Refusal,
@@ -119,25 +121,30 @@
         "customer" => %req.customer, "outcome" => refusal.outcome.as_str(),
         "reason" => ?refusal.reason, "detail" => &refusal.detail);
     port.refuse(runs, refusal);
-    end(shared, req, begun, refusal.outcome, Some(refusal.reason));
+    end_request(shared, req, begun, refusal.outcome, Some(refusal.reason));
 }
 
-fn end(
+fn end_request(
     shared: &Pipeline,
     req: &CallerRequest,
-    begun: &Begun,
+    begun: &BegunRequest,
     outcome: Outcome,
     reason: Option<Reason>,
 ) {
     let took = req.arrived.elapsed();
-    let (submission, revision) = (begun.submission, begun.in_force.revision);
-    shared.desk.tell(Message::Ended { submission, revision, outcome, reason, took });
+    let (submission, revision) = (begun.submission, begun.configuration.revision);
+    shared.dispatcher.tell(Message::RequestEnded { submission, revision, outcome, reason, took });
     debug!(shared.log, "request ended"; "request" => %req.id, "service" => %req.service,
         "outcome" => outcome.as_str(), "took_ms" => took.as_millis());
-    note_end(shared, req, outcome, reason);
+    record_request_metrics(shared, req, outcome, reason);
 }
 
-fn note_end(shared: &Pipeline, req: &CallerRequest, outcome: Outcome, reason: Option<Reason>) {
+fn record_request_metrics(
+    shared: &Pipeline,
+    req: &CallerRequest,
+    outcome: Outcome,
+    reason: Option<Reason>,
+) {
     // Names that no configuration knows would let callers fill the metrics' memory.
     let known = !matches!(reason, Some(Reason::UnknownService | Reason::UnknownCustomer));
     let (service, customer) =
@@ -146,9 +153,9 @@
 }
 
 /// Why an attempt did not bring the stage's output.
-enum Miss {
+enum AttemptFailure {
     /// Try another target: the call did not run, or the request may be repeated.
-    TryAgain(String),
+    Retry(String),
     /// Give up.
     GiveUp(Refusal),
 }
@@ -156,7 +163,7 @@
 /// How the reading of a stream ended.
 enum StreamRead {
     /// Its end was seen.
-    Whole(StreamEnd),
+    Complete(StreamEnd),
     /// Nobody waits for it any more.
     CallerGone,
     /// It broke off, or was not ours.
@@ -172,7 +179,7 @@
                     return StreamRead::CallerGone;
                 }
             }
-            Ok(StreamEvent::End(end)) => return StreamRead::Whole(end),
+            Ok(StreamEvent::End(end)) => return StreamRead::Complete(end),
             Err(failure) => return StreamRead::Broken(failure),
         }
     }
@@ -182,10 +189,10 @@
     fn admit(&self) -> Result<&'a Service, Refusal> {
         let admission = self
             .shared
-            .desk
-            .ask(|reply| Message::Admit(self.slot_ask(0, &[]), reply))
-            .map_err(|Gone| stopping())?;
-        admission.map_err(|refused| self.refusal_of(refused))?;
+            .dispatcher
+            .ask(|reply| Message::Admit(self.stage_slot_request(0, &[]), reply))
+            .map_err(|DispatcherStopped| stopping_refusal())?;
+        admission.map_err(|refused| self.slot_refusal(refused))?;
         let unknown = || Refusal::not_run(Reason::UnknownService, self.req.service.to_string());
         self.begun.service(&self.req.service).ok_or_else(unknown)
     }
@@ -200,7 +207,7 @@
         let last = service.stages.len().saturating_sub(1);
         for (index, stage) in service.stages.iter().enumerate() {
             if !port.is_open() {
-                return Err(self.give_up(Reason::CallerGone, "before the next stage", None));
+                return Err(self.refusal(Reason::CallerGone, "before the next stage", None));
             }
             let to_caller = index == last && self.req.wants_stream;
             let answer = if stage.streams {
@@ -211,7 +218,7 @@
             input = answer.output;
         }
         if Instant::now() > self.req.deadline {
-            return Err(self.give_up(Reason::DeadlinePassed, "after the last stage", None));
+            return Err(self.refusal(Reason::DeadlinePassed, "after the last stage", None));
         }
         Ok((!port.has_begun()).then(|| serde_json::from_slice(&input).unwrap_or_default()))
     }
@@ -225,16 +232,23 @@
     ) -> Result<PlainAnswer, Refusal> {
         let mut tried = Vec::new();
         loop {
-            let granted = self.slot(index, &tried)?;
-            let began = Instant::now();
-            let outcome = self.shared.caller.call(&self.call_request(stage, &granted, input, None));
-            self.call_ended(stage, &granted, began, outcome.result.as_ref().err(), outcome.status);
+            let granted = self.acquire_slot(index, &tried)?;
+            let started = Instant::now();
+            let outcome =
+                self.shared.target_client.call(&self.call_request(stage, &granted, input, None));
+            self.report_call_result(
+                stage,
+                &granted,
+                started,
+                outcome.result.as_ref().err(),
+                outcome.status,
+            );
             match outcome.result {
                 Ok(answer) => {
-                    self.ran(stage, &granted, Some(answer.cost));
+                    self.record_run(stage, &granted, Some(answer.cost));
                     return Ok(answer);
                 }
-                Err(failure) => self.next_try(stage, &granted, failure, &mut tried)?,
+                Err(failure) => self.retry_or_refuse(stage, &granted, failure, &mut tried)?,
             }
         }
     }
@@ -252,11 +266,11 @@
         let mut text = String::new();
         let mut tokens = 0;
         loop {
-            let granted = self.slot(index, &tried)?;
-            let began = Instant::now();
+            let granted = self.acquire_slot(index, &tried)?;
+            let started = Instant::now();
             let resume_after = (tokens > 0).then_some(tokens);
             let req = self.call_request(stage, &granted, input, resume_after);
-            let outcome = self.shared.caller.open_stream(&req);
+            let outcome = self.shared.target_client.open_stream(&req);
             let read = match outcome.result {
                 Err(failure) => StreamRead::Broken(failure),
                 Ok(stream) => read_stream(stream, |number, token| {
@@ -267,37 +281,48 @@
                 }),
             };
             match read {
-                StreamRead::Whole(end) => {
-                    self.call_ended(stage, &granted, began, None, outcome.status);
-                    self.ran(stage, &granted, Some(end.cost));
+                StreamRead::Complete(end) => {
+                    self.report_call_result(stage, &granted, started, None, outcome.status);
+                    self.record_run(stage, &granted, Some(end.cost));
                     let output = serde_json::json!({ "text": text }).to_string().into_bytes();
                     return Ok(PlainAnswer { output, cost: end.cost });
                 }
                 StreamRead::CallerGone => {
-                    return Err(self.abandon(stage, &granted, began));
+                    return Err(self.cancel_abandoned_call(stage, &granted, started));
                 }
                 StreamRead::Broken(failure) => {
-                    self.call_ended(stage, &granted, began, Some(&failure), outcome.status);
-                    self.next_try(stage, &granted, failure, &mut tried)?;
+                    self.report_call_result(
+                        stage,
+                        &granted,
+                        started,
+                        Some(&failure),
+                        outcome.status,
+                    );
+                    self.retry_or_refuse(stage, &granted, failure, &mut tried)?;
                 }
             }
         }
     }
 
     /// Gives up a call that nobody waits for any more, so that the target stops too.
-    fn abandon(&mut self, stage: &Stage, granted: &Granted, began: Instant) -> Refusal {
-        self.shared.caller.cancel(granted.grant.address, &granted.attempt);
+    fn cancel_abandoned_call(
+        &mut self,
+        stage: &Stage,
+        granted: &Granted,
+        started: Instant,
+    ) -> Refusal {
+        self.shared.target_client.cancel(granted.grant.address, &granted.attempt);
         let gone = CallFailure::MayHaveRun("the caller is gone".to_owned());
-        self.given_up(stage, granted, began, &gone);
-        self.ran(stage, granted, None);
+        self.report_abandoned_call(stage, granted, started, &gone);
+        self.record_run(stage, granted, None);
         self.may_have_run = true;
-        self.give_up(Reason::CallerGone, "during a stream", None)
+        self.refusal(Reason::CallerGone, "during a stream", None)
     }
 
-    fn slot_ask(&self, stage: usize, tried: &[TargetKey]) -> SlotAsk {
-        SlotAsk {
+    fn stage_slot_request(&self, stage: usize, tried: &[TargetKey]) -> StageSlotRequest {
+        StageSlotRequest {
             id: self.req.id.clone(),
-            in_force: Arc::clone(&self.begun.in_force),
+            configuration: Arc::clone(&self.begun.configuration),
             submission: self.begun.submission,
             service: self.req.service.clone(),
             stage,
@@ -312,14 +337,18 @@
         }
     }
 
-    fn slot(&mut self, stage: usize, tried: &[TargetKey]) -> Result<Granted, Refusal> {
+    fn acquire_slot(&mut self, stage: usize, tried: &[TargetKey]) -> Result<Granted, Refusal> {
         self.attempts += 1;
-        let ask = self.slot_ask(stage, tried);
-        let reply = self.shared.desk.ask(|reply| Message::Slot(ask, reply));
+        let begin_req = self.stage_slot_request(stage, tried);
+        let reply = self.shared.dispatcher.ask(|reply| Message::Slot(begin_req, reply));
         match reply {
             Ok(Ok(granted)) => Ok(granted),
-            Ok(Err(refused)) => Err(self.refusal_of(refused)),
-            Err(Gone) => Err(self.give_up(Reason::Stopping, "the process is ending", Some(SOON))),
+            Ok(Err(refused)) => Err(self.slot_refusal(refused)),
+            Err(DispatcherStopped) => Err(self.refusal(
+                Reason::Stopping,
+                "the process is ending",
+                Some(DEFAULT_RETRY_AFTER),
+            )),
         }
     }
 
@@ -343,11 +372,11 @@
         }
     }
 
-    fn call_ended(
+    fn report_call_result(
         &self,
         stage: &Stage,
         granted: &Granted,
-        began: Instant,
+        started: Instant,
         failure: Option<&CallFailure>,
         status: TargetStatus,
     ) {
@@ -371,20 +400,26 @@
                 (CallEnd::Failed, AttemptEnd::Failed { problem }, "failed")
             }
         };
-        self.tell_ended(stage, granted, began, (end, record, name), status);
+        self.report_call_end(stage, granted, started, (end, record, name), status);
     }
 
-    fn given_up(&self, stage: &Stage, granted: &Granted, began: Instant, why: &CallFailure) {
+    fn report_abandoned_call(
+        &self,
+        stage: &Stage,
+        granted: &Granted,
+        started: Instant,
+        why: &CallFailure,
+    ) {
         let problem = format!("{why:?}");
         let end = (CallEnd::GivenUp, AttemptEnd::Failed { problem }, "given up");
-        self.tell_ended(stage, granted, began, end, TargetStatus::default());
+        self.report_call_end(stage, granted, started, end, TargetStatus::default());
     }
 
-    fn tell_ended(
+    fn report_call_end(
         &self,
         stage: &Stage,
         granted: &Granted,
-        began: Instant,
+        started: Instant,
         (end, record, name): (CallEnd, AttemptEnd, &'static str),
         status: TargetStatus,
     ) {
@@ -399,20 +434,20 @@
             attempt: granted.attempt.clone(),
             end,
             record,
-            took: began.elapsed(),
+            took: started.elapsed(),
             load: status.load.map(|(running, queued)| LoadReport { running, queued }),
             leaving: status.leaving,
         };
-        self.shared.desk.tell(Message::CallEnded(Box::new(ended)));
+        self.shared.dispatcher.tell(Message::CallEnded(Box::new(ended)));
     }
 
-    fn ran(&mut self, stage: &Stage, granted: &Granted, cost: Option<u64>) {
+    fn record_run(&mut self, stage: &Stage, granted: &Granted, cost: Option<u64>) {
         let (stage, target) = (stage.name.clone(), granted.grant.name.clone());
         self.runs.push(StageRun { stage, target, cost });
     }
 
     /// Decides whether a failed attempt is followed by another one.
-    fn next_try(
+    fn retry_or_refuse(
         &mut self,
         stage: &Stage,
         granted: &Granted,
@@ -420,43 +455,52 @@
         tried: &mut Vec<TargetKey>,
     ) -> Result<(), Refusal> {
         tried.push(granted.grant.slot.target);
-        match self.judge(stage, granted, failure) {
-            Miss::GiveUp(refusal) => Err(refusal),
-            Miss::TryAgain(problem) => {
+        match self.classify_failure(stage, granted, failure) {
+            AttemptFailure::GiveUp(refusal) => Err(refusal),
+            AttemptFailure::Retry(problem) => {
                 let tries = u32::try_from(tried.len()).unwrap_or(u32::MAX);
-                let allowed = self.shared.desk.ask(|reply| Message::MayRetry(tries, reply));
+                let allowed = self.shared.dispatcher.ask(|reply| Message::MayRetry(tries, reply));
                 if !matches!(allowed, Ok(true)) {
                     let detail = format!("{problem}; no further try is allowed now");
-                    return Err(self.give_up(Reason::TargetFailed, &detail, Some(SOON)));
+                    return Err(self.refusal(
+                        Reason::TargetFailed,
+                        &detail,
+                        Some(DEFAULT_RETRY_AFTER),
+                    ));
                 }
                 Ok(())
             }
         }
     }
 
-    fn judge(&mut self, stage: &Stage, granted: &Granted, failure: CallFailure) -> Miss {
+    fn classify_failure(
+        &mut self,
+        stage: &Stage,
+        granted: &Granted,
+        failure: CallFailure,
+    ) -> AttemptFailure {
         let name = &granted.grant.name;
         match failure {
             CallFailure::NotSent(problem) | CallFailure::Declined(problem) => {
-                Miss::TryAgain(format!("stage {} at {name}: {problem}", stage.name))
+                AttemptFailure::Retry(format!("stage {} at {name}: {problem}", stage.name))
             }
             CallFailure::Crossed(problem) | CallFailure::MayHaveRun(problem) => {
-                self.ran(stage, granted, None);
+                self.record_run(stage, granted, None);
                 self.may_have_run = true;
                 let detail = format!("stage {} at {name}: {problem}", stage.name);
                 if Instant::now() >= self.req.deadline {
-                    self.shared.caller.cancel(granted.grant.address, &granted.attempt);
-                    Miss::GiveUp(self.give_up(Reason::DeadlinePassed, &detail, None))
+                    self.shared.target_client.cancel(granted.grant.address, &granted.attempt);
+                    AttemptFailure::GiveUp(self.refusal(Reason::DeadlinePassed, &detail, None))
                 } else if self.req.repeatable {
-                    Miss::TryAgain(detail)
+                    AttemptFailure::Retry(detail)
                 } else {
-                    Miss::GiveUp(self.give_up(Reason::TargetFailed, &detail, None))
+                    AttemptFailure::GiveUp(self.refusal(Reason::TargetFailed, &detail, None))
                 }
             }
         }
     }
 
-    fn refusal_of(&self, refused: SlotRefusal) -> Refusal {
+    fn slot_refusal(&self, refused: SlotRefusal) -> Refusal {
         let (reason, detail, wait) = match refused {
             SlotRefusal::TooLate { retry_after } => {
                 (Reason::TooLate, "the stages left need more time than is left", retry_after)
@@ -470,11 +514,11 @@
                 retry_after,
             ),
         };
-        self.give_up(reason, detail, Some(wait))
+        self.refusal(reason, detail, Some(wait))
     }
 
     /// The refusal that goes with what is known of this request.
-    fn give_up(&self, reason: Reason, detail: &str, retry_after: Option<Duration>) -> Refusal {
+    fn refusal(&self, reason: Reason, detail: &str, retry_after: Option<Duration>) -> Refusal {
         let refusal = if self.may_have_run && !self.req.repeatable {
             Refusal::unknown(reason, detail)
         } else if self.may_have_run || !self.runs.is_empty() {
--- a/daemon/src/platform_reader.rs
+++ b/daemon/src/platform_reader.rs
@@ -14,49 +14,49 @@
 use store_client::{HEAD_KEY, Store, catalogue_at, decode_head};
 use telemetry::Metrics;
 
-use crate::ask::Message;
-use crate::in_force::{InForce, Source};
-use crate::runtime::Desk;
+use crate::configuration::{Configuration, Source};
+use crate::dispatcher_messages::Message;
+use crate::dispatcher_thread::DispatcherHandle;
 
 /// Longest wait of one watch on the head.
-const WATCH_WAIT: Duration = Duration::from_secs(20);
+const WATCH_TIMEOUT: Duration = Duration::from_secs(20);
 /// Time between two readings of the VM list by a reader.
-const LIST_PAUSE: Duration = Duration::from_secs(1);
+const LIST_INTERVAL: Duration = Duration::from_secs(1);
 /// Time between two looks of a VM that is no reader, on average.
-const IDLE_LOOK: Duration = Duration::from_secs(15);
+const IDLE_READ_INTERVAL: Duration = Duration::from_secs(15);
 /// Time between two checks whether this VM has become a reader.
-const ROLE_CHECK: Duration = Duration::from_millis(500);
+const ROLE_CHECK_INTERVAL: Duration = Duration::from_millis(500);
 /// Shortest and longest pause after a failure.
-const FAIL_PAUSES: (Duration, Duration) = (Duration::from_millis(200), Duration::from_secs(2));
+const BACKOFF_BOUNDS: (Duration, Duration) = (Duration::from_millis(200), Duration::from_secs(2));
 
 /// What the reading threads share.
 #[derive(Clone)]
 pub(crate) struct PlatformReader {
     pub(crate) store: Store,
-    pub(crate) desk: Desk,
+    pub(crate) dispatcher: DispatcherHandle,
     pub(crate) log: Logger,
     pub(crate) metrics: Arc<Metrics>,
 }
 
 /// Starts the threads.
 pub(crate) fn start(reader: PlatformReader) {
-    let lists = reader.clone();
+    let vm_list_reader = reader.clone();
     thread::spawn(move || reader.follow_head());
-    thread::spawn(move || lists.follow_list());
+    thread::spawn(move || vm_list_reader.follow_vm_list());
 }
 
 /// Reports a source's going out and coming back, and spaces the tries while it is out.
-struct Outage {
+struct OutageBackoff {
     what: &'static str,
     pause: Option<Duration>,
 }
 
-impl Outage {
+impl OutageBackoff {
     fn new(what: &'static str) -> Self {
-        Outage { what, pause: None }
+        OutageBackoff { what, pause: None }
     }
 
-    fn note<T>(&mut self, result: &Result<T>, log: &Logger) {
+    fn record<T>(&mut self, result: &Result<T>, log: &Logger) {
         match (result, self.pause) {
             (Ok(_), Some(_)) => {
                 info!(log, "platform answers again"; "what" => self.what);
@@ -65,11 +65,11 @@
             (Ok(_), None) => {}
             (Err(e), None) => {
                 warn!(log, "platform out"; "what" => self.what, "problem" => %e);
-                self.pause = Some(FAIL_PAUSES.0);
-                thread::sleep(with_jitter(FAIL_PAUSES.0));
+                self.pause = Some(BACKOFF_BOUNDS.0);
+                thread::sleep(with_jitter(BACKOFF_BOUNDS.0));
             }
             (Err(_), Some(pause)) => {
-                self.pause = Some((pause * 2).min(FAIL_PAUSES.1));
+                self.pause = Some((pause * 2).min(BACKOFF_BOUNDS.1));
                 thread::sleep(with_jitter(pause));
             }
         }
@@ -78,32 +78,32 @@
 
 impl PlatformReader {
     fn follow_head(&self) {
-        let mut outage = Outage::new("head");
+        let mut outage = OutageBackoff::new("head");
         let mut seen = 0;
-        let mut last_look: Option<Instant> = None;
-        while let Ok((reads, in_force)) = self.desk.ask(Message::ReadsPlatform) {
-            let due = last_look.is_none_or(|at| at.elapsed() >= with_jitter(IDLE_LOOK));
+        let mut last_read: Option<Instant> = None;
+        while let Ok((reads, current_revision)) = self.dispatcher.ask(Message::ReadsPlatform) {
+            let due = last_read.is_none_or(|at| at.elapsed() >= with_jitter(IDLE_READ_INTERVAL));
             if !reads && !due {
-                thread::sleep(ROLE_CHECK);
+                thread::sleep(ROLE_CHECK_INTERVAL);
                 continue;
             }
-            last_look = Some(Instant::now());
-            let wait = if reads && seen > 0 { WATCH_WAIT } else { Duration::ZERO };
-            let result = self.look_at_head(&mut seen, in_force, wait);
+            last_read = Some(Instant::now());
+            let wait = if reads && seen > 0 { WATCH_TIMEOUT } else { Duration::ZERO };
+            let result = self.read_head(&mut seen, current_revision, wait);
             self.metrics.platform_call("head", result.is_ok());
             let absent = matches!(result, Ok(None));
-            outage.note(&result, &self.log);
+            outage.record(&result, &self.log);
             if absent {
-                thread::sleep(ROLE_CHECK);
+                thread::sleep(ROLE_CHECK_INTERVAL);
             }
         }
     }
 
     /// Waits for the head to change from version `seen`; `None` if there is no head yet.
-    fn look_at_head(
+    fn read_head(
         &self,
         seen: &mut u64,
-        in_force: Revision,
+        current_revision: Revision,
         wait: Duration,
     ) -> Result<Option<()>> {
         let entry = if wait.is_zero() {
@@ -116,30 +116,31 @@
             return Ok(Some(()));
         }
         let head = decode_head(&entry)?;
-        if head.revision > in_force {
+        if head.revision > current_revision {
             let catalogue = catalogue_at(&self.store, &head)?;
-            let offered = InForce { revision: head.revision, catalogue, source: Source::Store };
-            self.desk.tell(Message::Offer(Box::new(offered)));
+            let offered =
+                Configuration { revision: head.revision, catalogue, source: Source::Store };
+            self.dispatcher.tell(Message::OfferConfiguration(Box::new(offered)));
         }
         *seen = entry.version;
         Ok(Some(()))
     }
 
-    fn follow_list(&self) {
-        let mut outage = Outage::new("VM list");
-        let mut last_look: Option<Instant> = None;
-        while let Ok((reads, _)) = self.desk.ask(Message::ReadsPlatform) {
-            let pause = if reads { LIST_PAUSE } else { with_jitter(IDLE_LOOK) };
-            if last_look.is_some_and(|at| at.elapsed() < pause) {
-                thread::sleep(ROLE_CHECK.min(pause));
+    fn follow_vm_list(&self) {
+        let mut outage = OutageBackoff::new("VM list");
+        let mut last_read: Option<Instant> = None;
+        while let Ok((reads, _)) = self.dispatcher.ask(Message::ReadsPlatform) {
+            let pause = if reads { LIST_INTERVAL } else { with_jitter(IDLE_READ_INTERVAL) };
+            if last_read.is_some_and(|at| at.elapsed() < pause) {
+                thread::sleep(ROLE_CHECK_INTERVAL.min(pause));
                 continue;
             }
-            last_look = Some(Instant::now());
+            last_read = Some(Instant::now());
             let result = self.store.vms();
             self.metrics.platform_call("VM list", result.is_ok());
-            outage.note(&result, &self.log);
+            outage.record(&result, &self.log);
             if let Ok(vms) = result {
-                self.desk.tell(Message::Listed(vms));
+                self.dispatcher.tell(Message::VmList(vms));
             }
         }
     }
--- a/daemon/src/requests.rs
+++ b/daemon/src/requests.rs
@@ -9,24 +9,24 @@
 use slog::{debug, info};
 use tokio::sync::oneshot;
 
-use crate::ask::{BeginAsk, Begun, EndedCall, SlotAsk};
-use crate::dispatcher::{Dispatcher, answer};
+use crate::dispatcher::{Dispatcher, send_reply};
+use crate::dispatcher_messages::{BeginRequest, BegunRequest, EndedCall, StageSlotRequest};
 use crate::units::millis;
-use crate::waiting::{Granted, SlotReply, WaitingThread};
+use crate::waiting_threads::{Granted, SlotReply, WaitingThread};
 
 /// When to come back while no configuration is in force.
-const NO_CONFIGURATION_WAIT: Duration = Duration::from_secs(1);
+const NO_CONFIGURATION_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 impl Dispatcher {
-    pub(crate) fn begin(&mut self, ask: BeginAsk) -> Result<Begun, Refusal> {
-        let Some(in_force) = self.history.current().cloned() else {
+    pub(crate) fn begin_request(&mut self, ask: BeginRequest) -> Result<BegunRequest, Refusal> {
+        let Some(configuration) = self.history.current().cloned() else {
             let refusal = Refusal::not_run(Reason::NoConfiguration, "no revision is known yet");
-            return Err(refusal.come_back_in(NO_CONFIGURATION_WAIT));
+            return Err(refusal.come_back_in(NO_CONFIGURATION_RETRY_AFTER));
         };
-        let Some(service) = in_force.catalogue.services.get(&ask.service) else {
+        let Some(service) = configuration.catalogue.services.get(&ask.service) else {
             return Err(Refusal::not_run(Reason::UnknownService, ask.service.to_string()));
         };
-        if !in_force.catalogue.customers.contains_key(&ask.customer) {
+        if !configuration.catalogue.customers.contains_key(&ask.customer) {
             return Err(Refusal::not_run(Reason::UnknownCustomer, ask.customer.to_string()));
         }
         let priority = ask.priority.unwrap_or(service.priority);
@@ -36,7 +36,7 @@
             service: ask.service,
             customer: ask.customer,
             priority,
-            revision: in_force.revision,
+            revision: configuration.revision,
             deadline_ms: millis(deadline),
             attempts: Vec::new(),
             outcome: None,
@@ -44,32 +44,37 @@
             took_ms: None,
         });
         self.in_work += 1;
-        self.router.begin_request(in_force.revision);
-        Ok(Begun { in_force, priority, submission })
+        self.router.begin_request(configuration.revision);
+        Ok(BegunRequest { configuration, priority, submission })
     }
 
-    pub(crate) fn admit(&mut self, ask: &SlotAsk, now: Instant) -> Admission {
-        ask.request().map_or(Ok(()), |req| self.router.admit(&req, now))
+    pub(crate) fn admit(&mut self, ask: &StageSlotRequest, now: Instant) -> Admission {
+        ask.to_slot_request().map_or(Ok(()), |req| self.router.admit(&req, now))
     }
 
-    pub(crate) fn slot(&mut self, ask: SlotAsk, reply: oneshot::Sender<SlotReply>, now: Instant) {
-        let Some(req) = ask.request() else { return };
+    pub(crate) fn request_slot(
+        &mut self,
+        ask: StageSlotRequest,
+        reply: oneshot::Sender<SlotReply>,
+        now: Instant,
+    ) {
+        let Some(req) = ask.to_slot_request() else { return };
         match self.router.request_slot(&req, now) {
             SlotAnswer::Granted(grant) => self.grant(&ask, grant, reply, now),
             SlotAnswer::Queued(id) => self.waiting.add(id, WaitingThread { ask, reply }),
-            SlotAnswer::Refused(refused) => answer(reply, Err(refused)),
+            SlotAnswer::Refused(refused) => send_reply(reply, Err(refused)),
         }
     }
 
     /// Writes the choice down, then lets the call be sent.
     fn grant(
         &mut self,
-        ask: &SlotAsk,
+        ask: &StageSlotRequest,
         grant: Grant,
         reply: oneshot::Sender<SlotReply>,
         now: Instant,
     ) {
-        let stages = ask.in_force.catalogue.services.get(&ask.service).map(|s| &s.stages);
+        let stages = ask.configuration.catalogue.services.get(&ask.service).map(|s| &s.stages);
         let Some(stage) = stages.and_then(|stages| stages.get(ask.stage)) else {
             return;
         };
@@ -92,11 +97,11 @@
             let end = CallEnd::GivenUp;
             let updates =
                 self.router.release(slot, (&service, &stage), end, Duration::ZERO, None, now);
-            self.send(updates);
+            self.apply_wait_updates(updates);
         }
     }
 
-    pub(crate) fn send(&mut self, updates: Vec<WaitUpdate>) {
+    pub(crate) fn apply_wait_updates(&mut self, updates: Vec<WaitUpdate>) {
         let now = Instant::now();
         for update in updates {
             match update {
@@ -107,7 +112,7 @@
                 }
                 WaitUpdate::Refused(id, refused) => {
                     if let Some(thread) = self.waiting.take(id) {
-                        answer(thread.reply, Err(refused));
+                        send_reply(thread.reply, Err(refused));
                     }
                 }
             }
@@ -124,18 +129,19 @@
             millis(ended.took),
             ended.record,
         );
-        if ended.leaving && self.leaving.note(ended.target_name.clone(), now) {
+        if ended.leaving && self.leaving.record(ended.target_name.clone(), now) {
             info!(self.setup.log, "target leaving"; "target" => %ended.target_name,
                 "word" => "its own answer");
-            self.spread_peer_word(now);
+            self.apply_peer_state(now);
             self.setup.news.notify_one();
         }
-        let of = (&ended.service, &ended.stage);
-        let updates = self.router.release(ended.slot, of, ended.end, ended.took, ended.load, now);
-        self.send(updates);
+        let origin = (&ended.service, &ended.stage);
+        let updates =
+            self.router.release(ended.slot, origin, ended.end, ended.took, ended.load, now);
+        self.apply_wait_updates(updates);
     }
 
-    pub(crate) fn ended(
+    pub(crate) fn request_ended(
         &mut self,
         submission: Submission,
         outcome: Outcome,
--- a/daemon/src/start.rs
+++ b/daemon/src/start.rs
@@ -16,46 +16,46 @@
 use tokio::runtime::Runtime;
 use tokio::sync::{Notify, Semaphore, watch};
 
-use crate::ask::{Message, Setup};
-use crate::callers::{self, CallersSide};
+use crate::callers::{self, CallerServer};
+use crate::dispatcher_messages::{Message, Setup};
+use crate::dispatcher_thread::{self, DispatcherHandle};
 use crate::operations::{self, Operations};
-use crate::orders::{self, OrderGiver};
+use crate::orders::{self, OrderSender};
 use crate::peer_links::{self, PeerLinks};
 use crate::pipeline::Pipeline;
 use crate::platform_reader::{self, PlatformReader};
-use crate::runtime::{self, Desk};
 
 /// Threads of the task runtime, which holds connections and peer links.
-const TASK_THREADS: usize = 2;
+const RUNTIME_THREADS: usize = 2;
 /// Time between two looks at what is still in work while stopping.
-const STOP_LOOK: Duration = Duration::from_millis(20);
+const STOP_POLL_INTERVAL: Duration = Duration::from_millis(20);
 /// Time for the last answers to be written after the cut.
-const LAST_WORDS: Duration = Duration::from_millis(200);
+const FINAL_WRITE_WAIT: Duration = Duration::from_millis(200);
 
 /// Runs the daemon until it is told to stop and has finished.
 ///
 /// # Errors
 /// `Io` if an address can't be listened on or a thread can't be started.
 pub fn run(cfg: Settings) -> Result<()> {
-    let LogSetup { log, guard: _guard } = root_logger(level_of(cfg.log), cfg.vm.as_str());
+    let LogSetup { log, guard: _guard } = root_logger(log_level(cfg.log), cfg.vm.as_str());
     let mut signals =
         Signals::new([SIGTERM, SIGINT]).map_err(|e| Error::io("watching for signals", e))?;
-    let tasks = task_runtime(&cfg)?;
+    let async_tasks = async_runtime(&cfg)?;
     let (stop_tx, stop) = watch::channel(false);
-    let (cut_tx, cut) = watch::channel(false);
-    let parts = start_parts(&cfg, &log, &tasks, stop, cut)?;
+    let (abort_tx, abort) = watch::channel(false);
+    let handles = start_services(&cfg, &log, &async_tasks, stop, abort)?;
     info!(log, "started"; "callers" => %cfg.callers, "peers" => %cfg.peers,
         "operations" => %cfg.operations, "hall" => %cfg.hall);
 
     let signal = signals.forever().next();
     info!(log, "stopping"; "signal" => signal);
-    stop_in_order(&cfg, &parts, &stop_tx, &cut_tx);
+    drain_and_stop(&cfg, &handles, &stop_tx, &abort_tx);
     info!(log, "stopped");
-    tasks.shutdown_background();
+    async_tasks.shutdown_background();
     Ok(())
 }
 
-fn level_of(level: LogLevel) -> Level {
+fn log_level(level: LogLevel) -> Level {
     match level {
         LogLevel::Error => Level::Error,
         LogLevel::Warning => Level::Warning,
@@ -64,109 +64,117 @@
     }
 }
 
-fn task_runtime(cfg: &Settings) -> Result<Runtime> {
+fn async_runtime(cfg: &Settings) -> Result<Runtime> {
     tokio::runtime::Builder::new_multi_thread()
-        .worker_threads(TASK_THREADS)
-        .max_blocking_threads(cfg.limits.requests + TASK_THREADS)
+        .worker_threads(RUNTIME_THREADS)
+        .max_blocking_threads(cfg.limits.requests + RUNTIME_THREADS)
         .enable_all()
         .build()
         .map_err(|e| Error::io("starting the task runtime", e))
 }
 
-fn start_parts(
+fn start_services(
     cfg: &Settings,
     log: &Logger,
-    tasks: &Runtime,
+    async_tasks: &Runtime,
     stop: watch::Receiver<bool>,
-    cut: watch::Receiver<bool>,
-) -> Result<Parts> {
+    abort: watch::Receiver<bool>,
+) -> Result<ShutdownHandles> {
     let metrics = Arc::new(Metrics::new()?);
     let news = Arc::new(Notify::new());
     let incarnation = Incarnation::now();
     let listen = |address| {
-        tasks
+        async_tasks
             .block_on(TcpListener::bind(address))
             .map_err(|e| Error::io(format!("listening on {address}"), e))
     };
     let callers_listener = listen(cfg.callers)?;
     let peers_listener = listen(cfg.peers)?;
 
-    let desk = runtime::start(Setup {
+    let dispatcher = dispatcher_thread::start(Setup {
         cfg: cfg.clone(),
         incarnation,
         log: log.clone(),
         metrics: Arc::clone(&metrics),
         news: Arc::clone(&news),
     });
-    let page = Operations { desk: desk.clone(), metrics: Arc::clone(&metrics), log: log.clone() };
-    operations::start(page, cfg.operations)?;
+    let operations_page = Operations {
+        dispatcher: dispatcher.clone(),
+        metrics: Arc::clone(&metrics),
+        log: log.clone(),
+    };
+    operations::start(operations_page, cfg.operations)?;
 
     let store = store_client::Store::new(cfg.platform);
     platform_reader::start(PlatformReader {
         store: store.clone(),
-        desk: desk.clone(),
+        dispatcher: dispatcher.clone(),
         log: log.clone(),
         metrics: Arc::clone(&metrics),
     });
-    orders::start(OrderGiver {
+    orders::start(OrderSender {
         vm: cfg.vm.clone(),
         hall: cfg.hall.clone(),
         incarnation,
         store: store.clone(),
-        desk: desk.clone(),
+        dispatcher: dispatcher.clone(),
         log: log.clone(),
     });
-    let links =
-        PeerLinks { desk: desk.clone(), log: log.clone(), metrics: Arc::clone(&metrics), news };
-    tasks.spawn(peer_links::serve(links.clone(), peers_listener));
-    tasks.spawn(peer_links::hold_rounds(links));
+    let links = PeerLinks {
+        dispatcher: dispatcher.clone(),
+        log: log.clone(),
+        metrics: Arc::clone(&metrics),
+        news,
+    };
+    async_tasks.spawn(peer_links::serve(links.clone(), peers_listener));
+    async_tasks.spawn(peer_links::hold_rounds(links));
 
     let pipeline = Pipeline {
         cfg: cfg.clone(),
         incarnation,
-        desk: desk.clone(),
-        caller: TargetClient::default(),
+        dispatcher: dispatcher.clone(),
+        target_client: TargetClient::default(),
         store,
         log: log.clone(),
         metrics,
     };
-    let free = Arc::new(Semaphore::new(cfg.limits.requests));
-    let side = Arc::new(CallersSide { pipeline, free: Arc::clone(&free), cut });
+    let permits = Arc::new(Semaphore::new(cfg.limits.requests));
+    let server = Arc::new(CallerServer { pipeline, permits: Arc::clone(&permits), abort });
     let bounds = Bounds { connections: cfg.limits.connections, head_wait: cfg.limits.head_wait() };
-    tasks.spawn(http_server::serve(callers_listener, bounds, stop, move |req| {
-        callers::handle(Arc::clone(&side), req)
+    async_tasks.spawn(http_server::serve(callers_listener, bounds, stop, move |req| {
+        callers::handle(Arc::clone(&server), req)
     }));
-    Ok(Parts { desk, free })
+    Ok(ShutdownHandles { dispatcher, permits })
 }
 
 /// What a stop asks for whether requests are still in work.
-struct Parts {
-    desk: Desk,
-    free: Arc<Semaphore>,
+struct ShutdownHandles {
+    dispatcher: DispatcherHandle,
+    permits: Arc<Semaphore>,
 }
 
-impl Parts {
+impl ShutdownHandles {
     /// A request holds its permit before the dispatcher hears of it, and until its thread ends.
     fn in_work(&self, cfg: &Settings) -> bool {
-        let permits = self.free.available_permits() < cfg.limits.requests;
-        permits || self.desk.ask(Message::InWork).is_ok_and(|count| count > 0)
+        let permits_held = self.permits.available_permits() < cfg.limits.requests;
+        permits_held || self.dispatcher.ask(Message::InWork).is_ok_and(|count| count > 0)
     }
 }
 
 /// Tells balancer and peers, waits until they have heard, takes nothing new, finishes what runs.
-fn stop_in_order(
+fn drain_and_stop(
     cfg: &Settings,
-    parts: &Parts,
+    handles: &ShutdownHandles,
     stop: &watch::Sender<bool>,
-    cut: &watch::Sender<bool>,
+    abort: &watch::Sender<bool>,
 ) {
     let give_up_at = Instant::now() + cfg.limits.stop_wait();
-    parts.desk.tell(Message::Drain);
+    handles.dispatcher.tell(Message::Drain);
     std::thread::sleep(cfg.limits.notice_wait().min(cfg.limits.stop_wait()));
     stop.send_replace(true);
-    while parts.in_work(cfg) && Instant::now() < give_up_at {
-        std::thread::sleep(STOP_LOOK);
+    while handles.in_work(cfg) && Instant::now() < give_up_at {
+        std::thread::sleep(STOP_POLL_INTERVAL);
     }
-    cut.send_replace(true);
-    std::thread::sleep(LAST_WORDS);
+    abort.send_replace(true);
+    std::thread::sleep(FINAL_WRITE_WAIT);
 }
--- a/daemon/src/waiting.rs
+++ b/daemon/src/waiting_threads.rs
@@ -5,7 +5,7 @@
 use routing::{Grant, SlotRefusal, WaitId};
 use tokio::sync::oneshot;
 
-use crate::ask::SlotAsk;
+use crate::dispatcher_messages::StageSlotRequest;
 
 /// Answer to a request for a slot.
 pub(crate) type SlotReply = Result<Granted, SlotRefusal>;
@@ -20,7 +20,7 @@
 /// One request that waits.
 #[derive(Debug)]
 pub(crate) struct WaitingThread {
-    pub(crate) ask: SlotAsk,
+    pub(crate) ask: StageSlotRequest,
     pub(crate) reply: oneshot::Sender<SlotReply>,
 }
 
