--- a/daemon/src/callers.rs
+++ b/daemon/src/callers.rs
@@ -1,4 +1,4 @@
-//! The callers' side: one task for each connection, one thread for each request in work.
+//! HTTP server for callers: one async task per connection and one thread per request in progress.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -15,19 +15,19 @@
 use crate::claims::refusal_before_claim;
 use crate::pipeline::{self, Pipeline};
 
-/// When to ask again while as many requests as allowed are in work.
+/// Retry delay sent to callers while the limit of concurrent requests is reached.
 const FULL_RETRY_AFTER: Duration = Duration::from_millis(200);
 
-/// What every request needs.
+/// State shared by all caller requests.
 pub(crate) struct CallerServer {
     pub(crate) pipeline: Pipeline,
-    /// One permit for each request that may be in work.
+    /// One permit for each request that may be in progress.
     pub(crate) permits: Arc<Semaphore>,
-    /// Turns true when the time to finish is over.
+    /// Becomes true when the shutdown deadline has passed and open requests are aborted.
     pub(crate) abort: watch::Receiver<bool>,
 }
 
-/// Answers one request.
+/// Handles one HTTP request of a caller.
 pub(crate) async fn handle(server: Arc<CallerServer>, req: Request<Incoming>) -> Response<Body> {
     let arrived = Instant::now();
     match process(&server, req, arrived).await {
@@ -36,6 +36,7 @@
     }
 }
 
+/// Validates the request, runs it on its own thread and waits for the head of the response.
 async fn process(
     server: &Arc<CallerServer>,
     req: Request<Incoming>,
@@ -67,7 +68,7 @@
         .map_err(|e| with_id(Refusal::not_run(Reason::BadRequest, format!("body: {e}"))))?;
 
     let permit = Arc::clone(&server.permits).try_acquire_owned().map_err(|_| {
-        let detail = format!("{} requests are in work", limits.requests);
+        let detail = format!("{} requests are already in progress, the limit", limits.requests);
         let refusal = Refusal::not_run(Reason::QueueFull, detail).come_back_in(FULL_RETRY_AFTER);
         with_id(refusal_before_claim(&parsed, refusal))
     })?;
@@ -85,9 +86,11 @@
     }
 }
 
-/// The answer to a request that was still in work when the time to finish was over.
+/// The refusal of a request that was still in progress at the shutdown deadline.
+///
+/// Its outcome is unknown unless the request may be repeated.
 fn shutdown_refusal(repeatable: bool) -> Refusal {
-    let detail = "the time to finish was over";
+    let detail = "the request did not finish before the shutdown deadline";
     if repeatable {
         Refusal::failed(Reason::Stopping, detail)
     } else {
@@ -95,12 +98,17 @@
     }
 }
 
+/// The refusal of a request whose body could not be read.
 fn body_refusal(problem: BodyProblem, limit: usize) -> Refusal {
     match problem {
         BodyProblem::TooLarge => {
             Refusal::not_run(Reason::BodyTooLarge, format!("the limit is {limit} bytes"))
         }
-        BodyProblem::TooSlow => Refusal::not_run(Reason::BadRequest, "the body came too slowly"),
-        BodyProblem::Broken => Refusal::not_run(Reason::BadRequest, "the body was cut"),
+        BodyProblem::TooSlow => {
+            Refusal::not_run(Reason::BadRequest, "the body did not arrive within the time limit")
+        }
+        BodyProblem::Broken => {
+            Refusal::not_run(Reason::BadRequest, "the connection closed before the end of the body")
+        }
     }
 }
--- a/daemon/src/configuration.rs
+++ b/daemon/src/configuration.rs
@@ -1,4 +1,4 @@
-//! The configuration in force and the few before it.
+//! The configuration in force and a bounded history of earlier ones.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -7,10 +7,11 @@
 use ids::Revision;
 use serde::Serialize;
 
-/// Older configurations kept, to tell peers only what changed.
+/// Most configurations kept, the one in force included. With the older ones a peer can be sent only
+/// the differences.
 const MAX_KEPT: usize = 8;
 
-/// From where a configuration came.
+/// Where a configuration was received from.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub(crate) enum Source {
@@ -20,7 +21,7 @@
     Peer,
 }
 
-/// One accepted configuration. A request keeps the one under which it began.
+/// A revision of the catalogue. A request uses the one under which it began until it ends.
 #[derive(Debug)]
 pub(crate) struct Configuration {
     pub(crate) revision: Revision,
@@ -28,14 +29,14 @@
     pub(crate) source: Source,
 }
 
-/// The newest configuration and the few before it; revisions only rise.
+/// Accepted configurations, newest first, with strictly increasing revisions.
 #[derive(Debug, Default)]
 pub(crate) struct ConfigurationHistory {
     newest_first: VecDeque<Arc<Configuration>>,
 }
 
 impl ConfigurationHistory {
-    /// Takes the configuration if its revision is higher than any before.
+    /// Accepts the configuration if its revision is higher than all before, and returns it.
     pub(crate) fn accept(&mut self, candidate: Configuration) -> Option<Arc<Configuration>> {
         if candidate.revision <= self.revision() {
             return None;
@@ -51,7 +52,7 @@
         self.newest_first.front()
     }
 
-    /// Its revision; 0 if there is none.
+    /// Revision of the configuration in force; 0 if there is none.
     pub(crate) fn revision(&self) -> Revision {
         self.current().map_or(Revision(0), |c| c.revision)
     }
--- a/daemon/src/console.rs
+++ b/daemon/src/console.rs
@@ -1,15 +1,15 @@
-//! What the daemon says to a person who starts it.
+//! Console output for the person who starts the daemon.
 
 use std::path::Path;
 
 use errors::Error;
 
-/// The settings were checked and can be taken.
+/// Prints to standard output that the settings file is valid.
 pub fn print_settings_valid(path: &Path) {
-    println!("{}: settings are fine", path.display());
+    println!("{}: settings are valid", path.display());
 }
 
-/// The daemon can't go on.
+/// Prints an error that ends the daemon to standard error.
 pub fn print_error(e: &Error) {
     eprintln!("saddleraild: {e}");
 }
--- a/daemon/src/dispatcher.rs
+++ b/daemon/src/dispatcher.rs
@@ -1,4 +1,4 @@
-//! The actor that holds the shared state of a VM and takes its decisions.
+//! The actor that owns this VM's shared state and makes all routing decisions.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -17,12 +17,12 @@
 use crate::units::millis;
 use crate::waiting_threads::WaitingThreads;
 
-/// Time between two looks at the queues.
+/// Interval at which queued requests are checked.
 const TICK_INTERVAL: Duration = Duration::from_millis(20);
-/// Time between two looks at what grows old: marks, adverts, peers' loads.
+/// Interval at which expired state is removed: leaving marks, adverts and peers' loads.
 const SLOW_TICK_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Shared state and decisions of a VM.
+/// Shared state of this VM.
 pub(crate) struct Dispatcher {
     pub(crate) setup: Arc<Setup>,
     pub(crate) router: Router,
@@ -32,18 +32,20 @@
     pub(crate) roster: Roster,
     pub(crate) round_pacer: RoundPacer,
     pub(crate) leaving: LeavingTargets,
-    /// The platform's list as last read.
+    /// The platform's VM list, as last read.
     pub(crate) vm_list: Vec<ListedVm>,
+    /// Sequence number of this VM's heartbeats; incremented with each round.
     pub(crate) sequence: u64,
-    /// The revision that was told to some peers when it came into force.
+    /// The newest revision that was announced to peers.
     pub(crate) announced_revision: ids::Revision,
     pub(crate) in_work: usize,
-    /// Fence under which this VM gives its hall's orders, if it does.
+    /// Fencing token of the hall's orders lease, if this VM holds it.
     pub(crate) orders_fence: Option<u64>,
     pub(crate) draining: bool,
 }
 
 impl Dispatcher {
+    /// Creates the dispatcher and schedules its periodic work.
     pub(crate) fn init(cx: CX![], setup: Arc<Setup>) -> Option<Self> {
         let policy = match setup.cfg.policy {
             settings::Policy::Adaptive => Policy::Adaptive,
@@ -72,6 +74,7 @@
         })
     }
 
+    /// Handles one message.
     pub(crate) fn handle(&mut self, cx: CX![], message: Message) {
         let now = cx.now();
         match message {
@@ -159,7 +162,8 @@
     }
 }
 
+/// Sends a reply to the requester.
 pub(crate) fn send_reply<T>(reply: oneshot::Sender<T>, value: T) {
-    // Whoever asked may have given up; then the answer has no use.
+    // The requester may have given up; the reply is then not needed.
     let _ = reply.send(value);
 }
--- a/daemon/src/dispatcher_thread.rs
+++ b/daemon/src/dispatcher_thread.rs
@@ -1,4 +1,5 @@
-//! The thread on which the dispatcher lives, and the handle by which others ask it.
+//! The thread that runs the dispatcher actor, and the handle through which other threads and tasks
+//! send it messages.
 
 use std::sync::Arc;
 use std::sync::mpsc::{Receiver, RecvTimeoutError, Sender, channel};
@@ -11,9 +12,9 @@
 use crate::dispatcher::Dispatcher;
 use crate::dispatcher_messages::{Message, Setup};
 
-/// Longest sleep of the dispatcher's thread.
+/// Longest time the dispatcher's thread waits for a message before it runs due timers.
 const MAX_SLEEP: Duration = Duration::from_millis(500);
-/// Most messages handled between two looks at the clock.
+/// Most queued messages handled between two reads of the clock.
 const MESSAGE_BATCH: usize = 256;
 
 /// Sends messages to the dispatcher; cheap to clone.
@@ -22,18 +23,21 @@
     tx: Sender<Message>,
 }
 
-/// The dispatcher has ended; only while the process stops.
+/// The dispatcher's thread has ended, which happens only while the process stops.
 #[derive(Debug)]
 pub(crate) struct DispatcherStopped;
 
 impl DispatcherHandle {
-    /// Sends a message that needs no answer.
+    /// Sends a message without waiting for a reply; it is dropped if the dispatcher has ended.
     pub(crate) fn tell(&self, message: Message) {
-        // After the dispatcher's end nobody is left to be told.
+        // An error means that the dispatcher has ended, so the message has no receiver.
         let _ = self.tx.send(message);
     }
 
-    /// Asks from a thread and waits for the answer.
+    /// Sends a message and blocks the calling thread until the reply arrives.
+    ///
+    /// # Errors
+    /// [`DispatcherStopped`] if the dispatcher ended or dropped the request.
     pub(crate) fn ask<T>(
         &self,
         message: impl FnOnce(oneshot::Sender<T>) -> Message,
@@ -43,7 +47,10 @@
         rx.blocking_recv().map_err(|_| DispatcherStopped)
     }
 
-    /// Asks from a task and waits for the answer.
+    /// Sends a message and awaits the reply in an async task.
+    ///
+    /// # Errors
+    /// [`DispatcherStopped`] if the dispatcher ended or dropped the request.
     pub(crate) async fn ask_async<T>(
         &self,
         message: impl FnOnce(oneshot::Sender<T>) -> Message,
@@ -54,13 +61,14 @@
     }
 }
 
-/// Starts the dispatcher's thread.
+/// Starts the dispatcher's thread and returns a handle to it.
 pub(crate) fn start(setup: Setup) -> DispatcherHandle {
     let (tx, rx) = channel();
     thread::spawn(move || run_loop(&rx, setup));
     DispatcherHandle { tx }
 }
 
+/// Handles messages and due timers until all handles are dropped.
 fn run_loop(rx: &Receiver<Message>, setup: Setup) {
     let mut stakker = Stakker::new(Instant::now());
     let s = &mut stakker;
--- a/daemon/src/dump.rs
+++ b/daemon/src/dump.rs
@@ -1,4 +1,4 @@
-//! A process's state as shown on request.
+//! State of this process, as the operations page returns it in JSON.
 
 use std::net::SocketAddr;
 
@@ -9,7 +9,7 @@
 
 use crate::configuration::Source;
 
-/// Everything an operator may want to see of one VM.
+/// Full state of this VM, returned by `/state`.
 #[derive(Debug, Serialize)]
 pub(crate) struct StateDump {
     pub(crate) vm: VmName,
@@ -29,7 +29,9 @@
     pub(crate) vms: Vec<FleetVm>,
 }
 
-/// Who this VM is and whom it knows: the small part of the dump that the tool asks of many VMs.
+/// Identity of this VM and the VMs it knows, returned by `/vms`.
+///
+/// It is a small part of [`StateDump`], because the command-line tool requests it from many VMs.
 #[derive(Debug, Serialize)]
 pub(crate) struct FleetView {
     pub(crate) vm: VmName,
@@ -38,7 +40,7 @@
     pub(crate) vms: Vec<FleetVm>,
 }
 
-/// Another VM as this one knows it.
+/// Another VM, as last advertised to this one.
 #[derive(Debug, Serialize)]
 pub(crate) struct FleetVm {
     vm: VmName,
@@ -51,6 +53,7 @@
 }
 
 impl FleetVm {
+    /// Builds the entry from an advert and its age.
     pub(crate) fn from_advert((advert, age): (&Advert, AdvertAge)) -> Self {
         FleetVm {
             vm: advert.vm.clone(),
--- a/daemon/src/lib.rs
+++ b/daemon/src/lib.rs
@@ -1,5 +1,5 @@
-//! The daemon's parts: threads and tasks that face callers, targets, peers, the platform and
-//! operators, around one dispatcher that holds the shared state and takes the decisions.
+//! The saddlerail daemon. Threads and async tasks communicate with callers, targets, peers, the
+//! platform and operators; one dispatcher owns the shared state and makes all decisions.
 
 mod answer;
 mod callers;
--- a/daemon/src/main.rs
+++ b/daemon/src/main.rs
@@ -1,4 +1,5 @@
-//! `saddleraild`, the process that stands between callers and targets on each entry VM.
+//! Command line of `saddleraild`, the daemon that routes requests from callers to targets on each
+//! entry VM.
 
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -7,14 +8,14 @@
 
 use saddleraild::{console, run};
 
-/// Subcommand that serves with the adapter of the users' platform.
+/// Subcommand that runs the gateway with the adapter for the users' platform.
 const SERVE: &str = "serve";
-/// Variable that holds the path of the settings there.
+/// Environment variable with the path of the settings file for `serve`.
 const SETTINGS_VARIABLE: &str = "SADDLERAIL_NODE_FILE";
 
-/// Exit code for settings that can't be taken.
+/// Exit code for invalid settings.
 const BAD_SETTINGS: u8 = 2;
-/// Exit code for a daemon that could not start.
+/// Exit code for a daemon that could not start or ended with an error.
 const NOT_STARTED: u8 = 1;
 
 fn command() -> Command {
@@ -55,7 +56,7 @@
     }
 }
 
-/// Reads the settings, and runs with them unless they were only to be checked.
+/// Loads the settings and runs the daemon, or only checks the settings if `--check` is given.
 fn start<T>(
     args: &ArgMatches,
     load: impl FnOnce(&Path) -> errors::Result<T>,
--- a/daemon/src/peer_messages.rs
+++ b/daemon/src/peer_messages.rs
@@ -1,4 +1,4 @@
-//! Peer messages to the types of the components and back.
+//! Conversion between the peer protocol's messages and the types of the components.
 
 use catalogue::{Catalogue, ChangeKind, Document, ObjectKey, diff};
 use errors::{Error, Result};
@@ -8,6 +8,7 @@
 
 use crate::configuration::{Configuration, Source};
 
+/// Encodes a heartbeat.
 pub(crate) fn beat_to_wire(beat: Heartbeat) -> wire::Beat {
     let (load_targets, load_calls) = beat.loads.into_iter().map(|(t, calls)| (t.0, calls)).unzip();
     wire::Beat {
@@ -22,6 +23,7 @@
     }
 }
 
+/// Decodes a heartbeat; names of leaving targets that are not valid are dropped.
 pub(crate) fn beat_from_wire(beat: wire::Beat) -> Heartbeat {
     let targets = beat.load_targets.into_iter().map(NameHash);
     let leaving = beat.leaving.iter().map(|name| TargetName::new(name));
@@ -36,6 +38,7 @@
     }
 }
 
+/// Encodes an advert.
 pub(crate) fn advert_to_wire(advert: Advert) -> wire::Advert {
     wire::Advert {
         vm: advert.vm.into(),
@@ -46,7 +49,7 @@
     }
 }
 
-/// An advert from a peer; one that can't be read is as good as none.
+/// Decodes an advert; `None` if a field is missing or invalid.
 pub(crate) fn advert_from_wire(advert: wire::Advert) -> Option<Advert> {
     Some(Advert {
         vm: VmName::new(&advert.vm).ok()?,
@@ -57,6 +60,7 @@
     })
 }
 
+/// Encodes the first message of an exchange: this VM's advert and a digest of the VMs it knows.
 pub(crate) fn hello_to_wire(own: Advert, known: &[DigestEntry]) -> wire::Hello {
     wire::Hello {
         own: Some(advert_to_wire(own)),
@@ -66,6 +70,7 @@
     }
 }
 
+/// Decodes the digest of the VMs that the sender of `hello` knows.
 pub(crate) fn known_from_hello(hello: &wire::Hello) -> Vec<DigestEntry> {
     let stamps = hello.known_incarnations.iter().zip(&hello.known_sequences);
     let known = hello.known_vms.iter().zip(stamps);
@@ -78,6 +83,7 @@
         .collect()
 }
 
+/// Encodes the reply of an exchange: this VM's advert and what the other VM does not know yet.
 pub(crate) fn news_to_wire(own: Advert, news: Delta) -> wire::News {
     wire::News {
         own: Some(advert_to_wire(own)),
@@ -86,6 +92,7 @@
     }
 }
 
+/// Decodes the reply of an exchange; invalid adverts are dropped.
 pub(crate) fn news_from_wire(news: wire::News) -> Delta {
     let adverts = news.own.into_iter().chain(news.others);
     Delta {
@@ -94,7 +101,9 @@
     }
 }
 
-/// The reply that leads a peer from `old`, if it is known here, to `now`.
+/// The reply that updates a peer from `old` to `now`.
+///
+/// It holds the differences if `old` is kept here, otherwise the whole catalogue.
 pub(crate) fn catalogue_reply(
     now: &Configuration,
     old: Option<&Configuration>,
@@ -118,7 +127,10 @@
     reply
 }
 
-/// The configuration that the reply leads to, its digest checked.
+/// Applies the reply to `base`, if it holds differences, and checks the result's digest.
+///
+/// # Errors
+/// `BadInput` if the reply can't be decoded or the digest does not match.
 pub(crate) fn catalogue_from_reply(
     reply: &wire::CatalogueReply,
     base: Option<&Configuration>,
@@ -138,7 +150,7 @@
         serde_json::from_slice(&reply.whole).map_err(decode_error)?
     };
     if catalogue.digest() != reply.digest {
-        return Err(invalid("its digest is another".to_owned()));
+        return Err(invalid("digest does not match the digest in the reply".to_owned()));
     }
     Ok(Configuration { revision: Revision(reply.revision), catalogue, source: Source::Peer })
 }
--- a/daemon/src/requests.rs
+++ b/daemon/src/requests.rs
@@ -1,4 +1,4 @@
-//! The dispatcher's part in a request: begin, admission, slots, ended calls, the end.
+//! The dispatcher's handling of requests: begin, admission, slots, ended calls and end.
 
 use std::time::{Duration, Instant};
 
@@ -14,27 +14,29 @@
 use crate::units::millis;
 use crate::waiting_threads::{Granted, SlotReply, WaitingThread};
 
-/// When to come back while no configuration is in force.
+/// Retry delay sent to callers while no configuration is in force.
 const NO_CONFIGURATION_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 impl Dispatcher {
-    pub(crate) fn begin_request(&mut self, ask: BeginRequest) -> Result<BegunRequest, Refusal> {
+    /// Checks service and customer against the configuration in force and opens a journal record.
+    pub(crate) fn begin_request(&mut self, req: BeginRequest) -> Result<BegunRequest, Refusal> {
         let Some(configuration) = self.history.current().cloned() else {
-            let refusal = Refusal::not_run(Reason::NoConfiguration, "no revision is known yet");
+            let refusal =
+                Refusal::not_run(Reason::NoConfiguration, "no configuration has been received yet");
             return Err(refusal.come_back_in(NO_CONFIGURATION_RETRY_AFTER));
         };
-        let Some(service) = configuration.catalogue.services.get(&ask.service) else {
-            return Err(Refusal::not_run(Reason::UnknownService, ask.service.to_string()));
+        let Some(service) = configuration.catalogue.services.get(&req.service) else {
+            return Err(Refusal::not_run(Reason::UnknownService, req.service.to_string()));
         };
-        if !configuration.catalogue.customers.contains_key(&ask.customer) {
-            return Err(Refusal::not_run(Reason::UnknownCustomer, ask.customer.to_string()));
+        if !configuration.catalogue.customers.contains_key(&req.customer) {
+            return Err(Refusal::not_run(Reason::UnknownCustomer, req.customer.to_string()));
         }
-        let priority = ask.priority.unwrap_or(service.priority);
-        let deadline = ask.deadline.saturating_duration_since(ask.arrived);
+        let priority = req.priority.unwrap_or(service.priority);
+        let deadline = req.deadline.saturating_duration_since(req.arrived);
         let submission = self.journal.open(RequestRecord {
-            request_id: ask.id,
-            service: ask.service,
-            customer: ask.customer,
+            request_id: req.id,
+            service: req.service,
+            customer: req.customer,
             priority,
             revision: configuration.revision,
             deadline_ms: millis(deadline),
@@ -48,52 +50,61 @@
         Ok(BegunRequest { configuration, priority, submission })
     }
 
-    pub(crate) fn admit(&mut self, ask: &StageSlotRequest, now: Instant) -> Admission {
-        ask.to_slot_request().map_or(Ok(()), |req| self.router.admit(&req, now))
+    /// Checks whether the request can still finish before its deadline and be queued.
+    pub(crate) fn admit(&mut self, stage_request: &StageSlotRequest, now: Instant) -> Admission {
+        stage_request.to_slot_request().map_or(Ok(()), |req| self.router.admit(&req, now))
     }
 
+    /// Requests a slot at a target: granted now, queued or refused.
     pub(crate) fn request_slot(
         &mut self,
-        ask: StageSlotRequest,
+        stage_request: StageSlotRequest,
         reply: oneshot::Sender<SlotReply>,
         now: Instant,
     ) {
-        let Some(req) = ask.to_slot_request() else { return };
+        let Some(req) = stage_request.to_slot_request() else { return };
         match self.router.request_slot(&req, now) {
-            SlotAnswer::Granted(grant) => self.grant(&ask, grant, reply, now),
-            SlotAnswer::Queued(id) => self.waiting.add(id, WaitingThread { ask, reply }),
+            SlotAnswer::Granted(grant) => self.grant(&stage_request, grant, reply, now),
+            SlotAnswer::Queued(id) => self.waiting.add(id, WaitingThread { stage_request, reply }),
             SlotAnswer::Refused(refused) => send_reply(reply, Err(refused)),
         }
     }
 
-    /// Writes the choice down, then lets the call be sent.
+    /// Records the chosen target in the journal, then hands the slot to the waiting thread.
     fn grant(
         &mut self,
-        ask: &StageSlotRequest,
+        stage_request: &StageSlotRequest,
         grant: Grant,
         reply: oneshot::Sender<SlotReply>,
         now: Instant,
     ) {
-        let stages = ask.configuration.catalogue.services.get(&ask.service).map(|s| &s.stages);
-        let Some(stage) = stages.and_then(|stages| stages.get(ask.stage)) else {
+        let stages = stage_request
+            .configuration
+            .catalogue
+            .services
+            .get(&stage_request.service)
+            .map(|s| &s.stages);
+        let Some(stage) = stages.and_then(|stages| stages.get(stage_request.stage)) else {
             return;
         };
-        let attempt = AttemptId::new(&ask.id, ask.stage, ask.attempt_number);
+        let attempt =
+            AttemptId::new(&stage_request.id, stage_request.stage, stage_request.attempt_number);
         let record = AttemptRecord {
             attempt: attempt.to_string(),
             stage: stage.name.clone(),
             target: grant.name.clone(),
             why: grant.reason.clone(),
-            chosen_at_ms: millis(now.saturating_duration_since(ask.arrived)),
+            chosen_at_ms: millis(now.saturating_duration_since(stage_request.arrived)),
             took_ms: None,
             end: AttemptEnd::Running,
         };
-        debug!(self.setup.log, "attempt"; "request" => %ask.id, "attempt" => %attempt,
+        debug!(self.setup.log, "attempt"; "request" => %stage_request.id, "attempt" => %attempt,
             "stage" => %stage.name, "target" => %grant.name, "why" => &grant.reason);
-        self.journal.chose(ask.submission, record);
-        let (slot, service, stage) = (grant.slot, ask.service.clone(), stage.name.clone());
+        self.journal.chose(stage_request.submission, record);
+        let (slot, service, stage) =
+            (grant.slot, stage_request.service.clone(), stage.name.clone());
         if reply.send(Ok(Granted { grant, attempt })).is_err() {
-            // The thread has given up; the slot goes to the next.
+            // The thread no longer waits, so the slot is released to the next request.
             let end = CallEnd::GivenUp;
             let updates =
                 self.router.release(slot, (&service, &stage), end, Duration::ZERO, None, now);
@@ -101,13 +112,14 @@
         }
     }
 
+    /// Passes grants and refusals of queued requests to their threads.
     pub(crate) fn apply_wait_updates(&mut self, updates: Vec<WaitUpdate>) {
         let now = Instant::now();
         for update in updates {
             match update {
                 WaitUpdate::Granted(id, grant) => {
                     if let Some(thread) = self.waiting.take(id) {
-                        self.grant(&thread.ask, grant, thread.reply, now);
+                        self.grant(&thread.stage_request, grant, thread.reply, now);
                     }
                 }
                 WaitUpdate::Refused(id, refused) => {
@@ -119,6 +131,7 @@
         }
     }
 
+    /// Records the end of a call, its target's load and leaving state, and releases its slot.
     pub(crate) fn call_ended(&mut self, ended: EndedCall, now: Instant) {
         debug!(self.setup.log, "attempt ended"; "attempt" => %ended.attempt,
             "stage" => %ended.stage, "target" => %ended.target_name, "end" => ?ended.record,
@@ -141,6 +154,7 @@
         self.apply_wait_updates(updates);
     }
 
+    /// Records the end of a request.
     pub(crate) fn request_ended(
         &mut self,
         submission: Submission,
--- a/daemon/src/start.rs
+++ b/daemon/src/start.rs
@@ -1,4 +1,4 @@
-//! Starts the parts of the daemon in order and stops them in order.
+//! Starts the daemon's services in order, and drains and stops them on a signal.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -25,21 +25,22 @@
 use crate::pipeline::Pipeline;
 use crate::platform_reader::{self, PlatformReader};
 
-/// Threads of the task runtime, which holds connections and peer links.
+/// Worker threads of the async runtime, which serves connections and peer links.
 const RUNTIME_THREADS: usize = 2;
-/// Time between two looks at what is still in work while stopping.
+/// Interval at which a stopping daemon checks for requests still in progress.
 const STOP_POLL_INTERVAL: Duration = Duration::from_millis(20);
-/// Time for the last answers to be written after the cut.
+/// Time left for the last responses to be written after open requests were aborted.
 const FINAL_WRITE_WAIT: Duration = Duration::from_millis(200);
 
-/// Runs the daemon until it is told to stop and has finished.
+/// Runs the daemon until it receives SIGTERM or SIGINT and has drained.
 ///
 /// # Errors
-/// `Io` if an address can't be listened on or a thread can't be started.
+/// `Io` if an address can't be listened on, or the signal handlers or the async runtime can't be
+/// set up.
 pub fn run(cfg: Settings) -> Result<()> {
     let LogSetup { log, guard: _guard } = root_logger(log_level(cfg.log), cfg.vm.as_str());
     let mut signals =
-        Signals::new([SIGTERM, SIGINT]).map_err(|e| Error::io("watching for signals", e))?;
+        Signals::new([SIGTERM, SIGINT]).map_err(|e| Error::io("registering signal handlers", e))?;
     let async_tasks = async_runtime(&cfg)?;
     let (stop_tx, stop) = watch::channel(false);
     let (abort_tx, abort) = watch::channel(false);
@@ -70,7 +71,7 @@
         .max_blocking_threads(cfg.limits.requests + RUNTIME_THREADS)
         .enable_all()
         .build()
-        .map_err(|e| Error::io("starting the task runtime", e))
+        .map_err(|e| Error::io("starting the async runtime", e))
 }
 
 fn start_services(
@@ -147,21 +148,23 @@
     Ok(ShutdownHandles { dispatcher, permits })
 }
 
-/// What a stop asks for whether requests are still in work.
+/// What the shutdown needs to tell whether requests are still in progress.
 struct ShutdownHandles {
     dispatcher: DispatcherHandle,
     permits: Arc<Semaphore>,
 }
 
 impl ShutdownHandles {
-    /// A request holds its permit before the dispatcher hears of it, and until its thread ends.
+    /// Whether requests are in progress. Permits are checked too, because a request holds its permit
+    /// before the dispatcher knows of it and until its thread ends.
     fn in_work(&self, cfg: &Settings) -> bool {
         let permits_held = self.permits.available_permits() < cfg.limits.requests;
         permits_held || self.dispatcher.ask(Message::InWork).is_ok_and(|count| count > 0)
     }
 }
 
-/// Tells balancer and peers, waits until they have heard, takes nothing new, finishes what runs.
+/// Reports not ready to the load balancer and draining to peers, waits for them to notice, then
+/// accepts no new requests and waits for the open ones until the stop deadline.
 fn drain_and_stop(
     cfg: &Settings,
     handles: &ShutdownHandles,
