--- a/daemon/src/answer.rs
+++ b/daemon/src/answer.rs
@@ -1,4 +1,5 @@
-//! How answers go back to the caller: at once, or as a stream whose end can be seen.
+//! HTTP responses to callers: in one piece, or as an event stream whose last event holds the
+//! outcome.
 
 use bytes::Bytes;
 use http_server::{Body, Cut, streamed_body, whole_body};
@@ -9,17 +10,18 @@
 use serde_json::json;
 use tokio::sync::{mpsc, oneshot};
 
-/// Parts of a stream that wait for the caller to read before its target is held up.
+/// Events of a stream buffered for a slow caller before reading from the target blocks.
 const STREAM_BUFFER: usize = 32;
-/// Name on the wire of an outcome that the stream's last event will tell.
+/// Value of the outcome header while the outcome is still open; the last event of the stream holds
+/// it.
 const STREAMING: &str = "streaming";
 
-/// A whole answer.
+/// The response for a successful request.
 pub(crate) fn whole_response(answer: &Answer) -> Response<Body> {
     response_with_head(200, answer.outcome.as_str(), &answer.request_id, json_body(answer))
 }
 
-/// A refusal.
+/// The response for a refused request.
 pub(crate) fn refused_response(
     id: &RequestId,
     stages: Vec<StageRun>,
@@ -29,7 +31,7 @@
     let body = json_body(&answer);
     let mut rx = response_with_head(refusal.status(), refusal.outcome.as_str(), id, body);
     if let Some(wait) = refusal.come_back {
-        // The header has whole seconds; the body has the exact milliseconds.
+        // The header holds whole seconds, rounded up; the body has the exact milliseconds.
         let seconds = wait.as_secs() + u64::from(wait.subsec_nanos() > 0);
         rx.headers_mut().insert(RETRY_AFTER, HeaderValue::from(seconds));
     }
@@ -40,6 +42,7 @@
     whole_body(serde_json::to_vec(answer).unwrap_or_default())
 }
 
+/// A response with status, content type, outcome and request id.
 fn response_with_head(status: u16, outcome: &str, id: &RequestId, body: Body) -> Response<Body> {
     let mut rx = Response::new(body);
     *rx.status_mut() = hyper::StatusCode::from_u16(status).unwrap_or_default();
@@ -51,11 +54,11 @@
     rx
 }
 
-/// The caller closed its connection or was answered otherwise.
+/// The caller closed its connection or has already been answered.
 #[derive(Debug)]
 pub(crate) struct CallerGone;
 
-/// Where the answer to one request goes.
+/// Channel through which the answer to one request is sent to its connection.
 pub(crate) struct AnswerPort {
     id: RequestId,
     head: Option<oneshot::Sender<Response<Body>>>,
@@ -63,13 +66,13 @@
 }
 
 impl AnswerPort {
-    /// A port and the receiver of the answer's head.
+    /// Creates a port and the receiver of the response.
     pub(crate) fn new(id: RequestId) -> (Self, oneshot::Receiver<Response<Body>>) {
         let (tx, rx) = oneshot::channel();
         (AnswerPort { id, head: Some(tx), parts: None }, rx)
     }
 
-    /// Whether the caller still waits.
+    /// Whether the caller is still connected.
     pub(crate) fn is_open(&self) -> bool {
         match (&self.head, &self.parts) {
             (Some(head), _) => !head.is_closed(),
@@ -78,12 +81,15 @@
         }
     }
 
-    /// Whether a part of a stream went out already.
+    /// Whether the response has begun as a stream.
     pub(crate) fn has_begun(&self) -> bool {
         self.parts.is_some()
     }
 
-    /// Sends one token on at once; the first one opens the stream.
+    /// Sends one token to the caller; the first one begins the stream.
+    ///
+    /// # Errors
+    /// [`CallerGone`] if the caller is no longer connected.
     pub(crate) fn token(&mut self, number: u64, token: &str) -> Result<(), CallerGone> {
         if let Some(head) = self.head.take() {
             let (tx, rx) = mpsc::channel(STREAM_BUFFER);
@@ -97,18 +103,18 @@
         self.part(format!("id: {number}\ndata: {}\n\n", json!({ "token": token })))
     }
 
-    /// Ends with the whole answer.
+    /// Sends the answer, or ends the stream with it.
     pub(crate) fn finish(mut self, answer: &Answer) {
         if let Some(head) = self.head.take() {
-            // A caller that is gone needs no answer.
+            // An error means that the caller has disconnected.
             let _ = head.send(whole_response(answer));
             return;
         }
-        // The channel's end is the stream's clean end.
+        // Dropping the sender afterwards ends the stream cleanly.
         let _ = self.outcome_event(answer);
     }
 
-    /// Ends with a refusal; a stream that has begun is told why, then cut.
+    /// Sends the refusal. A stream that has begun gets it as its last event and is then aborted.
     pub(crate) fn refuse(mut self, stages: Vec<StageRun>, refusal: &Refusal) {
         if let Some(head) = self.head.take() {
             let _ = head.send(refused_response(&self.id, stages, refusal));
@@ -121,11 +127,13 @@
         }
     }
 
+    /// Sends the stream's last event, with the outcome.
     fn outcome_event(&self, answer: &Answer) -> Result<(), CallerGone> {
         let json = serde_json::to_string(answer).unwrap_or_default();
         self.part(format!("event: outcome\ndata: {json}\n\n"))
     }
 
+    /// Sends one event of the stream.
     fn part(&self, text: String) -> Result<(), CallerGone> {
         let parts = self.parts.as_ref().ok_or(CallerGone)?;
         parts.blocking_send(Ok(Bytes::from(text))).map_err(|_| CallerGone)
--- a/daemon/src/claims.rs
+++ b/daemon/src/claims.rs
@@ -1,4 +1,5 @@
-//! Claims on callers' own ids around a request's run.
+//! Claims in the platform's store on request ids that callers provide, so that a request that must
+//! not be repeated runs once.
 
 use caller_request::CallerRequest;
 use outcomes::{Outcome, Reason, Refusal};
@@ -6,13 +7,15 @@
 
 use crate::pipeline::{DEFAULT_RETRY_AFTER, Pipeline};
 
-/// Whether another VM may have the same request under the same id, which must run once.
+/// Whether the request must run only once and may also reach another VM under the same id.
 fn requires_claim(req: &CallerRequest) -> bool {
     !req.repeatable && req.has_caller_id
 }
 
-/// A refusal given before the id was claimed: this VM can't know whether another submission runs
-/// elsewhere, so "not run" can't be told of an id that the caller may have sent there too.
+/// Adapts a refusal that is sent before the id was claimed.
+///
+/// The caller may have sent the same id to another VM, and this VM can't know whether it runs there.
+/// "Not run" therefore becomes "unknown" for ids that need a claim.
 pub(crate) fn refusal_before_claim(req: &CallerRequest, refusal: Refusal) -> Refusal {
     if !requires_claim(req) || refusal.outcome != Outcome::NotRun {
         return refusal;
@@ -21,7 +24,10 @@
     Refusal { outcome: Outcome::Unknown, detail, ..refusal }
 }
 
-/// A request that may not be repeated under a caller's id is claimed before anything runs.
+/// Claims the request's id before any stage runs, if it needs a claim.
+///
+/// Returns `None` if no claim is needed, and a refusal if the id is taken or the store can't be
+/// reached.
 pub(crate) fn claim_id(shared: &Pipeline, req: &CallerRequest) -> Result<Option<Claim>, Refusal> {
     if !requires_claim(req) {
         return Ok(None);
@@ -31,7 +37,7 @@
     match claimed {
         Ok(Ok(own_claim)) => Ok(Some(own_claim)),
         Ok(Err(existing)) if existing.state == ClaimState::Refused => {
-            let detail = "an earlier submission was refused; it never will run under this id";
+            let detail = "an earlier submission was refused; this id will never run";
             Err(Refusal::not_run(Reason::IdTaken, detail))
         }
         Ok(Err(existing)) => {
@@ -39,15 +45,16 @@
             Err(Refusal::unknown(Reason::IdTaken, detail))
         }
         Err(e) => {
-            // Another submission may have run elsewhere, so "not run" can't be told.
+            // Another submission may have run elsewhere, so the outcome can't be "not run".
             let detail = format!("{e}; this submission ran nothing and may be sent again");
             Err(Refusal::unknown(Reason::StoreOut, detail).come_back_in(DEFAULT_RETRY_AFTER))
         }
     }
 }
 
-/// Notes in the store how a claimed request ended, after its caller was told. The claim is never
-/// given back, so whether or not the store hears of it nobody else runs the request.
+/// Records in the store how a claimed request ended, after the caller was answered.
+///
+/// A claim is never released, so no other VM runs the request even if this write fails.
 pub(crate) fn close_claim(
     shared: &Pipeline,
     req: &CallerRequest,
--- a/daemon/src/dispatcher_messages.rs
+++ b/daemon/src/dispatcher_messages.rs
@@ -1,4 +1,4 @@
-//! What threads and tasks ask of the dispatcher.
+//! Messages that threads and async tasks send to the dispatcher.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -23,17 +23,17 @@
 use crate::dump::{FleetView, StateDump};
 use crate::waiting_threads::SlotReply;
 
-/// What the dispatcher is started with.
+/// What the dispatcher is created with.
 pub(crate) struct Setup {
     pub(crate) cfg: Settings,
     pub(crate) incarnation: Incarnation,
     pub(crate) log: Logger,
     pub(crate) metrics: Arc<Metrics>,
-    /// Wakes the peer links when there is something to tell at once.
+    /// Wakes the peer links when there is news to send at once.
     pub(crate) news: Arc<Notify>,
 }
 
-/// A request at its begin.
+/// A request that is about to begin.
 #[derive(Debug, Clone)]
 pub(crate) struct BeginRequest {
     pub(crate) id: RequestId,
@@ -44,7 +44,7 @@
     pub(crate) deadline: Instant,
 }
 
-/// A request that was begun: the configuration it keeps and its number.
+/// A request that has begun: its configuration, its priority and its submission number.
 #[derive(Debug, Clone)]
 pub(crate) struct BegunRequest {
     pub(crate) configuration: Arc<Configuration>,
@@ -53,26 +53,29 @@
 }
 
 impl BegunRequest {
-    /// The service as it stood when the request began.
+    /// The service in the configuration under which the request began.
     pub(crate) fn service<'a>(&'a self, name: &ServiceName) -> Option<&'a Service> {
         self.configuration.catalogue.services.get(name)
     }
 }
 
-/// A stage's call that needs a slot.
+/// A call of a stage that needs a slot at a target.
 #[derive(Debug, Clone)]
 pub(crate) struct StageSlotRequest {
     pub(crate) id: RequestId,
     pub(crate) configuration: Arc<Configuration>,
     pub(crate) submission: Submission,
     pub(crate) service: ServiceName,
+    /// Index of the stage in the service.
     pub(crate) stage: usize,
     pub(crate) customer: CustomerName,
     pub(crate) priority: Priority,
     pub(crate) returning: bool,
     pub(crate) arrived: Instant,
     pub(crate) deadline: Instant,
+    /// Targets that were already tried.
     pub(crate) exclude: Vec<TargetKey>,
+    /// Hash of the prompt prefix, if the caller sent one.
     pub(crate) prefix: Option<u64>,
     pub(crate) attempt_number: u32,
 }
@@ -94,7 +97,7 @@
     }
 }
 
-/// A call that ended.
+/// A call that ended, with what the target reported about its load and about leaving.
 #[derive(Debug)]
 pub(crate) struct EndedCall {
     pub(crate) submission: Submission,
@@ -110,23 +113,31 @@
     pub(crate) leaving: bool,
 }
 
-/// What a round of exchanges starts from.
+/// Input of one gossip round.
 #[derive(Debug)]
 pub(crate) struct Round {
     pub(crate) own: Advert,
     pub(crate) known: Vec<DigestEntry>,
+    /// VMs to which a new configuration is announced.
     pub(crate) to_announce: Vec<SocketAddr>,
+    /// VMs to exchange state with.
     pub(crate) partners: Vec<SocketAddr>,
     pub(crate) interval: Duration,
 }
 
-/// Everything that others ask of the dispatcher.
+/// A message to the dispatcher; those with a `Sender` get a reply.
 pub(crate) enum Message {
+    /// Begins a request under the configuration in force.
     Begin(BeginRequest, oneshot::Sender<Result<BegunRequest, Refusal>>),
+    /// Checks whether a request is admitted.
     Admit(StageSlotRequest, oneshot::Sender<Admission>),
+    /// Requests a slot at a target; the reply comes when it is granted or refused.
     Slot(StageSlotRequest, oneshot::Sender<SlotReply>),
+    /// A call ended; its slot is released.
     CallEnded(Box<EndedCall>),
+    /// Whether another attempt is allowed after this many.
     MayRetry(u32, oneshot::Sender<bool>),
+    /// A request ended.
     RequestEnded {
         submission: Submission,
         revision: Revision,
@@ -134,21 +145,37 @@
         reason: Option<Reason>,
         took: Duration,
     },
+    /// Offers a configuration, which comes into force if it is newer.
     OfferConfiguration(Box<Configuration>),
+    /// Requests the configuration in force and the one with this revision.
     Configurations(Revision, oneshot::Sender<ConfigurationPair>),
+    /// Requests the input of the next gossip round.
     StartRound(oneshot::Sender<Round>),
+    /// Adverts and heartbeats from a peer.
     PeerNews(Delta),
+    /// Bytes sent and received for one gossip round.
     RoundBytes(u64),
+    /// Requests what a peer with this digest does not know yet.
     NewsFor(Vec<DigestEntry>, oneshot::Sender<(Advert, Delta)>),
+    /// The platform's VM list.
     VmList(Vec<ListedVm>),
+    /// Whether this VM reads the platform for its hall, and the revision in force.
     ReadsPlatform(oneshot::Sender<(bool, Revision)>),
+    /// Fencing token of the hall's orders lease; `None` if it is no longer held.
     OrdersFence(Option<u64>),
+    /// Starts draining.
     Drain,
+    /// Requests the number of requests in progress.
     InWork(oneshot::Sender<usize>),
+    /// Whether this VM is ready for requests.
     Ready(oneshot::Sender<bool>),
+    /// Requests the full state.
     Dump(oneshot::Sender<StateDump>),
+    /// Requests the identity of this VM and the VMs it knows.
     Fleet(oneshot::Sender<FleetView>),
+    /// Requests the revision in force.
     Revision(oneshot::Sender<Revision>),
+    /// Requests the journal records of a request id.
     Explain(RequestId, oneshot::Sender<Vec<RequestRecord>>),
 }
 
--- a/daemon/src/fleet.rs
+++ b/daemon/src/fleet.rs
@@ -1,4 +1,5 @@
-//! The dispatcher's part in the fleet: configurations, adverts, rounds, leaving targets.
+//! The dispatcher's handling of fleet state: configurations, adverts, gossip rounds and leaving
+//! targets.
 
 use std::net::SocketAddr;
 use std::time::Instant;
@@ -14,20 +15,23 @@
 use crate::dispatcher::Dispatcher;
 use crate::dispatcher_messages::{ConfigurationPair, Round};
 
-/// VMs of a hall that read the platform for all.
+/// Number of VMs in each hall that read the platform for all VMs of the hall.
 const PLATFORM_READERS: usize = 2;
-/// Partners of a round in the own hall.
+/// Partners of a round in the VM's own hall.
 const LOCAL_PARTNERS: usize = 2;
-/// Partners of a round of a VM that has heard of nobody lately.
+/// Additional partners of a round while no other VM was heard of recently; taken from the seeds and
+/// the VM list.
 const BOOTSTRAP_PARTNERS: usize = 3;
 /// Partners of a round in other halls.
 const REMOTE_PARTNERS: usize = 1;
-/// VMs of the own hall that are told of a new configuration at once; each tells as many again.
+/// VMs of the own hall to which a new configuration is announced at once; each announces it to as
+/// many again.
 const LOCAL_ANNOUNCEMENTS: usize = 4;
-/// VMs of other halls that are told of a new configuration at once.
+/// VMs of other halls to which a new configuration is announced at once.
 const REMOTE_ANNOUNCEMENTS: usize = 1;
 
 impl Dispatcher {
+    /// Puts the configuration in force if it is newer than the current one.
     pub(crate) fn offer_configuration(&mut self, candidate: Configuration, now: Instant) {
         let Some(accepted) = self.history.accept(candidate) else {
             return;
@@ -42,10 +46,12 @@
         self.setup.news.notify_one();
     }
 
+    /// The configuration in force and the one with `peer_revision`, if it is kept.
     pub(crate) fn configurations(&self, peer_revision: Revision) -> ConfigurationPair {
         (self.history.current().cloned(), self.history.with_revision(peer_revision).cloned())
     }
 
+    /// This VM's current advert.
     pub(crate) fn advert(&self) -> Advert {
         let loads = self.router.own_loads();
         let beat = Heartbeat {
@@ -66,11 +72,12 @@
         }
     }
 
-    /// The peer link's address as others reach it.
+    /// Address under which other VMs reach the peer link.
     fn advertised_address(&self) -> SocketAddr {
         self.setup.cfg.peers_advertised.unwrap_or(self.setup.cfg.peers)
     }
 
+    /// Chooses the partners of the next round and what to announce.
     pub(crate) fn start_round(&mut self, now: Instant) -> Round {
         self.sequence += 1;
         let mut partners = self.roster.sample_partners(LOCAL_PARTNERS, REMOTE_PARTNERS);
@@ -98,8 +105,8 @@
         }
     }
 
-    /// A listed VM to get acquainted with: one of the own hall that was not heard of, or one of
-    /// another hall while none there is heard, so that halls that were cut off meet again.
+    /// A random VM of the VM list that was not heard of recently: of the own hall, or of any hall
+    /// while no VM of another hall is heard of, so that halls reconnect after a network partition.
     fn pick_unheard_peer(&self, now: Instant) -> Option<SocketAddr> {
         let own_hall = &self.setup.cfg.hall;
         let interval = self.round_pacer.interval();
@@ -114,13 +121,14 @@
         unheard.map(|vm| vm.address).choose(&mut rand::rng())
     }
 
+    /// Merges adverts and heartbeats received from a peer.
     pub(crate) fn merge_news(&mut self, news: Delta, now: Instant) {
         news.adverts.into_iter().for_each(|advert| self.roster.merge(advert, now));
         news.heartbeats.into_iter().for_each(|beat| self.roster.merge_heartbeat(beat, now));
         self.apply_peer_state(now);
     }
 
-    /// Lets the router know what peers say of loads and of leaving targets.
+    /// Updates the router with the peers' loads, the sharing VMs and the leaving targets.
     pub(crate) fn apply_peer_state(&mut self, now: Instant) {
         let interval = self.round_pacer.interval();
         let loads = self.roster.loads(interval, now);
@@ -134,7 +142,7 @@
         self.router.set_leaving(|name| leaving.contains(name));
     }
 
-    /// The VMs that share the targets: this one and all that were heard of lately and stay.
+    /// The VMs that share the targets: this one and all heard of recently that are not draining.
     fn sharers(&self, now: Instant) -> Vec<Sharer> {
         let of = |vm: &VmName, hall: &HallName| Sharer { vm: vm.clone(), hall: hall.clone() };
         let not_draining =
@@ -143,6 +151,7 @@
         not_draining.map(|a| of(&a.vm, &a.hall)).chain([own]).collect()
     }
 
+    /// Stores the platform's VM list and records the targets that it reports as leaving.
     pub(crate) fn update_vm_list(&mut self, vms: Vec<ListedVm>, now: Instant) {
         let leaving = vms.iter().filter(|vm| !vm.entry && vm.state == VmState::Leaving);
         let names: Vec<TargetName> =
@@ -157,11 +166,13 @@
         self.apply_peer_state(now);
     }
 
+    /// Whether this VM reads the platform for its hall, and the revision in force.
     pub(crate) fn reads_platform(&self, now: Instant) -> (bool, Revision) {
         let reads = self.roster.reads_platform(PLATFORM_READERS, self.round_pacer.interval(), now);
         (reads, self.history.revision())
     }
 
+    /// Marks this VM as draining and tells peers at once.
     pub(crate) fn drain(&mut self) {
         self.draining = true;
         self.setup.news.notify_one();
--- a/daemon/src/operations.rs
+++ b/daemon/src/operations.rs
@@ -1,4 +1,5 @@
-//! The operations page: health, readiness, metrics, the state dump and explanations.
+//! HTTP server for operators: health, readiness, metrics, the state dump and explanations of
+//! requests.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -13,23 +14,24 @@
 use crate::dispatcher_messages::Message;
 use crate::dispatcher_thread::{DispatcherHandle, DispatcherStopped};
 
-/// Path before the request id of an explanation.
+/// Path prefix of an explanation; the request id follows.
 const EXPLAIN_PATH: &str = "/explain/";
 
-/// What the page needs.
+/// State of the operators' HTTP server.
 pub(crate) struct Operations {
     pub(crate) dispatcher: DispatcherHandle,
     pub(crate) metrics: Arc<Metrics>,
     pub(crate) log: Logger,
 }
 
+/// A response: status code, content type and body.
 struct Page {
     status: u16,
     kind: &'static str,
     text: String,
 }
 
-/// Starts the page's thread.
+/// Starts the server's thread.
 ///
 /// # Errors
 /// `Io` if the address can't be listened on.
@@ -43,16 +45,17 @@
 }
 
 impl Operations {
+    /// Answers requests, each on its own thread, until the process ends.
     fn serve(self: &Arc<Self>, mut server: Server, address: SocketAddr) {
         loop {
             match server.recv() {
                 Ok(req) => {
-                    // A reader that is slow must not hold up the health checks.
+                    // Each request has its own thread, so that a slow client does not delay health checks.
                     let page = Arc::clone(self);
                     thread::spawn(move || page.answer(req));
                 }
                 Err(e) => {
-                    // Its accept loop ends at the first error, so a new one is needed.
+                    // The accept loop of `tiny_http` ends at its first error, so a new server is needed.
                     warn!(self.log, "operations page failed"; "problem" => %e);
                     drop(server);
                     server = loop {
@@ -83,7 +86,7 @@
         if let Ok(kind) = kind {
             rx.add_header(kind);
         }
-        // An operator that is gone needs no answer.
+        // An error means that the client has disconnected.
         let _ = req.respond(rx);
     }
 
--- a/daemon/src/orders.rs
+++ b/daemon/src/orders.rs
@@ -1,7 +1,7 @@
-//! Orders to the engines of a hall, given by the one VM that holds the hall's lease.
+//! Sends orders to the engines of a hall, from the one VM that holds the hall's orders lease.
 //!
-//! An order states a wanted condition, not a step, so one that comes twice or late does no harm
-//! that the next look does not mend. See `docs/design/orders.md`.
+//! An order states the wanted condition, not a step, so a duplicate or late order does no harm that
+//! the next check does not correct. See `docs/design/orders.md`.
 
 use std::thread;
 use std::time::{Duration, Instant};
@@ -15,16 +15,16 @@
 use crate::dispatcher_messages::Message;
 use crate::dispatcher_thread::DispatcherHandle;
 
-/// Time for which the lease is taken; it is renewed before each order.
+/// Duration of the lease; it is renewed before each order.
 const LEASE_DURATION: Duration = Duration::from_secs(4);
-/// Time between two looks at the hall's engines.
+/// Interval between two checks of the hall's engines.
 const CHECK_INTERVAL: Duration = Duration::from_secs(1);
-/// Engines looked at each time while nothing changes.
+/// Engines checked per interval while nothing changes.
 const CHECKS_PER_INTERVAL: usize = 4;
-/// Time between two orders, since the engines' weight store is rate-limited.
+/// Pause between two orders, because the engines' weight store is rate-limited.
 const ORDER_PAUSE: Duration = Duration::from_millis(200);
 
-/// Gives the orders of one hall while this VM holds its lease.
+/// Sends the orders of one hall while this VM holds its lease.
 pub(crate) struct OrderSender {
     pub(crate) vm: VmName,
     pub(crate) hall: HallName,
@@ -34,20 +34,20 @@
     pub(crate) log: Logger,
 }
 
-/// The present holding and when it began.
+/// The lease as last renewed, and when this VM acquired it.
 #[derive(Debug, Clone, Copy)]
 struct HeldLease {
     held: Held,
     since: Instant,
 }
 
-/// Starts the thread.
+/// Starts the sender's thread.
 pub(crate) fn start(sender: OrderSender) {
     thread::spawn(move || sender.run());
 }
 
-/// Which engines to look at: all after a change of holder or configuration, else a few in turn, so
-/// that the looks stay few in a large hall.
+/// Chooses the engines to check: all after a change of lease holder or configuration until every one
+/// has its wanted condition, otherwise a few in rotation, which bounds the checks in a large hall.
 #[derive(Debug, Default)]
 struct CheckRotation {
     all_satisfied_at: Option<(u64, Revision)>,
@@ -55,7 +55,7 @@
 }
 
 impl CheckRotation {
-    /// Engines due at a look under this fence and configuration.
+    /// Engines to check now, under the given fencing token and configuration.
     fn due<'a>(&mut self, targets: &[&'a Target], at: (u64, Revision)) -> Vec<&'a Target> {
         if self.all_satisfied_at != Some(at) {
             return targets.to_vec();
@@ -68,6 +68,7 @@
 }
 
 impl OrderSender {
+    /// Checks the engines at each interval until the dispatcher ends.
     fn run(&self) {
         let orders = OrderClient::default();
         let (mut lease, mut rotation) = (None, CheckRotation::default());
@@ -92,6 +93,7 @@
         }
     }
 
+    /// Renews the lease and checks the engines that are due.
     fn check_targets(
         &self,
         orders: &OrderClient,
@@ -108,7 +110,8 @@
         rotation.all_satisfied_at = (satisfied == due.len()).then_some(at);
     }
 
-    /// Orders the target's wanted condition if it is in another; says whether it is in it now.
+    /// Orders the wanted condition if the target has another; returns whether the target now has it or
+    /// has taken the order.
     fn ensure_wanted(
         &self,
         orders: &OrderClient,
@@ -119,7 +122,7 @@
         if found.wanted == target.wanted {
             return true;
         }
-        // The lease may have ended while the target was asked.
+        // The lease may have expired while the target was queried.
         self.renew_lease(lease);
         let Some(lease) = lease.filter(|h| may_order(h, target)) else { return false };
         let order = Order { fence: lease.held.fence, wanted: target.wanted.clone() };
@@ -134,7 +137,7 @@
         end == OrderResult::Taken
     }
 
-    /// Takes or renews the lease; without a certain answer it counts as not held.
+    /// Acquires or renews the lease; without a definite answer it counts as not held.
     fn renew_lease(&self, lease: &mut Option<HeldLease>) {
         let name = format!("orders-{}", self.hall);
         let holder = format!("{}/{}", self.vm, self.incarnation);
@@ -146,14 +149,14 @@
         });
         let fence = lease.map(|h| h.held.fence);
         if fence != before.map(|h| h.held.fence) {
-            info!(self.log, "orders lease"; "fence" => ?fence);
+            info!(self.log, "orders lease changed"; "fence" => ?fence);
             self.dispatcher.tell(Message::OrdersFence(fence));
         }
     }
 }
 
-/// Whether an order may be sent now: the lease outlasts it, and an order of the holder before can
-/// not be under way any more to a target that would take it.
+/// Whether an order may be sent now: the lease must outlast the order's timeout, and no order of the
+/// previous holder may still be in flight to a target that does not check the fencing token.
 fn may_order(lease: &HeldLease, target: &Target) -> bool {
     let now = Instant::now();
     let outlasts = now + ORDER_TIMEOUT < lease.held.until;
--- a/daemon/src/peer_links.rs
+++ b/daemon/src/peer_links.rs
@@ -1,4 +1,4 @@
-//! Links to other VMs: a task that holds rounds of exchanges, and the service that answers them.
+//! Links to other VMs: an async task that runs gossip rounds, and the gRPC service that answers them.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -25,21 +25,21 @@
     news_from_wire, news_to_wire,
 };
 
-/// Longest wait for a peer's answer.
+/// Timeout of one exchange or announcement with a peer.
 const EXCHANGE_TIMEOUT: Duration = Duration::from_secs(1);
-/// Longest wait for a connection to a peer.
+/// Timeout of connecting to a peer.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
-/// Longest wait for a peer's catalogue.
+/// Timeout of fetching a peer's catalogue.
 const FETCH_TIMEOUT: Duration = Duration::from_secs(3);
-/// Bytes on the wire that a message costs beside its own, on a warm link: 61 for HTTP/2 and 124 for
-/// TCP/IP segments, measured as `docs/CAPACITY.md` tells.
+/// Bytes on the wire per message in addition to its encoded length, on an established connection: 61
+/// for HTTP/2 and 124 for TCP/IP segments. `docs/CAPACITY.md` describes how to measure it.
 const FRAMING_BYTES: u64 = 185;
-/// Shortest time between two rounds, whatever news there is.
+/// Shortest time between two rounds, even if there is news to send at once.
 const MIN_ROUND_GAP: Duration = Duration::from_millis(20);
 /// Largest catalogue message, in bytes.
 const MAX_MESSAGE_BYTES: usize = 8 << 20;
 
-/// What the links share.
+/// State shared by all peer links.
 #[derive(Clone)]
 pub(crate) struct PeerLinks {
     pub(crate) dispatcher: DispatcherHandle,
@@ -48,7 +48,7 @@
     pub(crate) news: Arc<Notify>,
 }
 
-/// Answers peers until the process ends.
+/// Runs the peer service until the process ends.
 pub(crate) async fn serve(links: PeerLinks, listener: TcpListener) {
     let log = links.log.clone();
     let service = PeerServer::new(links).max_encoding_message_size(MAX_MESSAGE_BYTES);
@@ -58,7 +58,7 @@
     }
 }
 
-/// Holds rounds until the process ends: at the pace that the dispatcher says, at once on news.
+/// Runs rounds until the process ends: at the interval that the dispatcher sets, or at once on news.
 pub(crate) async fn hold_rounds(links: PeerLinks) {
     let mut clients = PeerClients::default();
     while let Ok(round) = links.dispatcher.ask_async(Message::StartRound).await {
@@ -77,7 +77,7 @@
     }
 }
 
-/// Tells some VMs that do not have it yet of a configuration that came into force.
+/// Announces a new configuration to some VMs that do not have it yet.
 async fn announce(links: &PeerLinks, clients: &mut PeerClients, round: &Round) {
     let announcement =
         Announcement { revision: round.own.beat.revision.0, peers: round.own.peers.to_string() };
@@ -86,7 +86,7 @@
         let bytes = announcement.encoded_len() as u64 + FRAMING_BYTES;
         links.metrics.control_bytes(bytes, FRAMING_BYTES);
         let announcement = announcement.clone();
-        // Whoever does not hear it learns by the rounds.
+        // A peer that misses the announcement learns of the configuration in a later round.
         calls.spawn(async move {
             let _ = tokio::time::timeout(EXCHANGE_TIMEOUT, client.announce(announcement)).await;
         });
@@ -94,13 +94,14 @@
     while calls.join_next().await.is_some() {}
 }
 
-/// Connections to peers, made when first used.
+/// Clients for peers by address; each connects on first use.
 #[derive(Default)]
 struct PeerClients {
     by_address: HashMap<SocketAddr, PeerClient<Channel>>,
 }
 
 impl PeerClients {
+    /// The client for this address; `None` if the address is not valid in a URI.
     fn client(&mut self, address: SocketAddr) -> Option<PeerClient<Channel>> {
         if let Some(client) = self.by_address.get(&address) {
             return Some(client.clone());
@@ -112,13 +113,14 @@
         Some(client)
     }
 
-    /// Drops connections to peers that failed; a restarted VM has a new address or listener.
+    /// Drops the clients of peers that failed, because a restarted VM has a new address or listener.
     fn drop_failed(&mut self, failed: &[SocketAddr]) {
         self.by_address.retain(|address, _| !failed.contains(address));
     }
 }
 
-/// Holds one exchange with each partner; the newest revision that one of them has, and where.
+/// Runs one exchange with each partner and returns the newest revision that one of them has, with
+/// its address.
 async fn exchange_with_partners(
     links: &PeerLinks,
     clients: &mut PeerClients,
@@ -143,7 +145,7 @@
                 links.dispatcher.tell(Message::PeerNews(news_from_wire(news)));
             }
             Ok((address, Err(status))) => {
-                debug!(links.log, "peer silent"; "peer" => %address,
+                debug!(links.log, "peer exchange failed"; "peer" => %address,
                     "problem" => status.message());
                 failed.push(address);
             }
@@ -152,11 +154,12 @@
     }
     clients.drop_failed(&failed);
     links.metrics.control_bytes(sent, received);
-    // What this VM answers to others in a round is as much again, on average.
+    // Answering the exchanges of other VMs costs as much again on average, hence the factor 2.
     links.dispatcher.tell(Message::RoundBytes(2 * (sent + received)));
     newest
 }
 
+/// Runs one exchange with a peer.
 async fn exchange(
     mut client: PeerClient<Channel>,
     address: SocketAddr,
@@ -165,12 +168,12 @@
     let timed = tokio::time::timeout(EXCHANGE_TIMEOUT, client.exchange(hello)).await;
     let result = match timed {
         Ok(result) => result.map(Response::into_inner),
-        Err(_) => Err(Status::deadline_exceeded("no answer in time")),
+        Err(_) => Err(Status::deadline_exceeded("no answer within the exchange timeout")),
     };
     (address, result)
 }
 
-/// Takes a newer configuration from a peer that has one, whether or not the store answers.
+/// Fetches a newer configuration from a peer; this works while the platform's store is unreachable.
 async fn fetch_configuration(
     links: &PeerLinks,
     client: Option<PeerClient<Channel>>,
@@ -191,7 +194,7 @@
     links.metrics.control_bytes(FRAMING_BYTES, fetched.encoded_len() as u64 + FRAMING_BYTES);
     match catalogue_from_reply(&fetched, current.as_deref()) {
         Ok(offered) => links.dispatcher.tell(Message::OfferConfiguration(Box::new(offered))),
-        Err(e) => warn!(links.log, "peer's catalogue not taken"; "problem" => %e),
+        Err(e) => warn!(links.log, "peer's catalogue rejected"; "problem" => %e),
     }
 }
 
@@ -245,6 +248,7 @@
     }
 }
 
+/// The gRPC status while the process stops.
 fn stopping_status() -> Status {
     Status::unavailable("the process is ending")
 }
--- a/daemon/src/pipeline.rs
+++ b/daemon/src/pipeline.rs
@@ -1,4 +1,4 @@
-//! A request's way through its stages, written straight down on a thread of its own.
+//! Runs a request through the stages of its service, as blocking code on a thread of its own.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -26,10 +26,10 @@
 use crate::dispatcher_thread::{DispatcherHandle, DispatcherStopped};
 use crate::waiting_threads::Granted;
 
-/// When to ask again where nothing better is known.
+/// Retry delay sent to callers when no better estimate is known.
 pub(crate) const DEFAULT_RETRY_AFTER: Duration = Duration::from_millis(500);
 
-/// What the threads of all requests share.
+/// State shared by the threads of all requests.
 pub(crate) struct Pipeline {
     pub(crate) cfg: Settings,
     pub(crate) incarnation: Incarnation,
@@ -40,19 +40,19 @@
     pub(crate) metrics: Arc<Metrics>,
 }
 
-/// What is known of one request so far.
+/// Progress of one request.
 struct Progress<'a> {
     shared: &'a Pipeline,
     req: &'a CallerRequest,
     begun: &'a BegunRequest,
-    /// Stages that ran, and attempts that may have run (with no cost).
+    /// Stages that ran, and attempts that may have run (without a cost).
     runs: Vec<StageRun>,
-    /// Whether a call was sent whose end was not seen.
+    /// Whether a call was sent whose result is not known.
     may_have_run: bool,
     attempts: u32,
 }
 
-/// Answers one request.
+/// Runs one request to its end and answers it through `port`.
 pub(crate) fn run(shared: &Pipeline, req: &CallerRequest, body: &[u8], port: AnswerPort) {
     let begin_req = BeginRequest {
         id: req.id.clone(),
@@ -98,10 +98,12 @@
     }
 }
 
+/// The refusal while the process stops.
 fn stopping_refusal() -> Refusal {
     Refusal::not_run(Reason::Stopping, "the process is ending").come_back_in(DEFAULT_RETRY_AFTER)
 }
 
+/// Records the cost of each run in the metrics.
 fn record_stage_costs(shared: &Pipeline, req: &CallerRequest, runs: &[StageRun], whole: bool) {
     for run in runs {
         let cost = run.cost.unwrap_or(0);
@@ -109,6 +111,7 @@
     }
 }
 
+/// Logs the refusal, answers the caller and ends the request.
 fn end_refused(
     shared: &Pipeline,
     req: &CallerRequest,
@@ -124,6 +127,7 @@
     end_request(shared, req, begun, refusal.outcome, Some(refusal.reason));
 }
 
+/// Reports the end of a request to the dispatcher, the log and the metrics.
 fn end_request(
     shared: &Pipeline,
     req: &CallerRequest,
@@ -139,38 +143,40 @@
     record_request_metrics(shared, req, outcome, reason);
 }
 
+/// Records the outcome and duration of a request in the metrics.
 fn record_request_metrics(
     shared: &Pipeline,
     req: &CallerRequest,
     outcome: Outcome,
     reason: Option<Reason>,
 ) {
-    // Names that no configuration knows would let callers fill the metrics' memory.
+    // Unknown names are not used as labels, because callers could send any number of them and fill
+    // the metrics' memory.
     let known = !matches!(reason, Some(Reason::UnknownService | Reason::UnknownCustomer));
     let (service, customer) =
         if known { (req.service.as_str(), req.customer.as_str()) } else { ("?", "?") };
     shared.metrics.request_ended(service, customer, outcome.as_str(), req.arrived.elapsed());
 }
 
-/// Why an attempt did not bring the stage's output.
+/// What follows from an attempt that did not return the stage's output.
 enum AttemptFailure {
-    /// Try another target: the call did not run, or the request may be repeated.
+    /// Try another target: the call did not run, or the request may be repeated. Holds the problem.
     Retry(String),
-    /// Give up.
+    /// End the request with this refusal.
     GiveUp(Refusal),
 }
 
-/// How the reading of a stream ended.
+/// How reading a stream ended.
 enum StreamRead {
-    /// Its end was seen.
+    /// Its end event was received.
     Complete(StreamEnd),
-    /// Nobody waits for it any more.
+    /// The caller no longer waits for it.
     CallerGone,
-    /// It broke off, or was not ours.
+    /// The connection broke, or the stream belongs to another attempt.
     Broken(CallFailure),
 }
 
-/// Reads a stream to its end; `on_token` says whether to go on.
+/// Reads a stream to its end; stops early if `on_token` returns false.
 fn read_stream(mut stream: TokenStream, mut on_token: impl FnMut(u64, &str) -> bool) -> StreamRead {
     loop {
         match stream.next_event() {
@@ -186,6 +192,7 @@
 }
 
 impl<'a> Progress<'a> {
+    /// Asks the dispatcher for admission and returns the service to run.
     fn admit(&self) -> Result<&'a Service, Refusal> {
         let admission = self
             .shared
@@ -197,6 +204,9 @@
         self.begun.service(&self.req.service).ok_or_else(unknown)
     }
 
+    /// Runs all stages, each with the output of the one before as its input.
+    ///
+    /// Returns the output, or `None` if it was streamed to the caller.
     fn run_stages(
         &mut self,
         service: &Service,
@@ -207,7 +217,11 @@
         let last = service.stages.len().saturating_sub(1);
         for (index, stage) in service.stages.iter().enumerate() {
             if !port.is_open() {
-                return Err(self.refusal(Reason::CallerGone, "before the next stage", None));
+                return Err(self.refusal(
+                    Reason::CallerGone,
+                    "the caller disconnected before the next stage",
+                    None,
+                ));
             }
             let to_caller = index == last && self.req.wants_stream;
             let answer = if stage.streams {
@@ -218,12 +232,16 @@
             input = answer.output;
         }
         if Instant::now() > self.req.deadline {
-            return Err(self.refusal(Reason::DeadlinePassed, "after the last stage", None));
+            return Err(self.refusal(
+                Reason::DeadlinePassed,
+                "the deadline passed after the last stage",
+                None,
+            ));
         }
         Ok((!port.has_begun()).then(|| serde_json::from_slice(&input).unwrap_or_default()))
     }
 
-    /// Runs a stage that answers at once.
+    /// Runs a stage that returns its answer in one piece.
     fn run_call(
         &mut self,
         stage: &Stage,
@@ -253,7 +271,7 @@
         }
     }
 
-    /// Runs a stage that streams; resumes at the next token after a cut.
+    /// Runs a stage that streams. After a broken stream the next attempt resumes at the next token.
     fn run_stream(
         &mut self,
         stage: &Stage,
@@ -304,7 +322,7 @@
         }
     }
 
-    /// Gives up a call that nobody waits for any more, so that the target stops too.
+    /// Cancels a call whose caller has disconnected, so that the target stops working on it.
     fn cancel_abandoned_call(
         &mut self,
         stage: &Stage,
@@ -312,13 +330,14 @@
         started: Instant,
     ) -> Refusal {
         self.shared.target_client.cancel(granted.grant.address, &granted.attempt);
-        let gone = CallFailure::MayHaveRun("the caller is gone".to_owned());
+        let gone = CallFailure::MayHaveRun("the caller disconnected".to_owned());
         self.report_abandoned_call(stage, granted, started, &gone);
         self.record_run(stage, granted, None);
         self.may_have_run = true;
-        self.refusal(Reason::CallerGone, "during a stream", None)
+        self.refusal(Reason::CallerGone, "the caller disconnected during a stream", None)
     }
 
+    /// The slot request for a stage, without the targets already tried.
     fn stage_slot_request(&self, stage: usize, tried: &[TargetKey]) -> StageSlotRequest {
         StageSlotRequest {
             id: self.req.id.clone(),
@@ -337,6 +356,7 @@
         }
     }
 
+    /// Waits until the dispatcher grants or refuses a slot for the next attempt.
     fn acquire_slot(&mut self, stage: usize, tried: &[TargetKey]) -> Result<Granted, Refusal> {
         self.attempts += 1;
         let begin_req = self.stage_slot_request(stage, tried);
@@ -352,6 +372,7 @@
         }
     }
 
+    /// The call to the target; `last_token` is set to resume a stream after that token.
     fn call_request<'b>(
         &self,
         stage: &'b Stage,
@@ -366,12 +387,14 @@
             input,
             left: self.req.deadline.saturating_duration_since(Instant::now()),
             priority: self.begun.priority,
-            // On a fresh connection a failed connect proves that the call did not run.
+            // Only a new connection that fails to open proves that the call did not run, so connections
+            // are reused only for requests that may be repeated.
             reuse: self.req.repeatable,
             last_token,
         }
     }
 
+    /// Reports a call that was answered or failed.
     fn report_call_result(
         &self,
         stage: &Stage,
@@ -403,6 +426,7 @@
         self.report_call_end(stage, granted, started, (end, record, name), status);
     }
 
+    /// Reports a call that was abandoned before its end.
     fn report_abandoned_call(
         &self,
         stage: &Stage,
@@ -415,6 +439,7 @@
         self.report_call_end(stage, granted, started, end, TargetStatus::default());
     }
 
+    /// Counts the attempt in the metrics and tells the dispatcher that its slot is free.
     fn report_call_end(
         &self,
         stage: &Stage,
@@ -441,12 +466,13 @@
         self.shared.dispatcher.tell(Message::CallEnded(Box::new(ended)));
     }
 
+    /// Adds a stage run to the answer; `cost` is `None` if it is not known whether the call ran.
     fn record_run(&mut self, stage: &Stage, granted: &Granted, cost: Option<u64>) {
         let (stage, target) = (stage.name.clone(), granted.grant.name.clone());
         self.runs.push(StageRun { stage, target, cost });
     }
 
-    /// Decides whether a failed attempt is followed by another one.
+    /// Returns normally if another target may be tried, otherwise the refusal.
     fn retry_or_refuse(
         &mut self,
         stage: &Stage,
@@ -461,7 +487,7 @@
                 let tries = u32::try_from(tried.len()).unwrap_or(u32::MAX);
                 let allowed = self.shared.dispatcher.ask(|reply| Message::MayRetry(tries, reply));
                 if !matches!(allowed, Ok(true)) {
-                    let detail = format!("{problem}; no further try is allowed now");
+                    let detail = format!("{problem}; no further attempt is allowed now");
                     return Err(self.refusal(
                         Reason::TargetFailed,
                         &detail,
@@ -473,6 +499,8 @@
         }
     }
 
+    /// Decides whether a failed attempt may be retried: only if the call certainly did not run, or
+    /// the request may be repeated and its deadline has not passed.
     fn classify_failure(
         &mut self,
         stage: &Stage,
@@ -500,24 +528,29 @@
         }
     }
 
+    /// The caller's refusal for a slot that was refused.
     fn slot_refusal(&self, refused: SlotRefusal) -> Refusal {
         let (reason, detail, wait) = match refused {
-            SlotRefusal::TooLate { retry_after } => {
-                (Reason::TooLate, "the stages left need more time than is left", retry_after)
-            }
+            SlotRefusal::TooLate { retry_after } => (
+                Reason::TooLate,
+                "the remaining stages need more time than remains until the deadline",
+                retry_after,
+            ),
             SlotRefusal::QueueFull { retry_after } => {
-                (Reason::QueueFull, "too many wait for the stage's targets", retry_after)
+                (Reason::QueueFull, "the queue for the stage's targets is full", retry_after)
             }
             SlotRefusal::NoTarget { retry_after } => (
                 Reason::NoTarget,
-                "every target that the selectors allow was tried or is out",
+                "every target that the selectors allow was already tried or is unavailable",
                 retry_after,
             ),
         };
         self.refusal(reason, detail, Some(wait))
     }
 
-    /// The refusal that goes with what is known of this request.
+    /// A refusal whose outcome follows from whether calls ran or may have run.
+    ///
+    /// One with an unknown outcome gets no retry delay.
     fn refusal(&self, reason: Reason, detail: &str, retry_after: Option<Duration>) -> Refusal {
         let refusal = if self.may_have_run && !self.req.repeatable {
             Refusal::unknown(reason, detail)
--- a/daemon/src/platform_reader.rs
+++ b/daemon/src/platform_reader.rs
@@ -1,7 +1,7 @@
-//! Threads that read the platform: the head of the configuration and the VM list.
+//! Threads that read the platform: the head of the configuration in the store, and the VM list.
 //!
-//! Two VMs of each hall read for all; the others learn from their peers and look only now and
-//! then, so the platform's load follows the halls and not the fleet.
+//! Two VMs of each hall read continuously. The others learn from their peers and read only
+//! occasionally, so the load on the platform grows with the number of halls, not of VMs.
 
 use std::sync::Arc;
 use std::thread;
@@ -18,18 +18,18 @@
 use crate::dispatcher_messages::Message;
 use crate::dispatcher_thread::DispatcherHandle;
 
-/// Longest wait of one watch on the head.
+/// Timeout of one watch on the head.
 const WATCH_TIMEOUT: Duration = Duration::from_secs(20);
-/// Time between two readings of the VM list by a reader.
+/// Interval between two reads of the VM list by a reader.
 const LIST_INTERVAL: Duration = Duration::from_secs(1);
-/// Time between two looks of a VM that is no reader, on average.
+/// Mean interval between two reads by a VM that is not a reader.
 const IDLE_READ_INTERVAL: Duration = Duration::from_secs(15);
-/// Time between two checks whether this VM has become a reader.
+/// Interval between two checks whether this VM has become a reader.
 const ROLE_CHECK_INTERVAL: Duration = Duration::from_millis(500);
-/// Shortest and longest pause after a failure.
+/// Shortest and longest pause after a failed read.
 const BACKOFF_BOUNDS: (Duration, Duration) = (Duration::from_millis(200), Duration::from_secs(2));
 
-/// What the reading threads share.
+/// State shared by the reading threads.
 #[derive(Clone)]
 pub(crate) struct PlatformReader {
     pub(crate) store: Store,
@@ -38,14 +38,15 @@
     pub(crate) metrics: Arc<Metrics>,
 }
 
-/// Starts the threads.
+/// Starts one thread for the head and one for the VM list.
 pub(crate) fn start(reader: PlatformReader) {
     let vm_list_reader = reader.clone();
     thread::spawn(move || reader.follow_head());
     thread::spawn(move || vm_list_reader.follow_vm_list());
 }
 
-/// Reports a source's going out and coming back, and spaces the tries while it is out.
+/// Logs when a source becomes unavailable and available again, and backs off exponentially while it
+/// is unavailable.
 struct OutageBackoff {
     what: &'static str,
     pause: Option<Duration>,
@@ -56,15 +57,16 @@
         OutageBackoff { what, pause: None }
     }
 
+    /// Records the result of a read; after a failure it sleeps for the backoff.
     fn record<T>(&mut self, result: &Result<T>, log: &Logger) {
         match (result, self.pause) {
             (Ok(_), Some(_)) => {
-                info!(log, "platform answers again"; "what" => self.what);
+                info!(log, "platform available again"; "what" => self.what);
                 self.pause = None;
             }
             (Ok(_), None) => {}
             (Err(e), None) => {
-                warn!(log, "platform out"; "what" => self.what, "problem" => %e);
+                warn!(log, "platform unavailable"; "what" => self.what, "problem" => %e);
                 self.pause = Some(BACKOFF_BOUNDS.0);
                 thread::sleep(with_jitter(BACKOFF_BOUNDS.0));
             }
@@ -77,6 +79,7 @@
 }
 
 impl PlatformReader {
+    /// Reads the head until the dispatcher ends: by watching it as a reader, otherwise occasionally.
     fn follow_head(&self) {
         let mut outage = OutageBackoff::new("head");
         let mut seen = 0;
@@ -99,7 +102,8 @@
         }
     }
 
-    /// Waits for the head to change from version `seen`; `None` if there is no head yet.
+    /// Waits up to `wait` for the head to change from version `seen`, and offers a newer configuration
+    /// to the dispatcher. Returns `None` if there is no head yet.
     fn read_head(
         &self,
         seen: &mut u64,
@@ -126,6 +130,7 @@
         Ok(Some(()))
     }
 
+    /// Reads the VM list until the dispatcher ends.
     fn follow_vm_list(&self) {
         let mut outage = OutageBackoff::new("VM list");
         let mut last_read: Option<Instant> = None;
@@ -146,7 +151,7 @@
     }
 }
 
-/// A time around `mean`, so that VMs that start together do not stay together.
+/// A random duration within 30 % of `mean`, so that VMs that start together do not read in step.
 fn with_jitter(mean: Duration) -> Duration {
     mean.mul_f64(rand::rng().random_range(0.7..1.3))
 }
--- a/daemon/src/units.rs
+++ b/daemon/src/units.rs
@@ -1,8 +1,8 @@
-//! Durations as the numbers that records and logs have.
+//! Conversion of durations to the numbers used in records and logs.
 
 use std::time::Duration;
 
-/// Whole milliseconds.
+/// Whole milliseconds, rounded down; `u64::MAX` on overflow.
 pub(crate) fn millis(duration: Duration) -> u64 {
     u64::try_from(duration.as_millis()).unwrap_or(u64::MAX)
 }
--- a/daemon/tests/pages.rs
+++ b/daemon/tests/pages.rs
@@ -1,6 +1,7 @@
-//! The operators' pages name what the code has, and nothing else.
+//! The operators' documentation pages list exactly the settings, metrics and log messages that the
+//! code has.
 
-// A helper that can't go on fails its test.
+// A failure in a helper function fails its test.
 #![allow(clippy::expect_used)]
 
 use std::collections::BTreeSet;
@@ -9,19 +10,20 @@
 
 use telemetry::metric_names;
 
+/// Text of a page in `docs/operators`.
 fn page(name: &str) -> String {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("../docs/operators").join(name);
     fs::read_to_string(path).expect("the page")
 }
 
-/// First cells of a page's table rows, without their backticks.
+/// First cell of each table row of a page, without backticks.
 fn first_cells(page: &str) -> BTreeSet<String> {
     let rows = page.lines().filter_map(|line| line.strip_prefix("| `"));
     rows.filter_map(|row| row.split_once("` |").map(|(cell, _)| cell.to_owned())).collect()
 }
 
 #[test]
-fn the_settings_page_has_every_key() {
+fn settings_page_lists_exactly_the_settings_keys() {
     let text = "vm: v\nhall: h\ncallers: 127.0.0.1:1\npeers: 127.0.0.1:2\n\
                 operations: 127.0.0.1:3\nplatform: 127.0.0.1:4\n";
     let cfg = serde_json::to_value(settings::parse(text).expect("settings")).expect("JSON");
@@ -36,7 +38,7 @@
 }
 
 #[test]
-fn the_settings_page_has_the_defaults() {
+fn settings_page_states_the_default_limits() {
     let defaults = serde_json::to_value(settings::Limits::default()).expect("JSON");
     let page = page("settings.md");
     for (key, value) in defaults.as_object().expect("a map") {
@@ -47,7 +49,7 @@
 }
 
 #[test]
-fn the_signals_page_has_every_metric() {
+fn signals_page_lists_exactly_the_metrics() {
     let named = first_cells(&page("signals.md"));
     let metrics: BTreeSet<String> = metric_names::ALL.iter().map(|&m| m.to_owned()).collect();
     let on_page: BTreeSet<String> =
@@ -56,7 +58,7 @@
 }
 
 #[test]
-fn the_serving_settings_page_has_every_key() {
+fn serving_settings_page_lists_exactly_the_gateway_settings_keys() {
     let text = "vm: v\nhall: h\ncallers: 127.0.0.1:1\nready: 127.0.0.1:2\n\
                 peers: 127.0.0.1:3\nstore: 127.0.0.1:4\n";
     let cfg = gateway::settings::parse(text).expect("settings");
@@ -71,7 +73,7 @@
 }
 
 #[test]
-fn the_operations_page_has_every_message_of_the_serving_path() {
+fn operations_page_lists_every_log_message_of_the_gateway() {
     let page =
         fs::read_to_string(Path::new(env!("CARGO_MANIFEST_DIR")).join("../docs/OPERATIONS.md"))
             .expect("the page");
@@ -88,6 +90,9 @@
     }
     assert!(messages.len() > 20, "{messages:?}");
     for message in messages {
-        assert!(page.contains(&message), "no word on \"{message}\"");
+        assert!(
+            page.contains(&message),
+            "docs/OPERATIONS.md does not list log message \"{message}\""
+        );
     }
 }
--- a/daemon/tests/settings.rs
+++ b/daemon/tests/settings.rs
@@ -1,28 +1,31 @@
-//! The daemon refuses settings that can't be taken, and names the place.
+//! `saddleraild --check` rejects invalid settings files and names the place of the error.
 
 use std::path::Path;
 use std::process::Command;
 
-/// Each file holds the expected message behind `# expect: ` in its first line.
-fn refused(path: &Path) -> datatest_stable::Result<()> {
+/// The first line of each file holds the expected message after `# expect: `.
+fn rejects_invalid_settings(path: &Path) -> datatest_stable::Result<()> {
     let text = std::fs::read_to_string(path)?;
     let expected = text.lines().next().and_then(|l| l.strip_prefix("# expect: "));
-    let expected = expected.ok_or("no expectation in the first line")?;
+    let expected = expected.ok_or("expected `# expect: MESSAGE` in the first line")?;
 
     let run = Command::new(env!("CARGO_BIN_EXE_saddleraild"))
         .args(["--check", "--settings"])
         .arg(path)
         .output()?;
 
-    let told = String::from_utf8(run.stderr)?;
-    assert_eq!(run.status.code(), Some(2), "{told}");
+    let stderr = String::from_utf8(run.stderr)?;
+    assert_eq!(run.status.code(), Some(2), "{stderr}");
     let place = format!("{}:", path.display());
-    assert!(told.contains(&place) && told.contains(expected), "expected {expected}, told {told}");
+    assert!(
+        stderr.contains(&place) && stderr.contains(expected),
+        "expected {place} and {expected} in: {stderr}"
+    );
     Ok(())
 }
 
-/// The demo's settings are fine.
-fn accepted(path: &Path) -> datatest_stable::Result<()> {
+/// The example settings files are valid.
+fn accepts_example_settings(path: &Path) -> datatest_stable::Result<()> {
     let run = Command::new(env!("CARGO_BIN_EXE_saddleraild"))
         .args(["--check", "--settings"])
         .arg(path)
@@ -32,6 +35,6 @@
 }
 
 datatest_stable::harness! {
-    { test = refused, root = "tests/fixtures/refused", pattern = r"\.yaml$" },
-    { test = accepted, root = "../examples", pattern = r"vm-.*\.yaml$" },
+    { test = rejects_invalid_settings, root = "tests/fixtures/refused", pattern = r"\.yaml$" },
+    { test = accepts_example_settings, root = "../examples", pattern = r"vm-.*\.yaml$" },
 }
