--- a/daemon/src/callers.rs
+++ b/daemon/src/callers.rs
@@ -108,7 +108,7 @@
             Refusal::not_run(Reason::BadRequest, "the body did not arrive within the time limit")
         }
         BodyProblem::Broken => {
-            Refusal::not_run(Reason::BadRequest, "the connection closed before the end of the body")
+            Refusal::not_run(Reason::BadRequest, "the body could not be read to its end")
         }
     }
 }
