--- a/daemon/src/answer.rs
+++ b/daemon/src/answer.rs
@@ -2,7 +2,7 @@
 //! outcome.
 
 use bytes::Bytes;
-use http_server::{Body, Cut, streamed_body, whole_body};
+use http_server::{Body, BodyAborted, full_body, stream_body};
 use hyper::Response;
 use hyper::header::{CACHE_CONTROL, CONTENT_TYPE, HeaderValue, RETRY_AFTER};
 use ids::RequestId;
@@ -30,7 +30,7 @@
     let answer = Answer::refused(id.clone(), stages, refusal);
     let body = json_body(&answer);
     let mut rx = response_with_head(refusal.status(), refusal.outcome.as_str(), id, body);
-    if let Some(wait) = refusal.come_back {
+    if let Some(wait) = refusal.retry_after {
         // The header holds whole seconds, rounded up; the body has the exact milliseconds.
         let seconds = wait.as_secs() + u64::from(wait.subsec_nanos() > 0);
         rx.headers_mut().insert(RETRY_AFTER, HeaderValue::from(seconds));
@@ -39,7 +39,7 @@
 }
 
 fn json_body(answer: &Answer) -> Body {
-    whole_body(serde_json::to_vec(answer).unwrap_or_default())
+    full_body(serde_json::to_vec(answer).unwrap_or_default())
 }
 
 /// A response with status, content type, outcome and request id.
@@ -62,7 +62,7 @@
 pub(crate) struct AnswerPort {
     id: RequestId,
     head: Option<oneshot::Sender<Response<Body>>>,
-    parts: Option<mpsc::Sender<Result<Bytes, Cut>>>,
+    parts: Option<mpsc::Sender<Result<Bytes, BodyAborted>>>,
 }
 
 impl AnswerPort {
@@ -93,7 +93,7 @@
     pub(crate) fn token(&mut self, number: u64, token: &str) -> Result<(), CallerGone> {
         if let Some(head) = self.head.take() {
             let (tx, rx) = mpsc::channel(STREAM_BUFFER);
-            let mut answer = response_with_head(200, STREAMING, &self.id, streamed_body(rx));
+            let mut answer = response_with_head(200, STREAMING, &self.id, stream_body(rx));
             let headers = answer.headers_mut();
             headers.insert(CONTENT_TYPE, HeaderValue::from_static("text/event-stream"));
             headers.insert(CACHE_CONTROL, HeaderValue::from_static("no-store"));
@@ -123,7 +123,7 @@
         let answer = Answer::refused(self.id.clone(), stages, refusal);
         let _ = self.outcome_event(&answer);
         if let Some(parts) = &self.parts {
-            let _ = parts.blocking_send(Err(Cut));
+            let _ = parts.blocking_send(Err(BodyAborted));
         }
     }
 
--- a/daemon/src/callers.rs
+++ b/daemon/src/callers.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use http_server::{Body, BodyProblem, read_body};
+use http_server::{Body, BodyError, read_body};
 use hyper::body::Incoming;
 use hyper::{Method, Request, Response};
 use ids::RequestId;
@@ -43,7 +43,7 @@
     arrived: Instant,
 ) -> Result<Response<Body>, (RequestId, Refusal)> {
     let limits = &server.pipeline.cfg.limits;
-    let id = caller_request::request_id(req.headers()).map_err(|r| (RequestId::mint(), r))?;
+    let id = caller_request::request_id(req.headers()).map_err(|r| (RequestId::generate(), r))?;
     let with_id = |refusal: Refusal| (id.0.clone(), refusal);
     if !req.uri().path().starts_with(caller_request::SERVICES_PATH) {
         let refusal = Refusal::not_run(Reason::UnknownService, req.uri().path().to_owned());
@@ -69,7 +69,8 @@
 
     let permit = Arc::clone(&server.permits).try_acquire_owned().map_err(|_| {
         let detail = format!("{} requests are already in progress, the limit", limits.requests);
-        let refusal = Refusal::not_run(Reason::QueueFull, detail).come_back_in(FULL_RETRY_AFTER);
+        let refusal =
+            Refusal::not_run(Reason::QueueFull, detail).with_retry_after(FULL_RETRY_AFTER);
         with_id(refusal_before_claim(&parsed, refusal))
     })?;
     let repeatable = parsed.repeatable;
@@ -99,15 +100,15 @@
 }
 
 /// The refusal of a request whose body could not be read.
-fn body_refusal(problem: BodyProblem, limit: usize) -> Refusal {
+fn body_refusal(problem: BodyError, limit: usize) -> Refusal {
     match problem {
-        BodyProblem::TooLarge => {
+        BodyError::TooLarge => {
             Refusal::not_run(Reason::BodyTooLarge, format!("the limit is {limit} bytes"))
         }
-        BodyProblem::TooSlow => {
+        BodyError::TooSlow => {
             Refusal::not_run(Reason::BadRequest, "the body did not arrive within the time limit")
         }
-        BodyProblem::Broken => {
+        BodyError::Broken => {
             Refusal::not_run(Reason::BadRequest, "the body could not be read to its end")
         }
     }
--- a/daemon/src/claims.rs
+++ b/daemon/src/claims.rs
@@ -47,7 +47,7 @@
         Err(e) => {
             // Another submission may have run elsewhere, so the outcome can't be "not run".
             let detail = format!("{e}; this submission ran nothing and may be sent again");
-            Err(Refusal::unknown(Reason::StoreOut, detail).come_back_in(DEFAULT_RETRY_AFTER))
+            Err(Refusal::unknown(Reason::StoreOut, detail).with_retry_after(DEFAULT_RETRY_AFTER))
         }
     }
 }
--- a/daemon/src/dispatcher_messages.rs
+++ b/daemon/src/dispatcher_messages.rs
@@ -9,7 +9,7 @@
     AttemptId, CustomerName, Incarnation, Priority, RequestId, Revision, ServiceName, StageName,
     TargetName,
 };
-use journal::{AttemptEnd, RequestRecord, Submission};
+use journal::{AttemptEnd, RequestRecord, SubmissionId};
 use membership::{Advert, Delta, DigestEntry};
 use outcomes::{Outcome, Reason, Refusal};
 use routing::{Admission, CallEnd, LoadReport, Slot, SlotRequest, TargetKey};
@@ -49,7 +49,7 @@
 pub(crate) struct BegunRequest {
     pub(crate) configuration: Arc<Configuration>,
     pub(crate) priority: Priority,
-    pub(crate) submission: Submission,
+    pub(crate) submission: SubmissionId,
 }
 
 impl BegunRequest {
@@ -64,7 +64,7 @@
 pub(crate) struct StageSlotRequest {
     pub(crate) id: RequestId,
     pub(crate) configuration: Arc<Configuration>,
-    pub(crate) submission: Submission,
+    pub(crate) submission: SubmissionId,
     pub(crate) service: ServiceName,
     /// Index of the stage in the service.
     pub(crate) stage: usize,
@@ -100,7 +100,7 @@
 /// A call that ended, with what the target reported about its load and about leaving.
 #[derive(Debug)]
 pub(crate) struct EndedCall {
-    pub(crate) submission: Submission,
+    pub(crate) submission: SubmissionId,
     pub(crate) service: ServiceName,
     pub(crate) stage: StageName,
     pub(crate) slot: Slot,
@@ -139,7 +139,7 @@
     MayRetry(u32, oneshot::Sender<bool>),
     /// A request ended.
     RequestEnded {
-        submission: Submission,
+        submission: SubmissionId,
         revision: Revision,
         outcome: Outcome,
         reason: Option<Reason>,
--- a/daemon/src/orders.rs
+++ b/daemon/src/orders.rs
@@ -9,7 +9,7 @@
 use catalogue::Target;
 use ids::{HallName, Incarnation, Revision, VmName};
 use slog::{Logger, info, warn};
-use store_client::{Held, Store};
+use store_client::{HeldLease, Store};
 use target_calls::{ORDER_TIMEOUT, Order, OrderClient, OrderResult};
 
 use crate::dispatcher_messages::Message;
@@ -36,8 +36,8 @@
 
 /// The lease as last renewed, and when this VM acquired it.
 #[derive(Debug, Clone, Copy)]
-struct HeldLease {
-    held: Held,
+struct OrdersLease {
+    held: HeldLease,
     since: Instant,
 }
 
@@ -99,7 +99,7 @@
         orders: &OrderClient,
         targets: &[&Target],
         revision: Revision,
-        lease: &mut Option<HeldLease>,
+        lease: &mut Option<OrdersLease>,
         rotation: &mut CheckRotation,
     ) {
         self.renew_lease(lease);
@@ -116,7 +116,7 @@
         &self,
         orders: &OrderClient,
         target: &Target,
-        lease: &mut Option<HeldLease>,
+        lease: &mut Option<OrdersLease>,
     ) -> bool {
         let Some(found) = orders.condition(target.address) else { return false };
         if found.wanted == target.wanted {
@@ -138,14 +138,15 @@
     }
 
     /// Acquires or renews the lease; without a definite answer it counts as not held.
-    fn renew_lease(&self, lease: &mut Option<HeldLease>) {
+    fn renew_lease(&self, lease: &mut Option<OrdersLease>) {
         let name = format!("orders-{}", self.hall);
         let holder = format!("{}/{}", self.vm, self.incarnation);
-        let held = store_client::hold(&self.store, &name, &holder, LEASE_DURATION).ok().flatten();
+        let held =
+            store_client::acquire_lease(&self.store, &name, &holder, LEASE_DURATION).ok().flatten();
         let before = *lease;
         *lease = held.map(|held| match before {
-            Some(old) if old.held.fence == held.fence => HeldLease { held, since: old.since },
-            _ => HeldLease { held, since: Instant::now() },
+            Some(old) if old.held.fence == held.fence => OrdersLease { held, since: old.since },
+            _ => OrdersLease { held, since: Instant::now() },
         });
         let fence = lease.map(|h| h.held.fence);
         if fence != before.map(|h| h.held.fence) {
@@ -157,7 +158,7 @@
 
 /// Whether an order may be sent now: the lease must outlast the order's timeout, and no order of the
 /// previous holder may still be in flight to a target that does not check the fencing token.
-fn may_order(lease: &HeldLease, target: &Target) -> bool {
+fn may_order(lease: &OrdersLease, target: &Target) -> bool {
     let now = Instant::now();
     let outlasts = now + ORDER_TIMEOUT < lease.held.until;
     let waited = now >= lease.since + ORDER_TIMEOUT;
--- a/daemon/src/platform_reader.rs
+++ b/daemon/src/platform_reader.rs
@@ -11,7 +11,7 @@
 use ids::Revision;
 use rand::RngExt;
 use slog::{Logger, info, warn};
-use store_client::{HEAD_KEY, Store, catalogue_at, decode_head};
+use store_client::{HEAD_KEY, Store, decode_head, read_catalogue};
 use telemetry::Metrics;
 
 use crate::configuration::{Configuration, Source};
@@ -121,7 +121,7 @@
         }
         let head = decode_head(&entry)?;
         if head.revision > current_revision {
-            let catalogue = catalogue_at(&self.store, &head)?;
+            let catalogue = read_catalogue(&self.store, &head)?;
             let offered =
                 Configuration { revision: head.revision, catalogue, source: Source::Store };
             self.dispatcher.tell(Message::OfferConfiguration(Box::new(offered)));
--- a/daemon/src/requests.rs
+++ b/daemon/src/requests.rs
@@ -3,7 +3,7 @@
 use std::time::{Duration, Instant};
 
 use ids::AttemptId;
-use journal::{AttemptEnd, AttemptRecord, RequestRecord, Submission};
+use journal::{AttemptEnd, AttemptRecord, RequestRecord, SubmissionId};
 use outcomes::{Outcome, Reason, Refusal};
 use routing::{Admission, CallEnd, Grant, SlotAnswer, WaitUpdate};
 use slog::{debug, info};
@@ -23,7 +23,7 @@
         let Some(configuration) = self.history.current().cloned() else {
             let refusal =
                 Refusal::not_run(Reason::NoConfiguration, "no configuration has been received yet");
-            return Err(refusal.come_back_in(NO_CONFIGURATION_RETRY_AFTER));
+            return Err(refusal.with_retry_after(NO_CONFIGURATION_RETRY_AFTER));
         };
         let Some(service) = configuration.catalogue.services.get(&req.service) else {
             return Err(Refusal::not_run(Reason::UnknownService, req.service.to_string()));
@@ -100,7 +100,7 @@
         };
         debug!(self.setup.log, "attempt"; "request" => %stage_request.id, "attempt" => %attempt,
             "stage" => %stage.name, "target" => %grant.name, "why" => &grant.reason);
-        self.journal.chose(stage_request.submission, record);
+        self.journal.record_attempt(stage_request.submission, record);
         let (slot, service, stage) =
             (grant.slot, stage_request.service.clone(), stage.name.clone());
         if reply.send(Ok(Granted { grant, attempt })).is_err() {
@@ -136,7 +136,7 @@
         debug!(self.setup.log, "attempt ended"; "attempt" => %ended.attempt,
             "stage" => %ended.stage, "target" => %ended.target_name, "end" => ?ended.record,
             "took_ms" => millis(ended.took));
-        self.journal.attempt_ended(
+        self.journal.record_attempt_end(
             ended.submission,
             ended.attempt.as_str(),
             millis(ended.took),
@@ -157,12 +157,12 @@
     /// Records the end of a request.
     pub(crate) fn request_ended(
         &mut self,
-        submission: Submission,
+        submission: SubmissionId,
         outcome: Outcome,
         reason: Option<Reason>,
         took: Duration,
     ) {
         self.in_work = self.in_work.saturating_sub(1);
-        self.journal.ended(submission, outcome, reason, millis(took));
+        self.journal.record_end(submission, outcome, reason, millis(took));
     }
 }
--- a/daemon/src/start.rs
+++ b/daemon/src/start.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 use errors::{Error, Result};
-use http_server::Bounds;
+use http_server::ConnectionLimits;
 use ids::Incarnation;
 use settings::{LogLevel, Settings};
 use signal_hook::consts::{SIGINT, SIGTERM};
@@ -141,7 +141,8 @@
     };
     let permits = Arc::new(Semaphore::new(cfg.limits.requests));
     let server = Arc::new(CallerServer { pipeline, permits: Arc::clone(&permits), abort });
-    let bounds = Bounds { connections: cfg.limits.connections, head_wait: cfg.limits.head_wait() };
+    let bounds =
+        ConnectionLimits { connections: cfg.limits.connections, head_wait: cfg.limits.head_wait() };
     async_tasks.spawn(http_server::serve(callers_listener, bounds, stop, move |req| {
         callers::handle(Arc::clone(&server), req)
     }));
