--- a/gateway/src/admission.rs
+++ b/gateway/src/admission.rs
@@ -59,9 +59,9 @@
 
 impl RecentAdmissions {
     fn record(&mut self, pieces: u32, due: Instant, urgency: u8, now: Instant) {
-        let old =
+        let is_old =
             |admitted: &AdmittedPieces| now.saturating_duration_since(admitted.at) > RECENT_WINDOW;
-        while self.0.front().is_some_and(old) {
+        while self.0.front().is_some_and(is_old) {
             self.0.pop_front();
         }
         self.0.push_back(AdmittedPieces { at: now, pieces: f64::from(pieces), due, urgency });
--- a/gateway/src/attempts.rs
+++ b/gateway/src/attempts.rs
@@ -91,7 +91,7 @@
 /// The head of a target's answer to the request, with the body still to be read.
 pub(crate) struct Answer {
     pub(crate) head: http::response::Parts,
-    pub(crate) read: AnswerHead,
+    pub(crate) parsed: AnswerHead,
     pub(crate) body: Incoming,
     pub(crate) connection: TargetConnection,
     pub(crate) attempt: Attempt,
@@ -218,8 +218,8 @@
         };
         self.log_attempt(&attempt, result.as_ref().err());
         Ok(match result {
-            Ok((head, read, body, connection)) => {
-                Ok(Answer { head, read, body, connection, attempt })
+            Ok((head, parsed, body, connection)) => {
+                Ok(Answer { head, parsed, body, connection, attempt })
             }
             Err(error) => {
                 self.record_error(&error);
@@ -313,21 +313,21 @@
         attempt: &mut Attempt,
     ) -> Result<(http::response::Parts, AnswerHead, Incoming, TargetConnection), AttemptError> {
         let (head, body) = answer.into_parts();
-        let read = (self.app.adapter.calls.read_head)(&head, &self.req.id);
+        let parsed = (self.app.adapter.calls.read_head)(&head, &self.req.id);
         target_words::look_for_unknown(&self.app, &attempt.pick.target, &head);
-        target_words::heard(&self.app, &attempt.pick.target, &read, self.started);
+        target_words::heard(&self.app, &attempt.pick.target, &parsed, self.started);
         let key = attempt.pick.key;
-        if let (Some(load), true) = (read.load, read.evidence != Evidence::Crossed) {
+        if let (Some(load), true) = (parsed.load, parsed.evidence != Evidence::Crossed) {
             self.app.hub.with(|shared, now| {
                 shared.targets.record_target_load(key, load.running, load.waiting, now);
             });
         }
-        match read.evidence {
-            Evidence::Answered => Ok((head, read, body, connection)),
+        match parsed.evidence {
+            Evidence::Answered => Ok((head, parsed, body, connection)),
             Evidence::Declined | Evidence::InputGone => {
                 attempt.end(TargetOutcome::Declined);
-                self.finish_declined(body, connection, read).await;
-                if read.evidence == Evidence::InputGone {
+                self.finish_declined(body, connection, parsed).await;
+                if parsed.evidence == Evidence::InputGone {
                     return Err(AttemptError::InputGone);
                 }
                 Err(AttemptError::Declined)
@@ -356,11 +356,11 @@
         &self,
         body: Incoming,
         connection: TargetConnection,
-        read: AnswerHead,
+        parsed: AnswerHead,
     ) {
         use http_body_util::BodyExt;
-        if let (Ok(_), false) = (body.collect().await, read.closes) {
-            self.app.keep_connection(connection, read.keep_alive);
+        if let (Ok(_), false) = (body.collect().await, parsed.closes) {
+            self.app.keep_connection(connection, parsed.keep_alive);
         }
     }
 
--- a/gateway/src/own_calls.rs
+++ b/gateway/src/own_calls.rs
@@ -54,14 +54,14 @@
         }
     })?;
     let (head, body) = answer.into_parts();
-    let read = (app.adapter.calls.read_head)(&head, &placeholder_id());
+    let parsed = (app.adapter.calls.read_head)(&head, &placeholder_id());
     target_words::look_for_unknown(app, target, &head);
-    target_words::heard_of_own_call(app, target, &read, started);
+    target_words::heard_of_own_call(app, target, &parsed, started);
     let body = body.collect().await.map_err(|_| OwnCallError::Broke)?.to_bytes();
-    if !read.closes {
-        app.keep_connection(connection, read.keep_alive);
+    if !parsed.closes {
+        app.keep_connection(connection, parsed.keep_alive);
     }
-    match read.evidence {
+    match parsed.evidence {
         Evidence::OtherTarget => Err(OwnCallError::OtherTarget),
         Evidence::Declined | Evidence::InputGone => Err(OwnCallError::Declined),
         _ if head.status.is_success() => Ok(body),
--- a/gateway/src/permits.rs
+++ b/gateway/src/permits.rs
@@ -64,8 +64,8 @@
         self.kind == Kind::Release
             || self.app.hub.with(|shared, now| {
                 let is_counted = self.kind == Kind::Counted;
-                let named_since = !is_counted && shared.rates.limit(&self.target).is_some();
-                !named_since && shared.takes_new_work(&self.target, now)
+                let limit_named_since = !is_counted && shared.rates.limit(&self.target).is_some();
+                !limit_named_since && shared.takes_new_work(&self.target, now)
             })
     }
 }
@@ -123,8 +123,8 @@
 /// Batching keeps them few compared to the calls that the rate allows, also where the target counts
 /// them.
 pub(crate) fn release_batch_window(app: &App, target: &Target) -> Option<Duration> {
-    let pause = app.hub.with(|shared, _| shared.targets.get(&target.id)?.request_interval)?;
-    Some((pause * RELEASE_BATCH_INTERVALS).min(MAX_RELEASE_BATCH_WINDOW))
+    let interval = app.hub.with(|shared, _| shared.targets.get(&target.id)?.request_interval)?;
+    Some((interval * RELEASE_BATCH_INTERVALS).min(MAX_RELEASE_BATCH_WINDOW))
 }
 
 /// The permit to ask a worker for its report; `None` if it names a rate limit, all of which its
@@ -151,7 +151,7 @@
         Owner::This => Some(app.hub.with(|shared, now| {
             shared.accounts.acquire(&Lifetime::from(target), limit, within, now)
         })),
-        Owner::Peer(vm) => ask_peer(app, &vm, permit_ask(app, target, within)).await,
+        Owner::Peer(vm) => ask_peer(app, &vm, build_permit_ask(app, target, within)).await,
         Owner::Unknown => None,
     }
 }
@@ -165,7 +165,7 @@
 }
 
 /// The question for a permit, with what this VM has observed of the target's rate.
-fn permit_ask(app: &App, target: &Target, within: Duration) -> PermitAsk {
+fn build_permit_ask(app: &App, target: &Target, within: Duration) -> PermitAsk {
     app.hub.with(|shared, now| {
         let lifetime = Lifetime::from(target);
         let own = shared.rates.own_observations(&lifetime).cloned().unwrap_or_default();
--- a/gateway/src/stages.rs
+++ b/gateway/src/stages.rs
@@ -73,10 +73,10 @@
 /// Whether the workers keep a stage's results.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Retention {
-    Yes,
+    Kept,
     /// Only while their workers have memory to spare.
     IfRoom,
-    No,
+    Released,
 }
 
 impl StageRun {
@@ -88,7 +88,7 @@
             handles,
             submitted: None,
             submissions: 0,
-            retention: Retention::Yes,
+            retention: Retention::Kept,
             fetched: false,
         }
     }
@@ -115,13 +115,13 @@
     }
 
     fn release(&mut self) {
-        if std::mem::replace(&mut self.retention, Retention::No) != Retention::No {
+        if std::mem::replace(&mut self.retention, Retention::Released) != Retention::Released {
             releases::give_up(&self.app, &self.results());
         }
     }
 
     fn release_if_scarce(&mut self) {
-        if self.retention == Retention::Yes {
+        if self.retention == Retention::Kept {
             self.retention = Retention::IfRoom;
             releases::give_up_if_scarce(&self.app, &self.results());
         }
@@ -350,9 +350,9 @@
     }
     runs[index] = StageRun::new(ctx.app, runs[index].pieces);
     runs[index].submissions = submissions;
-    let is_released = |need: &&usize| runs[**need].retention != Retention::Yes;
+    let may_be_gone = |need: &&usize| runs[**need].retention != Retention::Kept;
     let needs: Vec<usize> =
-        ctx.entry.stages[index].needs.iter().filter(is_released).copied().collect();
+        ctx.entry.stages[index].needs.iter().filter(may_be_gone).copied().collect();
     needs.into_iter().try_for_each(|need| reset_stage(ctx, runs, need))
 }
 
--- a/gateway/src/stream_forwarding.rs
+++ b/gateway/src/stream_forwarding.rs
@@ -79,10 +79,10 @@
         let took = now() - stream.attempts.started();
         stream.app.hub.with(|shared, _| shared.learn_passing(&stream.req.entry.name, took));
         let EventReader { answer, .. } = *stream.reader;
-        let Answer { read, connection, mut attempt, .. } = answer;
+        let Answer { parsed, connection, mut attempt, .. } = answer;
         attempt.end(TargetOutcome::Answered);
-        if !read.closes {
-            stream.app.keep_connection(connection, read.keep_alive);
+        if !parsed.closes {
+            stream.app.keep_connection(connection, parsed.keep_alive);
         }
     }
 }
--- a/gateway/src/streams.rs
+++ b/gateway/src/streams.rs
@@ -208,13 +208,13 @@
     req: &AcceptedRequest,
     answer: Answer,
 ) -> Result<Started, Refusal> {
-    let Answer { head, read, body, connection, mut attempt } = answer;
+    let Answer { head, parsed, body, connection, mut attempt } = answer;
     let Ok(body) = body.collect().await else {
         crashes::connection_broke(app, req, &attempt).await;
         return Err(Refusal::Failed);
     };
-    if !read.closes {
-        app.keep_connection(connection, read.keep_alive);
+    if !parsed.closes {
+        app.keep_connection(connection, parsed.keep_alive);
     }
     crashes::completed(app, req);
     attempt.end(if head.status.is_server_error() {
--- a/gateway/src/whole_answers.rs
+++ b/gateway/src/whole_answers.rs
@@ -78,7 +78,7 @@
         Ok(answer) => answer,
         Err(error) => return Ok(Err(error)),
     };
-    let Answer { head, read, body, connection, mut attempt } = answer;
+    let Answer { head, parsed, body, connection, mut attempt } = answer;
     let body = match body.collect().await {
         Ok(body) => body.to_bytes(),
         Err(e) => {
@@ -88,8 +88,8 @@
             return Ok(Err(AttemptError::Lost(e.to_string())));
         }
     };
-    if !read.closes {
-        app.keep_connection(connection, read.keep_alive);
+    if !parsed.closes {
+        app.keep_connection(connection, parsed.keep_alive);
     }
     // A target that answers with an error of its own has survived the request as well.
     crashes::completed(app, attempts.req());
