--- a/gateway/src/held_results.rs
+++ b/gateway/src/held_results.rs
@@ -1,5 +1,5 @@
-//! Results that requests of this VM hold, until they are given up or reclaimed, and those that are given up until the VM
-//! which had them made knows it.
+//! Results that requests of this VM hold, until they are released or reclaimed, and released results until the VM that
+//! had them computed (their origin) has confirmed that it knows.
 
 use std::cell::RefCell;
 use std::collections::{BTreeSet, HashMap};
@@ -11,128 +11,133 @@
 
 use crate::outbound_links::Link;
 
-/// Which VM had a result made.
+/// The VM that had a result computed.
 #[derive(Clone)]
 pub(crate) enum Origin {
-    /// This one.
+    /// This VM.
     Local,
-    /// A peer, which handed it over through a link.
+    /// A peer, which handed the result over through a link.
     Peer(Rc<Link>),
 }
 
-/// How long a result is this VM's to give up.
+/// How long this VM is responsible for releasing a result.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct ResultExpiry {
-    /// End of its request's time.
+    /// Deadline of its request.
     pub(crate) until: Instant,
-    /// Time after which it runs out at its worker.
+    /// Time after which the worker drops it.
     pub(crate) life: Duration,
 }
 
-/// A result that is held.
+/// A result that a request of this VM holds.
 struct Held {
-    maker: Origin,
+    origin: Origin,
     until: Instant,
-    runs_out: Instant,
+    expires_at: Instant,
 }
 
 impl Held {
-    /// Until when this VM gives it up. After the request's time its maker does, which may have begun to; a VM that stood
-    /// still would tell the worker a second time.
-    fn is_ours_until(&self) -> Instant {
-        self.runs_out.min(self.until + REQUEST_GRACE / 2)
+    /// Until when this VM releases the result. After the request's deadline its origin does, and may have begun to; a VM
+    /// that was paused would release it at the worker a second time.
+    fn release_until(&self) -> Instant {
+        self.expires_at.min(self.until + REQUEST_GRACE / 2)
     }
 
-    fn is_ours(&self, now: Instant) -> bool {
-        match self.maker {
+    fn is_released_here(&self, now: Instant) -> bool {
+        match self.origin {
             Origin::Local => true,
-            Origin::Peer(_) => now < self.is_ours_until(),
+            Origin::Peer(_) => now < self.release_until(),
         }
     }
 
-    fn is_left(&self, now: Instant) -> bool {
-        matches!(self.maker, Origin::Local) || now < self.runs_out
+    fn is_available(&self, now: Instant) -> bool {
+        matches!(self.origin, Origin::Local) || now < self.expires_at
     }
 }
 
-/// Results of one maker that are needed no more.
+/// Results of one origin that are no longer needed.
 pub(crate) struct ReleaseBatch {
-    pub(crate) maker: Origin,
+    pub(crate) origin: Origin,
     pub(crate) handles: Vec<String>,
-    /// Whether this VM has to give them up, not their maker.
-    pub(crate) is_ours: bool,
-    /// After this their maker gives them up.
+    /// Whether this VM has to release them, not their origin.
+    pub(crate) is_released_here: bool,
+    /// After this their origin releases them.
     pub(crate) until: Instant,
 }
 
-/// A result of a peer's that was given up.
-struct GivenUp {
-    /// Where its maker takes links.
-    maker: SocketAddr,
-    known: Known,
-    /// When it was given up.
+/// A released result that a peer had computed.
+struct ReleasedResult {
+    /// Where its origin accepts links.
+    origin: SocketAddr,
+    state: ReleaseState,
+    /// When it was released.
     since: Instant,
 }
 
-/// Who knows that a result is given up.
+/// How far a release has been confirmed and reported.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Known {
-    /// Its worker is being told.
-    NotYet,
-    /// Its worker has heard.
-    ToWorker,
-    /// Its maker is told on the link that stands, and has not confirmed it.
-    MakerTold,
+enum ReleaseState {
+    /// The worker has not confirmed yet.
+    Sending,
+    /// The worker has confirmed; the origin has not been told.
+    Confirmed,
+    /// The origin was told on the open link and has not confirmed.
+    Reported,
 }
 
-/// Time for which it is kept that a worker has heard, for a maker that can't be told: many times the life of a result.
-const KEPT: Duration = Duration::from_secs(30);
+/// How long a release is remembered for an origin that can't be reached: many times the lifetime of a result.
+const RELEASE_RETENTION: Duration = Duration::from_secs(30);
 
-/// Results that requests of this VM hold, and those that its maker does not know to be given up, by handle.
+/// Results that requests of this VM hold, and released results whose origin does not know yet, by handle.
 #[derive(Default)]
 pub(crate) struct HeldResults {
     by_handle: RefCell<HashMap<String, Held>>,
-    given_up: RefCell<HashMap<String, GivenUp>>,
+    released: RefCell<HashMap<String, ReleasedResult>>,
 }
 
 impl HeldResults {
-    /// Notes a result that was handed to a request.
-    pub(crate) fn add(&self, handle: &str, maker: Origin, term: ResultExpiry, now: Instant) {
-        let held = Held { maker, until: term.until, runs_out: now + term.life };
+    /// Records a result that was handed to a request.
+    pub(crate) fn add(&self, handle: &str, origin: Origin, term: ResultExpiry, now: Instant) {
+        let held = Held { origin, until: term.until, expires_at: now + term.life };
         self.by_handle.borrow_mut().insert(handle.to_owned(), held);
     }
 
-    /// Whether a result has run out at its worker; `None` if it is not held.
+    /// Whether a result has expired at its worker; `None` if it is not held.
     pub(crate) fn has_expired(&self, handle: &str, now: Instant) -> Option<bool> {
-        Some(self.by_handle.borrow().get(handle)?.runs_out <= now)
+        Some(self.by_handle.borrow().get(handle)?.expires_at <= now)
     }
 
-    /// Takes results out; gives those that have not run out, by maker.
+    /// Removes results; returns those that have not expired, grouped by origin.
     pub(crate) fn take(&self, handles: &[String], now: Instant) -> Vec<ReleaseBatch> {
         let mut by_handle = self.by_handle.borrow_mut();
         let mut taken: Vec<ReleaseBatch> = Vec::new();
         for handle in handles {
-            let held = by_handle.remove(handle).filter(|held| held.is_left(now));
+            let held = by_handle.remove(handle).filter(|held| held.is_available(now));
             let Some(held) = held else { continue };
-            let (is_ours, until) = (held.is_ours(now), held.is_ours_until());
-            let is_alike = |other: &&mut ReleaseBatch| {
-                other.is_ours == is_ours && other.maker.is_same(&held.maker)
+            let (is_released_here, until) = (held.is_released_here(now), held.release_until());
+            let is_same_batch = |other: &&mut ReleaseBatch| {
+                other.is_released_here == is_released_here && other.origin.is_same(&held.origin)
             };
-            match taken.iter_mut().find(is_alike) {
-                Some(alike) => {
-                    alike.handles.push(handle.clone());
-                    alike.until = alike.until.min(until);
+            match taken.iter_mut().find(is_same_batch) {
+                Some(batch) => {
+                    batch.handles.push(handle.clone());
+                    batch.until = batch.until.min(until);
                 }
                 None => {
                     let handles = vec![handle.clone()];
-                    taken.push(ReleaseBatch { maker: held.maker, handles, is_ours, until });
+                    taken.push(ReleaseBatch {
+                        origin: held.origin,
+                        handles,
+                        is_released_here,
+                        until,
+                    });
                 }
             }
         }
         taken
     }
 
-    /// Forgets results that their maker gave up.
+    /// Removes results that their origin released.
     pub(crate) fn forget(&self, handles: &[String]) {
         let mut by_handle = self.by_handle.borrow_mut();
         for handle in handles {
@@ -140,90 +145,95 @@
         }
     }
 
-    /// Those among `handles` that are held, by maker.
+    /// Those among `handles` that are held, each with its origin.
     pub(crate) fn look_up(&self, handles: &[String]) -> Vec<(Origin, String)> {
         let by_handle = self.by_handle.borrow();
-        let held = |handle: &String| Some((by_handle.get(handle)?.maker.clone(), handle.clone()));
+        let held = |handle: &String| Some((by_handle.get(handle)?.origin.clone(), handle.clone()));
         handles.iter().filter_map(held).collect()
     }
 
-    /// Notes that the workers of a maker's results are being told that these are given up.
+    /// Records that results of an origin are being released at their workers.
     pub(crate) fn record_release_started(
         &self,
         handles: &[String],
-        maker: SocketAddr,
+        origin: SocketAddr,
         now: Instant,
     ) {
-        let mut given_up = self.given_up.borrow_mut();
-        given_up.retain(|_, given_up| now < given_up.since + KEPT);
+        let mut released = self.released.borrow_mut();
+        released.retain(|_, released| now < released.since + RELEASE_RETENTION);
         for handle in handles {
-            given_up.insert(handle.clone(), GivenUp { maker, known: Known::NotYet, since: now });
+            released.insert(
+                handle.clone(),
+                ReleasedResult { origin, state: ReleaseState::Sending, since: now },
+            );
         }
     }
 
-    /// Notes what came of it: the maker is to be told of those that were heard.
-    pub(crate) fn record_release_outcome(&self, handles: &[String], is_heard: bool) {
-        let mut given_up = self.given_up.borrow_mut();
+    /// Records the outcome: the origin is to be told of results whose release the worker confirmed.
+    pub(crate) fn record_release_outcome(&self, handles: &[String], is_confirmed: bool) {
+        let mut released = self.released.borrow_mut();
         for handle in handles {
-            if !is_heard {
-                given_up.remove(handle);
-            } else if let Some(given_up) = given_up.get_mut(handle) {
-                given_up.known = Known::ToWorker;
+            if !is_confirmed {
+                released.remove(handle);
+            } else if let Some(released) = released.get_mut(handle) {
+                released.state = ReleaseState::Confirmed;
             }
         }
     }
 
-    /// Results that a maker is to be told of on the link that stands.
-    pub(crate) fn take_unreported(&self, maker: SocketAddr) -> Vec<String> {
-        let mut given_up = self.given_up.borrow_mut();
-        let is_untold =
-            |given_up: &GivenUp| given_up.maker == maker && given_up.known == Known::ToWorker;
-        let untold = given_up.iter_mut().filter(|(_, given_up)| is_untold(given_up));
-        let told = untold.map(|(handle, given_up)| {
-            given_up.known = Known::MakerTold;
+    /// Results whose release is to be reported to an origin on the open link; marks them as reported.
+    pub(crate) fn take_unreported(&self, origin: SocketAddr) -> Vec<String> {
+        let mut released = self.released.borrow_mut();
+        let is_unreported = |released: &ReleasedResult| {
+            released.origin == origin && released.state == ReleaseState::Confirmed
+        };
+        let unreported = released.iter_mut().filter(|(_, released)| is_unreported(released));
+        let told = unreported.map(|(handle, released)| {
+            released.state = ReleaseState::Reported;
             handle.clone()
         });
         told.collect()
     }
 
-    /// Takes a maker's confirmation that it knows of results that these are given up.
+    /// Records that an origin confirmed the report of released results.
     pub(crate) fn record_confirmed(&self, handles: &[String]) {
-        let mut given_up = self.given_up.borrow_mut();
+        let mut released = self.released.borrow_mut();
         for handle in handles {
-            given_up.remove(handle);
+            released.remove(handle);
         }
     }
 
-    /// The link to a maker ended: it may not have heard what was not confirmed.
-    pub(crate) fn link_ended(&self, maker: SocketAddr) {
-        let mut given_up = self.given_up.borrow_mut();
-        let told = given_up.values_mut().filter(|given_up| given_up.maker == maker);
-        for given_up in told.filter(|given_up| given_up.known == Known::MakerTold) {
-            given_up.known = Known::ToWorker;
+    /// Records that the link to an origin ended: reports that were not confirmed are to be sent again.
+    pub(crate) fn link_ended(&self, origin: SocketAddr) {
+        let mut released = self.released.borrow_mut();
+        let told = released.values_mut().filter(|released| released.origin == origin);
+        for released in told.filter(|released| released.state == ReleaseState::Reported) {
+            released.state = ReleaseState::Confirmed;
         }
     }
 
-    /// Results that the VM had made which takes links at an address, as far as it does not know them to be given up.
+    /// Results computed for the VM that accepts links at an address: those held, and released ones that it has not
+    /// confirmed.
     pub(crate) fn handles_from(&self, address: SocketAddr) -> Vec<String> {
         let by_handle = self.by_handle.borrow();
-        let held = by_handle.iter().filter(|(_, held)| held.maker.address() == Some(address));
-        let given_up = self.given_up.borrow();
-        let given_up = given_up.iter().filter(|(_, given_up)| given_up.maker == address);
-        held.map(|(handle, _)| handle).chain(given_up.map(|(handle, _)| handle)).cloned().collect()
+        let held = by_handle.iter().filter(|(_, held)| held.origin.address() == Some(address));
+        let released = self.released.borrow();
+        let released = released.iter().filter(|(_, released)| released.origin == address);
+        held.map(|(handle, _)| handle).chain(released.map(|(handle, _)| handle)).cloned().collect()
     }
 
-    /// Whether there are results that the VM at an address had made.
+    /// Whether there are results that [`Self::handles_from`] would return.
     pub(crate) fn has_results_from(&self, address: SocketAddr) -> bool {
         let by_handle = self.by_handle.borrow();
-        by_handle.values().any(|held| held.maker.address() == Some(address))
-            || self.given_up.borrow().values().any(|given_up| given_up.maker == address)
+        by_handle.values().any(|held| held.origin.address() == Some(address))
+            || self.released.borrow().values().any(|released| released.origin == address)
     }
 
-    /// Where the peers take links that had results made which are held, or of which they are to be told.
+    /// Addresses of the peers whose results are held, or to which a release is to be reported.
     pub(crate) fn origins(&self) -> BTreeSet<SocketAddr> {
         let by_handle = self.by_handle.borrow();
-        let held = by_handle.values().filter_map(|held| held.maker.address());
-        held.chain(self.given_up.borrow().values().map(|given_up| given_up.maker)).collect()
+        let held = by_handle.values().filter_map(|held| held.origin.address());
+        held.chain(self.released.borrow().values().map(|released| released.origin)).collect()
     }
 }
 
--- a/gateway/src/inbound_links.rs
+++ b/gateway/src/inbound_links.rs
@@ -1,4 +1,4 @@
-//! Links that peers dial: their pieces are taken, and results handed back.
+//! Links that peers dial: accepts their pieces and hands results back.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -32,20 +32,21 @@
 use crate::piece_news::{PeerSink, Sink};
 use crate::{permits, releases, target_announcements, work};
 
-/// Pauses before the looks whether a process is gone whose link ended: its port may be closed a little later.
-const GONE_LOOKS: [Duration; 3] =
+/// Pauses before the checks whether the process of a peer whose link ended has ended: its port may close a little later.
+const END_CHECK_PAUSES: [Duration; 3] =
     [Duration::from_millis(50), Duration::from_millis(200), Duration::from_millis(800)];
-/// Longest wait for each of them: halls are milliseconds apart.
-const GONE_WAIT: Duration = Duration::from_millis(250);
+/// Timeout for each check: the latency between halls is a few milliseconds.
+const END_CHECK_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// A link that a peer dialled, handed from the server's task to this thread's tasks.
-struct Dialled {
+/// A link that a peer dialed, passed from the server's task to this thread's tasks.
+struct AcceptedLink {
     inbound: Streaming<FromDialer>,
     tx: DialerSender,
 }
 
+/// The gRPC service; passes accepted links on.
 struct Acceptor {
-    dialled: UnboundedSender<Dialled>,
+    accepted: UnboundedSender<AcceptedLink>,
 }
 
 #[tonic::async_trait]
@@ -57,65 +58,65 @@
         req: Request<Streaming<FromDialer>>,
     ) -> Result<Response<Self::LinkStream>, Status> {
         let (tx, rx) = unbounded_channel();
-        let dialled = Dialled { inbound: req.into_inner(), tx };
-        self.dialled.send(dialled).map_err(|_| Status::unavailable("the process is ending"))?;
+        let accepted = AcceptedLink { inbound: req.into_inner(), tx };
+        self.accepted.send(accepted).map_err(|_| Status::unavailable("the process is ending"))?;
         Ok(Response::new(UnboundedReceiverStream::new(rx)))
     }
 }
 
-/// Takes links that peers dial.
+/// Accepts links that peers dial.
 pub(crate) async fn accept(app: Rc<App>, listener: TcpListener) {
     let (tx, rx) = unbounded_channel();
-    spawn_local(serve_dialled(Rc::clone(&app), rx));
-    let server = Server::builder().add_service(WorkServer::new(Acceptor { dialled: tx }));
-    // Small messages would wait for the confirmation of the one before, 40 ms on some systems.
+    spawn_local(serve_accepted(Rc::clone(&app), rx));
+    let server = Server::builder().add_service(WorkServer::new(Acceptor { accepted: tx }));
+    // Without it small messages wait for the acknowledgement of the previous one, 40 ms on some systems.
     let incoming = TcpListenerStream::new(listener)
         .map(|stream| stream.and_then(|stream| stream.set_nodelay(true).map(|()| stream)));
     if let Err(e) = server.serve_with_incoming(incoming).await {
-        warn!(app.log, "links are taken no more"; "why" => %e);
+        warn!(app.log, "link server ended"; "why" => %e);
     }
 }
 
-async fn serve_dialled(app: Rc<App>, mut rx: UnboundedReceiver<Dialled>) {
-    while let Some(dialled) = rx.recv().await {
-        spawn_local(serve_peer(Rc::clone(&app), dialled));
+async fn serve_accepted(app: Rc<App>, mut rx: UnboundedReceiver<AcceptedLink>) {
+    while let Some(accepted) = rx.recv().await {
+        spawn_local(serve_peer(Rc::clone(&app), accepted));
     }
 }
 
 /// Serves one peer until its link ends.
-async fn serve_peer(app: Rc<App>, dialled: Dialled) {
-    let Dialled { mut inbound, tx } = dialled;
+async fn serve_peer(app: Rc<App>, accepted: AcceptedLink) {
+    let AcceptedLink { mut inbound, tx } = accepted;
     let send = |kind| tx.send(Ok(FromOwner { kind: Some(kind) })).is_ok();
     send(from_owner::Kind::Hello(own_hello(&app)));
     let mut jobs: HashMap<u64, (ServiceName, JobKey)> = HashMap::new();
     let mut vm = None;
     let mut leases = None;
-    let mut beats = interval(HEARTBEAT_INTERVAL);
-    beats.set_missed_tick_behavior(MissedTickBehavior::Delay);
-    let mut heard = tokio::time::Instant::now();
-    let mut told = SentCursors::default();
-    let mut known = app.hub.with(|shared, _| shared.word_known.subscribe());
+    let mut heartbeats = interval(HEARTBEAT_INTERVAL);
+    heartbeats.set_missed_tick_behavior(MissedTickBehavior::Delay);
+    let mut last_received = tokio::time::Instant::now();
+    let mut sent_cursors = SentCursors::default();
+    let mut updates = app.hub.with(|shared, _| shared.word_known.subscribe());
     loop {
         tokio::select! {
-            _ = known.changed() => {
-                let untold = take_unsent(&app, &mut told);
-                let crashes = untold.crashes.map(from_owner::Kind::Crashes);
-                let departures = untold.departures.map(from_owner::Kind::Departures);
-                let rates = untold.rates.map(from_owner::Kind::Rates);
+            _ = updates.changed() => {
+                let unsent = take_unsent(&app, &mut sent_cursors);
+                let crashes = unsent.crashes.map(from_owner::Kind::Crashes);
+                let departures = unsent.departures.map(from_owner::Kind::Departures);
+                let rates = unsent.rates.map(from_owner::Kind::Rates);
                 for kind in crashes.into_iter().chain(departures).chain(rates) {
                     send(kind);
                 }
             }
             message = inbound.message() => {
-                heard = tokio::time::Instant::now();
+                last_received = tokio::time::Instant::now();
                 let Ok(Some(message)) = message else { break };
                 let Some(kind) = message.kind else { continue };
                 if let from_dialer::Kind::Hello(hello) = &kind {
                     let Ok(name) = VmName::new(&hello.vm) else { break };
                     record_peer(&app, &name, Some(hello));
                     let address = hello.peers.parse::<SocketAddr>().ok();
-                    let heard = address.map(|address| (address, hello.incarnation));
-                    app.heard_at.borrow_mut().extend(heard);
+                    let process = address.map(|address| (address, hello.incarnation));
+                    app.heard_at.borrow_mut().extend(process);
                     app.vms_changed.notify_one();
                     leases = open_leases(&app, &name, hello, &tx);
                     vm = Some(name);
@@ -124,17 +125,19 @@
                 let Some(vm) = &vm else { break };
                 let lease_link = leases.as_ref().map(|leases: &LeaseLink| leases.key);
                 let peer = Peer { vm, tx: &tx, lease_link };
-                take(&app, &peer, kind, &mut jobs);
+                handle_message(&app, &peer, kind, &mut jobs);
             }
-            _ = beats.tick() => {
-                if heard.elapsed() > PEER_TIMEOUT || !send(from_owner::Kind::Beat(own_heartbeat(&app))) {
+            _ = heartbeats.tick() => {
+                if last_received.elapsed() > PEER_TIMEOUT
+                    || !send(from_owner::Kind::Beat(own_heartbeat(&app)))
+                {
                     break;
                 }
-                known.mark_changed();
+                updates.mark_changed();
             }
         }
     }
-    // Whoever handed them in does so elsewhere, or is gone.
+    // The submitter resubmits them to another VM, or has ended.
     for (pool, job) in jobs.into_values() {
         work::cancel(&app, &pool, job);
     }
@@ -142,39 +145,39 @@
         app.lease_links.borrow_mut().remove(&leases.key);
         app.hub.with(|shared, _| shared.leases.link_ended(leases.key));
         if !app.hub.with(|shared, _| shared.leases.is_empty()) {
-            look_whether_gone(&app, leases).await;
+            end_leases_if_gone(&app, leases).await;
         }
     }
 }
 
-/// A link of a peer that holds results.
+/// A link of a peer that holds results under leases.
 struct LeaseLink {
     key: LinkKey,
     holder: Holder,
-    /// Where the peer takes links.
+    /// Where the peer accepts links.
     peers: SocketAddr,
 }
 
-/// Ends the leases of a peer whose link ended, if its process did.
-async fn look_whether_gone(app: &App, leases: LeaseLink) {
+/// Ends the leases of a peer whose link ended, if its process has ended.
+async fn end_leases_if_gone(app: &App, leases: LeaseLink) {
     if has_process_ended(leases.peers).await {
         app.hub.with(|shared, now| shared.leases.holder_gone(&leases.holder, now));
     }
 }
 
-/// Whether the process of a peer has ended: then nothing listens where it took links. One that stands still or is out of
-/// reach does not refuse connections.
+/// Whether the process of a peer has ended: then connections to the address where it accepted links are refused. A
+/// process that is paused or unreachable does not refuse connections.
 pub(crate) async fn has_process_ended(peers: SocketAddr) -> bool {
-    for pause in GONE_LOOKS {
+    for pause in END_CHECK_PAUSES {
         sleep(pause).await;
-        if is_refused(peers, GONE_WAIT).await {
+        if is_refused(peers, END_CHECK_TIMEOUT).await {
             return true;
         }
     }
     false
 }
 
-/// Notes a link from a peer that holds results; a peer of an older build names none.
+/// Registers a link from a peer that holds results; `None` for a peer of an older build, which does not claim any.
 fn open_leases(app: &App, vm: &VmName, hello: &Hello, tx: &DialerSender) -> Option<LeaseLink> {
     let peers = hello.peers.parse().ok().filter(|_| hello.claims)?;
     let holder = Holder { vm: vm.clone(), incarnation: hello.incarnation };
@@ -183,14 +186,15 @@
     Some(LeaseLink { key, holder, peers })
 }
 
-/// A peer that speaks on a link.
+/// The peer at the other end of a link.
 struct Peer<'a> {
     vm: &'a VmName,
     tx: &'a DialerSender,
     lease_link: Option<LinkKey>,
 }
 
-fn take(
+/// Handles one message from a peer.
+fn handle_message(
     app: &Rc<App>,
     peer: &Peer<'_>,
     kind: from_dialer::Kind,
@@ -212,7 +216,7 @@
                 work::cancel(app, &pool, job);
             }
         }
-        from_dialer::Kind::Release(release) => take_release(app, release, tx),
+        from_dialer::Kind::Release(release) => handle_release(app, release, tx),
         from_dialer::Kind::Claims(claims) => {
             let handles = claims.handles.into_iter().collect();
             if let Some(link) = lease_link {
@@ -227,7 +231,7 @@
         }
         from_dialer::Kind::Ask(ask) => {
             let news = app.hub.with(|shared, _| peer_sync::answer_request(&shared.view, ask));
-            // A peer that is gone asks another one.
+            // A peer whose link ended asks another VM.
             drop(tx.send(Ok(FromOwner { kind: Some(from_owner::Kind::News(news)) })));
         }
         from_dialer::Kind::Crashes(crashes) => {
@@ -242,7 +246,7 @@
             let (app, vm, tx) = (Rc::clone(app), vm.clone(), tx.clone());
             spawn_local(async move {
                 if let Some(permit) = permits::answer(&app, vm.as_str(), ask).await {
-                    // A peer that is gone asks another one.
+                    // A peer whose link ended asks another VM.
                     drop(tx.send(Ok(FromOwner { kind: Some(from_owner::Kind::Permit(permit)) })));
                 }
             });
@@ -258,8 +262,8 @@
     }
 }
 
-/// Takes word that results which a peer had made here are needed no more; confirms it if that is wanted.
-fn take_release(app: &Rc<App>, release: Release, tx: &DialerSender) {
+/// Handles a peer's release of results that this VM had computed for it; confirms it if the peer asks for that.
+fn handle_release(app: &Rc<App>, release: Release, tx: &DialerSender) {
     let Release { handles, if_scarce, number, told } = release;
     let tasks = if told {
         releases::record_worker_releases(app, &handles);
@@ -271,11 +275,11 @@
     let tx = tx.clone();
     spawn_local(async move {
         for task in tasks {
-            // One that panicked ends the process.
+            // A task that panics ends the process.
             drop(task.await);
         }
         let kind = from_owner::Kind::Released(Released { number });
-        // A peer that is gone tells the workers itself, or this VM on its next link.
+        // A peer whose link ended calls the workers itself, or tells this VM on its next link.
         drop(tx.send(Ok(FromOwner { kind: Some(kind) })));
     });
 }
--- a/gateway/src/missing_inputs.rs
+++ b/gateway/src/missing_inputs.rs
@@ -1,24 +1,24 @@
-//! Why inputs are gone which a stage or a request needs, as far as the VM of the request can tell.
+//! Why an input that a stage or a request needs is no longer available, as far as the VM of the request can tell.
 
 use crate::app::App;
 use crate::hub::now;
 use crate::shared::Shared;
 
-/// Why an input is gone.
+/// Why an input is no longer available.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Cause {
-    /// The VM that had it made gave it up.
+    /// The VM that had it computed released it.
     Reclaimed,
     /// No target is known any more at its worker's address.
     WorkerGone,
-    /// Its life is over.
+    /// It expired at its worker.
     Expired,
     /// None of these.
     Unknown,
 }
 
 impl Cause {
-    /// The cause in logs and metrics.
+    /// Name of the cause in logs and metrics.
     pub(crate) fn name(self) -> &'static str {
         match self {
             Cause::Reclaimed => "taken_back",
@@ -29,19 +29,19 @@
     }
 }
 
-/// The cause for the first of `handles` for which there is one.
+/// The first known cause among `handles`; `Unknown` if there is none.
 pub(crate) fn find_cause(app: &App, handles: &[String]) -> Cause {
     let mut causes = handles.iter().map(|handle| cause_of(app, handle));
     causes.find(|cause| *cause != Cause::Unknown).unwrap_or(Cause::Unknown)
 }
 
 fn cause_of(app: &App, handle: &str) -> Cause {
-    let Some(has_run_out) = app.held.has_expired(handle, now()) else { return Cause::Reclaimed };
+    let Some(is_expired) = app.held.has_expired(handle, now()) else { return Cause::Reclaimed };
     let worker = (app.adapter.calls.worker_address)(handle);
     let is_known =
         |shared: &Shared| worker.is_some_and(|worker| shared.targets.at_address(worker).is_some());
     if !app.hub.with(|shared, _| is_known(shared)) {
         return Cause::WorkerGone;
     }
-    if has_run_out { Cause::Expired } else { Cause::Unknown }
+    if is_expired { Cause::Expired } else { Cause::Unknown }
 }
--- a/gateway/src/outbound_links.rs
+++ b/gateway/src/outbound_links.rs
@@ -1,6 +1,5 @@
-//! Links that this VM dials. Each VM dials those that fill calls for it and some more; the dialler
-//! submits pieces, the answering side fills calls with them, and both tell heartbeats and news of
-//! the store.
+//! Links that this VM dials. Each VM dials the VMs that batch calls for it and some more. The dialer submits pieces, the
+//! accepting side (the owner) batches them into calls, and both sides exchange heartbeats and changes in the store.
 
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, HashMap};
@@ -36,46 +35,46 @@
 use crate::releases;
 use crate::target_announcements;
 
-/// Way to the VM that dialled.
+/// Sends messages to the VM that dialed a link.
 pub(crate) type DialerSender = UnboundedSender<Result<FromOwner, Status>>;
 
-/// Longest wait for a TCP connection to a VM: what is lost on the way is sent again after a second, and a
-/// VM that starts is there long before.
-const CONNECT_WAIT: Duration = Duration::from_millis(250);
-/// Longest wait for each answer on a new link.
-const DIAL_WAIT: Duration = Duration::from_millis(800);
-/// Pause before a link that ended is dialled again.
-const DIAL_PAUSE: Duration = Duration::from_millis(400);
-/// Pause before a link that could not be made is dialled again. After all VMs of a fleet had lost power,
-/// those that others dialled before they were there were dialled again 1.2 s later.
-const FAILED_PAUSE: Duration = Duration::from_millis(150);
-/// A link that was not wanted for this long ends.
-const UNWANTED: Duration = Duration::from_secs(5);
-/// Most words that results are given up which wait for their confirmation: a peer of an older version confirms none.
-const MOST_UNCONFIRMED: usize = 1024;
-/// Why such a link ends.
-const UNWANTED_END: &str = "not wanted any more";
+/// Timeout for a TCP connection to a VM: a lost packet is sent again only after a second, and a starting VM accepts
+/// connections long before that.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
+/// Timeout for each answer on a new link.
+const HANDSHAKE_TIMEOUT: Duration = Duration::from_millis(800);
+/// Pause before a link that ended is dialed again.
+const REDIAL_PAUSE: Duration = Duration::from_millis(400);
+/// Pause before a dial that failed is repeated. Short, since after a power loss of the whole fleet many VMs are dialed
+/// before they accept links, and a failed dial took 1.2 s until the next one.
+const FAILED_DIAL_PAUSE: Duration = Duration::from_millis(150);
+/// A link that was not needed for this long is closed.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(5);
+/// Most releases that wait for the peer's confirmation: a peer of an older version confirms none.
+const MAX_UNCONFIRMED: usize = 1024;
+/// Reason for closing a link after [`IDLE_TIMEOUT`].
+const IDLE_REASON: &str = "not needed any more";
 
-/// A link that this VM dialled.
+/// A link that this VM dialed.
 pub(crate) struct Link {
-    /// Where the peer takes links.
+    /// Where the peer accepts links.
     pub(crate) address: SocketAddr,
     tx: UnboundedSender<FromDialer>,
     next_number: Cell<u64>,
-    over: Cell<bool>,
-    jobs: RefCell<HashMap<u64, Waiting>>,
-    /// Who waits for news of the store.
-    asked: RefCell<Option<oneshot::Sender<News>>>,
-    /// Who waits for a permit, by the question's number.
+    closed: Cell<bool>,
+    jobs: RefCell<HashMap<u64, PendingJob>>,
+    /// Receiver of the answer to the last request for changes in the store.
+    pending_changes: RefCell<Option<oneshot::Sender<News>>>,
+    /// Receivers of permits, by the request's number.
     permits: RefCell<HashMap<u64, oneshot::Sender<Permit>>>,
-    /// Results that were given up through this link, until the peer confirms it.
+    /// Results released through this link, until the peer confirms, by the release's number.
     unconfirmed: RefCell<BTreeMap<u64, Vec<String>>>,
-    /// Results of which the peer was told that their workers have heard, until it confirms it.
-    told: RefCell<HashMap<u64, Vec<String>>>,
+    /// Results reported to the peer as released at their workers, until it confirms, by the report's number.
+    reported: RefCell<HashMap<u64, Vec<String>>>,
 }
 
-/// A submission whose results are waited for.
-struct Waiting {
+/// A submission whose results are awaited.
+struct PendingJob {
     news: UnboundedSender<PieceNews>,
     of: StageTurn,
     term: ResultExpiry,
@@ -89,16 +88,16 @@
             address,
             tx,
             next_number: Cell::new(0),
-            over: Cell::new(false),
+            closed: Cell::new(false),
             jobs: RefCell::default(),
-            asked: RefCell::default(),
+            pending_changes: RefCell::default(),
             permits: RefCell::default(),
             unconfirmed: RefCell::default(),
-            told: RefCell::default(),
+            reported: RefCell::default(),
         }
     }
 
-    /// Submits pieces; gives the submission's number.
+    /// Submits pieces; returns the submission's number.
     pub(crate) fn submit(
         &self,
         pool: &ServiceName,
@@ -109,7 +108,7 @@
     ) -> u64 {
         let job = self.next_number();
         let term = ResultExpiry { until: submission.until, life };
-        let waiting = Waiting { news, of, term, left: submission.pieces.len() };
+        let waiting = PendingJob { news, of, term, left: submission.pieces.len() };
         self.jobs.borrow_mut().insert(job, waiting);
         let millis = |at: Instant| u32::try_from(left(at).as_millis()).unwrap_or(u32::MAX);
         self.send(from_dialer::Kind::Submit(Submit {
@@ -131,20 +130,20 @@
         job
     }
 
-    /// Says that nobody waits for a submission any more, unless it is done.
+    /// Cancels a submission, unless it is done.
     pub(crate) fn cancel(&self, job: u64) {
         if self.jobs.borrow_mut().remove(&job).is_some() {
             self.send(from_dialer::Kind::Cancel(Cancel { job }));
         }
     }
 
-    /// Gives up results that were made through this link. Until the peer confirms that their workers have heard, it
-    /// may end with the word: then this VM tells them itself. Gives results that are to be told of by this VM now,
-    /// since too much waits for its confirmation.
+    /// Releases results that were computed through this link. The peer may end before it confirms that their workers
+    /// were called; then this VM calls them itself. Returns results that this VM has to release at their workers
+    /// now, since too many releases wait for a confirmation.
     pub(crate) fn release(&self, handles: Vec<String>) -> Vec<String> {
         let number = self.next_number();
         let mut unconfirmed = self.unconfirmed.borrow_mut();
-        let is_full = unconfirmed.len() >= MOST_UNCONFIRMED;
+        let is_full = unconfirmed.len() >= MAX_UNCONFIRMED;
         let oldest = is_full.then(|| unconfirmed.pop_first()).flatten();
         unconfirmed.insert(number, handles.clone());
         let number = Some(number);
@@ -153,14 +152,14 @@
         oldest.map(|(_, handles)| handles).unwrap_or_default()
     }
 
-    /// Tells the peer of which results the workers have heard that they are given up.
+    /// Reports to the peer which results were released at their workers.
     pub(crate) fn report_releases(&self, app: &App) {
         let handles = app.held.take_unreported(self.address);
         if handles.is_empty() {
             return;
         }
         let number = self.next_number();
-        self.told.borrow_mut().insert(number, handles.clone());
+        self.reported.borrow_mut().insert(number, handles.clone());
         let number = Some(number);
         self.send(from_dialer::Kind::Release(Release {
             handles,
@@ -170,34 +169,34 @@
         }));
     }
 
-    /// Takes the peer's confirmation of a word that results are given up.
+    /// Handles the peer's confirmation of a release or of a report.
     fn confirmed(&self, app: &App, number: u64) {
         self.unconfirmed.borrow_mut().remove(&number);
-        if let Some(handles) = self.told.borrow_mut().remove(&number) {
+        if let Some(handles) = self.reported.borrow_mut().remove(&number) {
             app.held.record_confirmed(&handles);
         }
     }
 
-    /// Gives up results that were made through this link if room is scarce.
+    /// Releases results that were computed through this link if their workers are short of memory.
     pub(crate) fn release_if_scarce(&self, handles: &[String]) {
         let handles = handles.to_vec();
         let release = Release { handles, if_scarce: true, number: None, told: false };
         self.send(from_dialer::Kind::Release(release));
     }
 
-    /// Asks for changes in the store. An earlier question that was not answered is dropped.
+    /// Requests changes in the store. Drops an earlier request that was not answered.
     pub(crate) fn request_changes(&self, ask: Ask) -> oneshot::Receiver<News> {
         let (tx, rx) = oneshot::channel();
-        self.asked.replace(Some(tx));
+        self.pending_changes.replace(Some(tx));
         self.send(from_dialer::Kind::Ask(ask));
         rx
     }
 
-    /// Asks for a permit.
+    /// Requests a permit for a call to a target with a rate limit.
     pub(crate) fn request_permit(&self, ask: PermitAsk) -> oneshot::Receiver<Permit> {
         let (tx, rx) = oneshot::channel();
         let mut permits = self.permits.borrow_mut();
-        // Whoever gave up waits no more.
+        // Drops requests whose task stopped waiting.
         permits.retain(|_, tx| !tx.is_closed());
         let number = self.next_number();
         permits.insert(number, tx);
@@ -213,50 +212,50 @@
 
     fn permit(&self, permit: Permit) {
         if let Some(tx) = self.permits.borrow_mut().remove(&permit.number) {
-            // Whoever asked may have given up.
+            // The task that asked may have stopped waiting.
             tx.send(permit).ok();
         }
     }
 
     fn take_news(&self, news: News) {
-        if let Some(tx) = self.asked.take() {
-            // Whoever asked has given up.
+        if let Some(tx) = self.pending_changes.take() {
+            // The task that asked may have stopped waiting.
             drop(tx.send(news));
         }
     }
 
-    /// Whether the link ended.
+    /// Whether the link has ended.
     pub(crate) fn is_closed(&self) -> bool {
-        self.over.get()
+        self.closed.get()
     }
 
     fn send(&self, kind: from_dialer::Kind) {
-        // A link that just ended tells its requests so by itself.
+        // If the link has just ended, its pending requests are notified separately.
         drop(self.tx.send(FromDialer { kind: Some(kind) }));
     }
 
-    /// Hands finished pieces to their request; gives results that nobody waits for.
+    /// Passes finished pieces to their request; returns results that nobody waits for.
     fn done(&self, done: Done) -> Vec<String> {
         let mut jobs = self.jobs.borrow_mut();
-        let mut unread = Vec::new();
+        let mut unclaimed = Vec::new();
         for piece in done.pieces {
             let made = piece_outcome(&piece);
             let handle = made.handle().map(str::to_owned);
-            let is_read = jobs.get_mut(&done.job).is_some_and(|waiting| {
+            let is_delivered = jobs.get_mut(&done.job).is_some_and(|waiting| {
                 waiting.left = waiting.left.saturating_sub(1);
                 let news = PieceNews::Done { of: waiting.of, piece: piece.piece, made };
                 waiting.news.send(news).is_ok()
             });
-            unread.extend(handle.filter(|_| !is_read));
+            unclaimed.extend(handle.filter(|_| !is_delivered));
         }
         if jobs.get(&done.job).is_some_and(|waiting| waiting.left == 0) {
             jobs.remove(&done.job);
         }
-        unread
+        unclaimed
     }
 
-    /// How long the results of a submission are this VM's to give up; those of one that nobody waits for any more are
-    /// given up at once.
+    /// How long this VM is responsible for releasing the results of a submission; those of a submission that nobody
+    /// waits for are released at once.
     fn term(&self, job: u64, now: Instant) -> ResultExpiry {
         let term = self.jobs.borrow().get(&job).map(|waiting| waiting.term);
         term.unwrap_or(ResultExpiry { until: now, life: REQUEST_GRACE })
@@ -264,15 +263,15 @@
 
     fn fetched(&self, job: u64) {
         if let Some(waiting) = self.jobs.borrow().get(&job) {
-            // A request that is gone gives its results up by itself.
+            // A request that has ended releases its results itself.
             drop(waiting.news.send(PieceNews::Fetched { of: waiting.of }));
         }
     }
 
-    /// Ends everything that waits for the peer; gives results of which it may not have told the workers.
+    /// Ends everything that waits for the peer; returns results that it may not have released at their workers.
     fn close(&self) -> Vec<String> {
-        self.over.set(true);
-        self.asked.take();
+        self.closed.set(true);
+        self.pending_changes.take();
         self.permits.borrow_mut().clear();
         for (_, waiting) in self.jobs.borrow_mut().drain() {
             drop(waiting.news.send(PieceNews::OwnerLost { of: waiting.of }));
@@ -281,27 +280,28 @@
     }
 }
 
-/// Holds a link to an address; ends when it fails, to be dialled again if it is still wanted.
+/// Dials an address and serves the link until it ends; it is dialed again if it is still wanted.
 pub(crate) async fn maintain_link(app: Rc<App>, address: SocketAddr) {
     if let Err(why) = run_link(&app, address).await {
-        slog::debug!(app.log, "no link"; "address" => %address, "why" => why);
+        slog::debug!(app.log, "link not established"; "address" => %address, "why" => why);
         app.hub.with(|shared, _| shared.fleet.record_dial_failure(address));
-        sleep(FAILED_PAUSE).await;
+        sleep(FAILED_DIAL_PAUSE).await;
     } else {
-        sleep(DIAL_PAUSE).await;
+        sleep(REDIAL_PAUSE).await;
     }
-    // Whoever dials looks again.
+    // Wakes the dialer task to check which links are wanted.
     app.vms_changed.notify_one();
 }
 
+/// Dials an address and serves the link until it ends; an error tells why no link was established.
 async fn run_link(app: &Rc<App>, address: SocketAddr) -> Result<(), String> {
     let endpoint = Endpoint::from_shared(format!("http://{address}"))
         .map_err(|e| e.to_string())?
-        .connect_timeout(CONNECT_WAIT)
+        .connect_timeout(CONNECT_TIMEOUT)
         .tcp_nodelay(true);
-    let channel = timeout(DIAL_WAIT, endpoint.connect())
+    let channel = timeout(HANDSHAKE_TIMEOUT, endpoint.connect())
         .await
-        .map_err(|_| "not connected in time".to_owned())?
+        .map_err(|_| "no connection in time".to_owned())?
         .map_err(|e| e.to_string())?;
     let (tx, rx) = unbounded_channel();
     drop(tx.send(FromDialer { kind: Some(from_dialer::Kind::Hello(own_hello(app))) }));
@@ -309,9 +309,9 @@
     drop(tx.send(FromDialer { kind: Some(from_dialer::Kind::Claims(claims)) }));
     let mut client = WorkClient::new(channel);
     let opening = client.link(UnboundedReceiverStream::new(rx));
-    let inbound = timeout(DIAL_WAIT, opening).await.map_err(|_| "no answer".to_owned())?;
+    let inbound = timeout(HANDSHAKE_TIMEOUT, opening).await.map_err(|_| "no answer".to_owned())?;
     let mut inbound = inbound.map_err(|e| e.to_string())?.into_inner();
-    let hello = first_hello(&mut inbound).await?;
+    let hello = read_hello(&mut inbound).await?;
     let vm = VmName::new(&hello.vm).map_err(|e| e.to_string())?;
     if vm == app.cfg.vm {
         return Err("the address is this VM's own".to_owned());
@@ -326,7 +326,7 @@
     let mut links = app.links.borrow_mut();
     if links.get(&vm).is_some_and(|other| Rc::ptr_eq(other, &link)) {
         links.remove(&vm);
-        app.hub.with(|shared, now| shared.fleet.record_unlinked(&vm, why != UNWANTED_END, now));
+        app.hub.with(|shared, now| shared.fleet.record_unlinked(&vm, why != IDLE_REASON, now));
         app.vms_changed.notify_one();
     }
     drop(links);
@@ -335,8 +335,8 @@
     Ok(())
 }
 
-/// Takes finished pieces; their results are held until they are given up.
-fn take_done(app: &Rc<App>, link: &Rc<Link>, done: Done) {
+/// Handles finished pieces; their results are held until they are released.
+fn handle_done(app: &Rc<App>, link: &Rc<Link>, done: Done) {
     let now = now();
     let term = link.term(done.job, now);
     for piece in done.pieces.iter().filter(|piece| !piece.handle.is_empty()) {
@@ -345,15 +345,17 @@
     releases::release_results(app, &link.done(done));
 }
 
-async fn first_hello(inbound: &mut Streaming<FromOwner>) -> Result<Hello, String> {
-    let first = timeout(DIAL_WAIT, inbound.message()).await.map_err(|_| "no hello".to_owned())?;
+async fn read_hello(inbound: &mut Streaming<FromOwner>) -> Result<Hello, String> {
+    let first = timeout(HANDSHAKE_TIMEOUT, inbound.message())
+        .await
+        .map_err(|_| "no hello in time".to_owned())?;
     match first.map_err(|e| e.to_string())?.and_then(|message| message.kind) {
         Some(from_owner::Kind::Hello(hello)) => Ok(hello),
-        _ => Err("no hello".to_owned()),
+        _ => Err("the first message is not a hello".to_owned()),
     }
 }
 
-/// Reads what the owner says until the link ends; tells why it ended.
+/// Reads the peer's messages until the link ends; returns why it ended.
 async fn read_link(
     app: &Rc<App>,
     vm: &VmName,
@@ -361,27 +363,27 @@
     inbound: &mut Streaming<FromOwner>,
     address: SocketAddr,
 ) -> String {
-    let mut wanted = tokio::time::Instant::now();
-    let mut beats = interval(HEARTBEAT_INTERVAL);
-    beats.set_missed_tick_behavior(MissedTickBehavior::Delay);
-    let mut heard = tokio::time::Instant::now();
-    let mut told = SentCursors::default();
-    let mut known = app.hub.with(|shared, _| shared.word_known.subscribe());
+    let mut last_needed = tokio::time::Instant::now();
+    let mut heartbeats = interval(HEARTBEAT_INTERVAL);
+    heartbeats.set_missed_tick_behavior(MissedTickBehavior::Delay);
+    let mut last_received = tokio::time::Instant::now();
+    let mut sent_cursors = SentCursors::default();
+    let mut updates = app.hub.with(|shared, _| shared.word_known.subscribe());
     loop {
         tokio::select! {
-            _ = known.changed() => {
-                let untold = take_unsent(app, &mut told);
-                let crashes = untold.crashes.map(from_dialer::Kind::Crashes);
-                let departures = untold.departures.map(from_dialer::Kind::Departures);
-                let rates = untold.rates.map(from_dialer::Kind::Rates);
+            _ = updates.changed() => {
+                let unsent = take_unsent(app, &mut sent_cursors);
+                let crashes = unsent.crashes.map(from_dialer::Kind::Crashes);
+                let departures = unsent.departures.map(from_dialer::Kind::Departures);
+                let rates = unsent.rates.map(from_dialer::Kind::Rates);
                 let words = crashes.into_iter().chain(departures).chain(rates);
                 words.for_each(|kind| link.send(kind));
             }
             message = inbound.message() => {
-                heard = tokio::time::Instant::now();
+                last_received = tokio::time::Instant::now();
                 match message {
                     Ok(Some(FromOwner { kind: Some(kind) })) => match kind {
-                        from_owner::Kind::Done(done) => take_done(app, link, done),
+                        from_owner::Kind::Done(done) => handle_done(app, link, done),
                         from_owner::Kind::Fetched(fetched) => link.fetched(fetched.job),
                         from_owner::Kind::Beat(beat) => {
                             apply_heartbeat(app, vm, &beat);
@@ -411,23 +413,23 @@
                     Err(e) => return e.message().to_owned(),
                 }
             }
-            _ = beats.tick() => {
-                if heard.elapsed() > PEER_TIMEOUT {
-                    return format!("silent for {:?}", heard.elapsed());
+            _ = heartbeats.tick() => {
+                if last_received.elapsed() > PEER_TIMEOUT {
+                    return format!("silent for {:?}", last_received.elapsed());
                 }
-                let out = app.hub.with(|shared, _| shared.fleet.is_unreachable(vm));
-                if heard.elapsed() > HEARTBEAT_INTERVAL && out {
-                    return "its hall is out of reach".to_owned();
+                let is_hall_unreachable = app.hub.with(|shared, _| shared.fleet.is_unreachable(vm));
+                if last_received.elapsed() > HEARTBEAT_INTERVAL && is_hall_unreachable {
+                    return "its hall is unreachable".to_owned();
                 }
                 let in_use = !link.jobs.borrow().is_empty() || app.held.has_results_from(address);
                 if in_use || app.wanted_links.borrow().contains(&address) {
-                    wanted = tokio::time::Instant::now();
+                    last_needed = tokio::time::Instant::now();
                 }
-                if wanted.elapsed() > UNWANTED {
-                    return UNWANTED_END.to_owned();
+                if last_needed.elapsed() > IDLE_TIMEOUT {
+                    return IDLE_REASON.to_owned();
                 }
                 link.send(from_dialer::Kind::Beat(own_heartbeat(app)));
-                known.mark_changed();
+                updates.mark_changed();
             }
         }
     }
--- a/gateway/src/releases.rs
+++ b/gateway/src/releases.rs
@@ -1,9 +1,11 @@
-//! Results of stages that are needed no more: their workers are told, so that they use the room again.
+//! Releases results of stages that are no longer needed: sends their workers release calls, so that the workers can
+//! reuse the memory.
 //!
-//! One VM is responsible for a result at each moment: the owner, which had it made, until it hands it over; then the
-//! VM of the request; and the owner again once its lease ended ([`result_leases`]). The VM of a request tells workers
-//! itself, so that no word is lost with an owner, and the owner hears of it for its accounts of room. Where a worker
-//! names a rate the word goes through the owner, which joins what all VMs give up.
+//! Exactly one VM is responsible for a result at any time: the owner, which had it computed, until it hands the result
+//! over; then the VM of the request (the requester); and the owner again once the lease ended ([`result_leases`]). The
+//! requester calls workers itself, so that no release is lost together with an owner, and reports the release to the
+//! owner, which tracks the workers' memory. If a worker announces a rate limit, the release goes through the owner,
+//! which combines the releases of all VMs.
 
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
@@ -30,39 +32,42 @@
 use crate::permits;
 use crate::pool_calls::fill_calls;
 
-/// Longest wait for a worker to confirm that results were given up.
+/// Longest wait for a worker to confirm a release.
 const RELEASE_WAIT: Duration = Duration::from_millis(500);
-/// Longest pause before a worker that wants to be left alone is told that results are given up. Most results
-/// run out by themselves after some seconds, so that a later word frees little.
-const LONGEST_LEFT_ALONE: Duration = Duration::from_secs(2);
-/// Pause before a worker that may not have heard is told again; each further one is twice as long.
-const FIRST_PAUSE: Duration = Duration::from_millis(250);
-/// Most times that a worker is told. Together with the pauses they outlast the entry of a worker that lapsed and
-/// returns.
-const MOST_TELLINGS: u32 = 5;
-/// Pause between two looks for leases that are over.
-const LEASE_LOOK: Duration = Duration::from_millis(250);
-
-/// A look that comes this long after the one before shows that this VM stood still.
-const STOOD_STILL: Duration = Duration::from_secs(1);
-/// Time in which VMs that lost their links to this one link again and say what they hold: they dial every 0.4 s.
-const RELINK: Duration = Duration::from_millis(1500);
-
-/// Which VM tells a worker that results are given up, for the log.
+/// Longest time for which a release is held back because the worker asked for backoff. Most results expire by
+/// themselves after some seconds, so that a later release frees little.
+const MAX_BACKOFF_WAIT: Duration = Duration::from_secs(2);
+/// Pause before the first retry of a release that was not confirmed; doubles with each further retry.
+const FIRST_RETRY_PAUSE: Duration = Duration::from_millis(250);
+/// Most attempts to send a release. Together with the pauses they last longer than the time for which a worker's entry
+/// can lapse before the worker writes it again.
+const MAX_ATTEMPTS: u32 = 5;
+/// Interval between two checks for leases that ended.
+const LEASE_CHECK_INTERVAL: Duration = Duration::from_millis(250);
+
+/// A check that runs this long after the previous one shows that this process was paused.
+const PAUSE_DETECTED_AFTER: Duration = Duration::from_secs(1);
+/// Time within which VMs that lost their links to this one reconnect and claim the results that they hold: they dial
+/// every 0.4 s.
+const RECONNECT_TIME: Duration = Duration::from_millis(1500);
+
+/// Role in which this VM sends a release; logged with the release.
 #[derive(Debug, Clone, Copy)]
-enum Teller {
-    /// The one that had them made.
+enum Role {
+    /// This VM had the results computed.
     Owner,
-    /// The one whose request they belong to.
+    /// The results belong to a request of this VM.
     Requester,
 }
 
-/// Gives up results that requests of this VM hold.
+/// Releases results that requests of this VM hold.
 pub(crate) fn release_results(app: &Rc<App>, handles: &[String]) {
-    for ReleaseBatch { maker, handles, is_ours, until } in app.held.take(handles, now()) {
-        match maker {
+    for ReleaseBatch { origin, handles, is_released_here, until } in app.held.take(handles, now()) {
+        match origin {
             Origin::Local => drop(release_as_owner(app, handles)),
-            Origin::Peer(link) if is_ours => release_through_link(app, &link, handles, until),
+            Origin::Peer(link) if is_released_here => {
+                release_through_link(app, &link, handles, until)
+            }
             Origin::Peer(link) => {
                 spawn_local(release_if_owner_ended(Rc::clone(app), link, handles));
             }
@@ -70,47 +75,50 @@
     }
 }
 
-/// Gives up results that are their owner's by now, if its process has ended: nobody else does.
+/// Releases results for which the owner is responsible by now, if the owner's process has ended: no other VM does.
 async fn release_if_owner_ended(app: Rc<App>, link: Rc<Link>, handles: Vec<String>) {
     if has_process_ended(link.address).await {
         release_as_requester(&app, &link, handles, None);
     }
 }
 
-/// Gives up results that requests of this VM hold, if their workers' room is scarce.
+/// Releases results that requests of this VM hold, if their workers are short of memory.
 pub(crate) fn release_results_if_scarce(app: &Rc<App>, handles: &[String]) {
-    for (maker, handle) in app.held.look_up(handles) {
-        match maker {
+    for (origin, handle) in app.held.look_up(handles) {
+        match origin {
             Origin::Local => release_as_owner_if_scarce(app, &[handle]),
             Origin::Peer(link) => link.release_if_scarce(&[handle]),
         }
     }
 }
 
+/// Releases results that a peer had computed: directly at their workers, or through the peer if a worker announces a
+/// rate limit and the link is open.
 fn release_through_link(app: &Rc<App>, link: &Rc<Link>, handles: Vec<String>, until: Instant) {
-    let is_told_here = |handle: &String| link.is_closed() || tells_itself(app, handle);
-    let (here, through_owner): (Vec<_>, Vec<_>) = handles.into_iter().partition(is_told_here);
+    let is_sent_here = |handle: &String| link.is_closed() || calls_worker_directly(app, handle);
+    let (here, through_owner): (Vec<_>, Vec<_>) = handles.into_iter().partition(is_sent_here);
     release_as_requester(app, link, here, Some(until));
     if !through_owner.is_empty() {
-        let given_up_on = link.release(through_owner);
-        release_as_requester(app, link, given_up_on, None);
+        let overflow = link.release(through_owner);
+        release_as_requester(app, link, overflow, None);
     }
 }
 
-/// Whether this VM tells the worker of a result itself. One that names a rate is told by the owner, which joins what all
-/// VMs give up.
-fn tells_itself(app: &App, handle: &str) -> bool {
+/// Whether this VM calls the worker of a result itself. A worker with a rate limit is called by the owner only, which
+/// combines the releases of all VMs.
+fn calls_worker_directly(app: &App, handle: &str) -> bool {
     let Some(worker) = (app.adapter.calls.worker_address)(handle) else { return true };
     app.hub.with(|shared, _| {
-        let names_rate = shared
+        let has_rate_limit = shared
             .targets
             .at_address(worker)
             .is_some_and(|target| target.request_interval.is_some());
-        !names_rate
+        !has_rate_limit
     })
 }
 
-/// Tells the workers of results that a peer had made, before `until` if that is set, and the peer once they have heard.
+/// Releases results that a peer had computed at their workers, before `until` if that is set, and reports to the peer
+/// what the workers confirmed.
 pub(crate) fn release_as_requester(
     app: &Rc<App>,
     link: &Rc<Link>,
@@ -118,68 +126,70 @@
     until: Option<Instant>,
 ) {
     app.held.record_release_started(&handles, link.address, now());
-    for (worker, handles) in by_worker(app, handles) {
-        let (app, maker) = (Rc::clone(app), link.address);
+    for (worker, handles) in group_by_worker(app, handles) {
+        let (app, origin) = (Rc::clone(app), link.address);
         spawn_local(async move {
-            let is_heard = tell_until_heard(&app, worker, &handles, Teller::Requester, until).await;
-            app.held.record_release_outcome(&handles, is_heard);
-            // Without a link the peer hears of it on the next one.
-            if let Some(link) = link_to(&app, maker) {
+            let is_confirmed =
+                release_until_confirmed(&app, worker, &handles, Role::Requester, until).await;
+            app.held.record_release_outcome(&handles, is_confirmed);
+            // Without a link the report is sent on the next one.
+            if let Some(link) = link_to(&app, origin) {
                 link.report_releases(&app);
             }
         });
     }
 }
 
-/// The link that stands to the VM which takes links at an address.
+/// The open link to the VM that accepts links at an address.
 fn link_to(app: &App, address: SocketAddr) -> Option<Rc<Link>> {
     app.links.borrow().values().find(|link| link.address == address).cloned()
 }
 
-fn by_worker(app: &App, handles: Vec<String>) -> HashMap<SocketAddr, Vec<String>> {
-    let mut by_worker: HashMap<SocketAddr, Vec<String>> = HashMap::new();
+/// Groups handles by the address of their worker. Handles that can't be parsed are logged and left out.
+fn group_by_worker(app: &App, handles: Vec<String>) -> HashMap<SocketAddr, Vec<String>> {
+    let mut handles_by_worker: HashMap<SocketAddr, Vec<String>> = HashMap::new();
     for handle in handles {
         match (app.adapter.calls.worker_address)(&handle) {
-            Some(address) => by_worker.entry(address).or_default().push(handle),
-            None => info!(app.log, "result's handle not understood"; "handle" => handle),
+            Some(address) => handles_by_worker.entry(address).or_default().push(handle),
+            None => info!(app.log, "result handle not parsed"; "handle" => handle),
         }
     }
-    by_worker
+    handles_by_worker
 }
 
-/// Gives up results that this VM had made; gives the tasks that tell their workers.
+/// Releases results that this VM had computed; returns the tasks that call their workers.
 pub(crate) fn release_as_owner(app: &Rc<App>, handles: Vec<String>) -> Vec<JoinHandle<()>> {
-    let given_up = take_from_pools(app, &handles);
-    let known: Vec<&String> = given_up.iter().flat_map(|(_, told)| &told.handles).collect();
+    let taken = take_from_pools(app, &handles);
+    let known: Vec<&String> = taken.iter().flat_map(|(_, told)| &told.handles).collect();
     let unknown = handles.iter().filter(|handle| !known.contains(handle)).cloned().collect();
-    let unknown = by_worker(app, unknown).into_iter().map(|(worker, handles)| {
+    let unknown = group_by_worker(app, unknown).into_iter().map(|(worker, handles)| {
         let app = Rc::clone(app);
         spawn_local(async move {
-            tell_until_heard(&app, worker, &handles, Teller::Owner, None).await;
+            release_until_confirmed(&app, worker, &handles, Role::Owner, None).await;
         })
     });
     let mut tasks: Vec<_> = unknown.collect();
-    tasks.extend(given_up.into_iter().map(|(pool, told)| tell_worker_of_pool(app, pool, told)));
+    tasks.extend(taken.into_iter().map(|(pool, told)| release_in_background(app, pool, told)));
     tasks
 }
 
-/// Takes results out of the pools that know them.
+/// Removes results from the pools that know them.
 fn take_from_pools(app: &App, handles: &[String]) -> Vec<(ServiceName, PendingRelease)> {
     app.hub.with(|shared, _| {
         let pools = shared.pools.iter_mut();
-        let of_pool = |(name, pool): (&ServiceName, &mut Pool)| {
+        let release_in_pool = |(name, pool): (&ServiceName, &mut Pool)| {
             let name = name.clone();
             pool.release(handles.to_vec()).into_iter().map(move |told| (name.clone(), told))
         };
-        pools.flat_map(of_pool).collect()
+        pools.flat_map(release_in_pool).collect()
     })
 }
 
-/// Takes word that the workers of results have heard that these are given up.
+/// Records that workers confirmed the release of results to the requester.
 pub(crate) fn record_worker_releases(app: &Rc<App>, handles: &[String]) {
     app.hub.with(|shared, _| shared.leases.released(handles));
     for (pool, told) in take_from_pools(app, handles) {
-        account(app, &pool, &told, true);
+        complete_release(app, &pool, &told, true);
     }
 }
 
@@ -197,7 +207,8 @@
     }
 }
 
-/// Takes a peer's word that results are needed no more, or only as long as there is room.
+/// Handles a peer's release of results: unconditional, or only if the workers are short of memory. Returns the tasks
+/// that call the workers.
 pub(crate) fn release_for_peer(
     app: &Rc<App>,
     handles: Vec<String>,
@@ -211,8 +222,8 @@
     release_as_owner(app, handles)
 }
 
-/// Gives up results that no request gave up by itself: nobody waits for them, or their room is scarce. Those who hold
-/// them hear of it, so that the workers are told once.
+/// Releases results that no request released by itself: nobody waits for them, or their memory is needed. The VMs that
+/// hold them are notified, so that the workers are called only once.
 pub(crate) fn reclaim(app: &Rc<App>, pool: &ServiceName, told: Vec<PendingRelease>) {
     for told in told {
         app.held.forget(&told.handles);
@@ -220,40 +231,40 @@
         for (link, handles) in links {
             if let Some(tx) = app.lease_links.borrow().get(&link) {
                 let kind = from_owner::Kind::Reclaimed(Reclaimed { handles });
-                // A peer that is gone holds nothing.
+                // A peer that has ended holds no results.
                 drop(tx.send(Ok(FromOwner { kind: Some(kind) })));
             }
         }
-        drop(tell_worker_of_pool(app, pool.clone(), told));
+        drop(release_in_background(app, pool.clone(), told));
     }
 }
 
-/// Gives up the results of which the leases are over.
+/// Releases results whose leases ended; runs as long as the process.
 pub(crate) async fn release_ended_leases(app: Rc<App>) {
-    let mut looks = interval(LEASE_LOOK);
-    looks.set_missed_tick_behavior(MissedTickBehavior::Delay);
+    let mut checks = interval(LEASE_CHECK_INTERVAL);
+    checks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     let mut last = now();
     loop {
-        looks.tick().await;
-        if now().saturating_duration_since(last) > STOOD_STILL {
-            // Holders may have given up meanwhile what they could not tell.
-            sleep(RELINK).await;
+        checks.tick().await;
+        if now().saturating_duration_since(last) > PAUSE_DETECTED_AFTER {
+            // Holders may have released results meanwhile and could not report it.
+            sleep(RECONNECT_TIME).await;
         }
         last = now();
         let ended = app.hub.with(|shared, now| shared.leases.take_ended(now));
-        let mut by_why: BTreeMap<EndReason, Vec<String>> = BTreeMap::new();
+        let mut by_reason: BTreeMap<EndReason, Vec<String>> = BTreeMap::new();
         for EndedLease { handle, reason } in ended {
-            by_why.entry(reason).or_default().push(handle);
+            by_reason.entry(reason).or_default().push(handle);
         }
-        for (why, handles) in by_why {
-            info!(app.log, "results taken over"; "results" => handles.len(), "why" => ?why);
-            app.metrics.results_given_up(why_name(why), handles.len());
+        for (why, handles) in by_reason {
+            info!(app.log, "results of ended leases released"; "results" => handles.len(), "why" => ?why);
+            app.metrics.results_given_up(reason_label(why), handles.len());
             drop(release_as_owner(&app, handles));
         }
     }
 }
 
-fn why_name(reason: EndReason) -> &'static str {
+fn reason_label(reason: EndReason) -> &'static str {
     match reason {
         EndReason::RequestOver => "request_over",
         EndReason::HolderGone => "holder_gone",
@@ -261,20 +272,21 @@
     }
 }
 
-/// Tells a worker of a pool of this VM; the room is used again once it has heard.
-fn tell_worker_of_pool(app: &Rc<App>, pool: ServiceName, told: PendingRelease) -> JoinHandle<()> {
+/// Releases results at a worker of a pool of this VM. The pool reuses the memory once the worker confirmed.
+fn release_in_background(app: &Rc<App>, pool: ServiceName, told: PendingRelease) -> JoinHandle<()> {
     let app = Rc::clone(app);
     spawn_local(async move {
         let worker = told.target.address;
-        let heard = tell_until_heard(&app, worker, &told.handles, Teller::Owner, None).await;
-        account(&app, &pool, &told, heard);
+        let confirmed =
+            release_until_confirmed(&app, worker, &told.handles, Role::Owner, None).await;
+        complete_release(&app, &pool, &told, confirmed);
     })
 }
 
-fn account(app: &Rc<App>, pool: &ServiceName, told: &PendingRelease, heard: bool) {
+fn complete_release(app: &Rc<App>, pool: &ServiceName, told: &PendingRelease, confirmed: bool) {
     app.hub.with(|shared, now| {
         let pool = shared.pools.get_mut(pool);
-        pool.map(|pool| pool.finish_release(told, heard, now))
+        pool.map(|pool| pool.finish_release(told, confirmed, now))
     });
     fill_calls(app, pool);
 }
@@ -287,152 +299,160 @@
     })
 }
 
-/// Whether a target is not the lifetime that was told before.
-fn is_another(target: &Target, before: Option<&Target>) -> bool {
+/// Whether a target is not the one, or not the lifetime, that was called before.
+fn is_replaced(target: &Target, before: Option<&Target>) -> bool {
     before.is_some_and(|before| target.id != before.id || target.is_other_lifetime_than(before))
 }
 
-/// What came of telling a worker.
-enum Told {
-    Heard,
-    /// Another lifetime has its address: nothing of the earlier one is left.
+/// Outcome of a release call.
+enum SendOutcome {
+    Confirmed,
+    /// Another lifetime has the worker's address: the results ended with the earlier one.
     Replaced,
-    /// It may not have heard.
-    Missed(String),
+    /// The worker may not have received the call; with the reason.
+    Unconfirmed(String),
 }
 
-/// Results of one worker that are given up, and who waits until it has heard.
+/// A release that waits to be sent to a worker, and the task that waits for the outcome.
 pub(crate) struct QueuedRelease {
     handles: Vec<String>,
-    /// After this nobody here tells the worker any more.
+    /// After this the results are not this VM's to release any more.
     until: Option<Instant>,
-    /// Told whether the worker has heard.
-    heard: oneshot::Sender<bool>,
+    /// Receives whether the worker confirmed.
+    confirmed: oneshot::Sender<bool>,
 }
 
 impl QueuedRelease {
-    fn is_ours(&self, now: Instant) -> bool {
+    fn is_still_due(&self, now: Instant) -> bool {
         self.until.is_none_or(|until| now < until)
     }
 }
 
-/// Tells a worker until it has heard; false if it may not have. Words to a worker follow one another, and those that
-/// come meanwhile go together: requests of which pieces were made in one call give them up at the same moment.
-async fn tell_until_heard(
+/// Sends a release until the worker confirmed it; false if it may not have received it. Calls to one worker are made
+/// one after the other, and releases that arrive meanwhile are sent together: requests whose pieces were computed in
+/// one call release them at the same moment.
+async fn release_until_confirmed(
     app: &Rc<App>,
     worker: SocketAddr,
     handles: &[String],
-    teller: Teller,
+    role: Role,
     until: Option<Instant>,
 ) -> bool {
     let (tx, rx) = oneshot::channel();
-    let word = QueuedRelease { handles: handles.to_vec(), until, heard: tx };
+    let release = QueuedRelease { handles: handles.to_vec(), until, confirmed: tx };
     let is_first = {
-        let mut words = app.release_words.borrow_mut();
-        let is_first = !words.contains_key(&worker);
-        words.entry(worker).or_default().push(word);
+        let mut releases = app.release_words.borrow_mut();
+        let is_first = !releases.contains_key(&worker);
+        releases.entry(worker).or_default().push(release);
         is_first
     };
     if is_first {
-        spawn_local(tell_all(Rc::clone(app), worker, teller));
+        spawn_local(send_queued(Rc::clone(app), worker, role));
     }
-    // The task that tells ends with the process only.
+    // The sending task ends only with the process.
     rx.await.unwrap_or(false)
 }
 
-/// Tells a worker of all results that are given up, until there are none.
-async fn tell_all(app: Rc<App>, worker: SocketAddr, teller: Teller) {
+/// Sends all queued releases of a worker, until there are none.
+async fn send_queued(app: Rc<App>, worker: SocketAddr, role: Role) {
     loop {
         let target = worker_at(&app, worker);
         if let Some(time) = target.and_then(|target| permits::gathers_for(&app, &target)) {
             sleep(time).await;
         }
-        let words = app.release_words.borrow_mut().insert(worker, Vec::new()).unwrap_or_default();
-        if words.is_empty() {
+        let releases =
+            app.release_words.borrow_mut().insert(worker, Vec::new()).unwrap_or_default();
+        if releases.is_empty() {
             app.release_words.borrow_mut().remove(&worker);
             return;
         }
-        let heard = tell_repeatedly(&app, worker, &words, teller).await;
-        for word in words {
-            let heard = heard && word.is_ours(now());
-            // Whoever waited may be gone.
-            word.heard.send(heard).ok();
+        let confirmed = send_with_retries(&app, worker, &releases, role).await;
+        for release in releases {
+            let confirmed = confirmed && release.is_still_due(now());
+            // The waiting task may have ended.
+            release.confirmed.send(confirmed).ok();
         }
-        // The connection is used again after that.
+        // The connection can be reused after that.
         sleep(SETTLE).await;
     }
 }
 
-/// Tells a worker again until it has heard. It is looked for each time: its entry may have lapsed for a moment, or
-/// another target may have its address by now.
-async fn tell_repeatedly(
+/// Sends releases to a worker, with retries, until it confirmed them. The worker is looked up for each attempt: its
+/// entry may have lapsed for a moment, or another target may have its address by now.
+async fn send_with_retries(
     app: &Rc<App>,
     worker: SocketAddr,
-    words: &[QueuedRelease],
-    teller: Teller,
+    releases: &[QueuedRelease],
+    role: Role,
 ) -> bool {
-    let mut pause = FIRST_PAUSE;
-    let mut told_before: Option<Target> = None;
-    for telling in 1..=MOST_TELLINGS {
-        let handles = still_to_tell(words);
+    let mut pause = FIRST_RETRY_PAUSE;
+    let mut previous: Option<Target> = None;
+    for attempt in 1..=MAX_ATTEMPTS {
+        let handles = pending_handles(releases);
         if handles.is_empty() {
             return false;
         }
         let told = match worker_at(app, worker) {
-            Some(target) if is_another(&target, told_before.as_ref()) => Told::Replaced,
+            Some(target) if is_replaced(&target, previous.as_ref()) => SendOutcome::Replaced,
             Some(target) => {
-                let told = tell(app, &target, &handles, teller).await;
-                told_before = Some(target);
+                let told = send_and_count(app, &target, &handles, role).await;
+                previous = Some(target);
                 told
             }
-            None => Told::Missed("not known".to_owned()),
+            None => SendOutcome::Unconfirmed("no target known at the address".to_owned()),
         };
-        let Told::Missed(why) = told else { return true };
-        info!(app.log, "results not given up"; "worker" => %worker, "as" => ?teller,
-            "results" => handles.len(), "why" => why, "telling" => telling);
-        if telling < MOST_TELLINGS {
+        let SendOutcome::Unconfirmed(why) = told else { return true };
+        info!(app.log, "results not released"; "worker" => %worker, "as" => ?role,
+            "results" => handles.len(), "why" => why, "telling" => attempt);
+        if attempt < MAX_ATTEMPTS {
             sleep(pause).await;
             pause *= 2;
         }
     }
-    app.metrics.results_given_up("not_heard", still_to_tell(words).len());
+    app.metrics.results_given_up("not_heard", pending_handles(releases).len());
     false
 }
 
-/// Results that are not given up by somebody else by now.
-fn still_to_tell(words: &[QueuedRelease]) -> Vec<String> {
+/// Handles that are still this VM's to release.
+fn pending_handles(releases: &[QueuedRelease]) -> Vec<String> {
     let now = now();
-    let words = words.iter().filter(|word| word.is_ours(now));
-    words.flat_map(|word| word.handles.clone()).collect()
+    let releases = releases.iter().filter(|release| release.is_still_due(now));
+    releases.flat_map(|release| release.handles.clone()).collect()
 }
 
-async fn tell(app: &Rc<App>, target: &Target, handles: &[String], teller: Teller) -> Told {
-    let told = send(app, target, handles).await;
-    if matches!(told, Told::Heard) {
+/// Sends one release call; counts and logs it if the worker confirmed.
+async fn send_and_count(
+    app: &Rc<App>,
+    target: &Target,
+    handles: &[String],
+    role: Role,
+) -> SendOutcome {
+    let told = call_worker(app, target, handles).await;
+    if matches!(told, SendOutcome::Confirmed) {
         app.metrics.results_given_up("needed_no_more", handles.len());
-        debug!(app.log, "results given up"; "target" => %target.id, "as" => ?teller,
+        debug!(app.log, "results released"; "target" => %target.id, "as" => ?role,
             "results" => handles.len(), "handles" => handles.join(","));
     }
     told
 }
 
-/// Sends the word, after the time for which the worker wants to be left alone.
-async fn send(app: &Rc<App>, target: &Target, handles: &[String]) -> Told {
-    // Without a pause the word goes out at once: even a pause of no length takes a tick of the clock, in which this
-    // VM may be killed.
+/// Makes one release call, once the worker's backoff time is over.
+async fn call_worker(app: &Rc<App>, target: &Target, handles: &[String]) -> SendOutcome {
+    // Without backoff the call is made at once: even a sleep of zero length takes a timer tick, in which this VM may
+    // be killed.
     if let Some(until) = app.hub.with(|shared, _| shared.left_alone.until(target)) {
         let pause = left(until);
-        if pause > LONGEST_LEFT_ALONE {
-            return Told::Missed("it wants to be left alone".to_owned());
+        if pause > MAX_BACKOFF_WAIT {
+            return SendOutcome::Unconfirmed("the worker asked for a longer backoff".to_owned());
         }
         sleep(pause).await;
     }
     let call = (app.adapter.calls.release)(&target.id, handles);
     let permit = permits::for_release(app, target);
     match tokio::time::timeout(RELEASE_WAIT, own_call(app, target, call, permit)).await {
-        Ok(Ok(_)) => Told::Heard,
-        Ok(Err(OwnCallMiss::OtherTarget)) => Told::Replaced,
-        Ok(Err(miss)) => Told::Missed(format!("{miss:?}")),
-        Err(_) => Told::Missed("no answer in time".to_owned()),
+        Ok(Ok(_)) => SendOutcome::Confirmed,
+        Ok(Err(OwnCallMiss::OtherTarget)) => SendOutcome::Replaced,
+        Ok(Err(miss)) => SendOutcome::Unconfirmed(format!("{miss:?}")),
+        Err(_) => SendOutcome::Unconfirmed("no answer in time".to_owned()),
     }
 }
