--- a/gateway/src/configuration_lag.rs
+++ b/gateway/src/configuration_lag.rs
@@ -1,4 +1,4 @@
-//! How far this VM's configuration can be trusted to be the newest, and what follows from doubt.
+//! Tracks whether peers have a newer version of the configuration than this VM.
 
 use std::time::{Duration, Instant};
 
@@ -6,15 +6,15 @@
 
 use crate::shared::Shared;
 
-/// What is known about newer versions of the configuration.
+/// Whether a newer version of the configuration is known to exist, and since when it is missing here.
 #[derive(Debug, Clone, Copy, Default)]
 pub(crate) struct ConfigurationLag {
-    /// The newest version that a peer told of, and since when it is missing here.
+    /// The newest version that a peer has, and since when a newer version is missing here.
     missing: Option<(u64, Instant)>,
 }
 
 impl ConfigurationLag {
-    /// For how long a version that a peer has is missing here.
+    /// For how long a version that a peer has is missing here; `None` if none is.
     pub(crate) fn age(&self, now: Instant) -> Option<Duration> {
         self.missing.map(|(_, since)| now.saturating_duration_since(since))
     }
@@ -43,14 +43,14 @@
         }
     }
 
-    /// Whether there may be a version that this VM does not have: a peer has one, or the store has
-    /// not been heard. What is unknown here is then not denied: a newer version may know it.
+    /// Whether there may be a version that this VM does not have: a peer has one, or the store is unreachable. A request
+    /// for something unknown is then not rejected as unknown, since a newer version may contain it.
     pub(crate) fn may_be_behind(&self, now: Instant) -> bool {
         self.behind.missing.is_some() || self.contact.is_lost(now)
     }
 
-    /// Whether a version that peers have is missing here for longer than a change may take. New
-    /// connections are then better off at other VMs.
+    /// Whether a version that peers have is missing here for longer than a change may take to come into force. New
+    /// connections should then go to other VMs.
     pub(crate) fn is_behind(&self, now: Instant) -> bool {
         self.behind.age(now).is_some_and(|age| age > self.in_force)
     }
--- a/gateway/src/input_fetches.rs
+++ b/gateway/src/input_fetches.rs
@@ -1,7 +1,8 @@
-//! When the inputs of a pool's call have been fetched, from what its worker says.
+//! Determines when the inputs of a pool's call have been fetched, from the worker's load report.
 //!
-//! A worker fetches inputs once a call has its turn. A call that waits behind a call of another VM has fetched none, and
-//! nothing that this VM heard before it sent the call can rule that out: so the worker is asked once the call is there.
+//! A worker fetches a call's inputs when it starts the call. A call that is queued behind a call of another VM has
+//! fetched none, and nothing that this VM learned before it sent the call can rule that out. Therefore the worker is
+//! asked for its report once the call has arrived.
 
 use std::future::pending;
 use std::rc::Rc;
@@ -16,54 +17,56 @@
 use crate::own_calls::{OwnCallMiss, own_call};
 use crate::permits;
 
-/// Time within which a call is at its worker: many times the way between halls.
-const ARRIVAL: Duration = Duration::from_millis(20);
-/// Pause before a worker at which a call waits is asked again.
-const ASK_PAUSE: Duration = Duration::from_millis(60);
-/// Longest wait for a worker's report.
-const REPORT_WAIT: Duration = Duration::from_millis(200);
+/// Time within which a call arrives at its worker: many times the latency between halls.
+const ARRIVAL_TIME: Duration = Duration::from_millis(20);
+/// Interval between two requests for the report of a worker at which a call is queued.
+const POLL_INTERVAL: Duration = Duration::from_millis(60);
+/// Timeout for a worker's report.
+const REPORT_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// What a worker says of the calls that are there.
+/// What a worker's report says about the calls that arrived there.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Said {
-    /// Each has its turn.
-    AllAtWork,
-    /// Some may wait, or nothing was heard.
-    SomeMayWait,
-    /// It does not say.
-    Nothing,
+enum CallProgress {
+    /// The worker has started all of them.
+    AllStarted,
+    /// Some may be queued, or the report did not arrive.
+    SomeMayBeQueued,
+    /// The worker gives no such report.
+    Unavailable,
 }
 
-/// Ends once the worker of a call has fetched its inputs; never where that can't be told before the answer.
+/// Completes once the worker of a call has fetched its inputs; never, if that can't be determined before the answer.
 pub(crate) async fn wait_until_fetched(app: &Rc<App>, call: &Call) {
     let Some(fetch) = call.fetch_time else { return pending().await };
-    sleep(ARRIVAL).await;
+    sleep(ARRIVAL_TIME).await;
     loop {
-        match ask(app, &call.target).await {
-            Said::AllAtWork => return sleep(fetch).await,
-            Said::SomeMayWait => sleep(ASK_PAUSE).await,
-            Said::Nothing => return pending().await,
+        match fetch_report(app, &call.target).await {
+            CallProgress::AllStarted => return sleep(fetch).await,
+            CallProgress::SomeMayBeQueued => sleep(POLL_INTERVAL).await,
+            CallProgress::Unavailable => return pending().await,
         }
     }
 }
 
-async fn ask(app: &Rc<App>, worker: &Target) -> Said {
-    let Some(permit) = permits::for_report(app, worker) else { return Said::Nothing };
-    let ask = (app.adapter.calls.report)(&worker.id);
-    match timeout(REPORT_WAIT, own_call(app, worker, ask, permit)).await {
-        Ok(Ok(body)) => read(app, worker, &body),
-        Ok(Err(OwnCallMiss::Failed)) => Said::Nothing,
-        Ok(Err(_)) | Err(_) => Said::SomeMayWait,
+/// Asks a worker for its report.
+async fn fetch_report(app: &Rc<App>, worker: &Target) -> CallProgress {
+    let Some(permit) = permits::for_report(app, worker) else { return CallProgress::Unavailable };
+    let call = (app.adapter.calls.report)(&worker.id);
+    match timeout(REPORT_TIMEOUT, own_call(app, worker, call, permit)).await {
+        Ok(Ok(body)) => parse_report(app, worker, &body),
+        Ok(Err(OwnCallMiss::Failed)) => CallProgress::Unavailable,
+        Ok(Err(_)) | Err(_) => CallProgress::SomeMayBeQueued,
     }
 }
 
-fn read(app: &App, worker: &Target, body: &[u8]) -> Said {
+/// Reads a report; one that can't be parsed counts as none.
+fn parse_report(app: &App, worker: &Target, body: &[u8]) -> CallProgress {
     match (app.adapter.calls.read_report)(body) {
-        Ok(report) if report.all_calls_started() => Said::AllAtWork,
-        Ok(_) => Said::SomeMayWait,
+        Ok(report) if report.all_calls_started() => CallProgress::AllStarted,
+        Ok(_) => CallProgress::SomeMayBeQueued,
         Err(e) => {
-            debug!(app.log, "report not understood"; "target" => %worker.id, "why" => %e);
-            Said::Nothing
+            debug!(app.log, "report not parsed"; "target" => %worker.id, "why" => %e);
+            CallProgress::Unavailable
         }
     }
 }
--- a/gateway/src/link_dialer.rs
+++ b/gateway/src/link_dialer.rs
@@ -1,4 +1,4 @@
-//! Which VMs this one dials, and when a dial is begun anew.
+//! Keeps links to the VMs that this VM needs: which addresses are dialed, and when a dial is restarted.
 
 use std::collections::{BTreeSet, HashMap};
 use std::net::SocketAddr;
@@ -12,24 +12,24 @@
 use crate::hub::left;
 use crate::outbound_links::maintain_link;
 
-/// Pause between two looks at whom to dial.
-const LOOK_PAUSE: Duration = Duration::from_millis(500);
+/// Longest interval between two checks of which links are wanted.
+const CHECK_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Dials under way and links that stand, by address.
+/// Tasks that dial an address or serve its link.
 #[derive(Default)]
 struct Dials {
     tasks: HashMap<SocketAddr, AbortHandle>,
-    /// The process at an address for which a dial was begun anew.
-    begun_anew: HashMap<SocketAddr, u64>,
+    /// Incarnation of the process for which the dial of an address was last restarted.
+    restarted_for: HashMap<SocketAddr, u64>,
 }
 
 impl Dials {
-    /// A process was heard at an address, so it is there now: a dial that began before it was is begun
-    /// anew, once for each process. More often, two VMs that dial each other would each end the
-    /// other's dial without end.
-    fn heard(&mut self, app: &App, address: SocketAddr, incarnation: u64) {
+    /// A link from the process at an address arrived, so it accepts links now: cancels a dial that may have begun before
+    /// that, once for each process. If it were cancelled more often, two VMs that dial each other would cancel each
+    /// other's dials forever.
+    fn restart_dial(&mut self, app: &App, address: SocketAddr, incarnation: u64) {
         if app.is_linked_at(address)
-            || self.begun_anew.insert(address, incarnation) == Some(incarnation)
+            || self.restarted_for.insert(address, incarnation) == Some(incarnation)
         {
             return;
         }
@@ -38,32 +38,34 @@
         }
     }
 
-    fn dial(&mut self, app: &Rc<App>, wanted: BTreeSet<SocketAddr>) {
+    /// Starts a task for each wanted address that has none.
+    fn dial(&mut self, app: &Rc<App>, wanted_addresses: BTreeSet<SocketAddr>) {
         self.tasks.retain(|_, task| !task.is_finished());
-        for address in wanted {
+        for address in wanted_addresses {
             let begin = || spawn_local(maintain_link(Rc::clone(app), address)).abort_handle();
             self.tasks.entry(address).or_insert_with(begin);
         }
     }
 }
 
-/// Pause before the next look; a target whose entry lapsed is taken as gone when its time is over, not later.
-fn until_next_look(app: &App) -> Duration {
-    let lapse = app.hub.with(|shared, _| shared.next_grace_end());
-    lapse.map_or(LOOK_PAUSE, |at| left(at).min(LOOK_PAUSE))
+/// Time until the next check; no later than the end of the next grace period of a lapsed target, so that the target is
+/// removed on time.
+fn until_next_check(app: &App) -> Duration {
+    let grace_end = app.hub.with(|shared, _| shared.next_grace_end());
+    grace_end.map_or(CHECK_INTERVAL, |at| left(at).min(CHECK_INTERVAL))
 }
 
-/// Keeps a link to each VM to which one is wanted.
+/// Keeps a link to each VM to which one is wanted, and removes expired state; runs as long as the process.
 pub(crate) async fn maintain_links(app: Rc<App>) {
     let mut dials = Dials::default();
     loop {
         for (address, incarnation) in app.heard_at.take() {
-            dials.heard(&app, address, incarnation);
+            dials.restart_dial(&app, address, incarnation);
         }
-        let wanted = wanted(&app);
-        app.wanted_links.replace(wanted.clone());
-        dials.dial(&app, wanted);
-        drop(timeout(until_next_look(&app), app.vms_changed.notified()).await);
+        let wanted_addresses = wanted_addresses(&app);
+        app.wanted_links.replace(wanted_addresses.clone());
+        dials.dial(&app, wanted_addresses);
+        drop(timeout(until_next_check(&app), app.vms_changed.notified()).await);
         app.hub.with(|shared, now| {
             shared.fleet.forget_silent(now);
             shared.expire_lapsed_targets(now);
@@ -77,14 +79,14 @@
     }
 }
 
-/// Addresses of VMs to which links are wanted; the settings' seeds while no VM is known.
-fn wanted(app: &App) -> BTreeSet<SocketAddr> {
-    let mut wanted = app.hub.with(|shared, _| shared.wanted_links());
-    if wanted.is_empty() {
-        wanted.extend(&app.cfg.seeds);
+/// Addresses of VMs to which links are wanted; the configured seeds while no VM is known.
+fn wanted_addresses(app: &App) -> BTreeSet<SocketAddr> {
+    let mut wanted_addresses = app.hub.with(|shared, _| shared.wanted_links());
+    if wanted_addresses.is_empty() {
+        wanted_addresses.extend(&app.cfg.seeds);
     }
-    // An owner takes over the results of a VM that does not link to it again.
-    wanted.extend(app.held.origins());
-    wanted.remove(&app.cfg.peers);
-    wanted
+    // An owner releases the results of a VM that does not reconnect to it.
+    wanted_addresses.extend(app.held.origins());
+    wanted_addresses.remove(&app.cfg.peers);
+    wanted_addresses
 }
--- a/gateway/src/link_messages.rs
+++ b/gateway/src/link_messages.rs
@@ -1,4 +1,4 @@
-//! What VMs tell each other over links, read and written.
+//! Encodes and decodes the messages that VMs exchange over links.
 
 use std::time::Duration;
 
@@ -17,10 +17,10 @@
 use crate::outbound_links::DialerSender;
 use crate::rate_messages::take_unsent_rates;
 
-/// A heartbeat is sent as it was put together for this long, a tenth of the pause between two.
-const BEAT_LIFE: Duration = Duration::from_millis(20);
+/// How long an assembled heartbeat is reused: a tenth of the interval between two heartbeats.
+const HEARTBEAT_REUSE: Duration = Duration::from_millis(20);
 
-/// Who this VM is.
+/// The first message on a link: this VM's identity.
 pub(crate) fn own_hello(app: &App) -> Hello {
     app.hub.with(|shared, _| {
         let entry = shared.fleet.own_entry();
@@ -35,21 +35,21 @@
     })
 }
 
-/// This VM's heartbeat. It says the same to all peers, so that it is put together once for many links:
-/// an owner tells 294 others five times a second.
+/// This VM's heartbeat. It is the same for all peers and therefore assembled once for many links: in a fleet of 295 VMs
+/// an owner sends it to 294 peers five times a second.
 pub(crate) fn own_heartbeat(app: &App) -> Beat {
     let now = tokio::time::Instant::now();
     let mut last = app.last_beat.borrow_mut();
     match &*last {
-        Some((at, beat)) if now.duration_since(*at) < BEAT_LIFE => beat.clone(),
+        Some((at, beat)) if now.duration_since(*at) < HEARTBEAT_REUSE => beat.clone(),
         _ => {
-            let beat = new_beat(app);
+            let beat = assemble_heartbeat(app);
             last.insert((now, beat)).1.clone()
         }
     }
 }
 
-fn new_beat(app: &App) -> Beat {
+fn assemble_heartbeat(app: &App) -> Beat {
     app.hub.with(|shared, now| Beat {
         as_of: shared.view.as_of(),
         draining: shared.is_stopping(),
@@ -75,7 +75,7 @@
                 pool: name.to_string(),
                 turn_ms: millis(load.turnaround),
                 rate: load.rate as f32,
-                waiting: waiting(&load.queue),
+                waiting: encode_queue(&load.queue),
                 late: load.late as u32,
                 coming: load.coming as u32,
             })
@@ -83,7 +83,7 @@
     })
 }
 
-fn waiting(queue: &Queue) -> Vec<Waiting> {
+fn encode_queue(queue: &Queue) -> Vec<Waiting> {
     let of_urgency = |(urgency, counts): (u8, &[u32])| Waiting {
         urgency: urgency.into(),
         counts: counts.to_vec(),
@@ -91,7 +91,7 @@
     queue.counts().map(of_urgency).collect()
 }
 
-fn queue_of(waiting: &[Waiting]) -> Queue {
+fn decode_queue(waiting: &[Waiting]) -> Queue {
     let mut queue = Queue::default();
     for Waiting { urgency, counts } in waiting {
         queue.set_counts(u8::try_from(*urgency).unwrap_or(u8::MAX), counts);
@@ -99,14 +99,14 @@
     queue
 }
 
-fn entry_of(hello: &Hello) -> Option<VmEntry> {
+fn decode_entry(hello: &Hello) -> Option<VmEntry> {
     let hall = HallName::new(&hello.hall).ok()?;
     Some(VmEntry { peers: hello.peers.parse().ok()?, hall, cores: hello.cores })
 }
 
-/// Notes that a peer lives.
+/// Records that a peer is alive, and its identity if it sent a hello.
 pub(crate) fn record_peer(app: &App, vm: &VmName, hello: Option<&Hello>) {
-    let entry = hello.and_then(entry_of);
+    let entry = hello.and_then(decode_entry);
     app.hub.with(|shared, now| {
         let linked = app.links.borrow().contains_key(vm);
         shared.fleet.record_heard(vm, linked, now);
@@ -116,7 +116,7 @@
     });
 }
 
-/// Takes a heartbeat.
+/// Applies a peer's heartbeat.
 pub(crate) fn apply_heartbeat(app: &App, vm: &VmName, beat: &Beat) {
     record_peer(app, vm, None);
     let loads: Vec<(TargetName, u32, u64)> = beat
@@ -124,17 +124,17 @@
         .iter()
         .filter_map(|load| Some((TargetName::new(&load.target).ok()?, load.calls, load.tokens)))
         .collect();
-    let stops = app.hub.with(|shared, now| {
-        let stops = shared.fleet.record_draining(vm, beat.draining, now);
+    let starts_draining = app.hub.with(|shared, now| {
+        let starts_draining = shared.fleet.record_draining(vm, beat.draining, now);
         let pools = beat.pools.iter().map(|pool| {
             let turnaround = Duration::from_millis(u64::from(pool.turn_ms));
-            let queue = queue_of(&pool.waiting);
+            let queue = decode_queue(&pool.waiting);
             let (rate, coming) = (f64::from(pool.rate), f64::from(pool.coming));
             let late = f64::from(pool.late);
             (pool.pool.clone(), fleet::PoolLoad { turnaround, rate, queue, late, coming, at: now })
         });
-        shared.targets.record_peer_load(peer_number(vm), &loads, now);
-        let Some(peer) = shared.fleet.peers.get_mut(vm) else { return stops };
+        shared.targets.record_peer_load(peer_hash(vm), &loads, now);
+        let Some(peer) = shared.fleet.peers.get_mut(vm) else { return starts_draining };
         peer.as_of = beat.as_of;
         peer.watches = beat.watches;
         peer.configuration = beat.configuration;
@@ -146,19 +146,19 @@
         if let Some(at) = age.and_then(|age| now.checked_sub(age)) {
             shared.contact.record_peer_answer(at);
         }
-        stops
+        starts_draining
     });
-    if stops {
-        // Whoever takes its place is linked to at once.
+    if starts_draining {
+        // Links to the VM that takes its place are dialed at once.
         app.vms_changed.notify_one();
     }
 }
 
-fn peer_number(vm: &VmName) -> u64 {
+fn peer_hash(vm: &VmName) -> u64 {
     hashing::of_text(vm.as_str())
 }
 
-/// What became of a piece, as its owner tells it.
+/// The outcome of a piece, as its owner reported it.
 pub(crate) fn piece_outcome(piece: &PieceDone) -> PieceOutcome {
     match piece.failure() {
         Failure::None => PieceOutcome::Stored(piece.handle.clone()),
@@ -168,26 +168,26 @@
     }
 }
 
-/// Hands a finished piece back to the VM that handed it in.
-pub(crate) fn send_done(tx: &DialerSender, job: u64, piece: u32, made: PieceOutcome) {
-    let (handle, failure) = match made {
+/// Sends a finished piece to the VM that submitted it.
+pub(crate) fn send_done(tx: &DialerSender, job: u64, piece: u32, outcome: PieceOutcome) {
+    let (handle, failure) = match outcome {
         PieceOutcome::Stored(handle) => (handle, Failure::None),
         PieceOutcome::Late => (String::new(), Failure::Late),
         PieceOutcome::InputGone => (String::new(), Failure::Gone),
         PieceOutcome::Failed => (String::new(), Failure::Broken),
     };
     let pieces = vec![PieceDone { piece, handle, failure: failure.into() }];
-    // A peer that is gone hands its pieces in elsewhere.
+    // A peer whose link ended submits its pieces to another VM.
     drop(tx.send(Ok(FromOwner { kind: Some(from_owner::Kind::Done(Done { job, pieces })) })));
 }
 
-/// Tells the VM that handed a submission in that its inputs were fetched.
+/// Tells the VM that sent a submission that its inputs were fetched.
 pub(crate) fn send_fetched(tx: &DialerSender, job: u64) {
-    // A peer that is gone hands its pieces in elsewhere.
+    // A peer whose link ended submits its pieces to another VM.
     drop(tx.send(Ok(FromOwner { kind: Some(from_owner::Kind::Fetched(Fetched { job })) })));
 }
 
-/// Pieces that a peer submits; `None` if its names can't be read.
+/// Decodes a submission of a peer; `None` if one of its names is invalid.
 pub(crate) fn decode_submission(submit: Submit) -> Option<(ServiceName, Submission)> {
     let now = crate::hub::now();
     let slack = Duration::from_millis(u64::try_from(submit.slack_ms).unwrap_or(0));
@@ -208,7 +208,7 @@
     Some((ServiceName::new(&submit.pool).ok()?, submission))
 }
 
-/// What a peer tells of requests that end targets; what can't be read is left out.
+/// Decodes a peer's reports of requests that crash targets; invalid ones are left out.
 pub(crate) fn decode_crashes(told: &Crashes) -> Vec<Crash> {
     let crash = |crash: &work::Crash| {
         let content = RequestDigest::from_bytes(&crash.content)?;
@@ -218,21 +218,21 @@
     told.crashes.iter().filter_map(crash).collect()
 }
 
-/// What a peer tells of targets that leave; what can't be read is left out.
+/// Decodes a peer's reports of targets that are leaving; invalid ones are left out.
 pub(crate) fn decode_departures(told: &Departures) -> Vec<Departure> {
     let now = crate::hub::now();
     let departure = |told: &work::Departure| {
         let target = TargetName::new(&told.target).ok()?;
-        let said = now.checked_sub(Duration::from_millis(u64::from(told.age_ms)))?;
+        let announced = now.checked_sub(Duration::from_millis(u64::from(told.age_ms)))?;
         Some(Departure {
             lifetime: eligibility::Lifetime { target, born: told.born },
-            announced_at: said,
+            announced_at: announced,
         })
     };
     told.departures.iter().filter_map(departure).collect()
 }
 
-/// What a peer was told on a link of targets that leave, their rates, and requests that end them.
+/// What was already sent on a link: requests that crash targets, leaving targets and targets' rate limits.
 #[derive(Debug, Default)]
 pub(crate) struct SentCursors {
     crashes: Cursor,
@@ -240,14 +240,14 @@
     rates: ChangeCursor,
 }
 
-/// What a peer has not been told yet.
+/// Changes that were not sent on a link yet.
 pub(crate) struct Unsent {
     pub(crate) crashes: Option<Crashes>,
     pub(crate) departures: Option<Departures>,
     pub(crate) rates: Option<Rates>,
 }
 
-/// What a peer is told next on a link.
+/// The changes to send next on a link; advances the cursors past them.
 pub(crate) fn take_unsent(app: &App, told: &mut SentCursors) -> Unsent {
     Unsent {
         crashes: take_unsent_crashes(app, &mut told.crashes),
@@ -262,10 +262,10 @@
         (changes, up_to, now)
     });
     *cursor = up_to;
-    let departure = |Departure { lifetime, announced_at: said }: Departure| work::Departure {
+    let departure = |Departure { lifetime, announced_at: announced }: Departure| work::Departure {
         target: lifetime.target.to_string(),
         born: lifetime.born,
-        age_ms: millis(now.saturating_duration_since(said)),
+        age_ms: millis(now.saturating_duration_since(announced)),
     };
     let departures: Vec<_> = changes.into_iter().map(departure).collect();
     (!departures.is_empty()).then_some(Departures { departures })
--- a/gateway/src/own_entry.rs
+++ b/gateway/src/own_entry.rs
@@ -1,4 +1,4 @@
-//! Keeps this VM's own entry in the store, under a lease.
+//! Keeps this VM's own entry in the platform's store, under a lease that it renews.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -13,38 +13,40 @@
 use crate::store_connection::{StoreCallError, StoreConnection};
 use crate::store_watch::{MAX_RETRY_PAUSE, record_failure, record_success, unreadable};
 
-/// How long this VM's entry outlasts it.
-const LEASE: Duration = Duration::from_secs(6);
-/// Pause between two renewals: two may be lost.
-const RENEWAL: Duration = Duration::from_millis(1900);
+/// Time to live of the lease: how long the entry remains after this VM has ended.
+const LEASE_TTL: Duration = Duration::from_secs(6);
+/// Interval between two renewals: two in a row may fail before the lease expires.
+const RENEWAL_INTERVAL: Duration = Duration::from_millis(1900);
 
-/// Keeps the entry for as long as the process runs.
+/// Keeps the entry in the store; runs as long as the process.
 pub(crate) async fn maintain(app: Rc<App>) {
     let mut store = StoreConnection::new(&app);
     let key = format!("{}{}", vms_prefix(&app.adapter), app.cfg.vm);
     loop {
         wait_reached(&app).await;
-        match enter(&app, &mut store, &key).await {
+        match write_entry(&app, &mut store, &key).await {
             Ok(lease) => renew(&app, &mut store, lease).await,
-            Err(miss) => slog::debug!(app.log, "own entry not written"; "why" => %miss),
+            Err(error) => slog::debug!(app.log, "own entry not written"; "why" => %error),
         }
         sleep(MAX_RETRY_PAUSE).await;
     }
 }
 
-/// Waits until the store answers; one task asks a store that is lost, the others wait for it.
+/// Waits until the store is reachable. Only the task that follows the store probes it while it is unreachable; the
+/// others wait for that task.
 async fn wait_reached(app: &App) {
     let mut reached = app.store_reached.subscribe();
-    // It fails only when the process ends.
+    // Fails only when the process ends.
     drop(reached.wait_for(|reached| *reached).await);
 }
 
-async fn enter(
+/// Writes the entry under a new lease; returns the lease's id.
+async fn write_entry(
     app: &Rc<App>,
     store: &mut StoreConnection,
     key: &str,
 ) -> Result<u64, StoreCallError> {
-    let body = store.call("lease", (app.adapter.store.lease)(LEASE), Duration::ZERO).await?;
+    let body = store.call("lease", (app.adapter.store.lease)(LEASE_TTL), Duration::ZERO).await?;
     let lease = (app.adapter.store.read_lease)(&body).map_err(unreadable)?;
     let value = own_entry(app);
     let write = Write { key: key.to_owned(), value, lease: lease.id };
@@ -53,9 +55,9 @@
     Ok(lease.id)
 }
 
-/// Renews the lease until it is over.
+/// Renews the lease until the store reports that it has expired.
 async fn renew(app: &Rc<App>, store: &mut StoreConnection, lease: u64) {
-    let mut pause = RENEWAL;
+    let mut pause = RENEWAL_INTERVAL;
     loop {
         sleep(pause).await;
         wait_reached(app).await;
@@ -63,23 +65,23 @@
         match store.call("renew", call, Duration::ZERO).await {
             Ok(_) => {
                 record_success(app);
-                pause = RENEWAL;
+                pause = RENEWAL_INTERVAL;
             }
             Err(StoreCallError::LeaseNotFound) => {
-                info!(app.log, "lease over"; "lease" => lease);
+                info!(app.log, "lease of own entry expired"; "lease" => lease);
                 return;
             }
-            Err(miss) => {
-                record_failure(app, "renew", &miss);
+            Err(error) => {
+                record_failure(app, "renew", &error);
                 pause = MAX_RETRY_PAUSE;
             }
         }
     }
 }
 
-/// What a VM writes of itself into the store.
+/// The value of this VM's entry, as JSON.
 fn own_entry(app: &App) -> Bytes {
     let entry = app.hub.with(|shared, _| serde_json::to_vec(shared.fleet.own_entry()));
-    // A plain struct of texts and numbers always serializes.
+    // A plain struct of strings and numbers always serializes.
     Bytes::from(entry.unwrap_or_default())
 }
--- a/gateway/src/owner_selection.rs
+++ b/gateway/src/owner_selection.rs
@@ -1,4 +1,4 @@
-//! To which VM pieces go, by what is known of the owners of a pool's parts and of what they have to do.
+//! Selects the VM to which pieces are sent, by the owners of a pool's parts and their known load.
 
 use std::time::{Duration, Instant};
 
@@ -7,18 +7,18 @@
 
 use crate::shared::Shared;
 
-/// An owner of another part that may be ahead.
-struct Ahead {
+/// The owner with the shortest drain time, compared with a given owner.
+struct Candidate {
     owner: Owner,
-    /// Time until it has made all that waits for it.
+    /// Time until it has computed everything that waits for it.
     drain: Duration,
-    /// The same of the one to compare with.
-    than: Duration,
-    /// What it has to be ahead by.
-    way: Duration,
+    /// Drain time of the owner to compare with.
+    baseline: Duration,
+    /// Margin by which its drain time has to be shorter.
+    margin: Duration,
 }
 
-/// The owner's name for logs and pages.
+/// The owner's name for logs and status pages.
 pub(crate) fn owner_name(owner: &Owner) -> String {
     match owner {
         Owner::This => "this VM".to_owned(),
@@ -28,8 +28,8 @@
 }
 
 impl Shared {
-    /// The VM to which pieces of a submission for a pool go, whose results are wanted near a hall or
-    /// anywhere; `draw` is at random from 0 to 1.
+    /// The VM to which the pieces of a submission are sent. Results are wanted in the hall `near`, or anywhere if that is
+    /// `None`; `draw` is a random number from 0 to 1.
     pub(crate) fn choose_owner(
         &self,
         pool: &ServiceName,
@@ -38,23 +38,24 @@
         now: Instant,
     ) -> Owner {
         let first = self.preferred_owner(pool, near, now);
-        let other = self
-            .owner_ahead_of(pool, &first, now)
-            .filter(|ahead| fleet::should_spill(ahead.than, ahead.drain, ahead.way, draw));
-        other.map_or(first, |ahead| ahead.owner)
+        let other = self.fastest_owner_than(pool, &first, now).filter(|candidate| {
+            fleet::should_spill(candidate.baseline, candidate.drain, candidate.margin, draw)
+        });
+        other.map_or(first, |candidate| candidate.owner)
     }
 
-    /// The VM to which a pool's pieces from here are expected to go.
+    /// The VM to which a pool's pieces from this VM are expected to be sent.
     pub(crate) fn expected_owner(&self, pool: &ServiceName, now: Instant) -> Owner {
         let first = self.preferred_owner(pool, None, now);
-        let other = self.owner_ahead_of(pool, &first, now);
-        let other = other.filter(|ahead| ahead.drain + ahead.way < ahead.than);
-        other.map_or(first, |ahead| ahead.owner)
+        let other = self.fastest_owner_than(pool, &first, now);
+        let other =
+            other.filter(|candidate| candidate.drain + candidate.margin < candidate.baseline);
+        other.map_or(first, |candidate| candidate.owner)
     }
 
-    /// The owner of the part near which results are wanted, or of this VM's own one. Parts by this VM's
-    /// hall alone took 9.4 GB of results to other halls on a calm day of 295 VMs, where one part for all
-    /// took 5.1.
+    /// The owner of the part for the hall where results are wanted; without such a hall, of this VM's own part. Choosing by
+    /// this VM's hall alone transferred 9.4 GB of results to other halls in a day of low load with 295 VMs, against 5.1 GB
+    /// with one part for all halls.
     pub(crate) fn preferred_owner(
         &self,
         pool: &ServiceName,
@@ -71,37 +72,42 @@
         }
     }
 
-    /// The owner of the part that makes all that waits for it first, against another one.
-    fn owner_ahead_of(&self, pool: &ServiceName, than: &Owner, now: Instant) -> Option<Ahead> {
+    /// The owner with the shortest drain time among all parts, compared with `than`.
+    fn fastest_owner_than(
+        &self,
+        pool: &ServiceName,
+        baseline: &Owner,
+        now: Instant,
+    ) -> Option<Candidate> {
         let split = self.splits.get(pool).filter(|split| !split.has_one_part())?;
-        let way = self.intent.as_ref()?.pool(pool)?.call;
-        let than = self.load_of(pool, than, now)?.drain_time();
+        let margin = self.intent.as_ref()?.pool(pool)?.call;
+        let baseline = self.load_of(pool, baseline, now)?.drain_time();
         let owners = split.parts().map(|part| self.owner_of_part(pool, split, part, now));
         let loads =
             owners.filter_map(|owner| self.load_of(pool, &owner, now).map(|load| (owner, load)));
         let (owner, drain) = fleet::fastest_owner(loads)?;
-        Some(Ahead { owner, drain, than, way })
+        Some(Candidate { owner, drain, baseline, margin })
     }
 
     fn owner_of_part(&self, pool: &ServiceName, split: &Split, part: Part, now: Instant) -> Owner {
         self.fleet.owner_of(pool.as_str(), split, part, self.is_stopping(), now)
     }
 
-    /// VMs that rank before the owner of this VM's part of a pool, each with why it is not the owner.
+    /// VMs that rank before the owner of this VM's part of a pool, each with the reason why it is not the owner.
     pub(crate) fn owners_passed_over(&self, pool: &ServiceName, now: Instant) -> Vec<String> {
         let Some(split) = self.splits.get(pool) else { return Vec::new() };
         let own = split.part_of(&self.own_hall);
         self.fleet.passed_over(pool.as_str(), split, own, self.is_stopping(), now)
     }
 
-    /// Whether this VM fills the calls of its own part of a pool.
+    /// Whether this VM owns its own part of a pool, that is, batches its calls.
     pub(crate) fn owns_local_part(&self, pool: &ServiceName, now: Instant) -> bool {
         let Some(split) = self.splits.get(pool) else { return false };
         let own = split.part_of(&self.own_hall);
         self.owner_of_part(pool, split, own, now) == Owner::This
     }
 
-    /// What an owner has to do for a pool, if that is known.
+    /// An owner's load for a pool, if known.
     pub(crate) fn load_of(
         &self,
         pool: &ServiceName,
@@ -115,7 +121,7 @@
         }
     }
 
-    /// What this VM has to do for a pool.
+    /// This VM's load for a pool; `None` if it has no such pool.
     pub(crate) fn local_load(&self, name: &ServiceName, now: Instant) -> Option<PoolLoad> {
         let pool = self.pools.get(name)?;
         let queue = pool.queue(now);
@@ -130,7 +136,7 @@
         })
     }
 
-    /// Pieces on their way to a pool from earlier stages, of all VMs.
+    /// Pieces of all VMs that are expected at a pool from earlier stages.
     pub(crate) fn incoming_pieces(&self, name: &ServiceName, now: Instant) -> f64 {
         let peers = self
             .splits
--- a/gateway/src/peer_sync.rs
+++ b/gateway/src/peer_sync.rs
@@ -1,6 +1,6 @@
-//! Changes in the store from peers, for a VM that does not follow the store, that the store does not
-//! answer, or whose watch stands still: it asks one peer at a time for the next part of what it lacks,
-//! so that its link carries heartbeats in between.
+//! Fetches changes in the store from peers. A VM does so if it does not follow the store itself, if the store does not
+//! answer it, or if its watch has stalled. It requests one part at a time from one peer, so that heartbeats can pass on
+//! the link in between.
 
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -18,83 +18,87 @@
 use crate::outbound_links::Link;
 use crate::shared::Shared;
 
-/// Bytes of changes in one message: 26 ms of a link of 10 Mbit/s, a fraction of the pause between
-/// two heartbeats, which wait behind it.
+/// Bytes of changes in one message. It takes 26 ms on a link of 10 Mbit/s, a fraction of the interval between two
+/// heartbeats, which wait behind it.
 const PART_BYTES: usize = 32 * 1024;
-/// Longest wait for a part, after which another peer is asked.
-const PART_WAIT: Duration = Duration::from_millis(900);
+/// Timeout for one part; after that another peer is asked.
+const PART_TIMEOUT: Duration = Duration::from_millis(900);
 
-/// Parts of one change that a VM which has the store takes from a peer: what is larger is read from the
-/// store, whose link is wider than that of a VM that two dozen others ask.
-const MOST_PARTS: usize = 4;
-/// After news a VM that has the store waits for this part of the time in which changes must be in force.
-const GATHER_PART: u32 = 8;
+/// Most parts that a VM takes from a peer while it can reach the store. Larger changes are read from the store, which
+/// has more bandwidth than a VM that two dozen others ask.
+const MAX_PARTS: usize = 4;
+/// After changes from a peer, a VM that can reach the store waits for this fraction (1/n) of the time within which
+/// changes must be in force.
+const BATCH_DIVISOR: u32 = 8;
 
-/// A watch that tells nothing for this part of the time in which changes must be in force, while peers know more,
-/// stands still: longer than changes are gathered for, and short enough to learn them from a peer in time.
-const STANDSTILL_PART: f64 = 0.625;
+/// A watch has stalled if it returns nothing for this fraction of the time within which changes must be in force, while
+/// peers know more. It is longer than the time for which changes are batched, and short enough to fetch them from a
+/// peer in time.
+const STALL_FRACTION: f64 = 0.625;
 
-/// Asks peers for as long as the process runs, whenever this VM does not follow the store itself.
+/// Fetches changes from peers whenever the store does not deliver them to this VM; runs as long as the process.
 pub(crate) async fn follow(app: Rc<App>) {
-    let mut looks = interval(HEARTBEAT_INTERVAL);
-    looks.set_missed_tick_behavior(MissedTickBehavior::Delay);
+    let mut checks = interval(HEARTBEAT_INTERVAL);
+    checks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     let mut silent = None;
     loop {
-        looks.tick().await;
+        checks.tick().await;
         let Some((vm, link)) = peer_to_ask(&app, silent.take()) else { continue };
         if fetch(&app, &vm, &link).await.is_none() {
-            debug!(app.log, "no news from a peer"; "peer" => %vm);
+            debug!(app.log, "peer did not answer a request for changes in the store";
+                "peer" => %vm);
             silent = Some(vm);
         } else if *app.store_reached.borrow() {
-            sleep(app.cfg.in_force() / GATHER_PART).await;
+            sleep(app.cfg.in_force() / BATCH_DIVISOR).await;
         }
     }
 }
 
-/// The linked peer that knows most, but for the one that did not answer, if this VM lacks something
-/// and the store does not bring it.
+/// The linked peer with the newest revision, without the one that did not answer; `None` if this VM lacks nothing or
+/// the store delivers it.
 fn peer_to_ask(app: &App, silent: Option<VmName>) -> Option<(VmName, Rc<Link>)> {
     let links = app.links.borrow();
     app.hub.with(|shared, now| {
         let known = shared.view.as_of();
         let peers = &shared.fleet.peers;
-        let knows = |vm: &VmName| peers.get(vm).map_or(0, |peer| peer.as_of);
-        let ahead = || links.iter().filter(|(vm, _)| knows(vm) > known);
-        let most = ahead().map(|(vm, _)| knows(vm)).max();
-        shared.stall_detector.update(known, most.unwrap_or(known), now);
+        let revision_of = |vm: &VmName| peers.get(vm).map_or(0, |peer| peer.as_of);
+        let ahead = || links.iter().filter(|(vm, _)| revision_of(vm) > known);
+        let newest = ahead().map(|(vm, _)| revision_of(vm)).max();
+        shared.stall_detector.update(known, newest.unwrap_or(known), now);
         let follows = shared.watches || shared.asks_store;
-        let store_tells = !shared.contact.is_lost(now) || shared.contact.is_receiving(now);
-        if follows && store_tells && !watch_stands_still(app, shared, now) {
+        let store_delivers = !shared.contact.is_lost(now) || shared.contact.is_receiving(now);
+        if follows && store_delivers && !watch_stands_still(app, shared, now) {
             return None;
         }
         let others = ahead().filter(|(vm, _)| silent.as_ref() != Some(vm));
-        let (vm, link) = others.max_by_key(|(vm, _)| knows(vm))?;
+        let (vm, link) = others.max_by_key(|(vm, _)| revision_of(vm))?;
         Some((vm.clone(), Rc::clone(link)))
     })
 }
 
-/// Whether the watch tells nothing while peers know more; it is begun anew then.
+/// Whether the watch has stalled: it returns nothing while peers know more. It is then restarted.
 fn watch_stands_still(app: &App, shared: &Shared, now: Instant) -> bool {
-    let borne = shared.in_force.mul_f64(STANDSTILL_PART);
-    let stands_still =
-        shared.stall_detector.has_stalled_for(borne, now) && !shared.contact.is_receiving(now);
-    if stands_still {
-        warn!(app.log, "watch of the store stands still"; "as_of" => shared.view.as_of());
+    let limit = shared.in_force.mul_f64(STALL_FRACTION);
+    let has_stalled =
+        shared.stall_detector.has_stalled_for(limit, now) && !shared.contact.is_receiving(now);
+    if has_stalled {
+        warn!(app.log, "watch of the store stalled"; "as_of" => shared.view.as_of());
         app.watch_stands_still.notify_waiters();
     }
-    stands_still
+    has_stalled
 }
 
-/// Asks a peer part by part until nothing is left; `None` if it does not answer.
+/// Fetches changes from a peer part by part until nothing is left, or until there are too many and the store is to be
+/// read instead; `None` if the peer does not answer.
 async fn fetch(app: &Rc<App>, vm: &VmName, link: &Link) -> Option<()> {
     let mut assembly = Assembler::after(app.hub.with(|shared, _| shared.view.as_of()));
     let mut known = u64::MAX;
     for number in 1.. {
-        let news = link.request_changes(ask_of(&assembly));
-        let news = timeout(PART_WAIT, news).await.ok()?.ok()?;
-        // Only what the peer knew at the first part is sure to have come by the last one.
+        let news = link.request_changes(next_request(&assembly));
+        let news = timeout(PART_TIMEOUT, news).await.ok()?.ok()?;
+        // Only changes that the peer knew when it sent the first part are sure to be complete after the last one.
         known = known.min(news.as_of);
-        let parts: Vec<Part> = news.items.into_iter().map(part_of).collect();
+        let parts: Vec<Part> = news.items.into_iter().map(decode_part).collect();
         let count = parts.len();
         let items: Vec<Item> = parts.into_iter().filter_map(|part| assembly.push(part)).collect();
         info!(app.log, "news of the store from a peer"; "peer" => %vm, "parts" => count,
@@ -103,7 +107,7 @@
             shared.merge(items, vm.as_str(), now);
             if news.is_last {
                 shared.view.advance_to(known);
-            } else if number >= MOST_PARTS && !shared.contact.is_lost(now) {
+            } else if number >= MAX_PARTS && !shared.contact.is_lost(now) {
                 shared.asks_store = true;
             }
         });
@@ -116,7 +120,7 @@
     Some(())
 }
 
-fn ask_of(assembly: &Assembler) -> Ask {
+fn next_request(assembly: &Assembler) -> Ask {
     let store_view::BatchRequest { after, partial: (begun_revision, begun_bytes) } =
         assembly.next_request();
     Ask {
@@ -127,7 +131,7 @@
     }
 }
 
-fn part_of(item: StoreItem) -> Part {
+fn decode_part(item: StoreItem) -> Part {
     let value = (!item.removed).then(|| Bytes::from(item.value));
     Part {
         item: Item { key: item.key, revision: item.revision, value },
@@ -136,7 +140,7 @@
     }
 }
 
-/// The next part of what a peer asks for.
+/// The next part of the changes that a peer requests.
 pub(crate) fn answer_request(view: &View, ask: Ask) -> News {
     let begun_bytes = usize::try_from(ask.begun_bytes).unwrap_or(usize::MAX);
     let ask = store_view::BatchRequest {
@@ -144,10 +148,10 @@
         partial: (ask.begun_revision, begun_bytes),
     };
     let Batch { parts, is_last } = view.next_batch(&ask, PART_BYTES);
-    News { items: parts.into_iter().map(store_item).collect(), as_of: view.as_of(), is_last }
+    News { items: parts.into_iter().map(encode_part).collect(), as_of: view.as_of(), is_last }
 }
 
-fn store_item(part: Part) -> StoreItem {
+fn encode_part(part: Part) -> StoreItem {
     let Part { item, offset, ends } = part;
     StoreItem {
         key: item.key,
--- a/gateway/src/rate_messages.rs
+++ b/gateway/src/rate_messages.rs
@@ -1,4 +1,4 @@
-//! Rates of targets as VMs tell them each other, read and written.
+//! Encodes and decodes the messages in which VMs tell each other the targets' rate limits.
 
 use std::time::{Duration, Instant};
 
@@ -9,17 +9,17 @@
 use crate::app::App;
 use crate::hub;
 
-/// Longest time that a word of a peer is on its way, as far as it decides which of two answers is the later one:
-/// a call is taken to have been sent by so much earlier, and an answer to have been heard by so much later.
-const ON_ITS_WAY: Duration = Duration::from_millis(250);
-/// Thousandths of a request in one.
-const PARTS: f64 = 1000.0;
+/// Assumed maximum transit time of a peer's message where the order of two answers depends on it: a call counts as sent
+/// this much earlier, and an answer as received this much later, than the message says.
+const MAX_TRANSIT: Duration = Duration::from_millis(250);
+/// Units in which rates are sent: thousandths of a request per second.
+const UNITS_PER_REQUEST: f64 = 1000.0;
 
-/// What this VM heard of a target's rate, as it tells peers.
+/// Encodes what this VM observed of a target's rate limit.
 pub(crate) fn encode_rate(lifetime: &Lifetime, own: &RateObservations, now: Instant) -> Rate {
     let age = |at: Instant| millis(now.saturating_duration_since(at));
     let named = |(limit, at): (RateLimit, Instant)| NamedRate {
-        thousandths: (limit.per_s() * PARTS).round() as u64,
+        thousandths: (limit.per_s() * UNITS_PER_REQUEST).round() as u64,
         heard_ms: age(at),
     };
     Rate {
@@ -30,25 +30,25 @@
     }
 }
 
-/// What a peer heard of a target's rate; `None` if it can't be read.
+/// Decodes what a peer observed of a target's rate limit; `None` if the target's name is invalid.
 pub(crate) fn decode_rate(rate: &Rate, now: Instant) -> Option<(Lifetime, RateObservations)> {
     let ago = |ms: u32| now.checked_sub(Duration::from_millis(u64::from(ms)));
-    let after = rate.after_ms.and_then(ago).and_then(|at| at.checked_sub(ON_ITS_WAY));
+    let after = rate.after_ms.and_then(ago).and_then(|at| at.checked_sub(MAX_TRANSIT));
     let heard = rate.named.iter().filter_map(|named| {
-        let limit = RateLimit::new(named.thousandths as f64 / PARTS)?;
-        Some((limit, ago(named.heard_ms)? + ON_ITS_WAY))
+        let limit = RateLimit::new(named.thousandths as f64 / UNITS_PER_REQUEST)?;
+        Some((limit, ago(named.heard_ms)? + MAX_TRANSIT))
     });
     let lifetime = Lifetime { target: TargetName::new(&rate.target).ok()?, born: rate.born };
     Some((lifetime, RateObservations::from_parts(after, heard)))
 }
 
-/// What a peer tells of targets' rates; what can't be read is left out.
+/// Decodes a peer's observations of targets' rate limits; invalid ones are left out.
 pub(crate) fn decode_rates(told: &Rates) -> Vec<(Lifetime, RateObservations)> {
     let now = hub::now();
     told.rates.iter().filter_map(|rate| decode_rate(rate, now)).collect()
 }
 
-/// What a peer has not been told on a link.
+/// The rate observations to send next on a link; advances the cursor past them. `None` if there are none.
 pub(crate) fn take_unsent_rates(app: &App, cursor: &mut ChangeCursor) -> Option<Rates> {
     let rates: Vec<Rate> = app.hub.with(|shared, now| {
         let (changes, up_to) = shared.rates.changes_after(*cursor);
--- a/gateway/src/releases.rs
+++ b/gateway/src/releases.rs
@@ -257,7 +257,8 @@
             by_reason.entry(reason).or_default().push(handle);
         }
         for (why, handles) in by_reason {
-            info!(app.log, "results of ended leases released"; "results" => handles.len(), "why" => ?why);
+            info!(app.log, "results of ended leases released";
+                "results" => handles.len(), "why" => ?why);
             app.metrics.results_given_up(reason_label(why), handles.len());
             drop(release_as_owner(&app, handles));
         }
--- a/gateway/src/store_connection.rs
+++ b/gateway/src/store_connection.rs
@@ -1,5 +1,5 @@
-//! A connection to the platform's store. Its time limits follow progress: a call that brings bytes
-//! lives on, whatever its size and the link's speed; one that is silent ends.
+//! A connection to the platform's store. Its timeouts depend on progress: a call continues while bytes arrive, whatever
+//! the size of the answer and the bandwidth, and fails when none arrive.
 
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -21,29 +21,29 @@
 use crate::connections::connect;
 use crate::hub::now;
 
-/// Longest time for the body of one answer, against a store that trickles: the store keeps its
-/// history about as long, so that what is read more slowly has to be read again. A page of 1 MB
-/// takes it on a link of 0.5 Mbit/s.
-const LONGEST_ANSWER: Duration = Duration::from_secs(20);
+/// Longest time for the body of one answer, against a store that sends very slowly. The store keeps its history about
+/// as long, so that an answer that takes longer would have to be read again. A page of 1 MB takes this long on a link
+/// of 0.5 Mbit/s.
+const MAX_ANSWER_TIME: Duration = Duration::from_secs(20);
 
-/// Why a call to the store gave nothing.
+/// Why a call to the store failed. The doc comments of the variants are the displayed texts.
 #[derive(Debug, Display)]
 pub(crate) enum StoreCallError {
-    /// the history before the wanted revision is forgotten
+    /// the store no longer has the history from the requested revision on
     HistoryCompacted,
-    /// the lease is over
+    /// the lease has expired
     LeaseNotFound,
-    /// {0}; it may have been done
+    /// {0}; the call may have been executed
     Failed(String),
 }
 
-/// A connection to the store; a call that was not answered ends it.
+/// A connection to the store. A call without a complete answer closes it; the next call opens a new one.
 pub(crate) struct StoreConnection {
     app: Rc<App>,
     open: Option<(SendRequest<Full<Bytes>>, AbortHandle)>,
 }
 
-/// An answer that has begun.
+/// An answer whose head has arrived and whose body is still to be read.
 pub(crate) struct OpenAnswer {
     kind: &'static str,
     status: StatusCode,
@@ -62,14 +62,14 @@
         StoreConnection { app: Rc::clone(app), open: None }
     }
 
-    /// Ends the connection, with whatever was asked on it.
+    /// Closes the connection, with any call on it.
     pub(crate) fn close(&mut self) {
         if let Some((_, task)) = self.open.take() {
             task.abort();
         }
     }
 
-    /// Makes a call and reads its whole answer; `wait` is how long the store may hold it back.
+    /// Makes a call and reads its whole answer; `wait` is how long the store may delay the answer.
     pub(crate) async fn call(
         &mut self,
         kind: &'static str,
@@ -80,7 +80,7 @@
         self.finish(begun).await
     }
 
-    /// Makes a call; gives its answer as soon as it begins.
+    /// Makes a call; returns the answer once its head has arrived. `wait` is how long the store may delay that.
     pub(crate) async fn begin(
         &mut self,
         kind: &'static str,
@@ -94,7 +94,7 @@
         }
     }
 
-    /// Reads the rest of an answer for as long as bytes come.
+    /// Reads the body of an answer while bytes arrive, for at most [`MAX_ANSWER_TIME`].
     pub(crate) async fn finish(&mut self, begun: OpenAnswer) -> Result<Bytes, StoreCallError> {
         let OpenAnswer { kind, status, mut body, began } = begun;
         let mut buf = BytesMut::new();
@@ -103,14 +103,14 @@
                 Ok(None) => break,
                 Ok(Some(Ok(frame))) => frame,
                 Ok(Some(Err(e))) => return Err(self.failed(kind, e.to_string())),
-                Err(_) => return Err(self.failed(kind, silent(buf.len()))),
+                Err(_) => return Err(self.failed(kind, silence_message(buf.len()))),
             };
             buf.extend_from_slice(&frame.into_data().unwrap_or_default());
             if status == StatusCode::OK {
                 self.app.hub.with(|shared, now| shared.contact.record_bytes(now));
             }
-            if now() - began > LONGEST_ANSWER {
-                return Err(self.failed(kind, format!("not whole within {LONGEST_ANSWER:?}")));
+            if now() - began > MAX_ANSWER_TIME {
+                return Err(self.failed(kind, format!("not whole within {MAX_ANSWER_TIME:?}")));
             }
         }
         self.app.metrics.platform_call(kind, true);
@@ -122,12 +122,14 @@
         }
     }
 
+    /// Counts a failed call, closes the connection and returns the error.
     fn failed(&mut self, kind: &'static str, problem: String) -> StoreCallError {
         self.app.metrics.platform_call(kind, false);
         self.close();
         StoreCallError::Failed(problem)
     }
 
+    /// Sends a request; returns the status and the body once the head of the answer has arrived.
     async fn send(&mut self, call: StoreCall) -> Result<(StatusCode, Incoming), String> {
         let address = self.app.cfg.store;
         let req = Request::builder()
@@ -148,9 +150,10 @@
         if self.open.as_ref().is_none_or(|(sender, _)| sender.is_closed()) {
             self.close();
             let stream = connect(self.app.cfg.store).await?;
-            let shake = Builder::new().handshake::<_, Full<Bytes>>(TokioIo::new(stream)).await;
-            let (sender, connection) = shake.map_err(|e| e.to_string())?;
-            // Its end shows in the sender.
+            let handshake_result =
+                Builder::new().handshake::<_, Full<Bytes>>(TokioIo::new(stream)).await;
+            let (sender, connection) = handshake_result.map_err(|e| e.to_string())?;
+            // The end of the connection shows in the sender.
             let task = tokio::task::spawn_local(async move { drop(connection.await) });
             self.open = Some((sender, task.abort_handle()));
         }
@@ -158,6 +161,6 @@
     }
 }
 
-fn silent(bytes: usize) -> String {
+fn silence_message(bytes: usize) -> String {
     format!("silent for {SILENCE_TIMEOUT:?} after {bytes} bytes")
 }
--- a/gateway/src/store_watch.rs
+++ b/gateway/src/store_watch.rs
@@ -1,4 +1,4 @@
-//! Follows the platform's store: reads what it holds and waits for changes.
+//! Follows the platform's store: lists its content and watches for changes.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -14,26 +14,26 @@
 use crate::shared::vms_prefix;
 use crate::store_connection::{OpenAnswer, StoreCallError, StoreConnection};
 
-/// Longest wait of a watch. Each one is a counted call; that the store is out of reach shows sooner,
-/// in the renewals of this VM's lease, which cost a tenth of it.
-const WATCH_WAIT: Duration = Duration::from_secs(20);
-/// After a change the watch pauses for this part of the time within which changes must be in force,
-/// so that many changes in a row cost few calls.
-const GATHER_PART: u32 = 2;
-/// The same where others hear of changes from this VM: the rest of the bound is theirs.
-const RELAYED_GATHER_PART: u32 = 4;
-/// First pause after a failed call; doubles with each one in a row.
-const FIRST_PAUSE: Duration = Duration::from_millis(80);
-/// Longest pause after a failed call: refused calls count too, and a store that is back is found
-/// well within the seconds that changes may take after its return.
+/// Longest wait of one watch call. The platform counts each call. That the store is unreachable shows
+/// sooner, in the renewals of this VM's lease, which cost a tenth of a watch call.
+const MAX_WATCH_TIME: Duration = Duration::from_secs(20);
+/// After a change the watch pauses for this fraction (1/n) of the time within which changes must be in force, so that
+/// many changes in a row cost few calls.
+const BATCH_DIVISOR: u32 = 2;
+/// The same if other VMs receive changes from this VM: the rest of the time is left for them.
+const RELAYED_BATCH_DIVISOR: u32 = 4;
+/// Pause after the first failed call; doubles with each further failure in a row.
+const FIRST_RETRY_PAUSE: Duration = Duration::from_millis(80);
+/// Longest pause after a failed call. The platform counts refused calls too, and the return of the store is noticed
+/// well within the seconds that changes may take after it.
 pub(crate) const MAX_RETRY_PAUSE: Duration = Duration::from_millis(500);
 
-/// Pauses between failed calls, each twice as long as the one before.
-struct Pauses(Duration);
+/// Exponential backoff between failed calls.
+struct Backoff(Duration);
 
-impl Pauses {
+impl Backoff {
     fn new() -> Self {
-        Pauses(FIRST_PAUSE)
+        Backoff(FIRST_RETRY_PAUSE)
     }
 
     async fn pause(&mut self) {
@@ -42,13 +42,13 @@
     }
 }
 
-/// Follows the store for as long as the process runs.
+/// Follows the store; runs as long as the process.
 pub(crate) async fn follow(app: Rc<App>) {
     let mut store = StoreConnection::new(&app);
-    // What came whole from a peer is not read again: its changes are watched from there on.
-    // The first listing may be old, since it is watched on from the revision that it tells; after that
-    // it may not, since history that is forgotten may be newer than an old listing. Of the counted calls
-    // of a start it takes two thirds away.
+    // What came complete from a peer is not listed again; the watch continues from its revision.
+    // The first listing may be stale, since the watch continues from the revision that it states. A later listing must
+    // be current, since the history that the store has dropped may be newer than a stale listing. The stale listing
+    // saves two thirds of the counted calls at a start.
     let mut known = list_all(&app, &mut store, Freshness::MayBeStale).await;
     loop {
         follow_from(&app, &mut store, known).await;
@@ -56,38 +56,41 @@
     }
 }
 
-/// Follows the store from a revision on, itself or by what peers tell, until history is forgotten.
+/// Follows the store from a revision on, by watching it or through peers, until the store no longer has the history
+/// after the known revision.
 async fn follow_from(app: &Rc<App>, store: &mut StoreConnection, mut known: u64) {
-    let mut pauses = Pauses::new();
+    let mut backoff = Backoff::new();
     loop {
-        rely_on_peers(app).await;
+        wait_until_watch_needed(app).await;
         known = known.max(app.hub.with(|shared, _| shared.view.as_of()));
         if !*app.store_reached.borrow() {
-            if let Err(miss) = probe(app, store).await {
-                record_failure(app, "probe", &miss);
-                pauses.pause().await;
+            if let Err(error) = probe(app, store).await {
+                record_failure(app, "probe", &error);
+                backoff.pause().await;
             }
             continue;
         }
         match watch(app, store, known).await {
             Ok(as_of) => {
                 known = known.max(as_of);
-                pauses = Pauses::new();
+                backoff = Backoff::new();
             }
             Err(StoreCallError::HistoryCompacted) => {
-                info!(app.log, "the store forgot its history"; "after" => known);
+                info!(app.log, "the store no longer has the history after the known revision";
+                    "after" => known);
                 return;
             }
-            Err(miss) => {
-                record_failure(app, "watch", &miss);
-                pauses.pause().await;
+            Err(error) => {
+                record_failure(app, "watch", &error);
+                backoff.pause().await;
             }
         }
     }
 }
 
-/// Waits for as long as peers that follow the store are heard and the store is in reach.
-async fn rely_on_peers(app: &App) {
+/// Waits until this VM has to watch the store itself: while the store is reachable and other VMs watch it, their
+/// changes suffice.
+async fn wait_until_watch_needed(app: &App) {
     loop {
         let reached = *app.store_reached.borrow();
         let (watched, watches) = app.hub.with(|shared, now| {
@@ -95,7 +98,8 @@
             (std::mem::replace(&mut shared.watches, watches), watches)
         });
         if watched != watches {
-            info!(app.log, "who follows the store"; "this_vm" => watches, "reached" => reached);
+            info!(app.log, "role of this VM in watching the store changed";
+                "this_vm" => watches, "reached" => reached);
         }
         if watches {
             return;
@@ -104,30 +108,30 @@
     }
 }
 
-/// A listing under way; what was read stays when a call fails.
+/// Progress of a listing; pages that were read are kept when a call fails.
 #[derive(Default)]
 struct Listing {
-    /// Items of the prefix that is being read.
+    /// Items read so far of the current prefix.
     items: Vec<Item>,
-    /// Lowest revision of its pages.
+    /// Lowest revision of the current prefix's pages.
     as_of: Option<u64>,
-    /// Prefixes read.
+    /// Number of prefixes read completely.
     done: usize,
     /// Lowest revision of all pages.
     known: Option<u64>,
 }
 
-/// Reads all that this VM has to know; gives the revision from which changes are to be watched.
-/// A listing that may be old ends as well once all of it came from peers.
+/// Lists everything that this VM has to know; returns the revision from which to watch for changes. A listing that may
+/// be stale also ends once peers delivered everything.
 async fn list_all(app: &Rc<App>, store: &mut StoreConnection, freshness: Freshness) -> u64 {
     let mut listing = Listing::default();
-    let mut pauses = Pauses::new();
+    let mut backoff = Backoff::new();
     loop {
         match list(app, store, &mut listing, freshness).await {
             Ok(()) => break,
-            Err(miss) => {
-                record_failure(app, "list", &miss);
-                pauses.pause().await;
+            Err(error) => {
+                record_failure(app, "list", &error);
+                backoff.pause().await;
             }
         }
         let from_peers = app.hub.with(|shared, _| shared.view.as_of());
@@ -141,7 +145,7 @@
     known
 }
 
-/// Goes on with a listing until it is whole or a call fails.
+/// Continues a listing until it is complete or a call fails.
 async fn list(
     app: &Rc<App>,
     store: &mut StoreConnection,
@@ -163,7 +167,7 @@
         let as_of = so_far.as_of.map_or(page.as_of, |first| first.min(page.as_of));
         so_far.as_of = Some(as_of);
         let more = page.truncated && !page.items.is_empty();
-        so_far.items.extend(page.items.into_iter().map(item));
+        so_far.items.extend(page.items.into_iter().map(to_view_item));
         record_success(app);
         if more {
             continue;
@@ -178,7 +182,7 @@
     Ok(())
 }
 
-/// Waits for changes after a revision once; gives the revision up to which all is known then.
+/// Makes one watch call for changes after a revision; returns the revision up to which everything is known then.
 async fn watch(
     app: &Rc<App>,
     store: &mut StoreConnection,
@@ -189,52 +193,53 @@
     let page = (app.adapter.store.read_watch)(&body).map_err(unreadable)?;
     record_success(app);
     let (as_of, changed) = (page.as_of, !page.items.is_empty());
-    take(app, page);
+    apply_changes(app, page);
     if changed {
-        sleep(app.cfg.in_force() / gather_part(app)).await;
+        sleep(app.cfg.in_force() / batch_divisor(app)).await;
     }
     Ok(as_of)
 }
 
-/// Part of the bound on changes for which this VM gathers them.
-fn gather_part(app: &App) -> u32 {
+/// Fraction (1/n) of the time within which changes must be in force for which this VM pauses after a change.
+fn batch_divisor(app: &App) -> u32 {
     let is_relayed = app.hub.with(|shared, _| shared.fleet.is_relayed());
-    if is_relayed { RELAYED_GATHER_PART } else { GATHER_PART }
+    if is_relayed { RELAYED_BATCH_DIVISOR } else { BATCH_DIVISOR }
 }
 
-/// Asks a store that was lost for this VM's own entry: an answer shows that it is back. Such a read may
-/// be old, which costs a tenth of a counted call; refused calls count too, and an outage of 5 s takes a
-/// dozen of them at each VM.
+/// Reads this VM's own entry from a store that was unreachable: an answer shows that it is back. The read may be stale,
+/// which costs a tenth of a counted call. Refused calls are counted too, and an outage of 5 s takes a dozen probes of
+/// each VM.
 async fn probe(app: &Rc<App>, store: &mut StoreConnection) -> Result<(), StoreCallError> {
     let key = format!("{}{}", vms_prefix(&app.adapter), app.cfg.vm);
     let call = (app.adapter.store.list)(&key, None, Freshness::MayBeStale);
     store.call("probe", call, Duration::ZERO).await.map(|_| record_success(app))
 }
 
-/// Asks for changes; `None` if the store was lost while it was waited for, or peers know more than the
-/// store tells. Once the answer has begun, it is read for as long as it brings bytes.
+/// Starts a watch call; `None` if the store became unreachable meanwhile, or the watch stalled while peers know more.
+/// Once the answer has begun, it is read as long as bytes arrive.
 async fn changes_after(
     app: &Rc<App>,
     store: &mut StoreConnection,
     known: u64,
 ) -> Result<Option<OpenAnswer>, StoreCallError> {
     let mut reached = app.store_reached.subscribe();
-    // One watch over all keys: a counted call each, and one revision for all of them.
-    let call = (app.adapter.store.watch)("", known, WATCH_WAIT);
+    // One watch over all keys: the platform counts each watch, and all keys share one revision.
+    let call = (app.adapter.store.watch)("", known, MAX_WATCH_TIME);
     tokio::select! {
-        begun = store.begin("watch", call, WATCH_WAIT) => return begun.map(Some),
-        () = lost(&mut reached) => {}
+        begun = store.begin("watch", call, MAX_WATCH_TIME) => return begun.map(Some),
+        () = wait_until_unreachable(&mut reached) => {}
         () = app.watch_stands_still.notified() => {}
     }
     store.close();
     Ok(None)
 }
 
-fn take(app: &Rc<App>, page: Page) {
+/// Applies the changes of a watch's answer.
+fn apply_changes(app: &Rc<App>, page: Page) {
     let own_prefix = app.adapter.intents.own_prefix;
     let vms = page.items.iter().any(|item| item.key.starts_with(own_prefix));
     app.hub.with(|shared, now| {
-        let items = page.items.into_iter().map(item).collect();
+        let items = page.items.into_iter().map(to_view_item).collect();
         shared.merge(items, "store", now);
         shared.view.advance_to(page.as_of);
         shared.asks_store = false;
@@ -245,41 +250,42 @@
     }
 }
 
-fn item(item: StoreItem) -> Item {
+fn to_view_item(item: StoreItem) -> Item {
     Item { key: item.key, revision: item.revision, value: item.value }
 }
 
+/// The error of a call whose answer could not be parsed.
 pub(crate) fn unreadable(e: errors::Error) -> StoreCallError {
     StoreCallError::Failed(e.to_string())
 }
 
-/// Ends when the store was reached and is not any more.
-async fn lost(reached: &mut tokio::sync::watch::Receiver<bool>) {
+/// Completes when the store becomes unreachable.
+async fn wait_until_unreachable(reached: &mut tokio::sync::watch::Receiver<bool>) {
     if reached.wait_for(|reached| !reached).await.is_err() {
         // The process is ending.
         std::future::pending::<()>().await;
     }
 }
 
-/// A whole answer came from the store.
+/// Records a complete answer from the store.
 pub(crate) fn record_success(app: &App) {
     app.store_reached.send_if_modified(|reached| !std::mem::replace(reached, true));
     if app.hub.with(|shared, now| shared.contact.record_answer(now)) {
-        info!(app.log, "store regained");
+        info!(app.log, "store reachable again");
     }
 }
 
-/// A call to the store failed.
-pub(crate) fn record_failure(app: &App, what: &str, miss: &StoreCallError) {
-    let (newly, lost, age) = app.hub.with(|shared, now| {
-        let newly = shared.contact.record_failure(now);
-        (newly, !shared.contact.is_receiving(now), shared.contact.age(now))
+/// Records a failed call to the store; `what` is the call's kind.
+pub(crate) fn record_failure(app: &App, what: &str, error: &StoreCallError) {
+    let (is_newly_lost, is_unreachable, age) = app.hub.with(|shared, now| {
+        let is_newly_lost = shared.contact.record_failure(now);
+        (is_newly_lost, !shared.contact.is_receiving(now), shared.contact.age(now))
     });
-    if lost {
+    if is_unreachable {
         app.store_reached.send_if_modified(|reached| std::mem::replace(reached, false));
     }
-    if newly {
-        warn!(app.log, "store lost"; "call" => what, "why" => %miss,
+    if is_newly_lost {
+        warn!(app.log, "store lost"; "call" => what, "why" => %error,
             "heard_ms" => age.map(|age| age.as_millis()));
     }
 }
--- a/gateway/src/target_announcements.rs
+++ b/gateway/src/target_announcements.rs
@@ -1,6 +1,7 @@
-//! What targets say of themselves in the heads of their answers: that they leave, or that they want no work for
-//! some time. An entry in the platform's store tells the first one as well, but seconds later, and not at all
-//! while the store is out of reach; therefore whatever is heard first holds, and an entry never takes it back.
+//! What targets announce about themselves in the headers of their answers: that they are leaving, that they want no
+//! calls for some time (backoff), or a rate limit. An entry in the platform's store says the first one as well, but
+//! seconds later, and not at all while the store is unreachable. Therefore a departure holds as soon as either source
+//! reports it, and an entry never revokes it.
 
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -19,22 +20,23 @@
 use crate::rate_messages::decode_rates;
 use crate::shared::Shared;
 
-/// Most words that are told of: targets may say anything.
-const MOST_UNKNOWN: usize = 64;
+/// Most unknown headers that are logged: targets may send any names.
+const MAX_LOGGED_HEADERS: usize = 64;
 
-/// Takes what the answer to a request says of the target that gave it; the request was sent at `sent` or later.
+/// Applies what the answer to a request announces about the target that gave it; the request was sent at `sent` or
+/// later.
 pub(crate) fn apply_answer(app: &Rc<App>, target: &Target, answer: &AnswerHead, sent: Instant) {
-    let speaks_for_it = match answer.evidence {
+    let is_trusted = match answer.evidence {
         Evidence::Answered | Evidence::Declined | Evidence::InputGone => true,
-        // Another lifetime speaks, or what came may be spoilt in all its parts.
+        // The answer comes from another lifetime, or any part of it may be corrupt.
         Evidence::OtherTarget | Evidence::Crossed | Evidence::Invalid => false,
     };
-    if speaks_for_it {
-        take(app, target, answer, sent);
+    if is_trusted {
+        apply_announcements(app, target, answer, sent);
     }
 }
 
-/// Takes what the answer to a call of this system's own says, which carries no request's id.
+/// Applies what the answer to a call of the system's own announces; such a call carries no request id.
 pub(crate) fn apply_own_call_answer(
     app: &Rc<App>,
     target: &Target,
@@ -42,81 +44,83 @@
     sent: Instant,
 ) {
     if answer.evidence != Evidence::OtherTarget {
-        take(app, target, answer, sent);
+        apply_announcements(app, target, answer, sent);
     }
 }
 
-fn take(app: &Rc<App>, target: &Target, answer: &AnswerHead, sent: Instant) {
-    take_rate(app, target, answer.rate, sent);
+/// Applies a rate limit, a backoff and a departure that an answer announces.
+fn apply_announcements(app: &Rc<App>, target: &Target, answer: &AnswerHead, sent: Instant) {
+    apply_rate(app, target, answer.rate, sent);
     if !answer.is_leaving && answer.retry_after.is_none() {
         return;
     }
     let lifetime = Lifetime::from(target);
-    let newly_leaves = app.hub.with(|shared, now| {
+    let is_new_departure = app.hub.with(|shared, now| {
         if let Some(time) = answer.retry_after {
-            shared.leave_alone(&lifetime, time, now);
+            shared.record_backoff(&lifetime, time, now);
         }
-        answer.is_leaving && shared.departs(lifetime, now, "its answer", now)
+        answer.is_leaving && shared.record_departure(lifetime, now, "its answer", now)
     });
-    if newly_leaves {
+    if is_new_departure {
         app.metrics.target_departed(target.service.as_str(), "answer");
     }
     look_at_pools(app);
 }
 
-/// Looks for words in an answer that nobody here knows, and tells each once: what a target says and nobody heeds
-/// is seen before it hurts.
+/// Counts unknown headers in an answer and logs each name once per service, so that an announcement that this system
+/// ignores is noticed before it causes harm.
 pub(crate) fn report_unknown_headers(app: &App, target: &Target, answer: &Parts) {
     for name in (app.adapter.calls.unknown_headers)(answer) {
         let is_new = app.hub.with(|shared, _| {
-            let word = (target.service.clone(), name.clone());
-            shared.unknown_words.len() < MOST_UNKNOWN && shared.unknown_words.insert(word)
+            let key = (target.service.clone(), name.clone());
+            shared.unknown_words.len() < MAX_LOGGED_HEADERS && shared.unknown_words.insert(key)
         });
         if is_new {
-            warn!(app.log, "answer says what is not known"; "header" => &name,
+            warn!(app.log, "unknown header in answer"; "header" => &name,
                 "service" => %target.service, "target" => %target.id);
         }
         app.metrics.unknown_word(target.service.as_str());
     }
 }
 
-/// Takes what an answer says of its target's rate. That none is named is a word as well: it ends one before.
-fn take_rate(app: &Rc<App>, target: &Target, rate: NamedRate, sent: Instant) {
+/// Applies the rate limit that an answer announces. An answer without one ends an earlier limit.
+fn apply_rate(app: &Rc<App>, target: &Target, rate: NamedRate, sent: Instant) {
     let limit = match rate {
         NamedRate::Nothing => None,
         NamedRate::PerSecond(per_s) => RateLimit::new(per_s),
         NamedRate::Unreadable => {
-            debug!(app.log, "target's rate not read"; "target" => %target.id);
+            debug!(app.log, "target's rate not parsed"; "target" => %target.id);
             return;
         }
     };
-    let sighting = RateObservation { limit, sent, received: now() };
-    let changed = app.hub.with(|shared, now| shared.take_rate(target, sighting, now));
+    let observation = RateObservation { limit, sent, received: now() };
+    let changed = app.hub.with(|shared, now| shared.apply_rate(target, observation, now));
     if changed {
         on_rates_changed(app);
     }
 }
 
-/// Takes what a peer heard of targets' rates.
+/// Applies a peer's observations of targets' rate limits.
 pub(crate) fn apply_peer_rates(app: &Rc<App>, peer: &str, rates: &Rates) {
-    for (lifetime, belief) in decode_rates(rates) {
-        app.hub.with(|shared, now| shared.merge_peer_rate(lifetime, &belief, peer, now));
+    for (lifetime, observations) in decode_rates(rates) {
+        app.hub.with(|shared, now| shared.merge_peer_rate(lifetime, &observations, peer, now));
     }
     on_rates_changed(app);
 }
 
-/// Links to whoever holds the accounts are wanted, and pools may be called otherwise.
+/// After rate limits changed: links to the VMs that hold the token buckets are needed, and pools may choose other
+/// targets.
 pub(crate) fn on_rates_changed(app: &Rc<App>) {
     app.vms_changed.notify_one();
     look_at_pools(app);
 }
 
-/// Takes what a peer heard of targets that leave.
+/// Applies a peer's reports of targets that are leaving.
 pub(crate) fn apply_peer_departures(app: &Rc<App>, peer: &str, departures: Vec<Departure>) {
-    for Departure { lifetime, announced_at: said } in departures {
+    for Departure { lifetime, announced_at: announced } in departures {
         let service = app.hub.with(|shared, now| {
             let service = shared.targets.service_of(&lifetime.target).cloned();
-            let is_new = shared.departs(lifetime, said, peer, now);
+            let is_new = shared.record_departure(lifetime, announced, peer, now);
             is_new.then_some(service).flatten()
         });
         if let Some(service) = service {
@@ -127,14 +131,20 @@
 }
 
 impl Shared {
-    /// Takes that a target leaves; says whether it is the first word of that.
-    fn departs(&mut self, lifetime: Lifetime, said: Instant, from: &str, now: Instant) -> bool {
-        if !self.departures.record(lifetime.clone(), said, now) {
+    /// Records that a target is leaving; returns whether that is new.
+    fn record_departure(
+        &mut self,
+        lifetime: Lifetime,
+        announced: Instant,
+        from: &str,
+        now: Instant,
+    ) -> bool {
+        if !self.departures.record(lifetime.clone(), announced, now) {
             return false;
         }
         let entry = self.targets.get(&lifetime.target);
         info!(self.log, "target says that it leaves"; "target" => %lifetime.target, "born" => lifetime.born,
-            "from" => from, "said_ms" => now.saturating_duration_since(said).as_millis(),
+            "from" => from, "said_ms" => now.saturating_duration_since(announced).as_millis(),
             "entry_leaving" => entry.map(|entry| entry.leaving),
             "store_heard_ms" => self.contact.age(now).map(|age| age.as_millis()));
         self.announcements_changed(&lifetime);
@@ -142,30 +152,37 @@
         true
     }
 
-    /// Takes what an answer said of its target's rate; says whether another rate holds than before.
-    fn take_rate(&mut self, target: &Target, sighting: RateObservation, now: Instant) -> bool {
+    /// Records the rate limit that an answer announced; returns whether the limit in force changed.
+    fn apply_rate(&mut self, target: &Target, observation: RateObservation, now: Instant) -> bool {
         let lifetime = Lifetime::from(target);
-        let change = self.rates.record(lifetime.clone(), sighting);
+        let change = self.rates.record(lifetime.clone(), observation);
         let Some(change) = change else { return false };
-        self.rate_changed(&lifetime, change, "its answer", now);
+        self.handle_rate_change(&lifetime, change, "its answer", now);
         self.word_known.send_replace(());
         true
     }
 
-    /// Takes what a peer heard itself of a target's rate.
+    /// Merges what a peer itself observed of a target's rate limit.
     pub(crate) fn merge_peer_rate(
         &mut self,
         lifetime: Lifetime,
-        belief: &RateObservations,
+        observations: &RateObservations,
         peer: &str,
         now: Instant,
     ) {
-        if let Some(change) = self.rates.merge_peer(lifetime.clone(), belief) {
-            self.rate_changed(&lifetime, change, peer, now);
+        if let Some(change) = self.rates.merge_peer(lifetime.clone(), observations) {
+            self.handle_rate_change(&lifetime, change, peer, now);
         }
     }
 
-    fn rate_changed(&mut self, lifetime: &Lifetime, change: RateChange, from: &str, now: Instant) {
+    /// Logs a changed rate limit and updates target selection and pools.
+    fn handle_rate_change(
+        &mut self,
+        lifetime: &Lifetime,
+        change: RateChange,
+        from: &str,
+        now: Instant,
+    ) {
         let per_s = |limit: Option<RateLimit>| limit.map(RateLimit::per_s);
         info!(self.log, "target's rate changed"; "target" => %lifetime.target, "born" => lifetime.born,
             "per_s" => per_s(change.now), "before" => per_s(change.before), "from" => from);
@@ -173,19 +190,19 @@
         self.announcements_changed(lifetime);
     }
 
-    /// Takes that a target wants no work from this VM for some time.
-    fn leave_alone(&mut self, lifetime: &Lifetime, time: Duration, now: Instant) {
-        // No clock goes on for long enough to overflow here: the time is at most a day.
+    /// Records that a target wants no calls from this VM for some time.
+    fn record_backoff(&mut self, lifetime: &Lifetime, time: Duration, now: Instant) {
+        // The sum does not overflow: the time is at most a day.
         let until = now + time;
         if !self.left_alone.record(lifetime.clone(), until) {
             return;
         }
-        info!(self.log, "target wants to be left alone"; "target" => %lifetime.target,
+        info!(self.log, "target asked for backoff"; "target" => %lifetime.target,
             "born" => lifetime.born, "for_ms" => time.as_millis());
         self.announcements_changed(lifetime);
     }
 
-    /// Tells all who choose targets what one said of itself.
+    /// Updates target selection and pools with what a target announced, if this lifetime of it is known.
     pub(crate) fn announcements_changed(&mut self, lifetime: &Lifetime) {
         let known = self.targets.get(&lifetime.target).cloned();
         let Some(mut target) = known.filter(|known| Lifetime::from(known) == *lifetime) else {
@@ -199,7 +216,7 @@
         }
     }
 
-    /// Adds to a target's entry what the target said in answers.
+    /// Adds to a target's entry what the target announced in answers.
     pub(crate) fn add_announcements(&self, target: &mut Target) {
         target.leaving |= self.departures.announced_at(target).is_some();
         target.backoff_until = self.left_alone.until(target);
@@ -208,8 +225,8 @@
         target.request_interval = limit.map(|limit| Duration::from_secs_f64(1.0 / limit.per_s()));
     }
 
-    /// For how long nothing may be sent to any target of a service, if some of them want no more than to be
-    /// left alone for that time.
+    /// Time until some target of a service may be sent requests, that is, until the first backoff or rate limit ends.
+    /// `None` if a target may be sent requests now, or if no such time is known.
     pub(crate) fn time_until_open(&self, service: &ServiceName, now: Instant) -> Option<Duration> {
         let opens = self.targets.opens_at(service, now)?;
         Some(opens.saturating_duration_since(now)).filter(|time| !time.is_zero())
--- a/gateway/src/target_entries.rs
+++ b/gateway/src/target_entries.rs
@@ -1,4 +1,5 @@
-//! The entries that targets keep of themselves in the platform's store: what comes in, lapses and goes.
+//! Applies changes of the entries that targets keep about themselves in the platform's store: new, lapsed and removed
+//! entries.
 
 use std::time::{Duration, Instant};
 
@@ -8,30 +9,30 @@
 
 use crate::shared::Shared;
 
-/// Time within which a target that lives has written its entry again, whatever others wrote: more than a pause
-/// between two of its writes, 1.2 s on the platforms seen so far.
-const REWRITE_WAIT: Duration = Duration::from_millis(2100);
+/// Time within which a running target has written its entry again after another writer overwrote it: longer than the
+/// interval between two of its writes, 1.2 s on the known platforms.
+const REWRITE_TIME: Duration = Duration::from_millis(2100);
 
 impl Shared {
-    /// Takes what an entry says of its target, unless it is older than what is known.
+    /// Applies a target's entry, unless it is from an earlier lifetime than the known one.
     pub(crate) fn apply_target(&mut self, key: &str, value: &[u8], from: &str, now: Instant) {
         match (self.adapter.intents.target)(key, value) {
             Ok(target) => self.put_target(target, from, now),
             Err(e) => {
                 warn!(self.log, "target's entry left out"; "key" => key, "from" => from,
                     "why" => %e);
-                self.overwritten(key, now);
+                self.entry_overwritten(key, now);
             }
         }
     }
 
-    /// Something else stands where a target's entry was: a target that lives writes again soon, and one that
-    /// does not would be sent to for ever.
-    fn overwritten(&mut self, key: &str, now: Instant) {
+    /// Starts the grace period of a target whose entry was overwritten with something invalid: a running target writes
+    /// its entry again soon, and one that has ended would otherwise be called forever.
+    fn entry_overwritten(&mut self, key: &str, now: Instant) {
         let id = key.strip_prefix(self.adapter.intents.targets_prefix);
         let id = id.and_then(|id| TargetName::new(id).ok());
         if let Some(id) = id.filter(|id| self.targets.get(id).is_some()) {
-            self.lapsed.entry(id).or_insert(now + REWRITE_WAIT);
+            self.lapsed.entry(id).or_insert(now + REWRITE_TIME);
         }
     }
 
@@ -50,14 +51,14 @@
         }
         self.lapsed.remove(&target.id);
         if let Some(known) = known.filter(|known| target.is_other_lifetime_than(known)) {
-            info!(self.log, "target born again"; "target" => %target.id,
+            info!(self.log, "target restarted"; "target" => %target.id,
                 "born" => target.born, "before" => known.born);
             self.target_ended(&known, now);
         }
         self.targets.upsert(target, now);
     }
 
-    /// An entry is gone.
+    /// A target's entry was removed from the store. Around an outage of the store the target is kept for a grace period.
     pub(crate) fn target_entry_removed(&mut self, id: &str, from: &str, now: Instant) {
         let Ok(id) = TargetName::new(id) else { return };
         if let Some(until) = self.contact.grace_until(now) {
@@ -72,23 +73,23 @@
         }
     }
 
-    /// Takes a target out; whatever broke under it of late counts as its end.
+    /// Removes a target. Calls that failed on it recently count as failures by its end. Returns whether it was known.
     fn remove_target(&mut self, id: &TargetName, now: Instant) -> bool {
         let Some(target) = self.targets.remove(id) else { return false };
         self.target_ended(&target, now);
         true
     }
 
-    /// When the first entry that lapsed around an outage is taken as gone.
+    /// When the next grace period of a lapsed entry ends.
     pub(crate) fn next_grace_end(&self) -> Option<Instant> {
         self.lapsed.values().min().copied()
     }
 
-    /// Takes as gone what lapsed around an outage and did not come back.
+    /// Removes targets whose entry lapsed and was not written again within its grace period.
     pub(crate) fn expire_lapsed_targets(&mut self, now: Instant) {
-        let over = |at: &Instant| *at <= now;
+        let has_ended = |at: &Instant| *at <= now;
         let gone: Vec<TargetName> =
-            self.lapsed.iter().filter(|(_, at)| over(at)).map(|(id, _)| id.clone()).collect();
+            self.lapsed.iter().filter(|(_, at)| has_ended(at)).map(|(id, _)| id.clone()).collect();
         if gone.is_empty() {
             return;
         }
@@ -100,7 +101,7 @@
         self.sync_pools();
     }
 
-    /// A target turned out to be gone before the store said so.
+    /// Removes a target after another one answered at its address, before the store reports the removal.
     pub(crate) fn target_replaced(&mut self, target: &Target, now: Instant) {
         if self.remove_target(&target.id, now) {
             info!(self.log, "target gone"; "target" => %target.id, "from" => "its address");
