--- a/gateway/src/held_results.rs
+++ b/gateway/src/held_results.rs
@@ -188,11 +188,11 @@
             released.origin == origin && released.state == ReleaseState::Confirmed
         };
         let unreported = released.iter_mut().filter(|(_, released)| is_unreported(released));
-        let told = unreported.map(|(handle, released)| {
+        let reported = unreported.map(|(handle, released)| {
             released.state = ReleaseState::Reported;
             handle.clone()
         });
-        told.collect()
+        reported.collect()
     }
 
     /// Records that an origin confirmed the report of released results.
@@ -206,14 +206,14 @@
     /// Records that the link to an origin ended: reports that were not confirmed are to be sent again.
     pub(crate) fn link_ended(&self, origin: SocketAddr) {
         let mut released = self.released.borrow_mut();
-        let told = released.values_mut().filter(|released| released.origin == origin);
-        for released in told.filter(|released| released.state == ReleaseState::Reported) {
+        let reported = released.values_mut().filter(|released| released.origin == origin);
+        for released in reported.filter(|released| released.state == ReleaseState::Reported) {
             released.state = ReleaseState::Confirmed;
         }
     }
 
-    /// Results computed for the VM that accepts links at an address: those held, and released ones that it has not
-    /// confirmed.
+    /// Results whose origin is the peer that accepts links at an address: those held, and released ones that it has
+    /// not confirmed.
     pub(crate) fn handles_from(&self, address: SocketAddr) -> Vec<String> {
         let by_handle = self.by_handle.borrow();
         let held = by_handle.iter().filter(|(_, held)| held.origin.address() == Some(address));
--- a/gateway/src/link_messages.rs
+++ b/gateway/src/link_messages.rs
@@ -209,27 +209,27 @@
 }
 
 /// Decodes a peer's reports of requests that crash targets; invalid ones are left out.
-pub(crate) fn decode_crashes(told: &Crashes) -> Vec<Crash> {
+pub(crate) fn decode_crashes(message: &Crashes) -> Vec<Crash> {
     let crash = |crash: &work::Crash| {
         let content = RequestDigest::from_bytes(&crash.content)?;
         let lifetime = Lifetime { birth: Birth(crash.birth), ends_before: crash.ends_before };
         Some(Crash { digest: content, lifetime, cleared: crash.cleared })
     };
-    told.crashes.iter().filter_map(crash).collect()
+    message.crashes.iter().filter_map(crash).collect()
 }
 
 /// Decodes a peer's reports of targets that are leaving; invalid ones are left out.
-pub(crate) fn decode_departures(told: &Departures) -> Vec<Departure> {
+pub(crate) fn decode_departures(message: &Departures) -> Vec<Departure> {
     let now = crate::hub::now();
-    let departure = |told: &work::Departure| {
-        let target = TargetName::new(&told.target).ok()?;
-        let announced = now.checked_sub(Duration::from_millis(u64::from(told.age_ms)))?;
+    let departure = |message: &work::Departure| {
+        let target = TargetName::new(&message.target).ok()?;
+        let announced = now.checked_sub(Duration::from_millis(u64::from(message.age_ms)))?;
         Some(Departure {
-            lifetime: eligibility::Lifetime { target, born: told.born },
+            lifetime: eligibility::Lifetime { target, born: message.born },
             announced_at: announced,
         })
     };
-    told.departures.iter().filter_map(departure).collect()
+    message.departures.iter().filter_map(departure).collect()
 }
 
 /// What was already sent on a link: requests that crash targets, leaving targets and targets' rate limits.
@@ -248,11 +248,11 @@
 }
 
 /// The changes to send next on a link; advances the cursors past them.
-pub(crate) fn take_unsent(app: &App, told: &mut SentCursors) -> Unsent {
+pub(crate) fn take_unsent(app: &App, cursors: &mut SentCursors) -> Unsent {
     Unsent {
-        crashes: take_unsent_crashes(app, &mut told.crashes),
-        departures: take_unsent_departures(app, &mut told.departures),
-        rates: take_unsent_rates(app, &mut told.rates),
+        crashes: take_unsent_crashes(app, &mut cursors.crashes),
+        departures: take_unsent_departures(app, &mut cursors.departures),
+        rates: take_unsent_rates(app, &mut cursors.rates),
     }
 }
 
--- a/gateway/src/outbound_links.rs
+++ b/gateway/src/outbound_links.rs
@@ -45,8 +45,8 @@
 const HANDSHAKE_TIMEOUT: Duration = Duration::from_millis(800);
 /// Pause before a link that ended is dialed again.
 const REDIAL_PAUSE: Duration = Duration::from_millis(400);
-/// Pause before a dial that failed is repeated. Short, since after a power loss of the whole fleet many VMs are dialed
-/// before they accept links, and a failed dial took 1.2 s until the next one.
+/// Pause before a dial that failed is repeated. Short, since after a power loss of the whole fleet VMs that were dialed
+/// before they accepted links were dialed again only after 1.2 s.
 const FAILED_DIAL_PAUSE: Duration = Duration::from_millis(150);
 /// A link that was not needed for this long is closed.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(5);
@@ -376,8 +376,8 @@
                 let crashes = unsent.crashes.map(from_dialer::Kind::Crashes);
                 let departures = unsent.departures.map(from_dialer::Kind::Departures);
                 let rates = unsent.rates.map(from_dialer::Kind::Rates);
-                let words = crashes.into_iter().chain(departures).chain(rates);
-                words.for_each(|kind| link.send(kind));
+                let messages = crashes.into_iter().chain(departures).chain(rates);
+                messages.for_each(|kind| link.send(kind));
             }
             message = inbound.message() => {
                 last_received = tokio::time::Instant::now();
--- a/gateway/src/rate_messages.rs
+++ b/gateway/src/rate_messages.rs
@@ -34,18 +34,18 @@
 pub(crate) fn decode_rate(rate: &Rate, now: Instant) -> Option<(Lifetime, RateObservations)> {
     let ago = |ms: u32| now.checked_sub(Duration::from_millis(u64::from(ms)));
     let after = rate.after_ms.and_then(ago).and_then(|at| at.checked_sub(MAX_TRANSIT));
-    let heard = rate.named.iter().filter_map(|named| {
+    let limits = rate.named.iter().filter_map(|named| {
         let limit = RateLimit::new(named.thousandths as f64 / UNITS_PER_REQUEST)?;
         Some((limit, ago(named.heard_ms)? + MAX_TRANSIT))
     });
     let lifetime = Lifetime { target: TargetName::new(&rate.target).ok()?, born: rate.born };
-    Some((lifetime, RateObservations::from_parts(after, heard)))
+    Some((lifetime, RateObservations::from_parts(after, limits)))
 }
 
 /// Decodes a peer's observations of targets' rate limits; invalid ones are left out.
-pub(crate) fn decode_rates(told: &Rates) -> Vec<(Lifetime, RateObservations)> {
+pub(crate) fn decode_rates(message: &Rates) -> Vec<(Lifetime, RateObservations)> {
     let now = hub::now();
-    told.rates.iter().filter_map(|rate| decode_rate(rate, now)).collect()
+    message.rates.iter().filter_map(|rate| decode_rate(rate, now)).collect()
 }
 
 /// The rate observations to send next on a link; advances the cursor past them. `None` if there are none.
--- a/gateway/src/releases.rs
+++ b/gateway/src/releases.rs
@@ -160,7 +160,7 @@
 /// Releases results that this VM had computed; returns the tasks that call their workers.
 pub(crate) fn release_as_owner(app: &Rc<App>, handles: Vec<String>) -> Vec<JoinHandle<()>> {
     let taken = take_from_pools(app, &handles);
-    let known: Vec<&String> = taken.iter().flat_map(|(_, told)| &told.handles).collect();
+    let known: Vec<&String> = taken.iter().flat_map(|(_, pending)| &pending.handles).collect();
     let unknown = handles.iter().filter(|handle| !known.contains(handle)).cloned().collect();
     let unknown = group_by_worker(app, unknown).into_iter().map(|(worker, handles)| {
         let app = Rc::clone(app);
@@ -169,7 +169,8 @@
         })
     });
     let mut tasks: Vec<_> = unknown.collect();
-    tasks.extend(taken.into_iter().map(|(pool, told)| release_in_background(app, pool, told)));
+    tasks
+        .extend(taken.into_iter().map(|(pool, pending)| release_in_background(app, pool, pending)));
     tasks
 }
 
@@ -179,7 +180,7 @@
         let pools = shared.pools.iter_mut();
         let release_in_pool = |(name, pool): (&ServiceName, &mut Pool)| {
             let name = name.clone();
-            pool.release(handles.to_vec()).into_iter().map(move |told| (name.clone(), told))
+            pool.release(handles.to_vec()).into_iter().map(move |pending| (name.clone(), pending))
         };
         pools.flat_map(release_in_pool).collect()
     })
@@ -188,13 +189,13 @@
 /// Records that workers confirmed the release of results to the requester.
 pub(crate) fn record_worker_releases(app: &Rc<App>, handles: &[String]) {
     app.hub.with(|shared, _| shared.leases.released(handles));
-    for (pool, told) in take_from_pools(app, handles) {
-        complete_release(app, &pool, &told, true);
+    for (pool, pending) in take_from_pools(app, handles) {
+        complete_release(app, &pool, &pending, true);
     }
 }
 
 fn release_as_owner_if_scarce(app: &Rc<App>, handles: &[String]) {
-    let told = app.hub.with(|shared, _| {
+    let pending = app.hub.with(|shared, _| {
         let pools = shared.pools.iter_mut();
         let release = |(name, pool): (&ServiceName, &mut Pool)| {
             pool.release_if_scarce(handles);
@@ -202,8 +203,8 @@
         };
         pools.map(release).collect::<Vec<_>>()
     });
-    for (pool, told) in told {
-        reclaim(app, &pool, told);
+    for (pool, pending) in pending {
+        reclaim(app, &pool, pending);
     }
 }
 
@@ -224,10 +225,10 @@
 
 /// Releases results that no request released by itself: nobody waits for them, or their memory is needed. The VMs that
 /// hold them are notified, so that the workers are called only once.
-pub(crate) fn reclaim(app: &Rc<App>, pool: &ServiceName, told: Vec<PendingRelease>) {
-    for told in told {
-        app.held.forget(&told.handles);
-        let links = app.hub.with(|shared, _| shared.leases.reclaimed(&told.handles));
+pub(crate) fn reclaim(app: &Rc<App>, pool: &ServiceName, pending: Vec<PendingRelease>) {
+    for pending in pending {
+        app.held.forget(&pending.handles);
+        let links = app.hub.with(|shared, _| shared.leases.reclaimed(&pending.handles));
         for (link, handles) in links {
             if let Some(tx) = app.lease_links.borrow().get(&link) {
                 let kind = from_owner::Kind::Reclaimed(Reclaimed { handles });
@@ -235,7 +236,7 @@
                 drop(tx.send(Ok(FromOwner { kind: Some(kind) })));
             }
         }
-        drop(release_in_background(app, pool.clone(), told));
+        drop(release_in_background(app, pool.clone(), pending));
     }
 }
 
@@ -274,20 +275,24 @@
 }
 
 /// Releases results at a worker of a pool of this VM. The pool reuses the memory once the worker confirmed.
-fn release_in_background(app: &Rc<App>, pool: ServiceName, told: PendingRelease) -> JoinHandle<()> {
+fn release_in_background(
+    app: &Rc<App>,
+    pool: ServiceName,
+    pending: PendingRelease,
+) -> JoinHandle<()> {
     let app = Rc::clone(app);
     spawn_local(async move {
-        let worker = told.target.address;
+        let worker = pending.target.address;
         let confirmed =
-            release_until_confirmed(&app, worker, &told.handles, Role::Owner, None).await;
-        complete_release(&app, &pool, &told, confirmed);
+            release_until_confirmed(&app, worker, &pending.handles, Role::Owner, None).await;
+        complete_release(&app, &pool, &pending, confirmed);
     })
 }
 
-fn complete_release(app: &Rc<App>, pool: &ServiceName, told: &PendingRelease, confirmed: bool) {
+fn complete_release(app: &Rc<App>, pool: &ServiceName, pending: &PendingRelease, confirmed: bool) {
     app.hub.with(|shared, now| {
         let pool = shared.pools.get_mut(pool);
-        pool.map(|pool| pool.finish_release(told, confirmed, now))
+        pool.map(|pool| pool.finish_release(pending, confirmed, now))
     });
     fill_calls(app, pool);
 }
@@ -393,16 +398,16 @@
         if handles.is_empty() {
             return false;
         }
-        let told = match worker_at(app, worker) {
+        let outcome = match worker_at(app, worker) {
             Some(target) if is_replaced(&target, previous.as_ref()) => SendOutcome::Replaced,
             Some(target) => {
-                let told = send_and_count(app, &target, &handles, role).await;
+                let outcome = send_and_count(app, &target, &handles, role).await;
                 previous = Some(target);
-                told
+                outcome
             }
             None => SendOutcome::Unconfirmed("no target known at the address".to_owned()),
         };
-        let SendOutcome::Unconfirmed(why) = told else { return true };
+        let SendOutcome::Unconfirmed(why) = outcome else { return true };
         info!(app.log, "results not released"; "worker" => %worker, "as" => ?role,
             "results" => handles.len(), "why" => why, "telling" => attempt);
         if attempt < MAX_ATTEMPTS {
@@ -428,13 +433,13 @@
     handles: &[String],
     role: Role,
 ) -> SendOutcome {
-    let told = call_worker(app, target, handles).await;
-    if matches!(told, SendOutcome::Confirmed) {
+    let outcome = call_worker(app, target, handles).await;
+    if matches!(outcome, SendOutcome::Confirmed) {
         app.metrics.results_given_up("needed_no_more", handles.len());
         debug!(app.log, "results released"; "target" => %target.id, "as" => ?role,
             "results" => handles.len(), "handles" => handles.join(","));
     }
-    told
+    outcome
 }
 
 /// Makes one release call, once the worker's backoff time is over.
--- a/gateway/src/store_connection.rs
+++ b/gateway/src/store_connection.rs
@@ -110,7 +110,9 @@
                 self.app.hub.with(|shared, now| shared.contact.record_bytes(now));
             }
             if now() - began > MAX_ANSWER_TIME {
-                return Err(self.failed(kind, format!("not whole within {MAX_ANSWER_TIME:?}")));
+                return Err(
+                    self.failed(kind, format!("answer not complete within {MAX_ANSWER_TIME:?}"))
+                );
             }
         }
         self.app.metrics.platform_call(kind, true);
