--- a/gateway/src/held_results.rs
+++ b/gateway/src/held_results.rs
@@ -97,8 +97,8 @@
 
 impl HeldResults {
     /// Records a result that was handed to a request.
-    pub(crate) fn add(&self, handle: &str, origin: Origin, term: ResultExpiry, now: Instant) {
-        let held = Held { origin, until: term.until, expires_at: now + term.life };
+    pub(crate) fn add(&self, handle: &str, origin: Origin, expiry: ResultExpiry, now: Instant) {
+        let held = Held { origin, until: expiry.until, expires_at: now + expiry.life };
         self.by_handle.borrow_mut().insert(handle.to_owned(), held);
     }
 
--- a/gateway/src/outbound_links.rs
+++ b/gateway/src/outbound_links.rs
@@ -63,9 +63,9 @@
     next_number: Cell<u64>,
     closed: Cell<bool>,
     jobs: RefCell<HashMap<u64, PendingJob>>,
-    /// Receiver of the answer to the last request for changes in the store.
+    /// Where to deliver the answer to the last request for changes in the store.
     pending_changes: RefCell<Option<oneshot::Sender<News>>>,
-    /// Receivers of permits, by the request's number.
+    /// Where to deliver permits, by the request's number.
     permits: RefCell<HashMap<u64, oneshot::Sender<Permit>>>,
     /// Results released through this link, until the peer confirms, by the release's number.
     unconfirmed: RefCell<BTreeMap<u64, Vec<String>>>,
@@ -77,7 +77,7 @@
 struct PendingJob {
     news: UnboundedSender<PieceNews>,
     of: StageTurn,
-    term: ResultExpiry,
+    expiry: ResultExpiry,
     /// Pieces that are not done.
     left: usize,
 }
@@ -107,8 +107,8 @@
         news: UnboundedSender<PieceNews>,
     ) -> u64 {
         let job = self.next_number();
-        let term = ResultExpiry { until: submission.until, life };
-        let waiting = PendingJob { news, of, term, left: submission.pieces.len() };
+        let expiry = ResultExpiry { until: submission.until, life };
+        let waiting = PendingJob { news, of, expiry, left: submission.pieces.len() };
         self.jobs.borrow_mut().insert(job, waiting);
         let millis = |at: Instant| u32::try_from(left(at).as_millis()).unwrap_or(u32::MAX);
         self.send(from_dialer::Kind::Submit(Submit {
@@ -170,7 +170,7 @@
     }
 
     /// Handles the peer's confirmation of a release or of a report.
-    fn confirmed(&self, app: &App, number: u64) {
+    fn record_confirmed(&self, app: &App, number: u64) {
         self.unconfirmed.borrow_mut().remove(&number);
         if let Some(handles) = self.reported.borrow_mut().remove(&number) {
             app.held.record_confirmed(&handles);
@@ -210,14 +210,14 @@
         number
     }
 
-    fn permit(&self, permit: Permit) {
+    fn deliver_permit(&self, permit: Permit) {
         if let Some(tx) = self.permits.borrow_mut().remove(&permit.number) {
             // The task that asked may have stopped waiting.
             tx.send(permit).ok();
         }
     }
 
-    fn take_news(&self, news: News) {
+    fn deliver_changes(&self, news: News) {
         if let Some(tx) = self.pending_changes.take() {
             // The task that asked may have stopped waiting.
             drop(tx.send(news));
@@ -235,7 +235,7 @@
     }
 
     /// Passes finished pieces to their request; returns results that nobody waits for.
-    fn done(&self, done: Done) -> Vec<String> {
+    fn deliver_done(&self, done: Done) -> Vec<String> {
         let mut jobs = self.jobs.borrow_mut();
         let mut unclaimed = Vec::new();
         for piece in done.pieces {
@@ -256,12 +256,12 @@
 
     /// How long this VM is responsible for releasing the results of a submission; those of a submission that nobody
     /// waits for are released at once.
-    fn term(&self, job: u64, now: Instant) -> ResultExpiry {
-        let term = self.jobs.borrow().get(&job).map(|waiting| waiting.term);
-        term.unwrap_or(ResultExpiry { until: now, life: REQUEST_GRACE })
+    fn expiry_of(&self, job: u64, now: Instant) -> ResultExpiry {
+        let expiry = self.jobs.borrow().get(&job).map(|waiting| waiting.expiry);
+        expiry.unwrap_or(ResultExpiry { until: now, life: REQUEST_GRACE })
     }
 
-    fn fetched(&self, job: u64) {
+    fn deliver_fetched(&self, job: u64) {
         if let Some(waiting) = self.jobs.borrow().get(&job) {
             // A request that has ended releases its results itself.
             drop(waiting.news.send(PieceNews::Fetched { of: waiting.of }));
@@ -338,11 +338,11 @@
 /// Handles finished pieces; their results are held until they are released.
 fn handle_done(app: &Rc<App>, link: &Rc<Link>, done: Done) {
     let now = now();
-    let term = link.term(done.job, now);
+    let expiry = link.expiry_of(done.job, now);
     for piece in done.pieces.iter().filter(|piece| !piece.handle.is_empty()) {
-        app.held.add(&piece.handle, Origin::Peer(Rc::clone(link)), term, now);
+        app.held.add(&piece.handle, Origin::Peer(Rc::clone(link)), expiry, now);
     }
-    releases::release_results(app, &link.done(done));
+    releases::release_results(app, &link.deliver_done(done));
 }
 
 async fn read_hello(inbound: &mut Streaming<FromOwner>) -> Result<Hello, String> {
@@ -384,11 +384,11 @@
                 match message {
                     Ok(Some(FromOwner { kind: Some(kind) })) => match kind {
                         from_owner::Kind::Done(done) => handle_done(app, link, done),
-                        from_owner::Kind::Fetched(fetched) => link.fetched(fetched.job),
+                        from_owner::Kind::Fetched(fetched) => link.deliver_fetched(fetched.job),
                         from_owner::Kind::Beat(beat) => {
                             apply_heartbeat(app, vm, &beat);
                         }
-                        from_owner::Kind::News(news) => link.take_news(news),
+                        from_owner::Kind::News(news) => link.deliver_changes(news),
                         from_owner::Kind::Crashes(crashes) => app.hub.with(|shared, now| {
                             shared.take_crashes(&decode_crashes(&crashes), vm.as_str(), now);
                         }),
@@ -399,9 +399,9 @@
                         from_owner::Kind::Rates(rates) => {
                             target_announcements::apply_peer_rates(app, vm.as_str(), &rates);
                         }
-                        from_owner::Kind::Permit(permit) => link.permit(permit),
+                        from_owner::Kind::Permit(permit) => link.deliver_permit(permit),
                         from_owner::Kind::Released(released) => {
-                            link.confirmed(app, released.number);
+                            link.record_confirmed(app, released.number);
                         }
                         from_owner::Kind::Reclaimed(reclaimed) => {
                             app.held.forget(&reclaimed.handles);
--- a/gateway/src/owner_selection.rs
+++ b/gateway/src/owner_selection.rs
@@ -72,7 +72,7 @@
         }
     }
 
-    /// The owner with the shortest drain time among all parts, compared with `than`.
+    /// The owner with the shortest drain time among all parts, compared with `baseline`.
     fn fastest_owner_than(
         &self,
         pool: &ServiceName,
--- a/gateway/src/peer_sync.rs
+++ b/gateway/src/peer_sync.rs
@@ -67,7 +67,7 @@
         shared.stall_detector.update(known, newest.unwrap_or(known), now);
         let follows = shared.watches || shared.asks_store;
         let store_delivers = !shared.contact.is_lost(now) || shared.contact.is_receiving(now);
-        if follows && store_delivers && !watch_stands_still(app, shared, now) {
+        if follows && store_delivers && !detect_stalled_watch(app, shared, now) {
             return None;
         }
         let others = ahead().filter(|(vm, _)| silent.as_ref() != Some(vm));
@@ -77,7 +77,7 @@
 }
 
 /// Whether the watch has stalled: it returns nothing while peers know more. It is then restarted.
-fn watch_stands_still(app: &App, shared: &Shared, now: Instant) -> bool {
+fn detect_stalled_watch(app: &App, shared: &Shared, now: Instant) -> bool {
     let limit = shared.in_force.mul_f64(STALL_FRACTION);
     let has_stalled =
         shared.stall_detector.has_stalled_for(limit, now) && !shared.contact.is_receiving(now);
