--- a/tests/departures.rs
+++ b/tests/departures.rs
@@ -293,9 +293,10 @@
 
     send_all(&vm, |id| get("/repeat/", id), "unknown");
 
-    wait_until("it is told", || vm.log().contains("what is not known"));
+    wait_until("it is told", || vm.log().contains("unknown header in answer"));
     let log = vm.log();
-    let told: Vec<&str> = log.lines().filter(|line| line.contains("what is not known")).collect();
+    let told: Vec<&str> =
+        log.lines().filter(|line| line.contains("unknown header in answer")).collect();
     assert_eq!(told.len(), 1, "{told:?}");
     assert!(told[0].contains("header=server-mood"), "{told:?}");
     let counted = vm.page("/metrics");
