--- a/gateway/src/inbound_links.rs
+++ b/gateway/src/inbound_links.rs
@@ -28,9 +28,8 @@
     own_heartbeat, own_hello, record_peer, take_unsent,
 };
 use crate::outbound_links::DialerSender;
-use crate::peer_sync;
-use crate::piece_news::{PeerSink, Sink};
-use crate::{permits, releases, target_announcements, work};
+use crate::piece_events::{PeerSink, Sink};
+use crate::{peer_sync, permits, releases, submissions, target_announcements};
 
 /// Pauses before the checks whether the process of a peer whose link ended has ended: its port may close a little later.
 const END_CHECK_PAUSES: [Duration; 3] =
@@ -95,7 +94,7 @@
     heartbeats.set_missed_tick_behavior(MissedTickBehavior::Delay);
     let mut last_received = tokio::time::Instant::now();
     let mut sent_cursors = SentCursors::default();
-    let mut updates = app.hub.with(|shared, _| shared.word_known.subscribe());
+    let mut updates = app.hub.with(|shared, _| shared.peer_update_pending.subscribe());
     loop {
         tokio::select! {
             _ = updates.changed() => {
@@ -116,7 +115,7 @@
                     record_peer(&app, &name, Some(hello));
                     let address = hello.peers.parse::<SocketAddr>().ok();
                     let process = address.map(|address| (address, hello.incarnation));
-                    app.heard_at.borrow_mut().extend(process);
+                    app.new_peer_addresses.borrow_mut().extend(process);
                     app.vms_changed.notify_one();
                     leases = open_leases(&app, &name, hello, &tx);
                     vm = Some(name);
@@ -139,7 +138,7 @@
     }
     // The submitter resubmits them to another VM, or has ended.
     for (pool, job) in jobs.into_values() {
-        work::cancel(&app, &pool, job);
+        submissions::cancel(&app, &pool, job);
     }
     if let Some(leases) = leases {
         app.lease_links.borrow_mut().remove(&leases.key);
@@ -207,13 +206,13 @@
             if let Some((pool, submission)) = decode_submission(submit) {
                 let until = submission.until;
                 let sink = Sink::Peer(PeerSink { tx: tx.clone(), number, lease_link, until });
-                let job = work::submit(app, &pool, submission, sink);
+                let job = submissions::submit(app, &pool, submission, sink);
                 jobs.insert(number, (pool, job));
             }
         }
         from_dialer::Kind::Cancel(cancel) => {
             if let Some((pool, job)) = jobs.remove(&cancel.job) {
-                work::cancel(app, &pool, job);
+                submissions::cancel(app, &pool, job);
             }
         }
         from_dialer::Kind::Release(release) => handle_release(app, release, tx),
@@ -236,7 +235,7 @@
         }
         from_dialer::Kind::Crashes(crashes) => {
             app.hub.with(|shared, now| {
-                shared.take_crashes(&decode_crashes(&crashes), vm.as_str(), now)
+                shared.merge_crashes(&decode_crashes(&crashes), vm.as_str(), now)
             });
         }
         from_dialer::Kind::Rates(rates) => {
--- a/gateway/src/input_fetches.rs
+++ b/gateway/src/input_fetches.rs
@@ -14,7 +14,7 @@
 use tokio::time::{sleep, timeout};
 
 use crate::app::App;
-use crate::own_calls::{OwnCallMiss, own_call};
+use crate::own_calls::{OwnCallError, own_call};
 use crate::permits;
 
 /// Time within which a call arrives at its worker: many times the latency between halls.
@@ -54,7 +54,7 @@
     let call = (app.adapter.calls.report)(&worker.id);
     match timeout(REPORT_TIMEOUT, own_call(app, worker, call, permit)).await {
         Ok(Ok(body)) => parse_report(app, worker, &body),
-        Ok(Err(OwnCallMiss::Failed)) => CallProgress::Unavailable,
+        Ok(Err(OwnCallError::Failed)) => CallProgress::Unavailable,
         Ok(Err(_)) | Err(_) => CallProgress::SomeMayBeQueued,
     }
 }
--- a/gateway/src/link_dialer.rs
+++ b/gateway/src/link_dialer.rs
@@ -28,7 +28,7 @@
     /// that, once for each process. If it were cancelled more often, two VMs that dial each other would cancel each
     /// other's dials forever.
     fn restart_dial(&mut self, app: &App, address: SocketAddr, incarnation: u64) {
-        if app.is_linked_at(address)
+        if app.has_link_to(address)
             || self.restarted_for.insert(address, incarnation) == Some(incarnation)
         {
             return;
@@ -59,7 +59,7 @@
 pub(crate) async fn maintain_links(app: Rc<App>) {
     let mut dials = Dials::default();
     loop {
-        for (address, incarnation) in app.heard_at.take() {
+        for (address, incarnation) in app.new_peer_addresses.take() {
             dials.restart_dial(&app, address, incarnation);
         }
         let wanted_addresses = wanted_addresses(&app);
@@ -70,11 +70,11 @@
             shared.fleet.forget_silent(now);
             shared.expire_lapsed_targets(now);
             shared.departures.remove_expired(now);
-            shared.left_alone.remove_expired(now);
+            shared.backoffs.remove_expired(now);
             shared.rates.remove_expired(now);
-            shared.accounts.remove_expired(now);
-            shared.look_at_accounts(now);
-            shared.share_cold(now);
+            shared.token_buckets.remove_expired(now);
+            shared.refresh_account_owners(now);
+            shared.update_cold_shares(now);
         });
     }
 }
--- a/gateway/src/link_messages.rs
+++ b/gateway/src/link_messages.rs
@@ -10,7 +10,6 @@
     self, Beat, Coming, Crashes, Departures, Done, Failure, Fetched, FromOwner, Hello, PieceDone,
     PoolLoad, Rates, Submit, TargetLoad, Waiting, from_owner,
 };
-
 use quarantine::{Birth, Crash, Cursor, Lifetime, RequestDigest};
 
 use crate::app::App;
@@ -39,7 +38,7 @@
 /// an owner sends it to 294 peers five times a second.
 pub(crate) fn own_heartbeat(app: &App) -> Beat {
     let now = tokio::time::Instant::now();
-    let mut last = app.last_beat.borrow_mut();
+    let mut last = app.last_heartbeat.borrow_mut();
     match &*last {
         Some((at, beat)) if now.duration_since(*at) < HEARTBEAT_REUSE => beat.clone(),
         _ => {
@@ -54,7 +53,7 @@
         as_of: shared.view.as_of(),
         draining: shared.is_stopping(),
         store_age_ms: shared.contact.age(now).map(millis),
-        watches: shared.watches && !shared.contact.is_lost(now),
+        watches: shared.watches_store && !shared.contact.is_lost(now),
         configuration: shared.intent.as_ref().map_or(0, |intent| intent.version),
         loads: shared
             .targets
@@ -63,7 +62,7 @@
             .collect(),
         coming: shared
             .admission
-            .coming()
+            .upcoming()
             .map(|(pool, pieces)| Coming { pool: pool.to_string(), pieces })
             .collect(),
         pools: shared
@@ -155,7 +154,7 @@
 }
 
 fn peer_hash(vm: &VmName) -> u64 {
-    hashing::of_text(vm.as_str())
+    hashing::hash_text(vm.as_str())
 }
 
 /// The outcome of a piece, as its owner reported it.
--- a/gateway/src/outbound_links.rs
+++ b/gateway/src/outbound_links.rs
@@ -31,9 +31,8 @@
     SentCursors, apply_heartbeat, decode_crashes, decode_departures, own_heartbeat, own_hello,
     piece_outcome, record_peer, take_unsent,
 };
-use crate::piece_news::{PieceNews, StageTurn};
-use crate::releases;
-use crate::target_announcements;
+use crate::piece_events::{PieceEvent, StageAttempt};
+use crate::{releases, target_announcements};
 
 /// Sends messages to the VM that dialed a link.
 pub(crate) type DialerSender = UnboundedSender<Result<FromOwner, Status>>;
@@ -75,8 +74,8 @@
 
 /// A submission whose results are awaited.
 struct PendingJob {
-    news: UnboundedSender<PieceNews>,
-    of: StageTurn,
+    news: UnboundedSender<PieceEvent>,
+    of: StageAttempt,
     expiry: ResultExpiry,
     /// Pieces that are not done.
     left: usize,
@@ -102,9 +101,9 @@
         &self,
         pool: &ServiceName,
         submission: &Submission,
-        of: StageTurn,
+        of: StageAttempt,
         life: Duration,
-        news: UnboundedSender<PieceNews>,
+        news: UnboundedSender<PieceEvent>,
     ) -> u64 {
         let job = self.next_number();
         let expiry = ResultExpiry { until: submission.until, life };
@@ -239,11 +238,11 @@
         let mut jobs = self.jobs.borrow_mut();
         let mut unclaimed = Vec::new();
         for piece in done.pieces {
-            let made = piece_outcome(&piece);
-            let handle = made.handle().map(str::to_owned);
+            let outcome = piece_outcome(&piece);
+            let handle = outcome.handle().map(str::to_owned);
             let is_delivered = jobs.get_mut(&done.job).is_some_and(|waiting| {
                 waiting.left = waiting.left.saturating_sub(1);
-                let news = PieceNews::Done { of: waiting.of, piece: piece.piece, made };
+                let news = PieceEvent::Done { submission: waiting.of, piece: piece.piece, outcome };
                 waiting.news.send(news).is_ok()
             });
             unclaimed.extend(handle.filter(|_| !is_delivered));
@@ -264,7 +263,7 @@
     fn deliver_fetched(&self, job: u64) {
         if let Some(waiting) = self.jobs.borrow().get(&job) {
             // A request that has ended releases its results itself.
-            drop(waiting.news.send(PieceNews::Fetched { of: waiting.of }));
+            drop(waiting.news.send(PieceEvent::Fetched { submission: waiting.of }));
         }
     }
 
@@ -274,7 +273,7 @@
         self.pending_changes.take();
         self.permits.borrow_mut().clear();
         for (_, waiting) in self.jobs.borrow_mut().drain() {
-            drop(waiting.news.send(PieceNews::OwnerLost { of: waiting.of }));
+            drop(waiting.news.send(PieceEvent::OwnerLost { submission: waiting.of }));
         }
         self.unconfirmed.take().into_values().flatten().collect()
     }
@@ -368,7 +367,7 @@
     heartbeats.set_missed_tick_behavior(MissedTickBehavior::Delay);
     let mut last_received = tokio::time::Instant::now();
     let mut sent_cursors = SentCursors::default();
-    let mut updates = app.hub.with(|shared, _| shared.word_known.subscribe());
+    let mut updates = app.hub.with(|shared, _| shared.peer_update_pending.subscribe());
     loop {
         tokio::select! {
             _ = updates.changed() => {
@@ -390,7 +389,7 @@
                         }
                         from_owner::Kind::News(news) => link.deliver_changes(news),
                         from_owner::Kind::Crashes(crashes) => app.hub.with(|shared, now| {
-                            shared.take_crashes(&decode_crashes(&crashes), vm.as_str(), now);
+                            shared.merge_crashes(&decode_crashes(&crashes), vm.as_str(), now);
                         }),
                         from_owner::Kind::Departures(departures) => {
                             let departures = decode_departures(&departures);
--- a/gateway/src/own_entry.rs
+++ b/gateway/src/own_entry.rs
@@ -35,7 +35,7 @@
 /// Waits until the store is reachable. Only the task that follows the store probes it while it is unreachable; the
 /// others wait for that task.
 async fn wait_reached(app: &App) {
-    let mut reached = app.store_reached.subscribe();
+    let mut reached = app.store_reachable.subscribe();
     // Fails only when the process ends.
     drop(reached.wait_for(|reached| *reached).await);
 }
--- a/gateway/src/peer_sync.rs
+++ b/gateway/src/peer_sync.rs
@@ -14,7 +14,7 @@
 use tokio::time::{MissedTickBehavior, interval, sleep, timeout};
 
 use crate::app::App;
-use crate::halls::look_at_pools;
+use crate::halls::recheck_pools;
 use crate::outbound_links::Link;
 use crate::shared::Shared;
 
@@ -48,7 +48,7 @@
             debug!(app.log, "peer did not answer a request for changes in the store";
                 "peer" => %vm);
             silent = Some(vm);
-        } else if *app.store_reached.borrow() {
+        } else if *app.store_reachable.borrow() {
             sleep(app.cfg.in_force() / BATCH_DIVISOR).await;
         }
     }
@@ -65,7 +65,7 @@
         let ahead = || links.iter().filter(|(vm, _)| revision_of(vm) > known);
         let newest = ahead().map(|(vm, _)| revision_of(vm)).max();
         shared.stall_detector.update(known, newest.unwrap_or(known), now);
-        let follows = shared.watches || shared.asks_store;
+        let follows = shared.watches_store || shared.prefers_store;
         let store_delivers = !shared.contact.is_lost(now) || shared.contact.is_receiving(now);
         if follows && store_delivers && !detect_stalled_watch(app, shared, now) {
             return None;
@@ -83,7 +83,7 @@
         shared.stall_detector.has_stalled_for(limit, now) && !shared.contact.is_receiving(now);
     if has_stalled {
         warn!(app.log, "watch of the store stalled"; "as_of" => shared.view.as_of());
-        app.watch_stands_still.notify_waiters();
+        app.watch_stalled.notify_waiters();
     }
     has_stalled
 }
@@ -108,12 +108,12 @@
             if news.is_last {
                 shared.view.advance_to(known);
             } else if number >= MAX_PARTS && !shared.contact.is_lost(now) {
-                shared.asks_store = true;
+                shared.prefers_store = true;
             }
         });
-        look_at_pools(app);
+        recheck_pools(app);
         app.vms_changed.notify_one();
-        if news.is_last || app.hub.with(|shared, _| shared.asks_store) {
+        if news.is_last || app.hub.with(|shared, _| shared.prefers_store) {
             break;
         }
     }
--- a/gateway/src/permits.rs
+++ b/gateway/src/permits.rs
@@ -82,7 +82,7 @@
     let asked = now();
     let decision = decide(app, target, limit, within).await;
     let granted = matches!(decision, Some(Decision::Granted(_)));
-    app.metrics.permit_asked(target.service.as_str(), granted);
+    app.metrics.permit_requested(target.service.as_str(), granted);
     match decision {
         Some(Decision::Granted(wait)) => {
             tokio::time::sleep_until(tokio::time::Instant::from_std(asked + wait)).await;
@@ -113,7 +113,7 @@
 
 /// Time for which such words to a target are gathered into one, if it names a rate: they stay few beside the
 /// calls that its rate allows, also where the target counts them.
-pub(crate) fn gathers_for(app: &App, target: &Target) -> Option<Duration> {
+pub(crate) fn release_batch_window(app: &App, target: &Target) -> Option<Duration> {
     let pause = app.hub.with(|shared, _| shared.targets.get(&target.id)?.request_interval)?;
     Some((pause * PAUSES_GATHERED).min(LONGEST_GATHERED))
 }
@@ -138,7 +138,7 @@
     let owner = app.hub.with(|shared, now| shared.account_owner(&target.service, now));
     match owner {
         Owner::This => Some(app.hub.with(|shared, now| {
-            shared.accounts.acquire(&Lifetime::from(target), limit, within, now)
+            shared.token_buckets.acquire(&Lifetime::from(target), limit, within, now)
         })),
         Owner::Peer(vm) => ask_peer(app, &vm, question(app, target, within)).await,
         Owner::Unknown => None,
@@ -191,7 +191,7 @@
 fn decide_here(app: &App, lifetime: &Lifetime, ask: &PermitAsk) -> Decision {
     let within = Duration::from_millis(u64::from(ask.within_ms));
     app.hub.with(|shared, now| match shared.rates.limit_of(lifetime) {
-        Some(limit) => shared.accounts.acquire(lifetime, limit, within, now),
+        Some(limit) => shared.token_buckets.acquire(lifetime, limit, within, now),
         // Others have heard since that it takes whatever comes.
         None => Decision::Granted(Duration::ZERO),
     })
@@ -202,11 +202,11 @@
     /// does not know what that one handed out.
     pub(crate) fn account_owner(&mut self, service: &ServiceName, now: Instant) -> Owner {
         let owner = self.account_owner_known(service, now);
-        let before = self.account_owners.insert(service.clone(), owner.clone());
+        let before = self.token_bucket_owners.insert(service.clone(), owner.clone());
         if owner == Owner::This && before.is_some_and(|before| before != Owner::This) {
             let targets: Vec<Lifetime> =
                 self.targets.of_service(service).map(Lifetime::from).collect();
-            targets.iter().for_each(|lifetime| self.accounts.remove(lifetime));
+            targets.iter().for_each(|lifetime| self.token_buckets.remove(lifetime));
         }
         owner
     }
@@ -218,8 +218,8 @@
     }
 
     /// Looks who holds the accounts now, so that a change is seen though nobody asks.
-    pub(crate) fn look_at_accounts(&mut self, now: Instant) {
-        for service in self.rated_services() {
+    pub(crate) fn refresh_account_owners(&mut self, now: Instant) {
+        for service in self.rate_limited_services() {
             self.account_owner(&service, now);
         }
     }
@@ -237,7 +237,7 @@
     }
 
     /// Services, but for pools, some target of which names a rate: their accounts may be asked for.
-    pub(crate) fn rated_services(&self) -> Vec<ServiceName> {
+    pub(crate) fn rate_limited_services(&self) -> Vec<ServiceName> {
         let rated = self.rates.all().filter_map(|(lifetime, ..)| {
             let service = self.targets.service_of(&lifetime.target)?;
             (!self.pools.contains_key(service)).then(|| service.clone())
@@ -267,18 +267,18 @@
     fn spend(&mut self, target: &Target, now: Instant) {
         let lifetime = Lifetime::from(target);
         let Some(limit) = self.rates.limit(target) else { return };
-        let wait = self.accounts.consume(&lifetime, limit, now);
+        let wait = self.token_buckets.consume(&lifetime, limit, now);
         self.hold_back(target, now + wait);
     }
 
     /// A worker of a pool names another rate than before: it is held back until it takes more by that.
-    pub(crate) fn hold_worker(&mut self, lifetime: &Lifetime, now: Instant) {
+    pub(crate) fn hold_back_worker(&mut self, lifetime: &Lifetime, now: Instant) {
         let Some(target) = self.targets.get(&lifetime.target).cloned() else { return };
         if !self.pools.contains_key(&target.service) {
             return;
         }
         if let Some(limit) = self.rates.limit(&target) {
-            let wait = self.accounts.wait(lifetime, limit, now);
+            let wait = self.token_buckets.wait(lifetime, limit, now);
             self.rates.hold_until(lifetime, now + wait);
         }
     }
--- a/gateway/src/releases.rs
+++ b/gateway/src/releases.rs
@@ -23,14 +23,14 @@
 use tokio::time::{MissedTickBehavior, interval, sleep};
 
 use crate::app::App;
-use crate::connections::SETTLE;
+use crate::connections::REUSE_DELAY;
 use crate::held_results::{Origin, ReleaseBatch};
 use crate::hub::{left, now};
 use crate::inbound_links::has_process_ended;
 use crate::outbound_links::Link;
-use crate::own_calls::{OwnCallMiss, own_call};
+use crate::own_calls::{OwnCallError, own_call};
 use crate::permits;
-use crate::pool_calls::fill_calls;
+use crate::pool_calls::dispatch_calls;
 
 /// Longest wait for a worker to confirm a release.
 const RELEASE_WAIT: Duration = Duration::from_millis(500);
@@ -294,7 +294,7 @@
         let pool = shared.pools.get_mut(pool);
         pool.map(|pool| pool.finish_release(pending, confirmed, now))
     });
-    fill_calls(app, pool);
+    dispatch_calls(app, pool);
 }
 
 /// The worker at an address; `None` if no target of a pool is known there.
@@ -347,7 +347,7 @@
     let (tx, rx) = oneshot::channel();
     let release = QueuedRelease { handles: handles.to_vec(), until, confirmed: tx };
     let is_first = {
-        let mut releases = app.release_words.borrow_mut();
+        let mut releases = app.release_notices.borrow_mut();
         let is_first = !releases.contains_key(&worker);
         releases.entry(worker).or_default().push(release);
         is_first
@@ -363,13 +363,13 @@
 async fn send_queued(app: Rc<App>, worker: SocketAddr, role: Role) {
     loop {
         let target = worker_at(&app, worker);
-        if let Some(time) = target.and_then(|target| permits::gathers_for(&app, &target)) {
+        if let Some(time) = target.and_then(|target| permits::release_batch_window(&app, &target)) {
             sleep(time).await;
         }
         let releases =
-            app.release_words.borrow_mut().insert(worker, Vec::new()).unwrap_or_default();
+            app.release_notices.borrow_mut().insert(worker, Vec::new()).unwrap_or_default();
         if releases.is_empty() {
-            app.release_words.borrow_mut().remove(&worker);
+            app.release_notices.borrow_mut().remove(&worker);
             return;
         }
         let confirmed = send_with_retries(&app, worker, &releases, role).await;
@@ -379,7 +379,7 @@
             release.confirmed.send(confirmed).ok();
         }
         // The connection can be reused after that.
-        sleep(SETTLE).await;
+        sleep(REUSE_DELAY).await;
     }
 }
 
@@ -446,7 +446,7 @@
 async fn call_worker(app: &Rc<App>, target: &Target, handles: &[String]) -> SendOutcome {
     // Without backoff the call is made at once: even a sleep of zero length takes a timer tick, in which this VM may
     // be killed.
-    if let Some(until) = app.hub.with(|shared, _| shared.left_alone.until(target)) {
+    if let Some(until) = app.hub.with(|shared, _| shared.backoffs.until(target)) {
         let pause = left(until);
         if pause > MAX_BACKOFF_WAIT {
             return SendOutcome::Unconfirmed("the worker asked for a longer backoff".to_owned());
@@ -457,7 +457,7 @@
     let permit = permits::for_release(app, target);
     match tokio::time::timeout(RELEASE_WAIT, own_call(app, target, call, permit)).await {
         Ok(Ok(_)) => SendOutcome::Confirmed,
-        Ok(Err(OwnCallMiss::OtherTarget)) => SendOutcome::Replaced,
+        Ok(Err(OwnCallError::OtherTarget)) => SendOutcome::Replaced,
         Ok(Err(miss)) => SendOutcome::Unconfirmed(format!("{miss:?}")),
         Err(_) => SendOutcome::Unconfirmed("no answer in time".to_owned()),
     }
--- a/gateway/src/store_watch.rs
+++ b/gateway/src/store_watch.rs
@@ -10,7 +10,7 @@
 use tokio::time::sleep;
 
 use crate::app::App;
-use crate::halls::look_at_pools;
+use crate::halls::recheck_pools;
 use crate::shared::vms_prefix;
 use crate::store_connection::{OpenAnswer, StoreCallError, StoreConnection};
 
@@ -63,7 +63,7 @@
     loop {
         wait_until_watch_needed(app).await;
         known = known.max(app.hub.with(|shared, _| shared.view.as_of()));
-        if !*app.store_reached.borrow() {
+        if !*app.store_reachable.borrow() {
             if let Err(error) = probe(app, store).await {
                 record_failure(app, "probe", &error);
                 backoff.pause().await;
@@ -92,10 +92,10 @@
 /// changes suffice.
 async fn wait_until_watch_needed(app: &App) {
     loop {
-        let reached = *app.store_reached.borrow();
+        let reached = *app.store_reachable.borrow();
         let (watched, watches) = app.hub.with(|shared, now| {
-            let watches = !reached || shared.asks_store || shared.fleet.must_watch_store(now);
-            (std::mem::replace(&mut shared.watches, watches), watches)
+            let watches = !reached || shared.prefers_store || shared.fleet.must_watch_store(now);
+            (std::mem::replace(&mut shared.watches_store, watches), watches)
         });
         if watched != watches {
             info!(app.log, "role of this VM in watching the store changed";
@@ -174,7 +174,7 @@
         }
         let items = std::mem::take(&mut so_far.items);
         app.hub.with(|shared, now| shared.merge_listing(prefix, items, as_of, now));
-        look_at_pools(app);
+        recheck_pools(app);
         so_far.known = Some(so_far.known.map_or(as_of, |known| known.min(as_of)));
         so_far.as_of = None;
         so_far.done += 1;
@@ -222,13 +222,13 @@
     store: &mut StoreConnection,
     known: u64,
 ) -> Result<Option<OpenAnswer>, StoreCallError> {
-    let mut reached = app.store_reached.subscribe();
+    let mut reached = app.store_reachable.subscribe();
     // One watch over all keys: the platform counts each watch, and all keys share one revision.
     let call = (app.adapter.store.watch)("", known, MAX_WATCH_TIME);
     tokio::select! {
         begun = store.begin("watch", call, MAX_WATCH_TIME) => return begun.map(Some),
         () = wait_until_unreachable(&mut reached) => {}
-        () = app.watch_stands_still.notified() => {}
+        () = app.watch_stalled.notified() => {}
     }
     store.close();
     Ok(None)
@@ -242,9 +242,9 @@
         let items = page.items.into_iter().map(to_view_item).collect();
         shared.merge(items, "store", now);
         shared.view.advance_to(page.as_of);
-        shared.asks_store = false;
+        shared.prefers_store = false;
     });
-    look_at_pools(app);
+    recheck_pools(app);
     if vms {
         app.vms_changed.notify_one();
     }
@@ -269,7 +269,7 @@
 
 /// Records a complete answer from the store.
 pub(crate) fn record_success(app: &App) {
-    app.store_reached.send_if_modified(|reached| !std::mem::replace(reached, true));
+    app.store_reachable.send_if_modified(|reached| !std::mem::replace(reached, true));
     if app.hub.with(|shared, now| shared.contact.record_answer(now)) {
         info!(app.log, "store reachable again");
     }
@@ -282,7 +282,7 @@
         (is_newly_lost, !shared.contact.is_receiving(now), shared.contact.age(now))
     });
     if is_unreachable {
-        app.store_reached.send_if_modified(|reached| std::mem::replace(reached, false));
+        app.store_reachable.send_if_modified(|reached| std::mem::replace(reached, false));
     }
     if is_newly_lost {
         warn!(app.log, "store lost"; "call" => what, "why" => %error,
--- a/gateway/src/target_announcements.rs
+++ b/gateway/src/target_announcements.rs
@@ -15,7 +15,7 @@
 use slog::{debug, info, warn};
 
 use crate::app::App;
-use crate::halls::look_at_pools;
+use crate::halls::recheck_pools;
 use crate::hub::now;
 use crate::rate_messages::decode_rates;
 use crate::shared::Shared;
@@ -64,7 +64,7 @@
     if is_new_departure {
         app.metrics.target_departed(target.service.as_str(), "answer");
     }
-    look_at_pools(app);
+    recheck_pools(app);
 }
 
 /// Counts unknown headers in an answer and logs each name once per service, so that an announcement that this system
@@ -79,7 +79,7 @@
             warn!(app.log, "unknown header in answer"; "header" => &name,
                 "service" => %target.service, "target" => %target.id);
         }
-        app.metrics.unknown_word(target.service.as_str());
+        app.metrics.unknown_header(target.service.as_str());
     }
 }
 
@@ -112,7 +112,7 @@
 /// targets.
 pub(crate) fn on_rates_changed(app: &Rc<App>) {
     app.vms_changed.notify_one();
-    look_at_pools(app);
+    recheck_pools(app);
 }
 
 /// Applies a peer's reports of targets that are leaving.
@@ -127,7 +127,7 @@
             app.metrics.target_departed(service.as_str(), "peer");
         }
     }
-    look_at_pools(app);
+    recheck_pools(app);
 }
 
 impl Shared {
@@ -148,7 +148,7 @@
             "entry_leaving" => entry.map(|entry| entry.leaving),
             "store_heard_ms" => self.contact.age(now).map(|age| age.as_millis()));
         self.announcements_changed(&lifetime);
-        self.word_known.send_replace(());
+        self.peer_update_pending.send_replace(());
         true
     }
 
@@ -158,7 +158,7 @@
         let change = self.rates.record(lifetime.clone(), observation);
         let Some(change) = change else { return false };
         self.handle_rate_change(&lifetime, change, "its answer", now);
-        self.word_known.send_replace(());
+        self.peer_update_pending.send_replace(());
         true
     }
 
@@ -186,7 +186,7 @@
         let per_s = |limit: Option<RateLimit>| limit.map(RateLimit::per_s);
         info!(self.log, "target's rate changed"; "target" => %lifetime.target, "born" => lifetime.born,
             "per_s" => per_s(change.now), "before" => per_s(change.before), "from" => from);
-        self.hold_worker(lifetime, now);
+        self.hold_back_worker(lifetime, now);
         self.announcements_changed(lifetime);
     }
 
@@ -194,7 +194,7 @@
     fn record_backoff(&mut self, lifetime: &Lifetime, time: Duration, now: Instant) {
         // The sum does not overflow: the time is at most a day.
         let until = now + time;
-        if !self.left_alone.record(lifetime.clone(), until) {
+        if !self.backoffs.record(lifetime.clone(), until) {
             return;
         }
         info!(self.log, "target asked for backoff"; "target" => %lifetime.target,
@@ -212,14 +212,14 @@
         self.targets.update_announced(&target);
         if self.pools.contains_key(&target.service) {
             self.sync_pools();
-            self.choices_changed = true;
+            self.eligibility_changed = true;
         }
     }
 
     /// Adds to a target's entry what the target announced in answers.
     pub(crate) fn add_announcements(&self, target: &mut Target) {
         target.leaving |= self.departures.announced_at(target).is_some();
-        target.backoff_until = self.left_alone.until(target);
+        target.backoff_until = self.backoffs.until(target);
         target.rate_limited_until = self.rates.held_until(target);
         let limit = self.rates.limit(target);
         target.request_interval = limit.map(|limit| Duration::from_secs_f64(1.0 / limit.per_s()));
