--- a/gateway/src/stream_forwarding.rs
+++ b/gateway/src/stream_forwarding.rs
@@ -119,7 +119,8 @@
                 crashes::check_broken_connection(
                     &stream.app,
                     &stream.req,
-                    &stream.reader.answer.attempt)
+                    &stream.reader.answer.attempt,
+                )
                 .await;
                 why
             }
