--- a/gateway/src/app.rs
+++ b/gateway/src/app.rs
@@ -1,4 +1,5 @@
-//! Everything that the tasks of a VM hold on to.
+//! The context that every task of the process holds: settings, connections, links and signals
+//! between tasks.
 
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
@@ -23,7 +24,7 @@
 use crate::releases::Word;
 use crate::settings::Settings;
 
-/// What the tasks of a VM hold on to; all of them run on one thread.
+/// Context shared by all tasks through an `Rc`; they run on one thread.
 pub(crate) struct App {
     pub(crate) cfg: Settings,
     pub(crate) adapter: Adapter,
@@ -31,45 +32,46 @@
     pub(crate) connections: Connections,
     pub(crate) log: Logger,
     pub(crate) metrics: Metrics,
-    /// Links that this VM dialled, by the peer's name.
+    /// Links dialled by this VM, by peer name.
     pub(crate) links: RefCell<HashMap<VmName, Rc<Link>>>,
-    /// Who gets the results of pieces whose calls this VM fills.
+    /// Receivers of the results of pieces that this VM assigns to calls as pool owner.
     pub(crate) sinks: RefCell<BTreeMap<(ServiceName, JobKey), Sink>>,
-    /// Results that are given up, by workers that are being told.
+    /// Releases of results still to be sent, by worker address. An entry exists while a task is
+    /// sending to that worker.
     pub(crate) release_notices: RefCell<HashMap<SocketAddr, Vec<Word>>>,
-    /// Results that requests of this VM hold.
+    /// Results held by requests of this VM.
     pub(crate) held: HeldResults,
-    /// Ways to the peers that hold results which this VM had made.
+    /// Senders to the peers that hold leases on results produced for them by this VM.
     pub(crate) lease_links: RefCell<HashMap<LinkKey, ToDialer>>,
-    /// Pools with a look at their queue already planned.
+    /// Time of the next scheduled queue check of each pool that has one.
     pub(crate) planned_pool_checks: RefCell<HashMap<ServiceName, tokio::time::Instant>>,
-    /// Addresses to which links are wanted.
+    /// Peer addresses to which links should exist.
     pub(crate) wanted_links: RefCell<BTreeSet<SocketAddr>>,
-    /// Where VMs take links of which the first word was heard since the last look, and the incarnation of
-    /// their process. Dialling them anew
-    /// at once ends the time in which VMs that start together have owners of their own (1.5 s before):
-    /// 0.004 to 0.007 of a loaded day.
+    /// Link addresses of peers first heard since the last dial round, with the incarnation of their
+    /// process. They are dialled at once: VMs that start together would otherwise disagree on pool
+    /// owners for about 1.5 s.
     pub(crate) new_peer_addresses: RefCell<BTreeMap<SocketAddr, u64>>,
-    /// The last heartbeat that was put together, and when.
+    /// The last heartbeat that was built, and when; it is the same for all peers, so
+    /// one serves many links.
     pub(crate) last_heartbeat: RefCell<Option<(tokio::time::Instant, Beat)>>,
-    /// Told when the list of VMs changes.
+    /// Notified when the list of VMs changes.
     pub(crate) vms_changed: Notify,
-    /// Data halls that are out of reach.
+    /// Data halls that are currently unreachable.
     pub(crate) unreachable_halls: tokio::sync::watch::Sender<UnreachableHalls>,
     /// Whether the last call to the store was answered.
     pub(crate) store_reachable: tokio::sync::watch::Sender<bool>,
-    /// Told when the watch of the store stands still.
+    /// Notified when the watch on the store delivers nothing although peers learn of newer changes.
     pub(crate) watch_stalled: Notify,
-    /// Told when the process begins to stop.
+    /// Becomes true when shutdown begins.
     pub(crate) stopping: tokio::sync::watch::Sender<bool>,
-    /// Callers' connections that are open.
+    /// Number of open callers' connections.
     pub(crate) open_caller_connections: Cell<usize>,
-    /// Told when connections at rest are to be closed.
+    /// Becomes true when idle connections are to be closed during shutdown.
     pub(crate) closing: tokio::sync::watch::Sender<bool>,
 }
 
 impl App {
-    /// Whether this VM has dialled a link to an address that stands.
+    /// Whether a link dialled by this VM to `address` is open.
     pub(crate) fn has_link_to(&self, address: SocketAddr) -> bool {
         self.links.borrow().values().any(|link| link.address == address)
     }
--- a/gateway/src/callers.rs
+++ b/gateway/src/callers.rs
@@ -1,4 +1,5 @@
-//! Callers' connections: one task each.
+//! Accepts callers' HTTP/1 connections and serves each in a task of its own. Closes those that are idle
+//! for too long, and all idle ones during shutdown.
 
 use std::cell::Cell;
 use std::convert::Infallible;
@@ -17,16 +18,16 @@
 use crate::hub::now;
 use crate::requests;
 
-/// Pause after a failed accept, such as for want of file descriptors.
+/// Pause after a failed accept, for example when file descriptors run out.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
-/// Pause between two looks at whether a connection rested too long.
-const REST_LOOK: Duration = Duration::from_secs(3);
-/// Rest beyond what the configuration grants, so that a caller that keeps to it is never cut.
-const REST_EXTRA: f64 = 1.2;
-/// Rest of a connection while no configuration is known.
-const REST_UNKNOWN: Duration = Duration::from_secs(60);
+/// Interval at which a connection is checked for being idle too long.
+const IDLE_CHECK_INTERVAL: Duration = Duration::from_secs(3);
+/// Factor on the configured idle time, so that a caller that keeps to that time is never disconnected.
+const IDLE_GRACE_FACTOR: f64 = 1.2;
+/// Idle time that is allowed while no configuration is known.
+const DEFAULT_IDLE_TIME: Duration = Duration::from_secs(60);
 
-/// Takes callers' connections until the process stops taking them.
+/// Accepts callers' connections until idle connections are closed during shutdown.
 pub(crate) async fn accept(app: Rc<App>, listener: TcpListener) {
     let mut closing = app.closing.subscribe();
     loop {
@@ -39,50 +40,54 @@
                 spawn_local(serve(Rc::clone(&app), stream));
             }
             Err(e) => {
-                slog::warn!(app.log, "connection not taken"; "why" => %e);
+                slog::warn!(app.log, "accepting a caller's connection failed"; "why" => %e);
                 sleep(ACCEPT_PAUSE).await;
             }
         }
     }
 }
 
-/// Counts a caller's connection for as long as it is open: what was answered on it may not have been written yet.
-struct Open(Rc<App>);
+/// Counts a caller's connection as open while this exists. Shutdown waits for it, since an answer may not have been
+/// written to the connection yet.
+struct OpenConnection(Rc<App>);
 
-impl Open {
+impl OpenConnection {
     fn new(app: &Rc<App>) -> Self {
         app.open_caller_connections.update(|open| open + 1);
-        Open(Rc::clone(app))
+        OpenConnection(Rc::clone(app))
     }
 }
 
-impl Drop for Open {
+impl Drop for OpenConnection {
     fn drop(&mut self) {
         self.0.open_caller_connections.update(|open| open - 1);
     }
 }
 
 async fn serve(app: Rc<App>, stream: TcpStream) {
-    let _open = Open::new(&app);
-    // Without it events wait for earlier ones to be confirmed; the connection works all the same.
+    let _open = OpenConnection::new(&app);
+    // Without TCP_NODELAY, an event waits until earlier ones are acknowledged. A failure is harmless: the connection
+    // works without it.
     drop(stream.set_nodelay(true));
-    let busy = Rc::new(Cell::new(0u32));
-    let rested = Rc::new(Cell::new(now()));
+    let active = Rc::new(Cell::new(0u32));
+    let idle_since = Rc::new(Cell::new(now()));
     let used = Rc::new(Cell::new(false));
     let service = service_fn({
-        let (app, busy, rested) = (Rc::clone(&app), Rc::clone(&busy), Rc::clone(&rested));
+        let (app, active, idle_since) =
+            (Rc::clone(&app), Rc::clone(&active), Rc::clone(&idle_since));
         let used = Rc::clone(&used);
         move |req| {
             used.set(true);
-            let (app, busy, rested) = (Rc::clone(&app), Rc::clone(&busy), Rc::clone(&rested));
+            let (app, active, idle_since) =
+                (Rc::clone(&app), Rc::clone(&active), Rc::clone(&idle_since));
             async move {
-                busy.set(busy.get() + 1);
+                active.set(active.get() + 1);
                 let mut answer = requests::answer(Rc::clone(&app), req).await;
                 if *app.stopping.borrow() {
                     answer.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
                 }
-                busy.set(busy.get() - 1);
-                rested.set(now());
+                active.set(active.get() - 1);
+                idle_since.set(now());
                 Ok::<_, Infallible>(answer)
             }
         }
@@ -95,22 +100,22 @@
     let mut is_closing = false;
     loop {
         tokio::select! {
-            // However it ends, its tasks have ended with it.
+            // Errors need no handling: the connection's requests ended with it.
             _ = connection.as_mut() => return,
             _ = closing.wait_for(|closing| *closing), if !is_closing => {
-                // hyper would wait for the first request.
+                // A graceful shutdown in hyper would wait for the first request.
                 if !used.get() {
                     return;
                 }
                 is_closing = true;
                 connection.as_mut().graceful_shutdown();
             }
-            () = sleep(REST_LOOK) => {
-                let granted = app.hub.with(|shared, _| {
-                    shared.intent.as_ref().map_or(REST_UNKNOWN, |intent| intent.bounds.idle_wait)
+            () = sleep(IDLE_CHECK_INTERVAL) => {
+                let allowed = app.hub.with(|shared, _| {
+                    shared.intent.as_ref().map_or(DEFAULT_IDLE_TIME, |intent| intent.bounds.idle_wait)
                 });
-                let over = now() - rested.get() > granted.mul_f64(REST_EXTRA);
-                if busy.get() == 0 && over {
+                let is_overdue = now() - idle_since.get() > allowed.mul_f64(IDLE_GRACE_FACTOR);
+                if active.get() == 0 && is_overdue {
                     connection.as_mut().graceful_shutdown();
                 }
             }
--- a/gateway/src/http_endpoints.rs
+++ b/gateway/src/http_endpoints.rs
@@ -1,4 +1,5 @@
-//! What the balancer, scrapers and operators ask a VM.
+//! HTTP endpoints for the balancer, metric scrapers and operators: readiness, metrics, the state dump, and
+//! the release of a refused request.
 
 use std::convert::Infallible;
 use std::rc::Rc;
@@ -25,16 +26,16 @@
 
 /// Pause after a failed accept.
 const ACCEPT_PAUSE: std::time::Duration = std::time::Duration::from_millis(50);
-/// Path that the balancer asks.
+/// Path of the readiness check of the balancer.
 const READY: &str = "/ready";
 /// Path of the metrics.
 const METRICS: &str = "/metrics";
 /// Path of the state dump.
 const STATE: &str = "/state";
-/// Path by which operators release a refused request: its content follows.
+/// Path prefix by which operators release a refused request; the request's digest follows.
 const RELEASE: &str = "/quarantine/release/";
 
-/// Serves the pages on one address.
+/// Serves all endpoints on one listener.
 pub(crate) async fn serve(app: Rc<App>, listener: TcpListener) {
     loop {
         let Ok((stream, _)) = listener.accept().await else {
@@ -44,16 +45,16 @@
         let app = Rc::clone(&app);
         spawn_local(async move {
             let service = service_fn(move |req| {
-                let answer = page(&app, &req);
+                let answer = respond(&app, &req);
                 async move { Ok::<_, Infallible>(answer) }
             });
-            // Whoever asked asks again.
+            // A failed connection needs no handling: the client asks again.
             drop(http1::Builder::new().serve_connection(TokioIo::new(stream), service).await);
         });
     }
 }
 
-fn page(app: &Rc<App>, req: &Request<Incoming>) -> Response<Full<Bytes>> {
+fn respond(app: &Rc<App>, req: &Request<Incoming>) -> Response<Full<Bytes>> {
     let (status, text) = match req.uri().path() {
         path if req.method() == Method::POST && path.starts_with(RELEASE) => release(app, path),
         READY => match unready(app) {
@@ -73,13 +74,13 @@
     let Some(content) = path.strip_prefix(RELEASE).and_then(RequestDigest::parse) else {
         return (
             StatusCode::BAD_REQUEST,
-            "expected a content of 32 hexadecimal digits\n".to_owned(),
+            "expected a request digest of 32 hexadecimal digits\n".to_owned(),
         );
     };
     if stored_refusals::release(app, content) {
         (StatusCode::OK, "released\n".to_owned())
     } else {
-        (StatusCode::NOT_FOUND, "nothing is known of it\n".to_owned())
+        (StatusCode::NOT_FOUND, "no crashes are recorded for this request\n".to_owned())
     }
 }
 
@@ -101,7 +102,7 @@
     }
 }
 
-/// Why new connections are not wanted, if so.
+/// Why this VM is not ready for new connections; `None` if it is ready.
 fn unready(app: &App) -> Option<&'static str> {
     app.hub.with(|shared, now| match () {
         () if shared.is_stopping() => Some("stopping"),
@@ -111,33 +112,33 @@
     })
 }
 
-/// Lifetimes of targets that said in answers that they leave.
-fn leaving(shared: &Shared, now: Instant) -> Vec<Value> {
-    let word = |Departure { lifetime, announced_at: said }: Departure| {
+/// Targets that announced their departure in an answer, for the state dump.
+fn departures(shared: &Shared, now: Instant) -> Vec<Value> {
+    let entry = |Departure { lifetime, announced_at }: Departure| {
         json!({
             "target": lifetime.target.as_str(),
             "born": lifetime.born,
-            "said_ms": now.saturating_duration_since(said).as_millis() as u64,
+            "said_ms": now.saturating_duration_since(announced_at).as_millis() as u64,
         })
     };
-    shared.departures.all().map(word).collect()
+    shared.departures.all().map(entry).collect()
 }
 
-/// Lifetimes of targets that want no work from this VM for some time.
-fn left_alone(shared: &Shared, now: Instant) -> Vec<Value> {
-    let word = |(lifetime, until): (&Lifetime, Instant)| {
+/// Targets that asked this VM to send no work for some time, for the state dump.
+fn backoffs(shared: &Shared, now: Instant) -> Vec<Value> {
+    let entry = |(lifetime, until): (&Lifetime, Instant)| {
         json!({
             "target": lifetime.target.as_str(),
             "born": lifetime.born,
             "left_ms": until.saturating_duration_since(now).as_millis() as u64,
         })
     };
-    shared.backoffs.all(now).map(word).collect()
+    shared.backoffs.all(now).map(entry).collect()
 }
 
-/// Lifetimes of targets that named the rate which they take.
-fn rates(shared: &Shared, now: Instant) -> Vec<Value> {
-    let word = |(lifetime, limit, heard): (&Lifetime, RateLimit, Instant)| {
+/// Targets that announced a rate limit, for the state dump.
+fn rate_limits(shared: &Shared, now: Instant) -> Vec<Value> {
+    let entry = |(lifetime, limit, heard): (&Lifetime, RateLimit, Instant)| {
         let target = shared.targets.get(&lifetime.target);
         let held = target.and_then(|target| target.rate_limited_until);
         let account = target.map(|target| shared.account_owner_known(&target.service, now));
@@ -150,10 +151,10 @@
             "heard_ms": now.saturating_duration_since(heard).as_millis() as u64,
         })
     };
-    shared.rates.all().map(word).collect()
+    shared.rates.all().map(entry).collect()
 }
 
-/// What this VM believes, for whoever looks into a failure.
+/// The state dump: what this VM knows of the fleet, targets and pools, for operators who investigate a failure.
 fn state(app: &App) -> String {
     app.hub.with(|shared, now| {
         let peers: Vec<_> = shared
@@ -211,9 +212,9 @@
             "halls_out_of_reach": shared.fleet.unreachable_halls.iter().map(|hall| hall.as_str()).collect::<Vec<_>>(),
             "halls_evacuated": shared.halls.evacuated().iter().map(|hall| hall.as_str()).collect::<Vec<_>>(),
             "targets_cold": shared.cold_targets,
-            "targets_leaving": leaving(shared, now),
-            "targets_left_alone": left_alone(shared, now),
-            "targets_rates": rates(shared, now),
+            "targets_leaving": departures(shared, now),
+            "targets_left_alone": backoffs(shared, now),
+            "targets_rates": rate_limits(shared, now),
             "quarantine": quarantine,
             "quarantine_suspects": shared.quarantine.suspect_count(),
             "peers": peers,
--- a/gateway/src/hub.rs
+++ b/gateway/src/hub.rs
@@ -1,4 +1,5 @@
-//! The actor that holds the shared state, and the handle by which the tasks of this thread ask it.
+//! [`Hub`], the handle through which tasks access the actor that holds the shared state, and the
+//! clock that all of them use.
 
 use std::cell::RefCell;
 use std::time::{Duration, Instant};
@@ -7,25 +8,25 @@
 
 use crate::shared::Shared;
 
-/// Asks the shared state. All tasks of the serving path run on one thread, so that an answer
-/// comes at once and nothing waits in between.
+/// Synchronous access to the shared state. All tasks run on one thread, so a query runs at once and
+/// never awaits.
 pub(crate) struct Hub {
     stakker: RefCell<Stakker>,
     shared: ActorOwn<Shared>,
 }
 
-/// Now, by the runtime's clock.
+/// Current time by the runtime's clock.
 pub(crate) fn now() -> Instant {
     tokio::time::Instant::now().into_std()
 }
 
-/// Time left until `at`.
+/// Time left until `at`; zero if it has passed.
 pub(crate) fn left(at: Instant) -> Duration {
     at.saturating_duration_since(now())
 }
 
 impl Hub {
-    /// Starts the actor with its state.
+    /// Starts the actor with the given state.
     pub(crate) fn new(shared: Shared) -> Self {
         let mut stakker = Stakker::new(now());
         let s = &mut stakker;
@@ -34,13 +35,14 @@
         Hub { stakker: RefCell::new(stakker), shared }
     }
 
-    /// Asks the state; `f` must not ask the hub again.
+    /// Runs `f` with the state and the current time and returns its result. `f` must not call `with`
+    /// again: the nested borrow would panic.
     pub(crate) fn with<R>(&self, f: impl FnOnce(&mut Shared, Instant) -> R) -> R {
         let now = now();
         let mut stakker = self.stakker.borrow_mut();
-        let answer = self.shared.query(&mut stakker, |shared, _| f(shared, now));
-        match answer {
-            Some(answer) => answer,
+        let result = self.shared.query(&mut stakker, |shared, _| f(shared, now));
+        match result {
+            Some(result) => result,
             None => unreachable!("the actor lives as long as the hub"),
         }
     }
--- a/gateway/src/lib.rs
+++ b/gateway/src/lib.rs
@@ -1,5 +1,8 @@
-//! The serving path: callers, stages, targets, peers and the store, as tasks of one thread around
-//! one actor that holds what they share.
+//! The request-serving process of a VM. It accepts callers' requests, runs their stages, sends them
+//! to targets, and keeps links to peer VMs and a connection to the platform's store.
+//!
+//! Everything runs as tasks on one thread; the shared state is held by a single actor
+//! (`hub::Hub`). The entry point is [`run`].
 
 mod accepted_links;
 mod admission;
--- a/gateway/src/logs.rs
+++ b/gateway/src/logs.rs
@@ -1,6 +1,6 @@
-//! One line of key=value pairs for each event, on standard output. Lines are bounded and never
-//! wait: they are gathered in memory and written by a thread of their own, and what does not fit
-//! is counted.
+//! Logging in logfmt (`key=value` pairs, one line per event) to standard output. Logging never blocks:
+//! lines are buffered in bounded memory and written by a separate thread; lines that don't fit are
+//! dropped and counted.
 
 use std::io::Write;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -12,14 +12,14 @@
 
 use crate::settings::LogLevel;
 
-/// Bytes that may wait to be written.
-const MOST_WAITING: usize = 256 * 1024;
-/// Bytes of a usual line.
-const USUAL_LINE: usize = 256;
-/// Pause between two writes, so that many lines cost one wake-up.
-const WRITE_PAUSE: Duration = Duration::from_millis(250);
+/// Capacity of the buffer of unwritten lines, in bytes.
+const BUFFER_CAPACITY: usize = 256 * 1024;
+/// Initial capacity of a line, in bytes; fits most lines.
+const LINE_CAPACITY: usize = 256;
+/// Interval between two writes; one wake-up writes many lines.
+const WRITE_INTERVAL: Duration = Duration::from_millis(250);
 
-/// The time of day, which people compare with other logs and nothing decides by, and the level.
+/// Prefix of a line: wall-clock time and level. The time serves only to compare with other logs.
 fn time_and_level(line: &mut dyn Write, record: &Record<'_>) -> slog::Result {
     let millis = ids::unix_millis();
     let level = record.level().as_str().to_ascii_lowercase();
@@ -28,23 +28,23 @@
 }
 
 #[derive(Default)]
-struct Waiting {
+struct Buffer {
     buf: Vec<u8>,
     dropped: u64,
 }
 
-/// Lines that wait to be written; cheap to clone.
+/// Drain that buffers lines until they are written; clones share the buffer.
 #[derive(Clone, Default)]
-pub(crate) struct Lines(Arc<Mutex<Waiting>>);
+pub(crate) struct LogBuffer(Arc<Mutex<Buffer>>);
 
-impl Lines {
-    fn take(&self) -> Waiting {
+impl LogBuffer {
+    fn take(&self) -> Buffer {
         std::mem::take(&mut *self.0.lock().unwrap_or_else(PoisonError::into_inner))
     }
 
-    /// Writes what waits; what can't be written is lost.
+    /// Writes the buffered lines to standard output; lines that can't be written are lost.
     pub(crate) fn write(&self) {
-        let Waiting { mut buf, dropped } = self.take();
+        let Buffer { mut buf, dropped } = self.take();
         if dropped > 0 {
             buf.extend_from_slice(
                 format!("level=warn msg=\"log lines dropped\" lines={dropped}\n").as_bytes(),
@@ -56,33 +56,33 @@
     }
 }
 
-impl Drain for Lines {
+impl Drain for LogBuffer {
     type Ok = ();
     type Err = slog::Never;
 
     fn log(&self, record: &Record<'_>, values: &OwnedKVList) -> Result<(), slog::Never> {
-        let mut line = Vec::with_capacity(USUAL_LINE);
+        let mut line = Vec::with_capacity(LINE_CAPACITY);
         let format = Logfmt::new(&mut line).set_prefix(time_and_level);
         if format.print_msg(true).build().log(record, values).is_err() {
             return Ok(());
         }
-        let mut waiting = self.0.lock().unwrap_or_else(PoisonError::into_inner);
-        if waiting.buf.len() + line.len() > MOST_WAITING {
-            waiting.dropped += 1;
+        let mut buffer = self.0.lock().unwrap_or_else(PoisonError::into_inner);
+        if buffer.buf.len() + line.len() > BUFFER_CAPACITY {
+            buffer.dropped += 1;
         } else {
-            waiting.buf.extend_from_slice(&line);
+            buffer.buf.extend_from_slice(&line);
         }
         Ok(())
     }
 }
 
-/// The process's logger, and its lines to be written at the end.
-pub(crate) fn start(level: LogLevel, vm: &str) -> (Logger, Lines) {
-    let lines = Lines::default();
-    let writer = lines.clone();
+/// Starts the writer thread. Returns the process's logger and the buffer, which must be written once more at exit.
+pub(crate) fn start(level: LogLevel, vm: &str) -> (Logger, LogBuffer) {
+    let buffer = LogBuffer::default();
+    let writer = buffer.clone();
     thread::spawn(move || {
         loop {
-            thread::sleep(WRITE_PAUSE);
+            thread::sleep(WRITE_INTERVAL);
             writer.write();
         }
     });
@@ -92,6 +92,6 @@
         LogLevel::Info => Level::Info,
         LogLevel::Debug => Level::Debug,
     };
-    let drain = lines.clone().filter_level(level).fuse();
-    (Logger::root(drain, o!("vm" => vm.to_owned())), lines)
+    let drain = buffer.clone().filter_level(level).fuse();
+    (Logger::root(drain, o!("vm" => vm.to_owned())), buffer)
 }
--- a/gateway/src/pool_log.rs
+++ b/gateway/src/pool_log.rs
@@ -1,5 +1,5 @@
-//! What this VM logs of the pools now and then: what their workers' room is taken by, and who fills
-//! their calls.
+//! Periodic log lines about pools: changes of the VM to which a pool's pieces are submitted, and how the
+//! memory of the pool's workers is used (`RoomUse`).
 
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -14,45 +14,45 @@
 use crate::app::App;
 use crate::owners::name_of;
 
-/// Pause between two lines on a pool's room: a burst fills it within a few seconds.
-const ROOM_PAUSE: Duration = Duration::from_secs(1);
-/// Bytes of a kilobyte.
+/// Interval between two log lines on a pool's room. A burst can fill the room within a few seconds.
+const ROOM_LOG_INTERVAL: Duration = Duration::from_secs(1);
+/// Bytes per kilobyte.
 const KB: u64 = 1000;
 
-/// Logs for as long as the process runs.
+/// Writes the log lines for as long as the process runs.
 pub(crate) async fn run(app: Rc<App>) {
-    let mut looks = interval(HEARTBEAT_INTERVAL);
-    looks.set_missed_tick_behavior(MissedTickBehavior::Delay);
+    let mut ticks = interval(HEARTBEAT_INTERVAL);
+    ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     let mut owners = HashMap::new();
-    let mut room_told = Instant::now();
+    let mut room_logged_at = Instant::now();
     loop {
-        looks.tick().await;
-        tell_owners(&app, &mut owners);
-        if room_told.elapsed() >= ROOM_PAUSE {
-            room_told = Instant::now();
-            tell_room(&app);
+        ticks.tick().await;
+        log_owner_changes(&app, &mut owners);
+        if room_logged_at.elapsed() >= ROOM_LOG_INTERVAL {
+            room_logged_at = Instant::now();
+            log_room_use(&app);
         }
     }
 }
 
-/// Logs to whom this VM submits pieces of a pool, whenever that changes.
-fn tell_owners(app: &App, owners: &mut HashMap<ServiceName, Owner>) {
+/// Logs to which VM this one submits pieces of each pool, whenever that changes; `owners` holds what was logged last.
+fn log_owner_changes(app: &App, owners: &mut HashMap<ServiceName, Owner>) {
     app.hub.with(|shared, now| {
         for pool in shared.pools.keys() {
             let owner = shared.owner_near(pool, None, now);
             if owners.get(pool) == Some(&owner) {
                 continue;
             }
-            let before = shared.owners_passed_over(pool, now);
+            let passed_over = shared.owners_passed_over(pool, now);
             info!(app.log, "pool owner"; "pool" => %pool, "owner" => name_of(&owner),
-                "before" => owners.get(pool).map(name_of), "passed_over" => before.join(","));
+                "before" => owners.get(pool).map(name_of), "passed_over" => passed_over.join(","));
             owners.insert(pool.clone(), owner);
         }
     });
 }
 
-/// Logs what takes the room of the pools for which this VM had results made.
-fn tell_room(app: &App) {
+/// Logs the use of room of each pool in which this VM has work or results.
+fn log_room_use(app: &App) {
     let rooms: Vec<(ServiceName, RoomUse, usize)> = app.hub.with(|shared, now| {
         let busy = shared.pools.iter().filter(|(_, pool)| !pool.is_idle());
         busy.map(|(name, pool)| (name.clone(), pool.room_use(now), pool.waiting_pieces())).collect()
--- a/gateway/src/run.rs
+++ b/gateway/src/run.rs
@@ -1,4 +1,4 @@
-//! Starts the parts of the serving path in order and stops them in order.
+//! Starts all tasks of the process, handles signals, and shuts down in order.
 
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, HashMap};
@@ -30,17 +30,19 @@
     pool_log, releases, settings, shutdown, store, stored_refusals,
 };
 
-/// Pause between two looks at connections at rest.
-const CLEANING: Duration = Duration::from_secs(1);
-/// Pause between two looks at what is still in work while stopping.
-const STOP_LOOK: Duration = Duration::from_millis(25);
+/// Interval between two sweeps for idle connections to targets.
+const IDLE_SWEEP_INTERVAL: Duration = Duration::from_secs(1);
+/// Interval at which shutdown checks for requests still in progress.
+const STOP_CHECK_INTERVAL: Duration = Duration::from_millis(25);
 
-/// Runs until the process is told to stop and has finished.
+/// Runs until SIGTERM or SIGINT arrives and the shutdown has finished. SIGHUP checks the settings file
+/// at `path` again.
 ///
 /// # Errors
-/// `Io` if an address can't be listened on or the runtime can't be started.
+/// `Io` if an address can't be listened on, a signal handler can't be installed or the runtime can't
+/// be started.
 pub fn run(path: PathBuf, cfg: Settings, adapter: Adapter) -> Result<()> {
-    let (log, lines) = logs::start(cfg.log, cfg.vm.as_str());
+    let (log, log_buffer) = logs::start(cfg.log, cfg.vm.as_str());
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
@@ -48,7 +50,7 @@
     let metrics = Metrics::new()?;
     let shared = Shared::new(&cfg, adapter, rand::random(), log.clone(), now());
     let tasks = LocalSet::new();
-    let ended = runtime.block_on(tasks.run_until(async move {
+    let result = runtime.block_on(tasks.run_until(async move {
         let app = Rc::new(App {
             hub: Hub::new(shared),
             cfg,
@@ -75,8 +77,8 @@
         });
         serve(&app, &path).await
     }));
-    lines.write();
-    ended
+    log_buffer.write();
+    result
 }
 
 async fn serve(app: &Rc<App>, path: &Path) -> Result<()> {
@@ -99,7 +101,7 @@
     spawn_local(pool_log::run(Rc::clone(app)));
     spawn_local(stored_refusals::run(Rc::clone(app)));
     spawn_local(releases::take_over(Rc::clone(app)));
-    spawn_local(clean(Rc::clone(app)));
+    spawn_local(close_idle_connections(Rc::clone(app)));
     info!(app.log, "started"; "callers" => %cfg.callers, "peers" => %cfg.peers,
         "store" => %cfg.store, "hall" => %cfg.hall, "policy" => ?cfg.policy);
     loop {
@@ -139,24 +141,25 @@
     TcpListener::bind(address).await.map_err(|e| Error::io(format!("listening on {address}"), e))
 }
 
-/// Reads the settings again. What differs takes force at the next start, since addresses and
-/// names can't change under open connections.
+/// Reads and checks the settings file. Changes take effect at the next start, since addresses and names
+/// can't change under open connections.
 fn reload(app: &App, path: &Path) {
     match settings::load(path) {
         Ok(_) => info!(app.log, "settings read again"; "in_force" => "at the next start"),
-        Err(e) => warn!(app.log, "settings can't be taken"; "why" => %e),
+        Err(e) => warn!(app.log, "settings invalid"; "why" => %e),
     }
 }
 
-async fn clean(app: Rc<App>) {
-    let mut looks = interval(CLEANING);
+async fn close_idle_connections(app: Rc<App>) {
+    let mut ticks = interval(IDLE_SWEEP_INTERVAL);
     loop {
-        looks.tick().await;
+        ticks.tick().await;
         app.connections.close_old();
     }
 }
 
-/// Tells balancer and peers, takes nothing new once they have heard, finishes what runs.
+/// Announces the shutdown to the balancer and peers, stops accepting and closes callers' idle
+/// connections once they have had time to notice, and returns when all requests have ended or the process must exit.
 async fn stop(app: &Rc<App>) {
     let limits =
         Limits { notice: app.cfg.stop.notice(), grace: app.cfg.stop.grace(), cores: app.cfg.cores };
@@ -164,28 +167,28 @@
     app.hub.with(|shared, _| shared.stop = Some(plan));
     app.stopping.send_replace(true);
     let mut closing = false;
-    let mut looked = now();
+    let mut checked_at = now();
     loop {
         let now = now();
-        let late = (now - looked).saturating_sub(STOP_LOOK);
-        looked = now;
+        let late = (now - checked_at).saturating_sub(STOP_CHECK_INTERVAL);
+        checked_at = now;
         app.hub.with(|shared, _| {
             shared.stop.iter_mut().for_each(|plan| plan.record_timer_delay(late))
         });
         let in_work = app.hub.with(|shared, _| shared.active_requests.len());
-        let is_written = in_work == 0 && app.open_caller_connections.get() == 0;
+        let is_idle = in_work == 0 && app.open_caller_connections.get() == 0;
         if !closing && now >= plan.closes_idle_at() {
             closing = true;
             app.closing.send_replace(true);
         }
-        if (closing && is_written) || now >= plan.exits_at() {
+        if (closing && is_idle) || now >= plan.exits_at() {
             info!(app.log, "last requests ended"; "in_work" => in_work,
                 "open_connections" => app.open_caller_connections.get());
             shutdown::log_closed_requests(app);
             break;
         }
-        sleep(STOP_LOOK).await;
+        sleep(STOP_CHECK_INTERVAL).await;
     }
-    // The last answers are written by the connections' own tasks.
-    sleep(STOP_LOOK * 2).await;
+    // The connections' own tasks still need time to write the last answers.
+    sleep(STOP_CHECK_INTERVAL * 2).await;
 }
--- a/gateway/src/settings.rs
+++ b/gateway/src/settings.rs
@@ -1,4 +1,4 @@
-//! The serving path's settings file: YAML, checked before anything starts.
+//! Settings file of the gateway: YAML, read and checked before anything starts.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -9,101 +9,102 @@
 use serde::{Deserialize, Serialize};
 pub use settings::{LogLevel, Policy};
 
-/// Everything that a VM of the serving path has to be told.
+/// Settings of the gateway process of one VM.
 #[derive(Debug, Clone, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Settings {
     /// Name of this VM, unique in the fleet.
     pub vm: VmName,
-    /// The data hall in which it stands.
+    /// Data hall in which this VM runs.
     pub hall: HallName,
-    /// Where callers connect.
+    /// Address on which callers connect.
     pub callers: SocketAddr,
-    /// Where the balancer asks whether new connections are wanted.
+    /// Address on which the balancer checks readiness.
     pub ready: SocketAddr,
-    /// Where other VMs connect.
+    /// Address on which other VMs connect.
     pub peers: SocketAddr,
-    /// Where metrics and the state dump are served.
+    /// Address on which metrics and the state dump are served; none if left out.
     #[serde(default)]
     pub operations: Option<SocketAddr>,
-    /// Cores that the process may use; a larger VM fills more calls for the others.
-    #[serde(default = "one_core")]
+    /// CPU cores that the process may use; a VM with more cores owns a larger share of the pools.
+    #[serde(default = "default_cores")]
     pub cores: f64,
-    /// Peers to try while the store can't tell of any.
+    /// Peers to contact while the store doesn't list any.
     #[serde(default)]
     pub seeds: Vec<SocketAddr>,
-    /// The platform's store.
+    /// Address of the platform's store.
     pub store: SocketAddr,
-    /// Time within which a change of the configuration must be in force, in milliseconds.
-    #[serde(default = "in_force_ms")]
+    /// Time within which a configuration change must take effect, in milliseconds.
+    #[serde(default = "default_in_force_ms")]
     pub in_force_ms: u64,
-    /// Time within which targets of a hall that operators took out of service get nothing more, in
-    /// milliseconds; `in_force_ms` if none is given.
+    /// Time within which targets of an evacuated hall must receive no more work, in milliseconds;
+    /// `in_force_ms` if left out.
     #[serde(default)]
     pub evacuation_ms: Option<u64>,
-    /// What is borne beyond the rate of cold targets.
+    /// How far cold targets may exceed the rate that their service declares.
     #[serde(default)]
     pub cold: ColdMargin,
-    /// Budget of requests sent a second time, for the whole fleet.
+    /// Retry budget of the whole fleet.
     #[serde(default)]
-    pub repeats: Repeats,
-    /// When a request that ends targets is refused.
+    pub repeats: RetryBudget,
+    /// When a request that crashes targets is refused.
     #[serde(default)]
     pub quarantine: QuarantineRules,
-    /// Times of a stop.
+    /// Times of a shutdown.
     #[serde(default)]
     pub stop: Stop,
-    /// Decisions, or a plain baseline to measure against.
+    /// Policy for choosing targets: adaptive, or a simple baseline for comparison.
     #[serde(default)]
     pub policy: Policy,
-    /// Least severe log level written.
+    /// Least severe log level that is written.
     #[serde(default)]
     pub log: LogLevel,
 }
 
-fn one_core() -> f64 {
+fn default_cores() -> f64 {
     1.0
 }
 
-/// Operators expect changes within seconds.
-fn in_force_ms() -> u64 {
+/// In milliseconds; operators expect changes to take effect within seconds.
+fn default_in_force_ms() -> u64 {
     2000
 }
 
 impl Settings {
-    /// Time within which any change that operators make must be in force.
+    /// Time within which any change made by operators must take effect: the shorter of the limits for
+    /// configuration changes and for evacuations.
     pub fn in_force(&self) -> Duration {
-        let shortest = self.evacuation_ms.map_or(self.in_force_ms, |ms| ms.min(self.in_force_ms));
-        Duration::from_millis(shortest)
+        let limit_ms = self.evacuation_ms.map_or(self.in_force_ms, |ms| ms.min(self.in_force_ms));
+        Duration::from_millis(limit_ms)
     }
 }
 
-/// What a cold target bears beyond the rate that its service declares.
+/// How far a cold target may exceed the rate that its service declares: `rate * overshoot + slack`.
 #[derive(Debug, Clone, Copy, PartialEq, Deserialize, Serialize)]
-#[serde(from = "GivenColdMargin")]
+#[serde(from = "RawColdMargin")]
 pub struct ColdMargin {
-    /// Factor on the rate.
+    /// Factor on the declared rate.
     pub overshoot: f64,
-    /// Requests in a second beside it.
+    /// Additional requests per second.
     pub slack: f64,
 }
 
-/// The same as it is given; of what is left out, nothing is borne.
+/// `ColdMargin` as written in the file; a field that is missing or empty allows no excess.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
-struct GivenColdMargin {
+struct RawColdMargin {
     #[serde(default)]
     overshoot: Option<f64>,
     #[serde(default)]
     slack: Option<f64>,
 }
 
-impl From<GivenColdMargin> for ColdMargin {
-    fn from(given: GivenColdMargin) -> Self {
-        let none = ColdMargin::default();
+impl From<RawColdMargin> for ColdMargin {
+    fn from(raw: RawColdMargin) -> Self {
+        let defaults = ColdMargin::default();
         ColdMargin {
-            overshoot: given.overshoot.unwrap_or(none.overshoot),
-            slack: given.slack.unwrap_or(none.slack),
+            overshoot: raw.overshoot.unwrap_or(defaults.overshoot),
+            slack: raw.slack.unwrap_or(defaults.slack),
         }
     }
 }
@@ -114,67 +115,68 @@
     }
 }
 
-/// Budget of requests sent a second time.
+/// Budget of requests that are sent a second time.
 #[derive(Debug, Clone, Copy, PartialEq, Deserialize, Serialize)]
 #[serde(deny_unknown_fields, default)]
-pub struct Repeats {
-    /// Repeats for each request.
+pub struct RetryBudget {
+    /// Retries allowed per request.
     pub ratio: f64,
-    /// Repeats beside these.
+    /// Retries allowed in each window in addition to `ratio`.
     pub slack: f64,
-    /// The sliding window, in seconds.
+    /// Length of the sliding window, in seconds.
     pub window_s: f64,
 }
 
-impl Default for Repeats {
+impl Default for RetryBudget {
     fn default() -> Self {
-        Repeats { ratio: 0.1, slack: 10.0, window_s: 10.0 }
+        RetryBudget { ratio: 0.1, slack: 10.0, window_s: 10.0 }
     }
 }
 
-impl Repeats {
-    /// The sliding window.
+impl RetryBudget {
+    /// Length of the sliding window.
     pub fn window(&self) -> Duration {
         Duration::from_secs_f64(self.window_s)
     }
 }
 
-/// When a request that ends targets is refused.
+/// When a request that crashes targets is refused.
 #[derive(Debug, Clone, Copy, PartialEq, Deserialize, Serialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct QuarantineRules {
-    /// Targets that it ended, with no good end in between.
+    /// Targets that the request crashed without completing in between, from which on it is refused.
     pub crashes: usize,
-    /// Time from the last of these, or from its last return, in seconds.
+    /// How long it is refused after its last crash or its last retry, whichever is later, in seconds.
     pub lasts_s: f64,
 }
 
 impl Default for QuarantineRules {
-    /// A bystander meets one end of a target at each of its tries, and a caller returns once: with the two
-    /// tries of most entries it rarely meets three. Ten minutes are the platform's longest lease.
+    /// An innocent request may be running on a target at each crash, once per try. Most entries have two
+    /// tries and a caller sends its request again once, so an innocent request rarely meets three crashes.
+    /// Ten minutes is the longest lease that the platform grants.
     fn default() -> Self {
         QuarantineRules { crashes: 3, lasts_s: 600.0 }
     }
 }
 
 impl QuarantineRules {
-    /// The time as one.
-    pub fn lasts(&self) -> Duration {
+    /// How long a request is refused.
+    pub fn duration(&self) -> Duration {
         Duration::from_secs_f64(self.lasts_s)
     }
 
     pub(crate) fn rules(&self) -> quarantine::Rules {
-        quarantine::Rules { crashes: self.crashes, duration: self.lasts() }
+        quarantine::Rules { crashes: self.crashes, duration: self.duration() }
     }
 }
 
-/// Times of a stop.
+/// Times of a shutdown.
 #[derive(Debug, Clone, Copy, PartialEq, Deserialize, Serialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Stop {
-    /// Time until the balancer has heard, in milliseconds.
+    /// Time until the balancer has noticed that the VM is not ready, in milliseconds.
     pub notice_ms: u64,
-    /// Time after which the process is killed, in seconds.
+    /// Time after the signal at which the platform kills the process, in seconds.
     pub grace_s: f64,
 }
 
@@ -185,33 +187,33 @@
 }
 
 impl Stop {
-    /// Time until the balancer has heard.
+    /// Time until the balancer has noticed that the VM is not ready.
     pub fn notice(&self) -> Duration {
         Duration::from_millis(self.notice_ms)
     }
 
-    /// Time after which the process is killed.
+    /// Time after the signal at which the platform kills the process.
     pub fn grace(&self) -> Duration {
         Duration::from_secs_f64(self.grace_s)
     }
 }
 
-/// Largest factor on the rate of cold targets that is taken.
-const MOST_OVERSHOOT: f64 = 100.0;
-/// Most targets that a request may be allowed to end.
-const MOST_CRASHES: f64 = 10.0;
-/// Longest window, quarantine and grace that are taken, in seconds.
-const LONGEST_SECONDS: f64 = 3600.0;
+/// Largest accepted `cold.overshoot`.
+const MAX_OVERSHOOT: f64 = 100.0;
+/// Largest accepted `quarantine.crashes`.
+const MAX_CRASHES: f64 = 10.0;
+/// Largest accepted retry window, quarantine and grace, in seconds.
+const MAX_SECONDS: f64 = 3600.0;
 
 /// Reads and checks the settings in `path`.
 ///
 /// # Errors
-/// `Io` if the file can't be read, else `BadInput` with file, line and what was expected.
+/// `Io` if the file can't be read; `BadInput` with file, line and what was expected if it is invalid.
 pub fn load(path: &Path) -> Result<Settings> {
     settings::load_with(path, parse)
 }
 
-/// Reads and checks settings.
+/// Parses and checks settings from YAML text.
 ///
 /// # Errors
 /// `BadInput` with line, column and what was expected.
@@ -243,14 +245,14 @@
         ("in_force_ms", cfg.in_force_ms as f64, 10.0, 600_000.0),
         ("cores", cfg.cores, 0.001, 1024.0),
         ("evacuation_ms", cfg.evacuation_ms.unwrap_or(cfg.in_force_ms) as f64, 10.0, 600_000.0),
-        ("cold.overshoot", cfg.cold.overshoot, 1.0, MOST_OVERSHOOT),
+        ("cold.overshoot", cfg.cold.overshoot, 1.0, MAX_OVERSHOOT),
         ("cold.slack", cfg.cold.slack, 0.0, f64::MAX),
         ("repeats.ratio", cfg.repeats.ratio, 0.0, 1.0),
         ("repeats.slack", cfg.repeats.slack, 0.0, f64::MAX),
-        ("repeats.window_s", cfg.repeats.window_s, 0.1, LONGEST_SECONDS),
-        ("quarantine.crashes", cfg.quarantine.crashes as f64, 1.0, MOST_CRASHES),
-        ("quarantine.lasts_s", cfg.quarantine.lasts_s, 1.0, LONGEST_SECONDS),
-        ("stop.grace_s", cfg.stop.grace_s, 0.1, LONGEST_SECONDS),
+        ("repeats.window_s", cfg.repeats.window_s, 0.1, MAX_SECONDS),
+        ("quarantine.crashes", cfg.quarantine.crashes as f64, 1.0, MAX_CRASHES),
+        ("quarantine.lasts_s", cfg.quarantine.lasts_s, 1.0, MAX_SECONDS),
+        ("stop.grace_s", cfg.stop.grace_s, 0.1, MAX_SECONDS),
     ];
     match ranges.iter().find(|(_, value, least, most)| !(least..=most).contains(&value)) {
         Some((key, value, least, most)) => {
--- a/gateway/src/shared.rs
+++ b/gateway/src/shared.rs
@@ -1,4 +1,5 @@
-//! The state that the tasks of a VM share.
+//! The mutable state that the tasks of a VM share: the store view, the configuration, targets, pools,
+//! peers and requests, and how changes from the store or from peers are applied to it.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet};
 use std::net::SocketAddr;
@@ -25,12 +26,12 @@
 use crate::in_work::Works;
 use crate::settings::{ColdMargin, Policy, Settings};
 
-/// Time to a first event that is believed until one was seen.
+/// Estimated time to the first event of a service that has not been observed yet.
 const FIRST_EVENT: Duration = Duration::from_millis(200);
-/// Weight of a new first event in what is learned.
+/// Weight of a new sample in the exponential moving average of first-event times.
 const FIRST_EVENT_WEIGHT: f64 = 0.1;
 
-/// Start of the keys under which VMs write of themselves.
+/// Prefix of the store keys under which VMs register themselves.
 pub(crate) fn vms_prefix(adapter: &Adapter) -> String {
     format!("{}vms/", adapter.intents.own_prefix)
 }
@@ -39,7 +40,7 @@
     VmEntry { peers: cfg.peers, hall: cfg.hall.clone(), cores: cfg.cores }
 }
 
-/// The state that the tasks of a VM share.
+/// State shared by the tasks of a VM; accessed through [`crate::hub::Hub`].
 pub(crate) struct Shared {
     pub(crate) adapter: Adapter,
     pub(crate) log: Logger,
@@ -49,65 +50,66 @@
     pub(crate) pools: BTreeMap<ServiceName, Pool>,
     pub(crate) fleet: Fleet,
     pub(crate) own_hall: HallName,
-    /// The version of the configuration in which this VM first saw each pool.
+    /// Configuration version in which this VM first saw each pool.
     first_seen: HashMap<ServiceName, u64>,
-    /// How each pool is split.
+    /// How each pool is split into parts by data hall.
     pub(crate) splits: BTreeMap<ServiceName, Split>,
-    /// Whether this VM follows the store itself.
+    /// Whether this VM watches the store itself, instead of hearing changes from peers.
     pub(crate) watches_store: bool,
-    /// Whether the next changes are better read from the store than from a peer.
+    /// Whether the next changes are to be read from the store because too many are missing to fetch them
+    /// from a peer.
     pub(crate) prefers_store: bool,
     pub(crate) contact: StoreContact,
-    /// Whether this VM's watch of the store tells nothing while peers learn more.
+    /// Detects that this VM's watch on the store is silent while peers learn of newer changes.
     pub(crate) stall_detector: StallDetector,
     pub(crate) behind: Behind,
-    /// Time within which a change of the configuration must be in force.
+    /// Time within which a configuration change must take effect.
     pub(crate) in_force: Duration,
-    /// The times of the stop that began.
+    /// Times of the shutdown in progress, if any.
     pub(crate) stop: Option<StopPlan>,
-    /// Targets that said in answers that they leave, to this VM or to peers.
+    /// Targets that announced their departure in answers to this VM or to peers.
     pub(crate) departures: Departures,
-    /// Targets that want no work from this VM for some time.
+    /// Targets that asked this VM to send no work for some time.
     pub(crate) backoffs: Backoffs,
-    /// Rates that targets name as the most that they take.
+    /// Rate limits that targets announced.
     pub(crate) rates: RateLimits,
-    /// Words in answers that nobody here knows, by service.
+    /// Unrecognized words in targets' answers, by service.
     pub(crate) unknown_words: BTreeSet<(ServiceName, String)>,
-    /// Accounts of such targets that this VM holds.
+    /// Token buckets of rate-limited targets that this VM owns.
     pub(crate) token_buckets: TokenBuckets,
-    /// Who held the accounts of each service when last looked at.
+    /// Owner of the token buckets of each service at the last check.
     pub(crate) token_bucket_owners: BTreeMap<ServiceName, Owner>,
-    /// Told when there is something to tell peers.
+    /// Notified when there is news to send to peers at once.
     pub(crate) peer_update_pending: watch::Sender<()>,
-    /// Halls whose targets are not used as others are.
+    /// Halls whose targets are restricted: evacuated or unreachable.
     pub(crate) halls: Halls,
-    /// Whether targets may be chosen otherwise than when the pools were last looked at.
+    /// Whether the eligibility of targets changed since the pools were last checked.
     pub(crate) eligibility_changed: bool,
-    /// What operators bear beyond the rate of cold targets.
+    /// How far operators let cold targets exceed their declared rate.
     pub(crate) cold_margin: ColdMargin,
-    /// Targets that were cold when last looked at.
+    /// Number of cold targets at the last check.
     pub(crate) cold_targets: usize,
-    /// Requests in work.
+    /// Requests in progress.
     pub(crate) active_requests: Works,
     order: Order,
     rules: FleetRetryRules,
     budgets: HashMap<ServiceName, FleetRetryBudget>,
     first_events: HashMap<ServiceName, Duration>,
-    /// Times from being sent to a target to the end of the answer, by entry.
+    /// Time from sending a request to its target to the end of the answer, by entry.
     response_times: HashMap<String, ResponseTime>,
     pub(crate) admission: Admission,
-    /// Requests that end targets.
+    /// Requests that crash targets.
     pub(crate) quarantine: Quarantine,
-    /// Told when an end of a target under requests becomes known, which peers are told at once.
+    /// Notified when a target crash caused by a request becomes known; peers are told at once.
     pub(crate) crashes_changed: watch::Sender<()>,
-    /// Targets whose entries lapsed around an outage, and when they are taken as gone.
+    /// Targets whose store entries expired around a store outage, and when they count as gone.
     pub(crate) lapsed: HashMap<TargetName, Instant>,
-    /// Leases of the results that this VM had made for peers.
+    /// Leases on results that this VM produced for peers.
     pub(crate) leases: Leases,
 }
 
 impl Shared {
-    /// State of a VM that knows nothing yet.
+    /// Initial state, before anything was read from the store or heard from peers.
     pub(crate) fn new(
         cfg: &Settings,
         adapter: Adapter,
@@ -171,13 +173,13 @@
         Some(shared)
     }
 
-    /// Takes changes that were read from the store or heard from a peer.
+    /// Applies changes read from the store or received from a peer; `from` is logged.
     pub(crate) fn merge(&mut self, items: Vec<Item>, from: &str, now: Instant) {
         let changes = self.view.merge(items);
         self.apply(changes, from, now);
     }
 
-    /// Takes a whole listing of the keys with a prefix.
+    /// Applies a complete listing of the keys with a prefix, as of store revision `as_of`.
     pub(crate) fn merge_listing(
         &mut self,
         prefix: &str,
@@ -197,7 +199,7 @@
         for change in changes {
             match change {
                 Change::Put(key, value) if key == intent_key => {
-                    self.take_intent(&value, from);
+                    self.apply_intent(&value, from);
                     self.compare_versions(now);
                 }
                 Change::Put(key, value) if key.starts_with(prefix) => {
@@ -207,7 +209,7 @@
                 Change::Put(key, value) if key.starts_with(evacuations) => {
                     self.apply_evacuation(&key, &value, from, now);
                 }
-                Change::Put(key, value) => self.list_vm(&key, Some(&value), now),
+                Change::Put(key, value) => self.apply_own_entry(&key, Some(&value), now),
                 Change::Removed(key) if key.starts_with(evacuations) => {
                     self.end_evacuation(&key, from, now);
                 }
@@ -216,7 +218,7 @@
                         self.lost_target(id, from, now);
                         new_targets = true;
                     }
-                    None => self.list_vm(&key, None, now),
+                    None => self.apply_own_entry(&key, None, now),
                 },
             }
         }
@@ -226,8 +228,8 @@
         self.update_cold_shares(now);
     }
 
-    /// Takes what a VM wrote of itself or of a request that is refused.
-    fn list_vm(&mut self, key: &str, value: Option<&[u8]>, now: Instant) {
+    /// Applies a change under this system's own prefix: a VM's entry or a refused request.
+    fn apply_own_entry(&mut self, key: &str, value: Option<&[u8]>, now: Instant) {
         if value.is_some_and(|value| self.apply_stored_refusal(key, value, now)) {
             return;
         }
@@ -236,18 +238,18 @@
         match value.map(serde_json::from_slice) {
             Some(Ok(entry)) => self.fleet.list(vm, entry, now),
             Some(Err(e)) => {
-                warn!(self.log, "VM's entry left out"; "key" => key, "why" => %e);
+                warn!(self.log, "VM entry ignored"; "key" => key, "why" => %e);
             }
             None => self.fleet.unlist(&vm),
         }
     }
 
-    fn take_intent(&mut self, value: &[u8], from: &str) {
+    fn apply_intent(&mut self, value: &[u8], from: &str) {
         let as_of = self.view.as_of();
         match (self.adapter.intents.intent)(value) {
             Ok(intent) => {
-                let older = self.intent.as_ref().filter(|have| have.version >= intent.version);
-                if let Some(have) = older {
+                let in_force = self.intent.as_ref().filter(|have| have.version >= intent.version);
+                if let Some(have) = in_force {
                     warn!(self.log, "configuration kept out"; "version" => intent.version,
                         "in_force" => have.version, "from" => from, "why" => "not newer");
                     return;
@@ -266,12 +268,14 @@
         }
     }
 
-    /// Forgets what was learned of entries that a configuration does not have.
+    /// Drops the response times of entries that the configuration doesn't contain.
     fn forget_response_times(&mut self, intent: &Intent) {
         let names: HashSet<&str> = intent.entries().map(|entry| entry.name.as_str()).collect();
         self.response_times.retain(|name, _| names.contains(name.as_str()));
     }
 
+    /// Creates and updates the pools from the configuration and the current workers. A pool of this VM
+    /// holds only the workers of the part to which this VM's hall belongs.
     pub(crate) fn sync_pools(&mut self) {
         let Some(intent) = &self.intent else { return };
         for (name, service) in &intent.services {
@@ -295,7 +299,7 @@
         }
     }
 
-    /// Addresses of VMs to which links are wanted.
+    /// Addresses of the VMs to which this VM should have links: owners of pools and of token buckets.
     pub(crate) fn wanted_links(&self) -> BTreeSet<SocketAddr> {
         let pools = self.splits.iter().map(|(name, split)| (name.as_str(), split));
         let (rated, whole) = (self.rated_services(), Split::default());
@@ -303,29 +307,29 @@
         self.fleet.wanted_links(pools.chain(accounts))
     }
 
-    /// Counts a request for a service.
+    /// Counts a request of a service towards its retry budget.
     pub(crate) fn count_request(&mut self, service: &ServiceName, now: Instant) {
         self.budgets.entry(service.clone()).or_default().record_request(now);
     }
 
-    /// Takes a repeat from the budget, if one is left.
+    /// Takes one retry from the budget of a service; false if none is left.
     pub(crate) fn try_take_retry(&mut self, service: &ServiceName, now: Instant) -> bool {
         let vms = self.fleet.size();
         self.budgets.entry(service.clone()).or_default().try_take(&self.rules, vms, now)
     }
 
-    /// Learns how long a service takes to a first event.
+    /// Adds a sample to the moving average of a service's time to the first event.
     pub(crate) fn record_first_event_time(&mut self, service: &ServiceName, took: Duration) {
-        let learned = self.first_events.entry(service.clone()).or_insert(took);
-        *learned = learned.mul_f64(1.0 - FIRST_EVENT_WEIGHT) + took.mul_f64(FIRST_EVENT_WEIGHT);
+        let average = self.first_events.entry(service.clone()).or_insert(took);
+        *average = average.mul_f64(1.0 - FIRST_EVENT_WEIGHT) + took.mul_f64(FIRST_EVENT_WEIGHT);
     }
 
-    /// Time that a service takes to a first event.
+    /// Expected time to the first event of a service.
     pub(crate) fn first_event_time(&self, service: &ServiceName) -> Duration {
         self.first_events.get(service).copied().unwrap_or(FIRST_EVENT)
     }
 
-    /// Takes how long a request of an entry took from being sent to its target to the end of its answer.
+    /// Records the time from sending a request of an entry to its target to the end of the answer.
     pub(crate) fn record_response_time(&mut self, entry: &str, took: Duration) {
         match self.response_times.get_mut(entry) {
             Some(time) => time.record(took),
@@ -333,31 +337,31 @@
         }
     }
 
-    /// Time that few requests of an entry take longer than, as far as it was seen.
+    /// Upper bound on the response times of an entry, exceeded by few requests; `None` if none was observed.
     pub(crate) fn response_time(&self, entry: &str) -> Option<Duration> {
         self.response_times.get(entry).map(ResponseTime::upper_bound)
     }
 
-    /// Whether a result lies in a hall that is out of reach.
-    pub(crate) fn is_out_of_reach(&self, handle: &str) -> bool {
+    /// Whether a result is stored in an unreachable hall.
+    pub(crate) fn is_result_unreachable(&self, handle: &str) -> bool {
         let hall =
             (self.adapter.calls.worker_address)(handle).and_then(|at| self.targets.hall_at(at));
         hall.is_some_and(|hall| self.fleet.unreachable_halls.contains(hall))
     }
 
-    /// Submissions to a pool of this VM that need results which are out of reach.
+    /// Waiting submissions to a pool of this VM that need results stored in unreachable halls.
     pub(crate) fn jobs_with_unreachable_inputs(&self, pool: &ServiceName) -> Vec<JobKey> {
         if self.fleet.unreachable_halls.is_empty() {
             return Vec::new();
         }
         let waiting = self.pools.get(pool).into_iter().flat_map(Pool::waiting_submissions);
         let lacks = |(_, submission): &(JobKey, &Submission)| {
-            submission.inputs.iter().any(|handle| self.is_out_of_reach(handle))
+            submission.inputs.iter().any(|handle| self.is_result_unreachable(handle))
         };
         waiting.filter(lacks).map(|(job, _)| job).collect()
     }
 
-    /// The hall in which most of the inputs lie.
+    /// The hall that stores most of the inputs.
     pub(crate) fn hall_of_most_inputs(&self, handles: &[String]) -> Option<HallName> {
         let mut counts: BTreeMap<&HallName, usize> = BTreeMap::new();
         for handle in handles {
--- a/gateway/src/shutdown.rs
+++ b/gateway/src/shutdown.rs
@@ -1,4 +1,5 @@
-//! A planned stop: what is told to callers whose requests can't end before the process does.
+//! Graceful shutdown: which requests are refused or cut off because they can't finish before the
+//! process exits, and what their callers are told.
 
 use std::time::{Duration, Instant};
 
@@ -14,14 +15,16 @@
 use crate::requests::Accepted;
 use crate::shared::Shared;
 
-/// When to come back where another VM serves.
+/// Suggested delay before a retry when another VM can serve the request.
 pub(crate) const RETRY_ELSEWHERE_AFTER: Duration = Duration::from_millis(50);
-/// Time in which a process that ended is started again and ready; those who come back then come within as long.
-const START: Duration = Duration::from_secs(1);
-/// Pause between two looks at a request while the process stops.
-const LOOK: Duration = Duration::from_millis(25);
+/// Time in which an exited process is restarted and ready again. Retries that must wait for the restart
+/// are spread over the same time.
+const RESTART_TIME: Duration = Duration::from_secs(1);
+/// Interval at which a request is checked during shutdown.
+const CHECK_INTERVAL: Duration = Duration::from_millis(25);
 
 impl Work {
+    /// How far the request has come, as the shutdown rules need it.
     fn progress(&self) -> Progress {
         match self.waits {
             _ if self.head_sent => Progress::Begun,
@@ -33,22 +36,23 @@
 }
 
 impl Shared {
-    /// Whether the process stops.
+    /// Whether the process is shutting down.
     pub(crate) fn is_stopping(&self) -> bool {
         self.stop.is_some()
     }
 
-    /// Refuses a request that another VM may serve, or this one once it was started again.
+    /// Refusal of a request that has not run. The caller is told to retry at once if another VM can serve it,
+    /// otherwise after this VM's restart.
     pub(crate) fn retry_later_refusal(&self, now: Instant) -> Refusal {
-        let returns = self.stop.filter(|_| !self.fleet.others_serve(now));
-        let retry_after = returns.map_or(RETRY_ELSEWHERE_AFTER, |plan| {
-            let ends = plan.exits_at().saturating_duration_since(now);
-            ends + START.mul_f64(1.0 + rand::random::<f64>())
+        let must_wait = self.stop.filter(|_| !self.fleet.others_serve(now));
+        let retry_after = must_wait.map_or(RETRY_ELSEWHERE_AFTER, |plan| {
+            let exits_in = plan.exits_at().saturating_duration_since(now);
+            exits_in + RESTART_TIME.mul_f64(1.0 + rand::random::<f64>())
         });
         Refusal::NotRun { retry_after }
     }
 
-    /// What the caller of a request is told now, if it can't be served on.
+    /// The refusal that ends a request now; `None` if it can still be served or no shutdown is in progress.
     fn stop_refusal(&self, key: WorkKey, now: Instant) -> Option<Refusal> {
         let plan = self.stop?;
         let work = self.active_requests.get(key)?;
@@ -60,30 +64,34 @@
     }
 }
 
-/// Ends once the process stops and can't serve a request to its end; gives what its caller is told. Raced against all
-/// that a request waits for, so that no wait has to know of the stop.
+/// Waits until the shutdown makes it impossible to finish a request, and returns the refusal for its caller. It is
+/// raced against everything that a request waits for, so that no wait has to handle the shutdown itself.
 pub(crate) async fn until_refused(app: &App, key: WorkKey) -> Refusal {
     let mut stopping = app.stopping.subscribe();
     loop {
         // The sender lives as long as the process.
         drop(stopping.wait_for(|stopping| *stopping).await);
-        let word = app.hub.with(|shared, now| {
-            let word = shared.stop_refusal(key, now)?;
-            Some((word, shared.active_requests.get(key).map(|work| (work.waits, work.id.clone()))))
+        let ended = app.hub.with(|shared, now| {
+            let refusal = shared.stop_refusal(key, now)?;
+            Some((
+                refusal,
+                shared.active_requests.get(key).map(|work| (work.waits, work.id.clone())),
+            ))
         });
-        if let Some((word, work)) = word {
+        if let Some((refusal, work)) = ended {
             if let Some((waits, id)) = work {
                 info!(app.log, "request ended by the stop"; "waits_for" => waits.name(),
                     "request" => id.map(|id| id.to_string()));
                 app.metrics.request_ended_by_stop(waits.name());
             }
-            return word;
+            return refusal;
         }
-        sleep(LOOK).await;
+        sleep(CHECK_INTERVAL).await;
     }
 }
 
-/// Refuses a request that came in while the process stops and is not expected to end before it.
+/// Refusal of a request that arrives during shutdown and isn't expected to finish before the process exits; `None` if
+/// it may be admitted.
 pub(crate) fn refusal(app: &App, req: &Accepted) -> Option<Refusal> {
     let (expected, refusal) = app.hub.with(|shared, now| {
         let plan = shared.stop?;
@@ -93,11 +101,11 @@
         (!can_serve).then(|| (expected, shared.retry_later_refusal(now)))
     })?;
     info!(app.log, "not admitted"; "request" => %req.id, "entry" => &req.entry.name,
-        "expected_ms" => expected.as_millis(), "why" => "the process stops before");
+        "expected_ms" => expected.as_millis(), "why" => "process exits before it can finish");
     Some(refusal)
 }
 
-/// Tells of each request that the end of the process closes.
+/// Logs and counts each request whose connection is closed by the exit of the process.
 pub(crate) fn log_closed_requests(app: &App) {
     app.hub.with(|shared, _| {
         for work in shared.active_requests.values() {
--- a/gateway/src/stored_refusals.rs
+++ b/gateway/src/stored_refusals.rs
@@ -114,7 +114,7 @@
     key: &str,
     stored: &StoredRefusal,
 ) -> Result<(), Miss> {
-    let lasts = app.cfg.quarantine.lasts().min(LONGEST_LEASE);
+    let lasts = app.cfg.quarantine.duration().min(LONGEST_LEASE);
     let body = store.call("lease", (app.adapter.store.lease)(lasts), Duration::ZERO).await?;
     let lease = (app.adapter.store.read_lease)(&body).map_err(unreadable)?;
     // A plain struct of texts always serializes.
