--- a/gateway/src/crashes.rs
+++ b/gateway/src/crashes.rs
@@ -1,4 +1,5 @@
-//! Requests that end targets: what this VM sees of them, and whom it refuses.
+//! Requests that crash targets. Detects whether a target crashed when its connection broke under a request,
+//! records and exchanges the crashes, and refuses requests that crashed too many targets.
 
 use std::collections::BTreeSet;
 use std::rc::Rc;
@@ -20,60 +21,75 @@
 use crate::stages::pieces_of;
 use crate::tries::Try;
 
-/// Longest first look at a target whose connection broke, which the next try waits for: halls are
-/// milliseconds apart. Without it a request was sent once more before its last end counted (4 workers ended
-/// under one in place of 3).
-const FIRST_LOOK: Duration = Duration::from_millis(20);
-/// Pauses before each later look: a process that ends closes its connections and its port within moments of
-/// each other, in either order.
-const LATER_LOOKS: [Duration; 2] = [Duration::from_millis(40), Duration::from_millis(160)];
-/// Longest of these.
-const LATER_LOOK: Duration = Duration::from_millis(400);
-
-/// A target's connection ended under a request, in the middle of its answer or before it: it is looked
-/// whether the target has ended.
+/// Time limit of the first probe of a target whose connection broke. The next try waits for it, and the delay
+/// between halls is a few milliseconds. Without this wait, a request is sent once more before its last crash
+/// counts, and crashes one target more than the rules allow (four instead of three).
+const FIRST_PROBE_TIMEOUT: Duration = Duration::from_millis(20);
+/// Pause before each later probe: a process that exits closes its connections and its port shortly after each
+/// other, in either order.
+const LATER_PROBE_PAUSES: [Duration; 2] = [Duration::from_millis(40), Duration::from_millis(160)];
+/// Time limit of each later probe.
+const LATER_PROBE_TIMEOUT: Duration = Duration::from_millis(400);
+
+/// Checks whether a target has crashed after its connection broke under a request, before or during its
+/// answer.
 pub(crate) async fn check_broken_connection(app: &Rc<App>, req: &Accepted, a_try: &Try) {
-    broke(app, &[req.content], &a_try.pick.target, a_try.lifetime).await;
+    check_target(app, &[req.content], &a_try.pick.target, a_try.lifetime).await;
 }
 
-/// A worker's connection ended under a call with pieces of these.
+/// Checks whether a worker has crashed after its connection broke under a call; `digests` are the request
+/// digests of the call's pieces.
 pub(crate) async fn check_broken_call(
     app: &Rc<App>,
-    contents: &[RequestDigest],
+    digests: &[RequestDigest],
     target: &Target,
     lifetime: Lifetime,
 ) {
-    broke(app, contents, target, lifetime).await;
+    check_target(app, digests, target, lifetime).await;
 }
 
-async fn broke(app: &Rc<App>, contents: &[RequestDigest], target: &Target, lifetime: Lifetime) {
-    app.hub.with(|shared, now| shared.note_losses(contents, target, lifetime, now));
-    if connections::is_refused(target.address, FIRST_LOOK).await {
-        looked(app, contents, target, lifetime, true);
+/// Records the lost connection and probes the target. The caller waits for the first probe only; if the port isn't
+/// closed yet, a separate task probes again.
+async fn check_target(
+    app: &Rc<App>,
+    digests: &[RequestDigest],
+    target: &Target,
+    lifetime: Lifetime,
+) {
+    app.hub.with(|shared, now| shared.record_lost_connections(digests, target, lifetime, now));
+    if connections::is_refused(target.address, FIRST_PROBE_TIMEOUT).await {
+        record_probe(app, digests, target, lifetime, true);
         return;
     }
-    let (app, target, contents) = (Rc::clone(app), target.clone(), contents.to_vec());
+    let (app, target, digests) = (Rc::clone(app), target.clone(), digests.to_vec());
     spawn_local(async move {
         let ended = has_ended(&target).await;
-        looked(&app, &contents, &target, lifetime, ended);
+        record_probe(&app, &digests, &target, lifetime, ended);
     });
 }
 
-/// Whether nobody listens at a target's address any more. One that is cut off says nothing, and one that
-/// only broke off an answer takes the connection.
+/// Whether a target's address refuses connections after all, by the later probes. A target that is unreachable doesn't
+/// answer at all, and one that only aborted an answer accepts the connection; neither counts as ended.
 async fn has_ended(target: &Target) -> bool {
-    for pause in LATER_LOOKS {
+    for pause in LATER_PROBE_PAUSES {
         sleep(pause).await;
-        if connections::is_refused(target.address, LATER_LOOK).await {
+        if connections::is_refused(target.address, LATER_PROBE_TIMEOUT).await {
             return true;
         }
     }
     false
 }
 
-fn looked(app: &App, contents: &[RequestDigest], target: &Target, lifetime: Lifetime, ended: bool) {
-    for content in contents {
-        info!(app.log, "connection broke under a request"; "content" => %content,
+/// Logs the result of the probes, and records the crash if the target has ended.
+fn record_probe(
+    app: &App,
+    digests: &[RequestDigest],
+    target: &Target,
+    lifetime: Lifetime,
+    ended: bool,
+) {
+    for digest in digests {
+        info!(app.log, "connection broke under a request"; "content" => %digest,
             "target" => %target.id, "target_ended" => ended);
     }
     if ended {
@@ -81,12 +97,12 @@
     }
 }
 
-/// A target ran a request to a good end.
+/// Records that a target completed a request.
 pub(crate) fn request_completed(app: &App, req: &Accepted) {
     app.hub.with(|shared, now| shared.quarantine.request_completed(req.content, now));
 }
 
-/// What the pieces of a call are part of, each once.
+/// Digests of the stages of requests to which the pieces of a call belong, without duplicates.
 pub(crate) fn request_digests_of_call(
     app: &App,
     pool: &ServiceName,
@@ -95,21 +111,22 @@
     app.hub.with(|shared, _| {
         let pool = shared.pools.get(pool);
         let of = |(job, _): &(JobKey, u32)| pool?.submission(*job)?.content;
-        let contents: BTreeSet<RequestDigest> = call.pieces.iter().filter_map(of).collect();
-        contents.into_iter().collect()
+        let digests: BTreeSet<RequestDigest> = call.pieces.iter().filter_map(of).collect();
+        digests.into_iter().collect()
     })
 }
 
-/// A worker answered a call: whatever came of its pieces, none of them ended it.
-pub(crate) fn pieces_completed(app: &App, contents: &[RequestDigest], end: &CallEnd) {
+/// Records that a worker answered a call: whatever the results, none of its pieces crashed the worker.
+pub(crate) fn pieces_completed(app: &App, digests: &[RequestDigest], end: &CallEnd) {
     if matches!(end, CallEnd::Answered(_)) {
         app.hub.with(|shared, now| {
-            contents.iter().for_each(|content| shared.quarantine.request_completed(*content, now));
+            digests.iter().for_each(|digest| shared.quarantine.request_completed(*digest, now));
         });
     }
 }
 
-/// The refusal of a request that ended too many targets; this attempt has not run unless said otherwise.
+/// Refusal of a request that crashed too many targets; `None` if it is not refused. `may_have_run` says whether this
+/// attempt may have run at a target.
 pub(crate) fn refusal(app: &App, req: &Accepted, may_have_run: bool) -> Option<Refusal> {
     let left = app.hub.with(|shared, now| shared.refused_for(req, now))?;
     app.metrics.request_quarantined(req.service.as_str());
@@ -118,7 +135,8 @@
     Some(if may_have_run { Refusal::Failed } else { Refusal::NotRun { retry_after: left } })
 }
 
-/// Ends once a request is refused that waits for its stages or at a target.
+/// Waits until a request is refused because of a crash that becomes known meanwhile, and returns the refusal. It is raced
+/// against the stages or the target of the request.
 pub(crate) async fn until_refused(app: &App, req: &Accepted, may_have_run: bool) -> Refusal {
     let mut known = app.hub.with(|shared, _| shared.crashes_changed.subscribe());
     loop {
@@ -133,45 +151,46 @@
 }
 
 impl Shared {
-    /// The lifetime of a target to which work is sent now.
+    /// The current lifetime of a target, to which work sent now belongs.
     pub(crate) fn lifetime_of(&self, target: &Target) -> Lifetime {
         self.quarantine.current_lifetime(birth_of(target))
     }
 
-    /// A connection to a target broke under these. A target that is leaving ends by itself.
-    fn note_losses(
+    /// Records that a connection to a target broke under these requests. A leaving target is not counted: it
+    /// exits by itself.
+    fn record_lost_connections(
         &mut self,
-        contents: &[RequestDigest],
+        digests: &[RequestDigest],
         target: &Target,
         lifetime: Lifetime,
         now: Instant,
     ) {
-        let leaves = self.targets.get(&target.id).is_none_or(|known| known.leaving);
-        if !leaves {
-            contents
+        let is_leaving = self.targets.get(&target.id).is_none_or(|known| known.leaving);
+        if !is_leaving {
+            digests
                 .iter()
-                .for_each(|content| self.quarantine.connection_lost(*content, lifetime, now));
+                .for_each(|digest| self.quarantine.connection_lost(*digest, lifetime, now));
         }
     }
 
-    /// For how long a request is refused, for itself or for the pieces of one of its stages.
+    /// How much longer a request is refused, for itself or for the pieces of one of its stages; `None` if it is not.
     fn refused_for(&mut self, req: &Accepted, now: Instant) -> Option<Duration> {
         if !self.quarantine.has_records() {
             return None;
         }
         let pieces = pieces_of(&req.entry, &req.head);
         let stages = (0u32..).zip(pieces).filter(|(_, pieces)| *pieces > 0);
-        let contents = stages.map(|(stage, _)| req.content.for_stage(stage));
+        let digests = stages.map(|(stage, _)| req.content.for_stage(stage));
         let refused = [req.content]
             .into_iter()
-            .chain(contents)
-            .find_map(|content| Some((content, self.quarantine.refused_for(&content, now)?)));
-        let (content, left) = refused?;
-        self.quarantine.note_refusal(&content, now);
+            .chain(digests)
+            .find_map(|digest| Some((digest, self.quarantine.refused_for(&digest, now)?)));
+        let (digest, left) = refused?;
+        self.quarantine.note_refusal(&digest, now);
         Some(left)
     }
 
-    /// Submissions to a pool of this VM whose pieces end their workers.
+    /// Waiting submissions to a pool of this VM whose pieces crash their workers and are refused.
     pub(crate) fn refused_jobs(&self, pool: &ServiceName, now: Instant) -> Vec<JobKey> {
         if !self.quarantine.has_records() {
             return Vec::new();
@@ -183,12 +202,14 @@
         waiting.filter(is_refused).map(|(job, _)| job).collect()
     }
 
+    /// Records the end of a target's lifetime as seen by this VM.
     fn lifetime_ended(&mut self, lifetime: Lifetime, now: Instant) {
         let new = self.quarantine.lifetime_ended(lifetime, now);
         self.announce(&new, "own", now);
     }
 
-    /// A target is gone or was born again, as the platform says or as whoever has its address says.
+    /// Records that a target is gone or was restarted, according to the platform or to the process that now
+    /// has its address.
     pub(crate) fn target_ended(&mut self, target: &Target, now: Instant) {
         if !target.leaving {
             let new = self.quarantine.target_gone(birth_of(target), now);
@@ -196,14 +217,14 @@
         }
     }
 
-    /// Takes what a peer or the store tells.
+    /// Merges crashes received from a peer or the store; `from` is logged.
     pub(crate) fn merge_crashes(&mut self, crashes: &[Crash], from: &str, now: Instant) {
         let new = self.quarantine.merge(crashes, now);
         self.announce(&new, from, now);
     }
 
-    /// Logs what is new, and has it sent to peers at once. With the next heartbeat instead, up to 0.2 s later, six
-    /// targets ended within 0.6 s under one request that returned each 0.1 s (soak, seed 503).
+    /// Logs new crashes and has them sent to peers at once. If they waited for the next heartbeat, up to 0.2 s later, a
+    /// request that is retried every 0.1 s could crash six targets within 0.6 s before all VMs refuse it.
     fn announce(&self, new: &[Crash], from: &str, now: Instant) {
         if !new.is_empty() {
             self.crashes_changed.send_replace(());
--- a/gateway/src/hall_reachability.rs
+++ b/gateway/src/hall_reachability.rs
@@ -1,6 +1,7 @@
-//! Which data halls this VM reaches. A hall whose VMs all fell silent is asked over TCP: if none of
-//! the targets tried there takes a connection, the hall counts as out of reach, and nothing is sent
-//! there until one does. Without this each of a hall's targets has to fail by itself, at every VM.
+//! Detects data halls that this VM can't reach. If heartbeats from all VMs of a hall stop, a few of its
+//! targets are probed over TCP. If none accepts a connection, the hall counts as unreachable and receives
+//! no work until a probe succeeds or its VMs are heard again. Without this, every VM would have to see each
+//! of the hall's targets fail separately.
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -18,77 +19,86 @@
 use crate::halls::recheck_pools;
 use crate::hub::now;
 
-/// Targets of a hall that are asked at once: one of them may be gone by itself.
-const ASKED: usize = 2;
-/// After an answer a hall that stays silent is not asked again for this long.
-const TRUSTED: Duration = Duration::from_secs(1);
+/// Targets of a hall that are probed at once; more than one, since a single target may be gone by itself.
+const PROBED_TARGETS: usize = 2;
+/// Time after a successful probe in which a hall that stays silent is not probed again.
+const PROBE_VALIDITY: Duration = Duration::from_secs(1);
 
-/// Keeps the list of halls out of reach for as long as the process runs.
+/// Keeps the set of unreachable halls up to date for as long as the process runs.
 pub(crate) async fn monitor(app: Rc<App>) {
-    let mut looks = interval(HEARTBEAT_INTERVAL);
-    looks.set_missed_tick_behavior(MissedTickBehavior::Delay);
-    let mut answered: BTreeMap<HallName, Instant> = BTreeMap::new();
+    let mut ticks = interval(HEARTBEAT_INTERVAL);
+    ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
+    let mut reached_at: BTreeMap<HallName, Instant> = BTreeMap::new();
     loop {
-        looks.tick().await;
+        ticks.tick().await;
         let silent = app.hub.with(|shared, now| shared.fleet.silent_halls(now));
-        let out = app.unreachable_halls.borrow().clone();
-        for hall in out.difference(&silent) {
-            tell(&app, hall, false, "its VMs are heard");
+        let unreachable = app.unreachable_halls.borrow().clone();
+        for hall in unreachable.difference(&silent) {
+            set_reachability(&app, hall, false, "heartbeat from one of its VMs");
         }
-        let trusted = |hall: &HallName| answered.get(hall).is_some_and(|at| now() - *at < TRUSTED);
-        let mut asked = JoinSet::new();
-        for hall in silent.into_iter().filter(|hall| !trusted(hall)) {
+        let is_recent =
+            |hall: &HallName| reached_at.get(hall).is_some_and(|at| now() - *at < PROBE_VALIDITY);
+        let mut probes = JoinSet::new();
+        for hall in silent.into_iter().filter(|hall| !is_recent(hall)) {
             let app = Rc::clone(&app);
-            asked.spawn_local(async move { (takes_connections(&app, &hall).await, hall) });
+            probes.spawn_local(async move { (accepts_connections(&app, &hall).await, hall) });
         }
-        while let Some(Ok((takes, hall))) = asked.join_next().await {
-            if takes {
-                answered.insert(hall.clone(), now());
+        while let Some(Ok((accepts, hall))) = probes.join_next().await {
+            if accepts {
+                reached_at.insert(hall.clone(), now());
             }
-            if takes == out.contains(&hall) {
-                let why = if takes { "a target took a connection" } else { "no target answers" };
-                tell(&app, &hall, !takes, why);
+            if accepts == unreachable.contains(&hall) {
+                let why = if accepts {
+                    "a target accepted a connection"
+                } else {
+                    "no probed target accepted a connection"
+                };
+                set_reachability(&app, &hall, !accepts, why);
             }
         }
     }
 }
 
-/// Whether some target of a hall takes a connection.
-async fn takes_connections(app: &App, hall: &HallName) -> bool {
-    let mut asked = JoinSet::new();
-    for address in app.hub.with(|shared, _| shared.targets.sample_of_hall(hall, ASKED)) {
-        asked.spawn_local(connect(address));
+/// Whether at least one probed target of a hall accepts a TCP connection.
+async fn accepts_connections(app: &App, hall: &HallName) -> bool {
+    let mut probes = JoinSet::new();
+    for address in app.hub.with(|shared, _| shared.targets.sample_of_hall(hall, PROBED_TARGETS)) {
+        probes.spawn_local(connect(address));
     }
-    while let Some(connected) = asked.join_next().await {
+    while let Some(connected) = probes.join_next().await {
         if matches!(connected, Ok(Ok(_))) {
             return true;
         }
     }
-    // A hall without targets has nothing that could be sent there.
+    // A hall without targets counts as unreachable: nothing could be sent there anyway.
     false
 }
 
-fn tell(app: &Rc<App>, hall: &HallName, is_out: bool, why: &str) {
-    if is_out {
+/// Logs a change of a hall's reachability and applies it.
+fn set_reachability(app: &Rc<App>, hall: &HallName, is_unreachable: bool, why: &str) {
+    if is_unreachable {
         warn!(app.log, "hall out of reach"; "hall" => %hall, "why" => why);
     } else {
         info!(app.log, "hall within reach"; "hall" => %hall, "why" => why);
     }
-    app.unreachable_halls.send_modify(|out| {
-        if is_out {
-            out.insert(hall.clone());
+    app.unreachable_halls.send_modify(|halls| {
+        if is_unreachable {
+            halls.insert(hall.clone());
         } else {
-            out.remove(hall);
+            halls.remove(hall);
         }
     });
-    let out = app.unreachable_halls.borrow().clone();
-    app.hub.with(|shared, _| shared.set_unreachable_halls(out));
+    let unreachable = app.unreachable_halls.borrow().clone();
+    app.hub.with(|shared, _| shared.set_unreachable_halls(unreachable));
     recheck_pools(app);
 }
 
-/// Ends when a hall is out of reach.
-pub(crate) async fn until_unreachable(out: &mut Receiver<UnreachableHalls>, hall: &HallName) {
-    if out.wait_for(|out| out.contains(hall)).await.is_err() {
+/// Waits until a hall is unreachable; returns at once if it already is.
+pub(crate) async fn until_unreachable(
+    unreachable: &mut Receiver<UnreachableHalls>,
+    hall: &HallName,
+) {
+    if unreachable.wait_for(|halls| halls.contains(hall)).await.is_err() {
         // The process is ending.
         std::future::pending::<()>().await;
     }
--- a/gateway/src/halls.rs
+++ b/gateway/src/halls.rs
@@ -1,5 +1,5 @@
-//! Which targets may be sent work, as far as data halls and cold starts decide: what operators and
-//! this VM's own observations say is put together here and told to whoever chooses.
+//! Eligibility of targets by data hall and by cold start. Combines evacuations declared by operators with
+//! the halls that this VM finds unreachable, and passes the result to target selection and to the pools.
 
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -17,18 +17,18 @@
 use crate::stages::pieces_of;
 use crate::tries::NO_TARGET_WAIT;
 
-/// Key by which VMs agree on who sends to a cold target.
+/// Rendezvous-hashing key by which all VMs determine the same senders for a cold target.
 fn sender_key(target: &Target) -> String {
     format!("cold {}", target.id)
 }
 
 impl Shared {
-    /// Takes that operators take a hall's targets out of service.
+    /// Applies an evacuation: operators take a hall's targets out of service.
     pub(crate) fn apply_evacuation(&mut self, key: &str, value: &[u8], from: &str, now: Instant) {
         match (self.adapter.intents.evacuation)(key, value) {
             Ok(hall) => self.evacuate(hall, from, now),
             Err(e) => {
-                warn!(self.log, "evacuation left out"; "key" => key, "from" => from, "why" => %e);
+                warn!(self.log, "evacuation entry ignored"; "key" => key, "from" => from, "why" => %e);
             }
         }
     }
@@ -37,7 +37,7 @@
         if !self.halls.evacuate(hall.clone()) {
             return;
         }
-        self.spread_halls();
+        self.propagate_halls();
         let targets = self.targets.of_hall(&hall).count();
         let closed =
             self.closed_services(now).map(ServiceName::as_str).collect::<Vec<_>>().join(",");
@@ -45,8 +45,8 @@
             "services_closed" => closed, "from" => from, "as_of" => self.view.as_of());
     }
 
-    /// Takes that a hall is back in service. Its targets may have turned cold meanwhile, and their word
-    /// on that may still be on its way: they are taken to be cold for as long as a start lasts.
+    /// Ends an evacuation: the hall is back in service. Its targets may have become cold meanwhile and their
+    /// reports of it may still be in transit, so they are treated as cold for the length of a start.
     pub(crate) fn end_evacuation(&mut self, key: &str, from: &str, now: Instant) {
         let prefix = self.adapter.intents.evacuations_prefix;
         let Some(Ok(hall)) = key.strip_prefix(prefix).map(HallName::new) else { return };
@@ -54,35 +54,35 @@
             return;
         }
         if let Some(intent) = self.intent.clone() {
-            let lasts = |service: &ServiceName| Some(intent.services.get(service)?.cold?.lasts);
-            self.targets.assume_cold(&hall, lasts, now);
+            let cold_time = |service: &ServiceName| Some(intent.services.get(service)?.cold?.lasts);
+            self.targets.assume_cold(&hall, cold_time, now);
         }
-        self.spread_halls();
+        self.propagate_halls();
         info!(self.log, "hall taken back"; "hall" => %hall, "from" => from,
             "targets" => self.targets.of_hall(&hall).count(), "as_of" => self.view.as_of());
     }
 
-    /// Halls are out of reach, or within it again.
-    pub(crate) fn set_unreachable_halls(&mut self, out: UnreachableHalls) {
-        self.halls.set_out_of_reach(out.clone());
-        self.fleet.unreachable_halls = out;
-        self.spread_halls();
+    /// Replaces the set of unreachable halls.
+    pub(crate) fn set_unreachable_halls(&mut self, unreachable: UnreachableHalls) {
+        self.halls.set_out_of_reach(unreachable.clone());
+        self.fleet.unreachable_halls = unreachable;
+        self.propagate_halls();
     }
 
-    /// Tells all who choose targets which halls are used how.
-    fn spread_halls(&mut self) {
+    /// Passes the state of the halls to target selection and to all pools.
+    fn propagate_halls(&mut self) {
         self.eligibility_changed = true;
         self.targets.set_halls(self.halls.clone());
         self.pools.values_mut().for_each(|pool| pool.set_halls(self.halls.clone()));
     }
 
-    /// Works out what this VM may send to each cold target.
+    /// Recomputes how many requests per second this VM may send to each cold target.
     pub(crate) fn update_cold_shares(&mut self, now: Instant) {
         let Some(intent) = self.intent.clone() else { return };
         let (fleet, margin) = (&self.fleet, self.cold_margin);
         let vms = fleet.size();
         let share = |target: &Target, targets: usize| {
-            // A service without a rate has no cold targets.
+            // A service without a cold rate has no cold targets.
             let service = intent.services.get(&target.service);
             let Some(cold) = service.and_then(|service| service.cold) else { return u32::MAX };
             let (overshoot, slack) = (margin.overshoot, margin.slack);
@@ -94,14 +94,14 @@
         self.cold_targets = self.targets.update_cold_shares(share, now);
     }
 
-    /// Services all of whose targets leave or are out of service, so that nothing can be run there.
+    /// Services that have targets, all of which are leaving or out of service, so that nothing can run on them.
     fn closed_services(&self, now: Instant) -> impl Iterator<Item = &ServiceName> {
         let services = self.intent.iter().flat_map(|intent| intent.services.keys());
         services.filter(move |service| self.targets.is_closed(service, now))
     }
 
-    /// When to come back with a request that needs a service none of whose targets may be sent work while
-    /// the request lasts; `None` if it may be served.
+    /// Retry delay for a request that needs a service whose targets accept no work before the request's
+    /// deadline; `None` if the request may be served.
     pub(crate) fn closed_retry_after(&self, req: &Accepted, now: Instant) -> Option<Duration> {
         let stages = req.entry.stages.iter().zip(pieces_of(&req.entry, &req.head));
         let pools = stages.filter(|(_, pieces)| *pieces > 0).map(|(stage, _)| &stage.pool);
@@ -114,8 +114,9 @@
         pools.chain([&req.service]).filter_map(closed).max()
     }
 
-    /// The part to which pieces go that are wanted in one: that one, or another if all of its workers
-    /// are out of service, leave or want to be left alone.
+    /// The part of a pool that receives pieces meant for part `wanted`: `wanted` itself, or the first other part
+    /// with an eligible worker if all of its workers are out of service, leaving or backing off. Falls back
+    /// to `wanted` if no part has one.
     pub(crate) fn open_part(
         &self,
         pool: &ServiceName,
@@ -138,8 +139,8 @@
     }
 }
 
-/// Looks at the pools again if targets may be chosen otherwise than before: what waits for workers that are
-/// all out of service, or leave, is told so at once.
+/// Fills the calls of all pools again if the eligibility of targets changed, so that pieces whose workers are all
+/// out of service or leaving are rejected at once.
 pub(crate) fn recheck_pools(app: &Rc<App>) {
     let pools: Vec<ServiceName> = app.hub.with(|shared, _| {
         let changed = std::mem::take(&mut shared.eligibility_changed);
--- a/gateway/src/http_endpoints.rs
+++ b/gateway/src/http_endpoints.rs
@@ -71,13 +71,13 @@
 }
 
 fn release(app: &Rc<App>, path: &str) -> (StatusCode, String) {
-    let Some(content) = path.strip_prefix(RELEASE).and_then(RequestDigest::parse) else {
+    let Some(digest) = path.strip_prefix(RELEASE).and_then(RequestDigest::parse) else {
         return (
             StatusCode::BAD_REQUEST,
             "expected a request digest of 32 hexadecimal digits\n".to_owned(),
         );
     };
-    if stored_refusals::release(app, content) {
+    if stored_refusals::release(app, digest) {
         (StatusCode::OK, "released\n".to_owned())
     } else {
         (StatusCode::NOT_FOUND, "no crashes are recorded for this request\n".to_owned())
@@ -114,11 +114,11 @@
 
 /// Targets that announced their departure in an answer, for the state dump.
 fn departures(shared: &Shared, now: Instant) -> Vec<Value> {
-    let entry = |Departure { lifetime, announced_at }: Departure| {
+    let entry = |Departure { lifetime, announced_at: at }: Departure| {
         json!({
             "target": lifetime.target.as_str(),
             "born": lifetime.born,
-            "said_ms": now.saturating_duration_since(announced_at).as_millis() as u64,
+            "said_ms": now.saturating_duration_since(at).as_millis() as u64,
         })
     };
     shared.departures.all().map(entry).collect()
--- a/gateway/src/pool_log.rs
+++ b/gateway/src/pool_log.rs
@@ -51,7 +51,7 @@
     });
 }
 
-/// Logs the use of room of each pool in which this VM has work or results.
+/// Logs the use of room of each pool of this VM that has waiting pieces or calls in progress.
 fn log_room_use(app: &App) {
     let rooms: Vec<(ServiceName, RoomUse, usize)> = app.hub.with(|shared, now| {
         let busy = shared.pools.iter().filter(|(_, pool)| !pool.is_idle());
--- a/gateway/src/shared.rs
+++ b/gateway/src/shared.rs
@@ -248,8 +248,9 @@
         let as_of = self.view.as_of();
         match (self.adapter.intents.intent)(value) {
             Ok(intent) => {
-                let in_force = self.intent.as_ref().filter(|have| have.version >= intent.version);
-                if let Some(have) = in_force {
+                let at_least_as_new =
+                    self.intent.as_ref().filter(|have| have.version >= intent.version);
+                if let Some(have) = at_least_as_new {
                     warn!(self.log, "configuration kept out"; "version" => intent.version,
                         "in_force" => have.version, "from" => from, "why" => "not newer");
                     return;
--- a/gateway/src/stored_refusals.rs
+++ b/gateway/src/stored_refusals.rs
@@ -1,4 +1,5 @@
-//! Refused requests in the platform's store: a fleet that loses power as a whole finds there whom to refuse.
+//! Persists refused requests (those that crash targets) in the platform's store, so that a fleet whose VMs all lose
+//! power still refuses them after the restart.
 
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -17,20 +18,20 @@
 use crate::store::unreadable;
 use crate::store_connection::{Miss, StoreConnection};
 
-/// Pause between two looks at what is to be written into the store: peers hear of it by links.
-const WRITE_LOOK: Duration = Duration::from_millis(500);
-/// Pause between two looks at what is to be forgotten.
-const FORGET_LOOK: Duration = Duration::from_secs(10);
-/// Longest lease that the platform grants.
-const LONGEST_LEASE: Duration = Duration::from_secs(600);
+/// Interval at which refused requests are written to the store; peers hear of them sooner, over links.
+const WRITE_INTERVAL: Duration = Duration::from_millis(500);
+/// Interval at which expired records are removed.
+const EXPIRY_INTERVAL: Duration = Duration::from_secs(10);
+/// Longest lease that the platform grants; longer ones are capped to it.
+const MAX_LEASE: Duration = Duration::from_secs(600);
 
-/// Start of the keys under which refused requests stand, after the prefix of what this system writes.
-const KEYS: &str = "quarantine/";
+/// Prefix of the keys of refused requests, below this system's own prefix.
+const KEY_PREFIX: &str = "quarantine/";
 
-/// What the store holds of a refused request.
+/// Value of a refused request in the store, as JSON.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 struct StoredRefusal {
-    /// Lifetimes of targets that it ended, as text; none if it was released.
+    /// Lifetimes of targets that it crashed, as text; empty if an operator released it.
     ended: Vec<String>,
 }
 
@@ -39,42 +40,41 @@
         StoredRefusal { ended: refused.ended.iter().map(ToString::to_string).collect() }
     }
 
-    /// Whether this says all that the other one does.
+    /// Whether this contains all lifetimes of the other one.
     fn covers(&self, other: &StoredRefusal) -> bool {
         other.ended.iter().all(|ended| self.ended.contains(ended))
     }
 }
 
 impl Shared {
-    /// Takes what the store tells under this system's own prefix, if it is a refused request.
+    /// Applies an entry under this system's own prefix if it is a refused request; false if it is something else.
     pub(crate) fn apply_stored_refusal(&mut self, key: &str, value: &[u8], now: Instant) -> bool {
-        let prefix = keys_prefix(self);
-        let Some(content) = key.strip_prefix(&prefix) else { return false };
+        let prefix = key_prefix(self);
+        let Some(request) = key.strip_prefix(&prefix) else { return false };
         let stored: Result<StoredRefusal, _> = serde_json::from_slice(value);
-        let (Some(content), Ok(stored)) = (RequestDigest::parse(content), stored) else {
-            warn!(self.log, "refused request's entry left out"; "key" => key);
+        let (Some(request), Ok(stored)) = (RequestDigest::parse(request), stored) else {
+            warn!(self.log, "refused request entry ignored"; "key" => key);
             return true;
         };
         let lifetimes = stored.ended.iter().filter_map(|text| Lifetime::parse(text));
         let crashes: Vec<Crash> =
-            lifetimes.map(|lifetime| Crash { digest: content, lifetime, cleared: false }).collect();
+            lifetimes.map(|lifetime| Crash { digest: request, lifetime, cleared: false }).collect();
         self.merge_crashes(&crashes, "store", now);
-        self.quarantine.renew(&content, now);
+        self.quarantine.renew(&request, now);
         true
     }
 }
 
-/// Writes refused requests into the store, which keeps them when all VMs lose power, and forgets what is
-/// over; for as long as the process runs.
+/// Writes refused requests to the store and removes expired records, for as long as the process runs.
 pub(crate) async fn run(app: Rc<App>) {
     let mut store = StoreConnection::new(&app);
-    let mut looks = interval(WRITE_LOOK);
-    looks.set_missed_tick_behavior(MissedTickBehavior::Delay);
-    let mut forgot = hub::now();
+    let mut ticks = interval(WRITE_INTERVAL);
+    ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
+    let mut last_expiry = hub::now();
     loop {
-        let now = looks.tick().await.into_std();
-        if now.saturating_duration_since(forgot) > FORGET_LOOK {
-            forgot = now;
+        let now = ticks.tick().await.into_std();
+        if now.saturating_duration_since(last_expiry) > EXPIRY_INTERVAL {
+            last_expiry = now;
             app.hub.with(|shared, now| shared.quarantine.remove_expired(now));
         }
         if !*app.store_reachable.borrow() {
@@ -83,13 +83,14 @@
         let unwritten = app.hub.with(|shared, now| shared.quarantine.unwritten(now));
         for refused in unwritten {
             if let Err(why) = write(&app, &mut store, &refused).await {
-                debug!(app.log, "refused request not written"; "why" => %why);
+                debug!(app.log, "writing refused request failed"; "why" => %why);
                 break;
             }
         }
     }
 }
 
+/// Writes a refused request to the store, unless the store already holds all of its crashes.
 async fn write(
     app: &App,
     store: &mut StoreConnection,
@@ -97,27 +98,28 @@
 ) -> Result<(), Miss> {
     let key = app.hub.with(|shared, _| key_of(shared, &refused.digest));
     let known = StoredRefusal::of(refused);
-    let stands = app.hub.with(|shared, _| {
+    let is_stored = app.hub.with(|shared, _| {
         let stored = shared.view.get(&key).and_then(|value| serde_json::from_slice(value).ok());
         stored.is_some_and(|stored: StoredRefusal| stored.covers(&known))
     });
-    if !stands {
+    if !is_stored {
         put(app, store, &key, &known).await?;
     }
     app.hub.with(|shared, _| shared.quarantine.mark_written(&refused.digest));
     Ok(())
 }
 
+/// Puts a refused request into the store under a new lease, after which the store deletes it.
 async fn put(
     app: &App,
     store: &mut StoreConnection,
     key: &str,
     stored: &StoredRefusal,
 ) -> Result<(), Miss> {
-    let lasts = app.cfg.quarantine.duration().min(LONGEST_LEASE);
-    let body = store.call("lease", (app.adapter.store.lease)(lasts), Duration::ZERO).await?;
+    let ttl = app.cfg.quarantine.duration().min(MAX_LEASE);
+    let body = store.call("lease", (app.adapter.store.lease)(ttl), Duration::ZERO).await?;
     let lease = (app.adapter.store.read_lease)(&body).map_err(unreadable)?;
-    // A plain struct of texts always serializes.
+    // A struct of strings always serializes.
     let value = Bytes::from(serde_json::to_vec(stored).unwrap_or_default());
     let write = Write { key: key.to_owned(), value, lease: lease.id };
     store.call("write", (app.adapter.store.put)(&write), Duration::ZERO).await?;
@@ -126,28 +128,30 @@
     Ok(())
 }
 
-/// Releases a request by an operator's word; false if nothing is known of it.
-pub(crate) fn release(app: &Rc<App>, content: RequestDigest) -> bool {
-    let known = app.hub.with(|shared, now| shared.quarantine.clear(&content, now));
+/// Releases a refused request on behalf of an operator; false if no crashes count against it. The store's entry is
+/// overwritten with an empty one in the background.
+pub(crate) fn release(app: &Rc<App>, digest: RequestDigest) -> bool {
+    let known = app.hub.with(|shared, now| shared.quarantine.clear(&digest, now));
     if known {
-        warn!(app.log, "refused request released"; "content" => %content);
+        warn!(app.log, "refused request released"; "content" => %digest);
         let app = Rc::clone(app);
         spawn_local(async move {
-            let key = app.hub.with(|shared, _| key_of(shared, &content));
+            let key = app.hub.with(|shared, _| key_of(shared, &digest));
             let mut store = StoreConnection::new(&app);
             let none = StoredRefusal { ended: Vec::new() };
             if let Err(why) = put(&app, &mut store, &key, &none).await {
-                warn!(app.log, "refused request still in the store"; "key" => key, "why" => %why);
+                warn!(app.log, "clearing refused request in the store failed"; "key" => key,
+                    "why" => %why);
             }
         });
     }
     known
 }
 
-fn keys_prefix(shared: &Shared) -> String {
-    format!("{}{KEYS}", shared.adapter.intents.own_prefix)
+fn key_prefix(shared: &Shared) -> String {
+    format!("{}{KEY_PREFIX}", shared.adapter.intents.own_prefix)
 }
 
-fn key_of(shared: &Shared, content: &RequestDigest) -> String {
-    format!("{}{content}", keys_prefix(shared))
+fn key_of(shared: &Shared, digest: &RequestDigest) -> String {
+    format!("{}{digest}", key_prefix(shared))
 }
--- a/gateway/tests/events.rs
+++ b/gateway/tests/events.rs
@@ -1,4 +1,4 @@
-//! A stream is split into whole events, however its bytes come.
+//! `Splitter` yields complete events of an event stream, wherever the bytes are divided into chunks.
 
 use gateway::events::Splitter;
 
@@ -6,25 +6,25 @@
     b"id: 1\ndata: a\n\nweight-versions: 2\nid: 2\ndata: b\n\nid: 3\r\ndata: c\r\n\r\n";
 
 #[test]
-fn events_come_out_whole_wherever_the_bytes_are_cut() {
-    for cut in 0..STREAM.len() {
+fn events_are_complete_for_every_chunk_boundary() {
+    for boundary in 0..STREAM.len() {
         let mut splitter = Splitter::default();
         let mut events = Vec::new();
-        for part in [&STREAM[..cut], &STREAM[cut..]] {
-            splitter.push(part);
+        for chunk in [&STREAM[..boundary], &STREAM[boundary..]] {
+            splitter.push(chunk);
             events.extend(std::iter::from_fn(|| splitter.next_event()));
         }
 
         let ids: Vec<Option<u64>> = events.iter().map(|event| event.id).collect();
         let bytes: Vec<u8> = events.iter().flat_map(|event| event.bytes.to_vec()).collect();
-        assert_eq!(ids, [Some(1), Some(2), Some(3)], "cut at {cut}");
-        assert_eq!(bytes, STREAM, "cut at {cut}");
+        assert_eq!(ids, [Some(1), Some(2), Some(3)], "chunk boundary at byte {boundary}");
+        assert_eq!(bytes, STREAM, "chunk boundary at byte {boundary}");
         assert!(!splitter.has_rest());
     }
 }
 
 #[test]
-fn what_is_no_whole_event_stays_behind() {
+fn an_incomplete_event_stays_in_the_splitter() {
     let mut splitter = Splitter::default();
     splitter.push(b"id: 1\ndata: a\n\nid: 2\nda");
 
--- a/gateway/tests/settings.rs
+++ b/gateway/tests/settings.rs
@@ -1,6 +1,6 @@
-//! Settings are checked with the place of what can't be taken.
+//! Parsing and checking of the settings file: defaults, ranges, and errors that name the invalid key.
 
-// A fixture that can't be set up fails its test.
+// A failed `unwrap` fails the test.
 #![allow(clippy::unwrap_used)]
 
 use gateway::settings::parse;
@@ -15,7 +15,7 @@
 ";
 
 #[test]
-fn defaults_fill_what_is_left_out() {
+fn missing_keys_get_defaults() {
     let cfg = parse(GOOD).unwrap();
 
     assert_eq!(cfg.vm.as_str(), "front-1");
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn changes_are_in_force_within_the_shorter_of_two_bounds_and_cold_margins_may_be_left_open() {
+fn in_force_is_the_shorter_of_both_limits_and_empty_cold_margins_get_defaults() {
     let shorter = parse(&format!("{GOOD}in_force_ms: 3000\nevacuation_ms: 1000\n")).unwrap();
     let open = "evacuation_ms: \ncold:\n  overshoot: \n  slack: \n";
     let open = parse(&format!("{GOOD}{open}")).unwrap();
@@ -36,34 +36,34 @@
     assert_eq!((given.cold.overshoot, given.cold.slack), (1.5, 5.0));
 }
 
-fn problem(text: &str) -> String {
+fn error_of(text: &str) -> String {
     parse(text).unwrap_err().to_string()
 }
 
 #[test]
-fn bad_settings_are_refused_with_their_place() {
-    let unknown = problem(&format!("{GOOD}colour: red\n"));
+fn errors_name_the_invalid_key_or_its_line() {
+    let unknown = error_of(&format!("{GOOD}colour: red\n"));
     assert!(unknown.contains("colour"), "{unknown}");
-    let missing = problem(&GOOD.replace("store: 127.0.0.1:8004\n", ""));
+    let missing = error_of(&GOOD.replace("store: 127.0.0.1:8004\n", ""));
     assert!(missing.contains("store"), "{missing}");
-    let twice = problem(&GOOD.replace("8002", "8001"));
+    let twice = error_of(&GOOD.replace("8002", "8001"));
     assert!(twice.contains("ready") && twice.contains("callers"), "{twice}");
-    let no_port = problem(&GOOD.replace("8003", "0"));
+    let no_port = error_of(&GOOD.replace("8003", "0"));
     assert!(no_port.contains("peers"), "{no_port}");
-    let evacuation = problem(&format!("{GOOD}evacuation_ms: 0\n"));
+    let evacuation = error_of(&format!("{GOOD}evacuation_ms: 0\n"));
     assert!(evacuation.contains("evacuation_ms"), "{evacuation}");
-    let overshoot = problem(&format!("{GOOD}cold: {{overshoot: 0.5}}\n"));
+    let overshoot = error_of(&format!("{GOOD}cold: {{overshoot: 0.5}}\n"));
     assert!(overshoot.contains("cold.overshoot"), "{overshoot}");
-    let slack = problem(&format!("{GOOD}cold: {{slack: -1}}\n"));
+    let slack = error_of(&format!("{GOOD}cold: {{slack: -1}}\n"));
     assert!(slack.contains("cold.slack"), "{slack}");
-    let ratio = problem(&format!("{GOOD}repeats: {{ratio: 3}}\n"));
+    let ratio = error_of(&format!("{GOOD}repeats: {{ratio: 3}}\n"));
     assert!(ratio.contains("repeats.ratio"), "{ratio}");
-    let no_address = problem(&GOOD.replace("127.0.0.1:8004", "nowhere"));
-    assert!(no_address.contains("6"), "the line: {no_address}");
+    let no_address = error_of(&GOOD.replace("127.0.0.1:8004", "nowhere"));
+    assert!(no_address.contains("6"), "expected line 6, found: {no_address}");
 }
 
 #[test]
-fn the_deployed_template_holds_known_keys_only() {
+fn the_deployed_template_has_known_keys_only() {
     let template =
         std::fs::read_to_string(concat!(env!("CARGO_MANIFEST_DIR"), "/../deploy/settings.yaml"))
             .unwrap();
@@ -89,5 +89,5 @@
     let cfg = parse(&filled).unwrap();
 
     assert_eq!(cfg.seeds.len(), 2);
-    assert!(!filled.contains("{{"), "a gap that this test does not fill");
+    assert!(!filled.contains("{{"), "template placeholder that this test does not replace");
 }
