--- a/gateway/src/callers.rs
+++ b/gateway/src/callers.rs
@@ -112,7 +112,10 @@
             }
             () = sleep(IDLE_CHECK_INTERVAL) => {
                 let allowed = app.hub.with(|shared, _| {
-                    shared.intent.as_ref().map_or(DEFAULT_IDLE_TIME, |intent| intent.bounds.idle_wait)
+                    shared
+                        .intent
+                        .as_ref()
+                        .map_or(DEFAULT_IDLE_TIME, |intent| intent.bounds.idle_wait)
                 });
                 let is_overdue = now() - idle_since.get() > allowed.mul_f64(IDLE_GRACE_FACTOR);
                 if active.get() == 0 && is_overdue {
--- a/gateway/src/halls.rs
+++ b/gateway/src/halls.rs
@@ -28,7 +28,8 @@
         match (self.adapter.intents.evacuation)(key, value) {
             Ok(hall) => self.evacuate(hall, from, now),
             Err(e) => {
-                warn!(self.log, "evacuation entry ignored"; "key" => key, "from" => from, "why" => %e);
+                warn!(self.log, "evacuation entry ignored"; "key" => key, "from" => from,
+                    "why" => %e);
             }
         }
     }
