--- a/gateway/src/crashes.rs
+++ b/gateway/src/crashes.rs
@@ -135,8 +135,8 @@
     Some(if may_have_run { Refusal::Failed } else { Refusal::NotRun { retry_after: left } })
 }
 
-/// Waits until a request is refused because of a crash that becomes known meanwhile, and returns the refusal. It is raced
-/// against the stages or the target of the request.
+/// Waits until a request is refused because of a crash that becomes known meanwhile, and returns the refusal.
+/// It is raced against the stages or the target of the request.
 pub(crate) async fn until_refused(app: &App, req: &Accepted, may_have_run: bool) -> Refusal {
     let mut known = app.hub.with(|shared, _| shared.crashes_changed.subscribe());
     loop {
