--- a/gateway/src/app.rs
+++ b/gateway/src/app.rs
@@ -41,7 +41,7 @@
     pub(crate) release_notices: RefCell<HashMap<SocketAddr, Vec<Word>>>,
     /// Results held by requests of this VM.
     pub(crate) held: HeldResults,
-    /// Senders to the peers that hold leases on results produced for them by this VM.
+    /// Senders to the peers that hold leases on results produced in this VM's calls.
     pub(crate) lease_links: RefCell<HashMap<LinkKey, ToDialer>>,
     /// Time of the next scheduled queue check of each pool that has one.
     pub(crate) planned_pool_checks: RefCell<HashMap<ServiceName, tokio::time::Instant>>,
--- a/gateway/src/shared.rs
+++ b/gateway/src/shared.rs
@@ -73,7 +73,7 @@
     pub(crate) backoffs: Backoffs,
     /// Rate limits that targets announced.
     pub(crate) rates: RateLimits,
-    /// Unrecognized words in targets' answers, by service.
+    /// Names of unrecognized headers in targets' answers, by service.
     pub(crate) unknown_words: BTreeSet<(ServiceName, String)>,
     /// Token buckets of rate-limited targets that this VM owns.
     pub(crate) token_buckets: TokenBuckets,
@@ -104,7 +104,7 @@
     pub(crate) crashes_changed: watch::Sender<()>,
     /// Targets whose store entries expired around a store outage, and when they count as gone.
     pub(crate) lapsed: HashMap<TargetName, Instant>,
-    /// Leases on results that this VM produced for peers.
+    /// Leases that peers hold on results which workers produced in this VM's calls.
     pub(crate) leases: Leases,
 }
 
