--- a/gateway/src/app.rs
+++ b/gateway/src/app.rs
@@ -19,9 +19,9 @@
 use crate::connections::Connections;
 use crate::held_results::HeldResults;
 use crate::hub::Hub;
-use crate::links::{Link, ToDialer};
-use crate::piece_news::Sink;
-use crate::releases::Word;
+use crate::outbound_links::{DialerSender, Link};
+use crate::piece_events::Sink;
+use crate::releases::QueuedRelease;
 use crate::settings::Settings;
 
 /// Context shared by all tasks through an `Rc`; they run on one thread.
@@ -38,11 +38,11 @@
     pub(crate) sinks: RefCell<BTreeMap<(ServiceName, JobKey), Sink>>,
     /// Releases of results still to be sent, by worker address. An entry exists while a task is
     /// sending to that worker.
-    pub(crate) release_notices: RefCell<HashMap<SocketAddr, Vec<Word>>>,
+    pub(crate) release_notices: RefCell<HashMap<SocketAddr, Vec<QueuedRelease>>>,
     /// Results held by requests of this VM.
     pub(crate) held: HeldResults,
     /// Senders to the peers that hold leases on results produced in this VM's calls.
-    pub(crate) lease_links: RefCell<HashMap<LinkKey, ToDialer>>,
+    pub(crate) lease_links: RefCell<HashMap<LinkKey, DialerSender>>,
     /// Time of the next scheduled queue check of each pool that has one.
     pub(crate) planned_pool_checks: RefCell<HashMap<ServiceName, tokio::time::Instant>>,
     /// Peer addresses to which links should exist.
--- a/gateway/src/crashes.rs
+++ b/gateway/src/crashes.rs
@@ -15,11 +15,11 @@
 use tokio::time::sleep;
 
 use crate::app::App;
+use crate::attempts::Attempt;
 use crate::connections;
-use crate::requests::Accepted;
+use crate::requests::AcceptedRequest;
 use crate::shared::Shared;
 use crate::stages::pieces_of;
-use crate::tries::Try;
 
 /// Time limit of the first probe of a target whose connection broke. The next try waits for it, and the delay
 /// between halls is a few milliseconds. Without this wait, a request is sent once more before its last crash
@@ -33,8 +33,8 @@
 
 /// Checks whether a target has crashed after its connection broke under a request, before or during its
 /// answer.
-pub(crate) async fn check_broken_connection(app: &Rc<App>, req: &Accepted, a_try: &Try) {
-    check_target(app, &[req.content], &a_try.pick.target, a_try.lifetime).await;
+pub(crate) async fn check_broken_connection(app: &Rc<App>, req: &AcceptedRequest, attempt: &Attempt) {
+    check_target(app, &[req.digest], &attempt.pick.target, attempt.lifetime).await;
 }
 
 /// Checks whether a worker has crashed after its connection broke under a call; `digests` are the request
@@ -98,8 +98,8 @@
 }
 
 /// Records that a target completed a request.
-pub(crate) fn request_completed(app: &App, req: &Accepted) {
-    app.hub.with(|shared, now| shared.quarantine.request_completed(req.content, now));
+pub(crate) fn request_completed(app: &App, req: &AcceptedRequest) {
+    app.hub.with(|shared, now| shared.quarantine.request_completed(req.digest, now));
 }
 
 /// Digests of the stages of requests to which the pieces of a call belong, without duplicates.
@@ -127,17 +127,17 @@
 
 /// Refusal of a request that crashed too many targets; `None` if it is not refused. `may_have_run` says whether this
 /// attempt may have run at a target.
-pub(crate) fn refusal(app: &App, req: &Accepted, may_have_run: bool) -> Option<Refusal> {
+pub(crate) fn refusal(app: &App, req: &AcceptedRequest, may_have_run: bool) -> Option<Refusal> {
     let left = app.hub.with(|shared, now| shared.refused_for(req, now))?;
     app.metrics.request_quarantined(req.service.as_str());
     info!(app.log, "request refused as one that ends targets"; "request" => %req.id,
-        "content" => %req.content, "left_ms" => left.as_millis());
+        "content" => %req.digest, "left_ms" => left.as_millis());
     Some(if may_have_run { Refusal::Failed } else { Refusal::NotRun { retry_after: left } })
 }
 
 /// Waits until a request is refused because of a crash that becomes known meanwhile, and returns the refusal.
 /// It is raced against the stages or the target of the request.
-pub(crate) async fn until_refused(app: &App, req: &Accepted, may_have_run: bool) -> Refusal {
+pub(crate) async fn until_refused(app: &App, req: &AcceptedRequest, may_have_run: bool) -> Refusal {
     let mut known = app.hub.with(|shared, _| shared.crashes_changed.subscribe());
     loop {
         // The sender lives as long as the shared state.
@@ -174,14 +174,14 @@
     }
 
     /// How much longer a request is refused, for itself or for the pieces of one of its stages; `None` if it is not.
-    fn refused_for(&mut self, req: &Accepted, now: Instant) -> Option<Duration> {
+    fn refused_for(&mut self, req: &AcceptedRequest, now: Instant) -> Option<Duration> {
         if !self.quarantine.has_records() {
             return None;
         }
         let pieces = pieces_of(&req.entry, &req.head);
         let stages = (0u32..).zip(pieces).filter(|(_, pieces)| *pieces > 0);
-        let digests = stages.map(|(stage, _)| req.content.for_stage(stage));
-        let refused = [req.content]
+        let digests = stages.map(|(stage, _)| req.digest.for_stage(stage));
+        let refused = [req.digest]
             .into_iter()
             .chain(digests)
             .find_map(|digest| Some((digest, self.quarantine.refused_for(&digest, now)?)));
--- a/gateway/src/pool_log.rs
+++ b/gateway/src/pool_log.rs
@@ -12,7 +12,7 @@
 use tokio::time::{Instant, MissedTickBehavior, interval};
 
 use crate::app::App;
-use crate::owners::name_of;
+use crate::owner_selection::owner_name;
 
 /// Interval between two log lines on a pool's room. A burst can fill the room within a few seconds.
 const ROOM_LOG_INTERVAL: Duration = Duration::from_secs(1);
@@ -39,13 +39,13 @@
 fn log_owner_changes(app: &App, owners: &mut HashMap<ServiceName, Owner>) {
     app.hub.with(|shared, now| {
         for pool in shared.pools.keys() {
-            let owner = shared.owner_near(pool, None, now);
+            let owner = shared.preferred_owner(pool, None, now);
             if owners.get(pool) == Some(&owner) {
                 continue;
             }
             let passed_over = shared.owners_passed_over(pool, now);
-            info!(app.log, "pool owner"; "pool" => %pool, "owner" => name_of(&owner),
-                "before" => owners.get(pool).map(name_of), "passed_over" => passed_over.join(","));
+            info!(app.log, "pool owner"; "pool" => %pool, "owner" => owner_name(&owner),
+                "before" => owners.get(pool).map(owner_name), "passed_over" => passed_over.join(","));
             owners.insert(pool.clone(), owner);
         }
     });
--- a/gateway/src/run.rs
+++ b/gateway/src/run.rs
@@ -25,10 +25,7 @@
 use crate::hub::{Hub, now};
 use crate::settings::Settings;
 use crate::shared::Shared;
-use crate::{
-    accepted_links, callers, dials, hall_reachability, http_endpoints, logs, news, own_entry,
-    pool_log, releases, settings, shutdown, store, stored_refusals,
-};
+use crate::{callers, hall_reachability, http_endpoints, inbound_links, link_dialer, logs, own_entry, peer_sync, pool_log, releases, settings, shutdown, store_watch, stored_refusals};
 
 /// Interval between two sweeps for idle connections to targets.
 const IDLE_SWEEP_INTERVAL: Duration = Duration::from_secs(1);
@@ -92,15 +89,15 @@
     }
     spawn_local(http_endpoints::serve(Rc::clone(app), ready_listener));
     spawn_local(callers::accept(Rc::clone(app), callers_listener));
-    spawn_local(accepted_links::accept(Rc::clone(app), peers_listener));
-    spawn_local(dials::dial_all(Rc::clone(app)));
+    spawn_local(inbound_links::accept(Rc::clone(app), peers_listener));
+    spawn_local(link_dialer::maintain_links(Rc::clone(app)));
     spawn_local(hall_reachability::monitor(Rc::clone(app)));
-    spawn_local(store::follow(Rc::clone(app)));
-    spawn_local(own_entry::keep(Rc::clone(app)));
-    spawn_local(news::follow(Rc::clone(app)));
+    spawn_local(store_watch::follow(Rc::clone(app)));
+    spawn_local(own_entry::maintain(Rc::clone(app)));
+    spawn_local(peer_sync::follow(Rc::clone(app)));
     spawn_local(pool_log::run(Rc::clone(app)));
     spawn_local(stored_refusals::run(Rc::clone(app)));
-    spawn_local(releases::take_over(Rc::clone(app)));
+    spawn_local(releases::release_ended_leases(Rc::clone(app)));
     spawn_local(close_idle_connections(Rc::clone(app)));
     info!(app.log, "started"; "callers" => %cfg.callers, "peers" => %cfg.peers,
         "store" => %cfg.store, "hall" => %cfg.hall, "policy" => ?cfg.policy);
@@ -154,7 +151,7 @@
     let mut ticks = interval(IDLE_SWEEP_INTERVAL);
     loop {
         ticks.tick().await;
-        app.connections.close_old();
+        app.connections.close_expired();
     }
 }
 
--- a/gateway/src/shared.rs
+++ b/gateway/src/shared.rs
@@ -21,9 +21,9 @@
 use store_view::{Change, Item, StallDetector, StoreContact, View};
 use tokio::sync::watch;
 
+use crate::active_requests::ActiveRequests;
 use crate::admission::Admission;
-use crate::belief::Behind;
-use crate::in_work::Works;
+use crate::configuration_lag::ConfigurationLag;
 use crate::settings::{ColdMargin, Policy, Settings};
 
 /// Estimated time to the first event of a service that has not been observed yet.
@@ -62,7 +62,7 @@
     pub(crate) contact: StoreContact,
     /// Detects that this VM's watch on the store is silent while peers learn of newer changes.
     pub(crate) stall_detector: StallDetector,
-    pub(crate) behind: Behind,
+    pub(crate) behind: ConfigurationLag,
     /// Time within which a configuration change must take effect.
     pub(crate) in_force: Duration,
     /// Times of the shutdown in progress, if any.
@@ -90,7 +90,7 @@
     /// Number of cold targets at the last check.
     pub(crate) cold_targets: usize,
     /// Requests in progress.
-    pub(crate) active_requests: Works,
+    pub(crate) active_requests: ActiveRequests,
     order: Order,
     rules: FleetRetryRules,
     budgets: HashMap<ServiceName, FleetRetryBudget>,
@@ -137,7 +137,7 @@
             own_hall: cfg.hall.clone(),
             contact: StoreContact::default(),
             stall_detector: StallDetector::default(),
-            behind: Behind::default(),
+            behind: ConfigurationLag::default(),
             in_force: cfg.in_force(),
             stop: None,
             departures: Departures::default(),
@@ -151,7 +151,7 @@
             eligibility_changed: false,
             cold_margin: cfg.cold,
             cold_targets: 0,
-            active_requests: Works::default(),
+            active_requests: ActiveRequests::default(),
             order,
             rules: FleetRetryRules {
                 ratio: cfg.repeats.ratio,
@@ -203,7 +203,7 @@
                     self.compare_versions(now);
                 }
                 Change::Put(key, value) if key.starts_with(prefix) => {
-                    self.take_target(&key, &value, from, now);
+                    self.apply_target(&key, &value, from, now);
                     new_targets = true;
                 }
                 Change::Put(key, value) if key.starts_with(evacuations) => {
@@ -215,7 +215,7 @@
                 }
                 Change::Removed(key) => match key.strip_prefix(prefix) {
                     Some(id) => {
-                        self.lost_target(id, from, now);
+                        self.target_entry_removed(id, from, now);
                         new_targets = true;
                     }
                     None => self.apply_own_entry(&key, None, now),
@@ -303,7 +303,7 @@
     /// Addresses of the VMs to which this VM should have links: owners of pools and of token buckets.
     pub(crate) fn wanted_links(&self) -> BTreeSet<SocketAddr> {
         let pools = self.splits.iter().map(|(name, split)| (name.as_str(), split));
-        let (rated, whole) = (self.rated_services(), Split::default());
+        let (rated, whole) = (self.rate_limited_services(), Split::default());
         let accounts = rated.iter().map(|service| (service.as_str(), &whole));
         self.fleet.wanted_links(pools.chain(accounts))
     }
--- a/gateway/src/shutdown.rs
+++ b/gateway/src/shutdown.rs
@@ -8,11 +8,11 @@
 use stopping::{Progress, StopDecision};
 use tokio::time::sleep;
 
+use crate::active_requests::{ActiveRequest, ActiveRequestKey, WaitReason};
 use crate::admission;
 use crate::app::App;
 use crate::hub::now;
-use crate::in_work::{Waits, Work, WorkKey};
-use crate::requests::Accepted;
+use crate::requests::AcceptedRequest;
 use crate::shared::Shared;
 
 /// Suggested delay before a retry when another VM can serve the request.
@@ -23,14 +23,14 @@
 /// Interval at which a request is checked during shutdown.
 const CHECK_INTERVAL: Duration = Duration::from_millis(25);
 
-impl Work {
+impl ActiveRequest {
     /// How far the request has come, as the shutdown rules need it.
     fn progress(&self) -> Progress {
-        match self.waits {
+        match self.wait_reason {
             _ if self.head_sent => Progress::Begun,
-            Waits::Answer => Progress::MayRun,
+            WaitReason::Answer => Progress::MayRun,
             _ if self.may_have_run => Progress::MayRun,
-            Waits::Checks | Waits::Stages | Waits::Target => Progress::NotRun,
+            WaitReason::Checks | WaitReason::Stages | WaitReason::Target => Progress::NotRun,
         }
     }
 }
@@ -53,10 +53,10 @@
     }
 
     /// The refusal that ends a request now; `None` if it can still be served or no shutdown is in progress.
-    fn stop_refusal(&self, key: WorkKey, now: Instant) -> Option<Refusal> {
+    fn stop_refusal(&self, key: ActiveRequestKey, now: Instant) -> Option<Refusal> {
         let plan = self.stop?;
         let work = self.active_requests.get(key)?;
-        match plan.decide(work.progress(), work.passing, self.active_requests.len(), now) {
+        match plan.decide(work.progress(), work.response_time, self.active_requests.len(), now) {
             StopDecision::Continue => None,
             StopDecision::RejectNotRun => Some(self.retry_later_refusal(now)),
             StopDecision::ReportLost => Some(Refusal::Failed),
@@ -66,7 +66,7 @@
 
 /// Waits until the shutdown makes it impossible to finish a request, and returns the refusal for its caller. It is
 /// raced against everything that a request waits for, so that no wait has to handle the shutdown itself.
-pub(crate) async fn until_refused(app: &App, key: WorkKey) -> Refusal {
+pub(crate) async fn until_refused(app: &App, key: ActiveRequestKey) -> Refusal {
     let mut stopping = app.stopping.subscribe();
     loop {
         // The sender lives as long as the process.
@@ -75,7 +75,7 @@
             let refusal = shared.stop_refusal(key, now)?;
             Some((
                 refusal,
-                shared.active_requests.get(key).map(|work| (work.waits, work.id.clone())),
+                shared.active_requests.get(key).map(|work| (work.wait_reason, work.id.clone())),
             ))
         });
         if let Some((refusal, work)) = ended {
@@ -92,11 +92,11 @@
 
 /// Refusal of a request that arrives during shutdown and isn't expected to finish before the process exits; `None` if
 /// it may be admitted.
-pub(crate) fn refusal(app: &App, req: &Accepted) -> Option<Refusal> {
+pub(crate) fn refusal(app: &App, req: &AcceptedRequest) -> Option<Refusal> {
     let (expected, refusal) = app.hub.with(|shared, now| {
         let plan = shared.stop?;
         let passing = shared.response_time(&req.entry.name).unwrap_or_default();
-        let expected = admission::stages_time(shared, req, now) + passing;
+        let expected = admission::expected_stages_time(shared, req, now) + passing;
         let can_serve = plan.can_serve(expected, shared.active_requests.len(), now);
         (!can_serve).then(|| (expected, shared.retry_later_refusal(now)))
     })?;
@@ -111,10 +111,10 @@
         for work in shared.active_requests.values() {
             let id = work.id.as_ref().map(ToString::to_string);
             warn!(app.log, "request closed by the stop"; "request" => id,
-                "waits_for" => work.waits.name(), "may_have_run" => work.may_have_run,
+                "waits_for" => work.wait_reason.name(), "may_have_run" => work.may_have_run,
                 "head_sent" => work.head_sent,
                 "took_ms" => (now() - work.arrived).as_millis());
-            app.metrics.request_closed_by_stop(work.waits.name());
+            app.metrics.request_closed_by_stop(work.wait_reason.name());
         }
     });
 }
--- a/gateway/src/stored_refusals.rs
+++ b/gateway/src/stored_refusals.rs
@@ -15,8 +15,8 @@
 use crate::app::App;
 use crate::hub;
 use crate::shared::Shared;
-use crate::store::unreadable;
-use crate::store_connection::{Miss, StoreConnection};
+use crate::store_connection::{StoreCallError, StoreConnection};
+use crate::store_watch::unreadable;
 
 /// Interval at which refused requests are written to the store; peers hear of them sooner, over links.
 const WRITE_INTERVAL: Duration = Duration::from_millis(500);
@@ -95,7 +95,7 @@
     app: &App,
     store: &mut StoreConnection,
     refused: &RefusedRequest,
-) -> Result<(), Miss> {
+) -> Result<(), StoreCallError> {
     let key = app.hub.with(|shared, _| key_of(shared, &refused.digest));
     let known = StoredRefusal::of(refused);
     let is_stored = app.hub.with(|shared, _| {
@@ -115,7 +115,7 @@
     store: &mut StoreConnection,
     key: &str,
     stored: &StoredRefusal,
-) -> Result<(), Miss> {
+) -> Result<(), StoreCallError> {
     let ttl = app.cfg.quarantine.duration().min(MAX_LEASE);
     let body = store.call("lease", (app.adapter.store.lease)(ttl), Duration::ZERO).await?;
     let lease = (app.adapter.store.read_lease)(&body).map_err(unreadable)?;
