--- a/gateway/tests/events.rs
+++ b/gateway/tests/events.rs
@@ -1,4 +1,4 @@
-//! A stream is split into whole events, however its bytes come.
+//! `EventSplitter` yields complete events of an event stream, wherever the bytes are divided into chunks.
 
 use gateway::events::EventSplitter;
 
@@ -6,25 +6,25 @@
     b"id: 1\ndata: a\n\nweight-versions: 2\nid: 2\ndata: b\n\nid: 3\r\ndata: c\r\n\r\n";
 
 #[test]
-fn whole_events_come_out_wherever_the_bytes_are_cut() {
-    for cut in 0..STREAM.len() {
+fn events_are_complete_for_every_chunk_boundary() {
+    for boundary in 0..STREAM.len() {
         let mut splitter = EventSplitter::default();
         let mut events = Vec::new();
-        for part in [&STREAM[..cut], &STREAM[cut..]] {
-            splitter.push(part);
+        for chunk in [&STREAM[..boundary], &STREAM[boundary..]] {
+            splitter.push(chunk);
             events.extend(std::iter::from_fn(|| splitter.next_event()));
         }
 
         let ids: Vec<Option<u64>> = events.iter().map(|event| event.id).collect();
         let bytes: Vec<u8> = events.iter().flat_map(|event| event.bytes.to_vec()).collect();
-        assert_eq!(ids, [Some(1), Some(2), Some(3)], "cut at {cut}");
-        assert_eq!(bytes, STREAM, "cut at {cut}");
+        assert_eq!(ids, [Some(1), Some(2), Some(3)], "chunk boundary at byte {boundary}");
+        assert_eq!(bytes, STREAM, "chunk boundary at byte {boundary}");
         assert!(!splitter.has_incomplete_event());
     }
 }
 
 #[test]
-fn an_incomplete_event_stays_in_the_buffer() {
+fn an_incomplete_event_stays_in_the_splitter() {
     let mut splitter = EventSplitter::default();
     splitter.push(b"id: 1\ndata: a\n\nid: 2\nda");
 
