--- a/components/http_server/src/lib.rs
+++ b/components/http_server/src/lib.rs
@@ -49,7 +49,8 @@
 
 /// Maximum size of a request's head, in bytes.
 const MAX_HEAD_BYTES: usize = 16 * 1024;
-/// Number of times the limit that is read of a body that is too large.
+/// A body that is too large is read up to this multiple of its limit, so that the caller can receive
+/// the response, before the connection closes.
 const DISCARD_LIMIT_FACTOR: usize = 8;
 /// Delay before the next accept after one failed, for example because no file descriptor was free.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
--- a/components/settings/src/lib.rs
+++ b/components/settings/src/lib.rs
@@ -18,7 +18,7 @@
     pub hall: HallName,
     /// Listening address for callers.
     pub callers: SocketAddr,
-    /// Listening address of the peer link, to which other daemons connect.
+    /// Listening address for the links of other daemons.
     pub peers: SocketAddr,
     /// Address of the peer link that is announced to other daemons, if it differs from `peers`.
     #[serde(default)]
