--- a/gateway/src/pool_calls.rs
+++ b/gateway/src/pool_calls.rs
@@ -12,19 +12,19 @@
 
 use crate::app::App;
 use crate::call_counts::{Counts, end_name};
-use crate::held_results::{Maker, Term};
+use crate::held_results::{Origin, ResultExpiry};
 use crate::hub::now;
-use crate::own_calls::{OwnCallMiss, own_call};
+use crate::own_calls::{OwnCallError, own_call};
 use crate::permits::Permit;
-use crate::piece_news::{PeerSink, PieceNews, Sink};
-use crate::{crashes, link_words, permits, reach, releases, turns};
+use crate::piece_events::{PeerSink, PieceEvent, Sink};
+use crate::{crashes, hall_reachability, input_fetches, link_messages, permits, releases};
 
 /// Time in which an answer is read that has arrived when its call is given up: a VM that stood still has not read it
 /// yet, and nobody else learns the results' handles.
 const ARRIVED_WAIT: Duration = Duration::from_millis(50);
 
 /// Makes the calls that can be made now, and plans the next look at the queue.
-pub(crate) fn fill_calls(app: &Rc<App>, pool: &ServiceName) {
+pub(crate) fn dispatch_calls(app: &Rc<App>, pool: &ServiceName) {
     end_without_inputs(app, pool);
     end_without_workers(app, pool);
     end_refused(app, pool);
@@ -47,14 +47,14 @@
 /// Hands back pieces whose inputs are out of reach: the VM of the request has them made anew.
 fn end_without_inputs(app: &Rc<App>, pool: &ServiceName) {
     let finished = app.hub.with(|shared, _| {
-        let jobs = shared.out_of_inputs(pool);
+        let jobs = shared.jobs_with_unreachable_inputs(pool);
         let pool = shared.pools.get_mut(pool);
-        let give_up = |pool: &mut Pool| -> Vec<Finished> {
+        let release_results = |pool: &mut Pool| -> Vec<Finished> {
             jobs.into_iter()
                 .flat_map(|job| pool.finish_waiting(job, &PieceOutcome::InputGone))
                 .collect()
         };
-        pool.map(give_up)
+        pool.map(release_results)
     });
     if let Some(finished) = finished.filter(|finished| !finished.is_empty()) {
         hand_back(app, pool, finished);
@@ -91,18 +91,18 @@
 }
 
 fn plan_look(app: &Rc<App>, pool: &ServiceName, at: tokio::time::Instant) {
-    let planned = app.planned_looks.borrow().get(pool).copied();
+    let planned = app.planned_pool_checks.borrow().get(pool).copied();
     if planned.is_some_and(|planned| planned <= at) {
         return;
     }
-    app.planned_looks.borrow_mut().insert(pool.clone(), at);
+    app.planned_pool_checks.borrow_mut().insert(pool.clone(), at);
     let (app, pool) = (Rc::clone(app), pool.clone());
     spawn_local(async move {
         tokio::time::sleep_until(at).await;
-        let mine = app.planned_looks.borrow().get(&pool) == Some(&at);
+        let mine = app.planned_pool_checks.borrow().get(&pool) == Some(&at);
         if mine {
-            app.planned_looks.borrow_mut().remove(&pool);
-            fill_calls(&app, &pool);
+            app.planned_pool_checks.borrow_mut().remove(&pool);
+            dispatch_calls(&app, &pool);
         }
     });
 }
@@ -111,14 +111,14 @@
 async fn make(app: Rc<App>, pool: ServiceName, call: Call, permit: Permit) {
     let pieces = piece_calls(&app, &pool, &call);
     let began = now();
-    let contents = crashes::contents_of_call(&app, &pool, &call);
+    let contents = crashes::request_digests_of_call(&app, &pool, &call);
     let end = if pieces.len() == call.pieces.len() {
         let lifetime = app.hub.with(|shared, _| shared.lifetime_of(&call.target));
         let req = (app.adapter.calls.pool_call)(&call.target.id, &pieces);
         match send(&app, &pool, &call, req, permit).await {
             Ok(end) => end,
             Err(CallBroke) => {
-                crashes::call_broke(&app, &contents, &call.target, lifetime).await;
+                crashes::check_broken_call(&app, &contents, &call.target, lifetime).await;
                 CallEnd::Failed
             }
         }
@@ -145,7 +145,7 @@
     });
     releases::reclaim(&app, &pool, orphans);
     hand_back(&app, &pool, finished);
-    fill_calls(&app, &pool);
+    dispatch_calls(&app, &pool);
 }
 
 /// A call's connection ended before its answer was whole.
@@ -164,7 +164,7 @@
         async move { own_call(&app, &target, req, permit).await }
     });
     let mut patience = std::pin::pin!(tokio::time::sleep(call.timeout));
-    let mut fetch = std::pin::pin!(turns::inputs_fetched(app, call));
+    let mut fetch = std::pin::pin!(input_fetches::wait_until_fetched(app, call));
     let mut out = app.unreachable_halls.subscribe();
     let mut fetches = true;
     loop {
@@ -175,13 +175,14 @@
                 if arrived.is_err() && is_at_work(app, pool, call.key) {
                     spawn_local(give_up_when_made(Rc::clone(app), pool.clone(), sent));
                 }
-                return end_of(app, arrived.unwrap_or(Err(OwnCallMiss::TimedOut)));
+                return end_of(app, arrived.unwrap_or(Err(OwnCallError::TimedOut)));
             }
             () = &mut fetch, if fetches => {
                 fetches = false;
                 tell_fetched(app, pool, call.key);
             }
-            () = reach::lost(&mut out, &call.target.hall) => return Ok(CallEnd::OutOfReach),
+            () = hall_reachability::until_unreachable(&mut out, &call.target.hall) =>
+                return Ok(CallEnd::OutOfReach),
         }
     }
 }
@@ -196,7 +197,7 @@
 async fn give_up_when_made(
     app: Rc<App>,
     pool: ServiceName,
-    sent: impl Future<Output = Result<bytes::Bytes, OwnCallMiss>>,
+    sent: impl Future<Output = Result<bytes::Bytes, OwnCallError>>,
 ) {
     let life = app.hub.with(|shared, _| shared.pools.get(&pool).map(Pool::result_life));
     let Ok(Ok(body)) = tokio::time::timeout(life.unwrap_or_default(), sent).await else { return };
@@ -208,7 +209,7 @@
     let handles: Vec<String> = handles.collect();
     info!(app.log, "results of a late answer"; "pool" => %pool, "results" => handles.len());
     app.metrics.results_given_up("late_answer", handles.len());
-    drop(releases::give_up_as_owner(&app, handles));
+    drop(releases::release_as_owner(&app, handles));
 }
 
 /// Tells those whose inputs are needed no more: room at their workers is scarcer than time.
@@ -220,8 +221,8 @@
     for job in jobs {
         match sinks.get(&(pool.clone(), job)) {
             // A request that is gone gives its results up by itself.
-            Some(Sink::Here(tx, of)) => drop(tx.send(PieceNews::Fetched { of: *of })),
-            Some(Sink::Peer(peer)) => link_words::send_fetched(&peer.tx, peer.number),
+            Some(Sink::Local(tx, of)) => drop(tx.send(PieceEvent::Fetched { submission: *of })),
+            Some(Sink::Peer(peer)) => link_messages::send_fetched(&peer.tx, peer.number),
             None => {}
         }
     }
@@ -245,7 +246,7 @@
     })
 }
 
-fn end_of(app: &App, sent: Result<bytes::Bytes, OwnCallMiss>) -> Result<CallEnd, CallBroke> {
+fn end_of(app: &App, sent: Result<bytes::Bytes, OwnCallError>) -> Result<CallEnd, CallBroke> {
     Ok(match sent {
         Ok(body) => match (app.adapter.calls.read_pool_answer)(&body) {
             Ok(answers) => CallEnd::Answered(answers),
@@ -254,10 +255,10 @@
                 CallEnd::Failed
             }
         },
-        Err(OwnCallMiss::Declined) => CallEnd::Full,
-        Err(OwnCallMiss::OtherTarget) => CallEnd::TargetGone,
-        Err(OwnCallMiss::Broke) => return Err(CallBroke),
-        Err(OwnCallMiss::NotReached | OwnCallMiss::TimedOut | OwnCallMiss::Failed) => {
+        Err(OwnCallError::Declined) => CallEnd::Full,
+        Err(OwnCallError::OtherTarget) => CallEnd::TargetGone,
+        Err(OwnCallError::Broke) => return Err(CallBroke),
+        Err(OwnCallError::NotReached | OwnCallError::TimedOut | OwnCallError::Failed) => {
             CallEnd::Failed
         }
     })
@@ -282,17 +283,25 @@
     let life = life.unwrap_or_default();
     for Finished { job, piece, outcome } in finished {
         match sinks.get(&(pool.clone(), job)) {
-            Some(Sink::Here(tx, of)) => {
+            Some(Sink::Local(tx, of)) => {
                 if let PieceOutcome::Stored(handle) = &outcome {
-                    app.held.add(handle, Maker::Here, Term { until: now + life, life }, now);
+                    app.held.add(
+                        handle,
+                        Origin::Local,
+                        ResultExpiry { until: now + life, life },
+                        now,
+                    );
                 }
-                if tx.send(PieceNews::Done { of: *of, piece, made: outcome.clone() }).is_err() {
+                if tx
+                    .send(PieceEvent::Done { submission: *of, piece, outcome: outcome.clone() })
+                    .is_err()
+                {
                     unread.extend(outcome.handle().map(str::to_owned));
                 }
             }
             Some(Sink::Peer(peer)) => {
                 grant(app, pool, peer, &outcome);
-                link_words::send_done(&peer.tx, peer.number, piece, outcome);
+                link_messages::send_done(&peer.tx, peer.number, piece, outcome);
             }
             None => {}
         }
@@ -305,5 +314,5 @@
         }
     });
     drop(sinks);
-    releases::give_up(app, &unread);
+    releases::release_results(app, &unread);
 }
