--- a/components/store_client/src/lease.rs
+++ b/components/store_client/src/lease.rs
@@ -9,7 +9,7 @@
 
 /// A granted lease, as known to its holder.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct HeldLease {
+pub struct LeaseGrant {
     /// Fencing token; renewals keep it, and each later grant has a higher one.
     pub fence: u64,
     /// When the lease expires unless renewed. It is computed from the time before the request was
@@ -32,10 +32,10 @@
     name: &str,
     holder: &str,
     ttl: Duration,
-) -> Result<Option<HeldLease>> {
+) -> Result<Option<LeaseGrant>> {
     let requested_at = Instant::now();
     let Some(body) = store.put_lease(name, holder, ttl)? else { return Ok(None) };
     let response: LeaseResponse = serde_json::from_slice(&body)
         .map_err(|e| Error::StoreUnavailable(format!("lease {name}: {e}")))?;
-    Ok(Some(HeldLease { fence: response.fence, until: requested_at + ttl }))
+    Ok(Some(LeaseGrant { fence: response.fence, until: requested_at + ttl }))
 }
--- a/components/store_client/src/lib.rs
+++ b/components/store_client/src/lib.rs
@@ -13,7 +13,7 @@
     Head, MAX_RECENT_CHANGES, decode_head, publish, read_catalogue, read_head, revision_of_change,
     snapshot_key,
 };
-pub use lease::{HeldLease, acquire_lease};
+pub use lease::{LeaseGrant, acquire_lease};
 pub use store::{Entry, ListedVm, Store, VmState, WriteOutcome};
 
 /// Key of the configuration head.
--- a/daemon/src/callers.rs
+++ b/daemon/src/callers.rs
@@ -68,7 +68,8 @@
 
     let permit = Arc::clone(&server.permits).try_acquire_owned().map_err(|_| {
         let detail = format!("{} requests are in work", limits.requests);
-        let refusal = Refusal::not_run(Reason::QueueFull, detail).with_retry_after(FULL_RETRY_AFTER);
+        let refusal =
+            Refusal::not_run(Reason::QueueFull, detail).with_retry_after(FULL_RETRY_AFTER);
         with_id(refusal_before_claim(&parsed, refusal))
     })?;
     let repeatable = parsed.repeatable;
--- a/daemon/src/dispatcher_messages.rs
+++ b/daemon/src/dispatcher_messages.rs
@@ -5,7 +5,10 @@
 use std::time::{Duration, Instant};
 
 use catalogue::Service;
-use ids::{AttemptId, CustomerName, Incarnation, Priority, RequestId, Revision, ServiceName, StageName, TargetName};
+use ids::{
+    AttemptId, CustomerName, Incarnation, Priority, RequestId, Revision, ServiceName, StageName,
+    TargetName,
+};
 use journal::{AttemptEnd, RequestRecord, SubmissionId};
 use membership::{Advert, Delta, DigestEntry};
 use outcomes::{Outcome, Reason, Refusal};
--- a/daemon/src/orders.rs
+++ b/daemon/src/orders.rs
@@ -9,7 +9,7 @@
 use catalogue::Target;
 use ids::{HallName, Incarnation, Revision, VmName};
 use slog::{Logger, info, warn};
-use store_client::{HeldLease, Store};
+use store_client::{LeaseGrant, Store};
 use target_calls::{ORDER_TIMEOUT, Order, OrderClient, OrderResult};
 
 use crate::dispatcher_messages::Message;
@@ -37,7 +37,7 @@
 /// The present holding and when it began.
 #[derive(Debug, Clone, Copy)]
 struct HeldLease {
-    held: HeldLease,
+    held: LeaseGrant,
     since: Instant,
 }
 
@@ -138,7 +138,8 @@
     fn renew_lease(&self, lease: &mut Option<HeldLease>) {
         let name = format!("orders-{}", self.hall);
         let holder = format!("{}/{}", self.vm, self.incarnation);
-        let held = store_client::acquire_lease(&self.store, &name, &holder, LEASE_DURATION).ok().flatten();
+        let held =
+            store_client::acquire_lease(&self.store, &name, &holder, LEASE_DURATION).ok().flatten();
         let before = *lease;
         *lease = held.map(|held| match before {
             Some(old) if old.held.fence == held.fence => HeldLease { held, since: old.since },
--- a/daemon/src/pipeline.rs
+++ b/daemon/src/pipeline.rs
@@ -12,12 +12,17 @@
 use settings::Settings;
 use slog::{Logger, debug, info};
 use store_client::Store;
-use target_calls::{CallFailure, CallRequest, PlainAnswer, StreamEnd, StreamEvent, TargetClient, TargetStatus, TokenStream};
+use target_calls::{
+    CallFailure, CallRequest, PlainAnswer, StreamEnd, StreamEvent, TargetClient, TargetStatus,
+    TokenStream,
+};
 use telemetry::Metrics;
 
 use crate::answer::AnswerPort;
 use crate::claims::{claim_id, close_claim, refusal_before_claim};
-use crate::dispatcher_messages::{BeginRequest, BegunRequest, EndedCall, Message, StageSlotRequest};
+use crate::dispatcher_messages::{
+    BeginRequest, BegunRequest, EndedCall, Message, StageSlotRequest,
+};
 use crate::dispatcher_thread::{DispatcherHandle, DispatcherStopped};
 use crate::waiting_threads::Granted;
 
@@ -94,7 +99,8 @@
 }
 
 fn stopping_refusal() -> Refusal {
-    Refusal::not_run(Reason::Stopping, "the process is ending").with_retry_after(DEFAULT_RETRY_AFTER)
+    Refusal::not_run(Reason::Stopping, "the process is ending")
+        .with_retry_after(DEFAULT_RETRY_AFTER)
 }
 
 fn record_stage_costs(shared: &Pipeline, req: &CallerRequest, runs: &[StageRun], whole: bool) {
