--- a/gateway/src/streams.rs
+++ b/gateway/src/streams.rs
@@ -195,8 +195,12 @@
         // A stream without events is an answer too, if it was read to its end.
         NextEvent::End => Ok(Ok(Reply::Stream(Box::new(reader), Vec::new()))),
         NextEvent::Broken(why) => {
-            crashes::check_broken_connection(attempts.app(), attempts.req(), &reader.answer.attempt)
-                .await;
+            crashes::check_broken_connection(
+                attempts.app(),
+                attempts.req(),
+                &reader.answer.attempt,
+            )
+            .await;
             Ok(Err(reader.fail(attempts, why)))
         }
         NextEvent::OutOfReach => Ok(Err(reader.fail(attempts, OUT_OF_REACH.to_owned()))),
