--- a/gateway/src/crashes.rs
+++ b/gateway/src/crashes.rs
@@ -33,7 +33,11 @@
 
 /// Checks whether a target has crashed after its connection broke under a request, before or during its
 /// answer.
-pub(crate) async fn check_broken_connection(app: &Rc<App>, req: &AcceptedRequest, attempt: &Attempt) {
+pub(crate) async fn check_broken_connection(
+    app: &Rc<App>,
+    req: &AcceptedRequest,
+    attempt: &Attempt,
+) {
     check_target(app, &[req.digest], &attempt.pick.target, attempt.lifetime).await;
 }
 
--- a/gateway/src/halls.rs
+++ b/gateway/src/halls.rs
@@ -103,7 +103,11 @@
 
     /// Retry delay for a request that needs a service whose targets accept no work before the request's
     /// deadline; `None` if the request may be served.
-    pub(crate) fn closed_retry_after(&self, req: &AcceptedRequest, now: Instant) -> Option<Duration> {
+    pub(crate) fn closed_retry_after(
+        &self,
+        req: &AcceptedRequest,
+        now: Instant,
+    ) -> Option<Duration> {
         let stages = req.entry.stages.iter().zip(pieces_of(&req.entry, &req.head));
         let pools = stages.filter(|(_, pieces)| *pieces > 0).map(|(stage, _)| &stage.pool);
         let closed = |service: &ServiceName| {
