--- a/gateway/src/own_calls.rs
+++ b/gateway/src/own_calls.rs
@@ -1,4 +1,5 @@
-//! Calls to targets that are no caller's: a pool's calls, and word that results are given up.
+//! Calls to targets that this system makes by itself, not for one caller: calls of a pool, notices
+//! that results are released, and requests for a worker's report.
 
 use std::rc::Rc;
 
@@ -15,20 +16,20 @@
 use crate::permits::Permit;
 use crate::target_announcements;
 
-/// Why a call of this system's own brought no answer.
+/// Why a call of this system's own gave no answer.
 #[derive(Debug)]
 pub(crate) enum OwnCallError {
     Declined,
     OtherTarget,
     /// Nothing was sent.
     NotReached,
-    /// Its connection ended before the answer was whole.
+    /// The connection ended before the answer was complete.
     Broke,
     TimedOut,
     Failed,
 }
 
-/// Sends a call that is no caller's and reads its answer.
+/// Sends a call of this system's own and reads its answer.
 pub(crate) async fn own_call(
     app: &Rc<App>,
     target: &Target,
@@ -42,25 +43,25 @@
     if let Ok(host) = http::HeaderValue::from_str(&target.address.to_string()) {
         req.headers_mut().insert(http::header::HOST, host);
     }
-    let began = now();
+    let started = now();
     let sent = app.connections.send(target, req, permit).await;
-    let (answer, carrier) = sent.map_err(|miss| {
-        debug!(app.log, "call failed"; "target" => %target.id, "why" => ?miss);
-        match miss {
+    let (answer, connection) = sent.map_err(|error| {
+        debug!(app.log, "call failed"; "target" => %target.id, "why" => ?error);
+        match error {
             SendError::Broke(_) => OwnCallError::Broke,
             SendError::Withheld => OwnCallError::Declined,
             SendError::NotSent(_) | SendError::GivenUp(_) => OwnCallError::NotReached,
         }
     })?;
     let (head, body) = answer.into_parts();
-    let read = (app.adapter.calls.read_head)(&head, &no_request());
+    let parsed = (app.adapter.calls.read_head)(&head, &placeholder_id());
     target_announcements::report_unknown_headers(app, target, &head);
-    target_announcements::apply_own_call_answer(app, target, &read, began);
+    target_announcements::apply_own_call_answer(app, target, &parsed, started);
     let body = body.collect().await.map_err(|_| OwnCallError::Broke)?.to_bytes();
-    if !read.closes {
-        app.rest(carrier, read.keep_alive);
+    if !parsed.closes {
+        app.keep_connection(connection, parsed.keep_alive);
     }
-    match read.evidence {
+    match parsed.evidence {
         Evidence::OtherTarget => Err(OwnCallError::OtherTarget),
         Evidence::Declined | Evidence::InputGone => Err(OwnCallError::Declined),
         _ if head.status.is_success() => Ok(body),
@@ -68,7 +69,7 @@
     }
 }
 
-/// Calls of this system's own carry no request's id.
-fn no_request() -> RequestId {
+/// Stands in for the request ID, which these calls don't have.
+fn placeholder_id() -> RequestId {
     RequestId::new("-").unwrap_or_else(|_| RequestId::generate())
 }
