--- a/daemon/src/orders.rs
+++ b/daemon/src/orders.rs
@@ -110,8 +110,8 @@
         rotation.all_satisfied_at = (satisfied == due.len()).then_some(at);
     }
 
-    /// Orders the wanted condition if the target has another; returns whether the target now has it or
-    /// has taken the order.
+    /// Orders the wanted condition if the target has another. Returns whether the target now has it
+    /// or has taken the order.
     fn ensure_wanted(
         &self,
         orders: &OrderClient,
--- a/daemon/src/start.rs
+++ b/daemon/src/start.rs
@@ -41,10 +41,10 @@
     let LogSetup { log, guard: _guard } = root_logger(log_level(cfg.log), cfg.vm.as_str());
     let mut signals =
         Signals::new([SIGTERM, SIGINT]).map_err(|e| Error::io("registering signal handlers", e))?;
-    let async_tasks = async_runtime(&cfg)?;
+    let runtime = async_runtime(&cfg)?;
     let (stop_tx, stop) = watch::channel(false);
     let (abort_tx, abort) = watch::channel(false);
-    let handles = start_services(&cfg, &log, &async_tasks, stop, abort)?;
+    let handles = start_services(&cfg, &log, &runtime, stop, abort)?;
     info!(log, "started"; "callers" => %cfg.callers, "peers" => %cfg.peers,
         "operations" => %cfg.operations, "hall" => %cfg.hall);
 
@@ -52,7 +52,7 @@
     info!(log, "stopping"; "signal" => signal);
     drain_and_stop(&cfg, &handles, &stop_tx, &abort_tx);
     info!(log, "stopped");
-    async_tasks.shutdown_background();
+    runtime.shutdown_background();
     Ok(())
 }
 
@@ -77,7 +77,7 @@
 fn start_services(
     cfg: &Settings,
     log: &Logger,
-    async_tasks: &Runtime,
+    runtime: &Runtime,
     stop: watch::Receiver<bool>,
     abort: watch::Receiver<bool>,
 ) -> Result<ShutdownHandles> {
@@ -85,7 +85,7 @@
     let news = Arc::new(Notify::new());
     let incarnation = Incarnation::now();
     let listen = |address| {
-        async_tasks
+        runtime
             .block_on(TcpListener::bind(address))
             .map_err(|e| Error::io(format!("listening on {address}"), e))
     };
@@ -127,8 +127,8 @@
         metrics: Arc::clone(&metrics),
         news,
     };
-    async_tasks.spawn(peer_links::serve(links.clone(), peers_listener));
-    async_tasks.spawn(peer_links::hold_rounds(links));
+    runtime.spawn(peer_links::serve(links.clone(), peers_listener));
+    runtime.spawn(peer_links::hold_rounds(links));
 
     let pipeline = Pipeline {
         cfg: cfg.clone(),
@@ -143,7 +143,7 @@
     let server = Arc::new(CallerServer { pipeline, permits: Arc::clone(&permits), abort });
     let bounds =
         ConnectionLimits { connections: cfg.limits.connections, head_wait: cfg.limits.head_wait() };
-    async_tasks.spawn(http_server::serve(callers_listener, bounds, stop, move |req| {
+    runtime.spawn(http_server::serve(callers_listener, bounds, stop, move |req| {
         callers::handle(Arc::clone(&server), req)
     }));
     Ok(ShutdownHandles { dispatcher, permits })
