--- a/gateway/src/admission.rs
+++ b/gateway/src/admission.rs
@@ -123,7 +123,7 @@
 /// # Errors
 /// The refusal, with the time to come back.
 pub(crate) fn admit(app: &Rc<App>, req: &AcceptedRequest) -> Result<InFlight, Refusal> {
-    if let Some(retry_after) = app.hub.with(|shared, now| shared.closed_for(req, now)) {
+    if let Some(retry_after) = app.hub.with(|shared, now| shared.closed_retry_after(req, now)) {
         info!(app.log, "not admitted"; "request" => %req.id, "entry" => &req.entry.name,
             "come_back_ms" => retry_after.as_millis(),
             "why" => "no target of a service that it needs may be sent work in its time");
@@ -173,7 +173,7 @@
 
 /// Time until the first event.
 fn expected_time(shared: &Shared, req: &AcceptedRequest, now: Instant) -> Duration {
-    expected_stages_time(shared, req, now) + shared.first_event(&req.service)
+    expected_stages_time(shared, req, now) + shared.first_event_time(&req.service)
 }
 
 /// Time that the stages take, along the longest way through them.
@@ -219,7 +219,7 @@
 /// The place of a stage's pieces in its pool's order.
 fn stage_due(shared: &Shared, req: &AcceptedRequest, index: usize) -> Instant {
     let after = time_after(&req.intent, &req.entry, &req.head.pieces, index);
-    let after = after + shared.first_event(&req.service);
+    let after = after + shared.first_event_time(&req.service);
     let due = (req.arrived + req.entry.latency_goal).checked_sub(after).unwrap_or(req.arrived);
     batching::effective_due(due, req.urgency)
 }
@@ -243,7 +243,7 @@
 
 /// What the VM that fills a pool's calls told of it, if that is new enough.
 fn forecast(shared: &Shared, pool: &ServiceName, now: Instant) -> Option<PoolLoad> {
-    let load = shared.load_of(pool, &shared.owner_of(pool, now), now)?;
+    let load = shared.load_of(pool, &shared.expected_owner(pool, now), now)?;
     (now.saturating_duration_since(load.at) < FORECAST_LIFE).then_some(load)
 }
 
--- a/gateway/src/attempts.rs
+++ b/gateway/src/attempts.rs
@@ -18,7 +18,7 @@
 use crate::hub::{left, now};
 use crate::permits::{self, AtItsRate, Permit};
 use crate::requests::{AcceptedRequest, call_of};
-use crate::{crashes, reach, target_words};
+use crate::{crashes, hall_reachability, target_announcements};
 
 /// When to come back while no target can be used.
 pub(crate) const NO_TARGET_RETRY_AFTER: Duration = Duration::from_millis(700);
@@ -174,7 +174,7 @@
         let sent = tokio::select! {
             sent = sending => sent,
             // What may run once only is waited for: the hall may come back with its answer.
-            () = reach::lost(&mut out, &target.hall), if self.req.entry.repeatable => {
+            () = hall_reachability::until_unreachable(&mut out, &target.hall), if self.req.entry.repeatable => {
                 Err(SendError::GivenUp(OUT_OF_REACH.to_owned()))
             }
             // It may still wait there, and would end that target as well; what was sent may run.
@@ -196,7 +196,7 @@
                 Err(AttemptError::NotReached)
             }
             Err(SendError::Broke(why)) => {
-                crashes::connection_broke(&self.app, &self.req, &attempt).await;
+                crashes::check_broken_connection(&self.app, &self.req, &attempt).await;
                 attempt.end(TargetOutcome::Failed);
                 Err(AttemptError::Lost(why))
             }
@@ -292,8 +292,8 @@
     ) -> Result<(http::response::Parts, AnswerHead, Incoming, TargetConnection), AttemptError> {
         let (head, body) = answer.into_parts();
         let read = (self.app.adapter.calls.read_head)(&head, &self.req.id);
-        target_words::look_for_unknown(&self.app, &attempt.pick.target, &head);
-        target_words::heard(&self.app, &attempt.pick.target, &read, self.began);
+        target_announcements::report_unknown_headers(&self.app, &attempt.pick.target, &head);
+        target_announcements::apply_answer(&self.app, &attempt.pick.target, &read, self.began);
         let key = attempt.pick.key;
         if let (Some(load), true) = (read.load, read.evidence != Evidence::Crossed) {
             self.app.hub.with(|shared, now| {
@@ -376,7 +376,7 @@
 
     /// Takes a repeat from the fleet's budget, if one is left.
     fn takes_repeat(&self) -> bool {
-        self.app.hub.with(|shared, now| shared.take_repeat(&self.req.service, now))
+        self.app.hub.with(|shared, now| shared.try_take_retry(&self.req.service, now))
     }
 
     /// A refusal as it is true of a request that may have run in an earlier try.
@@ -401,7 +401,7 @@
     /// When a caller should come back: once the first target does not want to be left alone any more, or after
     /// `usual` if some target may be sent work now.
     fn come_back(&self, usual: Duration) -> Duration {
-        let opens = self.app.hub.with(|shared, now| shared.opens_in(&self.req.service, now));
+        let opens = self.app.hub.with(|shared, now| shared.time_until_open(&self.req.service, now));
         opens.map_or(usual, |time| time + usual.mul_f64(rand::random()))
     }
 
--- a/gateway/src/pages.rs
+++ b/gateway/src/http_endpoints.rs
@@ -19,7 +19,7 @@
 use tokio::time::sleep;
 
 use crate::app::App;
-use crate::owners::name_of;
+use crate::owner_selection::owner_name;
 use crate::shared::Shared;
 use crate::stored_refusals;
 
@@ -132,7 +132,7 @@
             "left_ms": until.saturating_duration_since(now).as_millis() as u64,
         })
     };
-    shared.left_alone.all(now).map(word).collect()
+    shared.backoffs.all(now).map(word).collect()
 }
 
 /// Lifetimes of targets that named the rate which they take.
@@ -142,7 +142,7 @@
         let held = target.and_then(|target| target.rate_limited_until);
         let account = target.map(|target| shared.account_owner_known(&target.service, now));
         json!({
-            "account_at": account.map(|owner| name_of(&owner)),
+            "account_at": account.map(|owner| owner_name(&owner)),
             "held_ms": held.map(|until| until.saturating_duration_since(now).as_millis() as u64),
             "target": lifetime.target.as_str(),
             "born": lifetime.born,
@@ -177,7 +177,7 @@
             .map(|(name, pool)| {
                 json!({
                     "pool": name.as_str(),
-                    "filled_by": name_of(&shared.owner_of(name, now)),
+                    "filled_by": owner_name(&shared.expected_owner(name, now)),
                     "turn_ms": pool.expected_turnaround().as_millis() as u64,
                     "queue": pool.queue(now).total(),
                     "queue_by_slack": pool.queue(now).counts().collect::<Vec<_>>(),
@@ -202,7 +202,7 @@
             "configuration": shared.intent.as_ref().map(|intent| intent.version),
             "as_of": shared.view.as_of(),
             "behind_ms": shared.behind.age(now).map(|age| age.as_millis() as u64),
-            "watches_store": shared.watches,
+            "watches_store": shared.watches_store,
             "store_lost": shared.contact.is_lost(now),
             "store_heard_ms": shared.contact.age(now).map(|age| age.as_millis() as u64),
             "stopping": shared.is_stopping(),
--- a/gateway/src/news.rs
+++ b/gateway/src/peer_sync.rs
@@ -14,8 +14,8 @@
 use tokio::time::{MissedTickBehavior, interval, sleep, timeout};
 
 use crate::app::App;
-use crate::halls::look_at_pools;
-use crate::links::Link;
+use crate::halls::recheck_pools;
+use crate::outbound_links::Link;
 use crate::shared::Shared;
 
 /// Bytes of changes in one message: 26 ms of a link of 10 Mbit/s, a fraction of the pause between
@@ -45,7 +45,7 @@
         if fetch(&app, &vm, &link).await.is_none() {
             debug!(app.log, "no news from a peer"; "peer" => %vm);
             silent = Some(vm);
-        } else if *app.store_reached.borrow() {
+        } else if *app.store_reachable.borrow() {
             sleep(app.cfg.in_force() / GATHER_PART).await;
         }
     }
@@ -62,9 +62,9 @@
         let ahead = || links.iter().filter(|(vm, _)| knows(vm) > known);
         let most = ahead().map(|(vm, _)| knows(vm)).max();
         shared.stall_detector.update(known, most.unwrap_or(known), now);
-        let follows = shared.watches || shared.asks_store;
+        let follows = shared.watches_store || shared.prefers_store;
         let store_tells = !shared.contact.is_lost(now) || shared.contact.is_receiving(now);
-        if follows && store_tells && !watch_stands_still(app, shared, now) {
+        if follows && store_tells && !watch_stalled(app, shared, now) {
             return None;
         }
         let others = ahead().filter(|(vm, _)| silent.as_ref() != Some(vm));
@@ -74,13 +74,13 @@
 }
 
 /// Whether the watch tells nothing while peers know more; it is begun anew then.
-fn watch_stands_still(app: &App, shared: &Shared, now: Instant) -> bool {
+fn watch_stalled(app: &App, shared: &Shared, now: Instant) -> bool {
     let borne = shared.in_force.mul_f64(STANDSTILL_PART);
     let stands_still =
         shared.stall_detector.has_stalled_for(borne, now) && !shared.contact.is_receiving(now);
     if stands_still {
         warn!(app.log, "watch of the store stands still"; "as_of" => shared.view.as_of());
-        app.watch_stands_still.notify_waiters();
+        app.watch_stalled.notify_waiters();
     }
     stands_still
 }
@@ -90,7 +90,7 @@
     let mut assembly = Assembler::after(app.hub.with(|shared, _| shared.view.as_of()));
     let mut known = u64::MAX;
     for number in 1.. {
-        let news = link.ask(ask_of(&assembly));
+        let news = link.request_changes(ask_of(&assembly));
         let news = timeout(PART_WAIT, news).await.ok()?.ok()?;
         // Only what the peer knew at the first part is sure to have come by the last one.
         known = known.min(news.as_of);
@@ -104,12 +104,12 @@
             if news.is_last {
                 shared.view.advance_to(known);
             } else if number >= MOST_PARTS && !shared.contact.is_lost(now) {
-                shared.asks_store = true;
+                shared.prefers_store = true;
             }
         });
-        look_at_pools(app);
+        recheck_pools(app);
         app.vms_changed.notify_one();
-        if news.is_last || app.hub.with(|shared, _| shared.asks_store) {
+        if news.is_last || app.hub.with(|shared, _| shared.prefers_store) {
             break;
         }
     }
@@ -137,7 +137,7 @@
 }
 
 /// The next part of what a peer asks for.
-pub(crate) fn answer(view: &View, ask: Ask) -> News {
+pub(crate) fn answer_request(view: &View, ask: Ask) -> News {
     let begun_bytes = usize::try_from(ask.begun_bytes).unwrap_or(usize::MAX);
     let ask = store_view::BatchRequest {
         after: Position { revision: ask.known_revision, key: ask.known_key },
--- a/gateway/src/whole_answers.rs
+++ b/gateway/src/whole_answers.rs
@@ -78,7 +78,7 @@
     let body = match body.collect().await {
         Ok(body) => body.to_bytes(),
         Err(e) => {
-            crashes::connection_broke(app, tries.req(), &attempt).await;
+            crashes::check_broken_connection(app, tries.req(), &attempt).await;
             attempt.end(TargetOutcome::Failed);
             tries.set_may_have_run();
             return Ok(Err(AttemptError::Lost(e.to_string())));
@@ -88,9 +88,9 @@
         app.rest(carrier, read.keep_alive);
     }
     // It also lives on after a failure of its own.
-    crashes::completed(app, tries.req());
+    crashes::request_completed(app, tries.req());
     let took = now() - tries.began();
-    app.hub.with(|shared, _| shared.learn_passing(&tries.req().entry.name, took));
+    app.hub.with(|shared, _| shared.record_response_time(&tries.req().entry.name, took));
     let own_failure = head.status.is_server_error();
     attempt.end(if own_failure { TargetOutcome::OwnFailure } else { TargetOutcome::Answered });
     if own_failure {
