--- a/daemon/src/claims.rs
+++ b/daemon/src/claims.rs
@@ -14,8 +14,8 @@
 
 /// Adapts a refusal that is sent before the id was claimed.
 ///
-/// The caller may have sent the same id to another VM, and this VM can't know whether it runs there.
-/// "Not run" therefore becomes "unknown" for ids that need a claim.
+/// The caller may have sent the same id to another VM, and this VM can't know whether it runs
+/// there. "Not run" therefore becomes "unknown" for ids that need a claim.
 pub(crate) fn refusal_before_claim(req: &CallerRequest, refusal: Refusal) -> Refusal {
     if !requires_claim(req) || refusal.outcome != Outcome::NotRun {
         return refusal;
--- a/daemon/src/operations.rs
+++ b/daemon/src/operations.rs
@@ -50,12 +50,14 @@
         loop {
             match server.recv() {
                 Ok(req) => {
-                    // Each request has its own thread, so that a slow client does not delay health checks.
+                    // Each request has its own thread, so that a slow client does not delay health
+                    // checks.
                     let page = Arc::clone(self);
                     thread::spawn(move || page.answer(req));
                 }
                 Err(e) => {
-                    // The accept loop of `tiny_http` ends at its first error, so a new server is needed.
+                    // The accept loop of `tiny_http` ends at its first error, so a new server is
+                    // needed.
                     warn!(self.log, "operations page failed"; "problem" => %e);
                     drop(server);
                     server = loop {
--- a/daemon/src/orders.rs
+++ b/daemon/src/orders.rs
@@ -46,8 +46,9 @@
     thread::spawn(move || sender.run());
 }
 
-/// Chooses the engines to check: all after a change of lease holder or configuration until every one
-/// has its wanted condition, otherwise a few in rotation, which bounds the checks in a large hall.
+/// Chooses the engines to check: all after a change of lease holder or configuration until every
+/// one has its wanted condition, otherwise a few in rotation, which bounds the checks in a large
+/// hall.
 #[derive(Debug, Default)]
 struct CheckRotation {
     all_satisfied_at: Option<(u64, Revision)>,
@@ -156,8 +157,8 @@
     }
 }
 
-/// Whether an order may be sent now: the lease must outlast the order's timeout, and no order of the
-/// previous holder may still be in flight to a target that does not check the fencing token.
+/// Whether an order may be sent now: the lease must outlast the order's timeout, and no order of
+/// the previous holder may still be in flight to a target that does not check the fencing token.
 fn may_order(lease: &OrdersLease, target: &Target) -> bool {
     let now = Instant::now();
     let outlasts = now + ORDER_TIMEOUT < lease.held.until;
--- a/daemon/src/peer_links.rs
+++ b/daemon/src/peer_links.rs
@@ -1,4 +1,5 @@
-//! Links to other VMs: an async task that runs gossip rounds, and the gRPC service that answers them.
+//! Links to other VMs: an async task that runs gossip rounds, and the gRPC service that answers
+//! them.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -31,8 +32,8 @@
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 /// Timeout of fetching a peer's catalogue.
 const FETCH_TIMEOUT: Duration = Duration::from_secs(3);
-/// Bytes on the wire per message in addition to its encoded length, on an established connection: 61
-/// for HTTP/2 and 124 for TCP/IP segments. `docs/CAPACITY.md` describes how to measure it.
+/// Bytes on the wire per message in addition to its encoded length, on an established connection:
+/// 61 for HTTP/2 and 124 for TCP/IP segments. `docs/CAPACITY.md` describes how to measure it.
 const FRAMING_BYTES: u64 = 185;
 /// Shortest time between two rounds, even if there is news to send at once.
 const MIN_ROUND_GAP: Duration = Duration::from_millis(20);
@@ -58,7 +59,8 @@
     }
 }
 
-/// Runs rounds until the process ends: at the interval that the dispatcher sets, or at once on news.
+/// Runs rounds until the process ends: at the interval that the dispatcher sets, or at once on
+/// news.
 pub(crate) async fn hold_rounds(links: PeerLinks) {
     let mut clients = PeerClients::default();
     while let Ok(round) = links.dispatcher.ask_async(Message::StartRound).await {
@@ -113,7 +115,8 @@
         Some(client)
     }
 
-    /// Drops the clients of peers that failed, because a restarted VM has a new address or listener.
+    /// Drops the clients of peers that failed, because a restarted VM has a new address or
+    /// listener.
     fn drop_failed(&mut self, failed: &[SocketAddr]) {
         self.by_address.retain(|address, _| !failed.contains(address));
     }
--- a/daemon/src/pipeline.rs
+++ b/daemon/src/pipeline.rs
@@ -388,8 +388,8 @@
             input,
             left: self.req.deadline.saturating_duration_since(Instant::now()),
             priority: self.begun.priority,
-            // Only a new connection that fails to open proves that the call did not run, so connections
-            // are reused only for requests that may be repeated.
+            // Only a new connection that fails to open proves that the call did not run, so
+            // connections are reused only for requests that may be repeated.
             reuse: self.req.repeatable,
             last_token,
         }
--- a/daemon/src/platform_reader.rs
+++ b/daemon/src/platform_reader.rs
@@ -79,7 +79,8 @@
 }
 
 impl PlatformReader {
-    /// Reads the head until the dispatcher ends: by watching it as a reader, otherwise occasionally.
+    /// Reads the head until the dispatcher ends: by watching it as a reader, otherwise
+    /// occasionally.
     fn follow_head(&self) {
         let mut outage = OutageBackoff::new("head");
         let mut seen = 0;
@@ -102,8 +103,8 @@
         }
     }
 
-    /// Waits up to `wait` for the head to change from version `seen`, and offers a newer configuration
-    /// to the dispatcher. Returns `None` if there is no head yet.
+    /// Waits up to `wait` for the head to change from version `seen`, and offers a newer
+    /// configuration to the dispatcher. Returns `None` if there is no head yet.
     fn read_head(
         &self,
         seen: &mut u64,
--- a/daemon/src/start.rs
+++ b/daemon/src/start.rs
@@ -156,8 +156,8 @@
 }
 
 impl ShutdownHandles {
-    /// Whether requests are in progress. Permits are checked too, because a request holds its permit
-    /// before the dispatcher knows of it and until its thread ends.
+    /// Whether requests are in progress. Permits are checked too, because a request holds its
+    /// permit before the dispatcher knows of it and until its thread ends.
     fn in_work(&self, cfg: &Settings) -> bool {
         let permits_held = self.permits.available_permits() < cfg.limits.requests;
         permits_held || self.dispatcher.ask(Message::InWork).is_ok_and(|count| count > 0)
--- a/gateway/src/crashes.rs
+++ b/gateway/src/crashes.rs
@@ -32,7 +32,11 @@
 
 /// A target's connection ended under a request, in the middle of its answer or before it: it is looked
 /// whether the target has ended.
-pub(crate) async fn check_broken_connection(app: &Rc<App>, req: &AcceptedRequest, attempt: &Attempt) {
+pub(crate) async fn check_broken_connection(
+    app: &Rc<App>,
+    req: &AcceptedRequest,
+    attempt: &Attempt,
+) {
     broke(app, &[req.digest], &attempt.pick.target, attempt.lifetime).await;
 }
 
--- a/gateway/src/halls.rs
+++ b/gateway/src/halls.rs
@@ -102,7 +102,11 @@
 
     /// When to come back with a request that needs a service none of whose targets may be sent work while
     /// the request lasts; `None` if it may be served.
-    pub(crate) fn closed_retry_after(&self, req: &AcceptedRequest, now: Instant) -> Option<Duration> {
+    pub(crate) fn closed_retry_after(
+        &self,
+        req: &AcceptedRequest,
+        now: Instant,
+    ) -> Option<Duration> {
         let stages = req.entry.stages.iter().zip(pieces_of(&req.entry, &req.head));
         let pools = stages.filter(|(_, pieces)| *pieces > 0).map(|(stage, _)| &stage.pool);
         let closed = |service: &ServiceName| {
--- a/gateway/src/inbound_links.rs
+++ b/gateway/src/inbound_links.rs
@@ -23,7 +23,10 @@
 
 use crate::app::App;
 use crate::connections::is_refused;
-use crate::link_messages::{SentCursors, apply_heartbeat, decode_crashes, decode_departures, decode_submission, own_heartbeat, own_hello, record_peer, take_unsent};
+use crate::link_messages::{
+    SentCursors, apply_heartbeat, decode_crashes, decode_departures, decode_submission,
+    own_heartbeat, own_hello, record_peer, take_unsent,
+};
 use crate::outbound_links::DialerSender;
 use crate::piece_events::{PeerSink, Sink};
 use crate::{peer_sync, permits, releases, submissions, target_announcements};
--- a/gateway/src/lib.rs
+++ b/gateway/src/lib.rs
@@ -53,4 +53,3 @@
 mod whole_answers;
 
 pub use run::run;
-
--- a/gateway/src/outbound_links.rs
+++ b/gateway/src/outbound_links.rs
@@ -12,7 +12,10 @@
 use fleet::{HEARTBEAT_INTERVAL, PEER_TIMEOUT};
 use ids::{ServiceName, VmName};
 use peering::WorkClient;
-use peering::work::{Ask, Cancel, Claims, Done, FromDialer, FromOwner, Hello, News, Permit, PermitAsk, Release, Submit, from_dialer, from_owner};
+use peering::work::{
+    Ask, Cancel, Claims, Done, FromDialer, FromOwner, Hello, News, Permit, PermitAsk, Release,
+    Submit, from_dialer, from_owner,
+};
 use result_leases::REQUEST_GRACE;
 use slog::info;
 use tokio::sync::mpsc::{UnboundedSender, unbounded_channel};
@@ -25,7 +28,10 @@
 use crate::app::App;
 use crate::held_results::{Origin, ResultExpiry};
 use crate::hub::{left, now};
-use crate::link_messages::{SentCursors, apply_heartbeat, decode_crashes, decode_departures, own_heartbeat, own_hello, piece_outcome, record_peer, take_unsent};
+use crate::link_messages::{
+    SentCursors, apply_heartbeat, decode_crashes, decode_departures, own_heartbeat, own_hello,
+    piece_outcome, record_peer, take_unsent,
+};
 use crate::piece_events::{PieceEvent, StageAttempt};
 use crate::{releases, target_announcements};
 
--- a/gateway/src/run.rs
+++ b/gateway/src/run.rs
@@ -25,7 +25,10 @@
 use crate::hub::{Hub, now};
 use crate::settings::Settings;
 use crate::shared::Shared;
-use crate::{callers, hall_reachability, http_endpoints, inbound_links, link_dialer, logs, own_entry, peer_sync, pool_log, releases, settings, shutdown, store_watch, stored_refusals};
+use crate::{
+    callers, hall_reachability, http_endpoints, inbound_links, link_dialer, logs, own_entry,
+    peer_sync, pool_log, releases, settings, shutdown, store_watch, stored_refusals,
+};
 
 /// Pause between two looks at connections at rest.
 const CLEANING: Duration = Duration::from_secs(1);
--- a/gateway/src/stream_forwarding.rs
+++ b/gateway/src/stream_forwarding.rs
@@ -112,7 +112,8 @@
                 crashes::check_broken_connection(
                     &stream.app,
                     &stream.req,
-                    &stream.reader.answer.attempt)
+                    &stream.reader.answer.attempt,
+                )
                 .await;
                 why
             }
--- a/gateway/src/streams.rs
+++ b/gateway/src/streams.rs
@@ -185,7 +185,8 @@
         // A stream with no event is an answer too, if it was read to its end.
         Next::End => Ok(Ok(First::Stream(Box::new(reader), Vec::new()))),
         Next::Broken(why) => {
-            crashes::check_broken_connection(tries.app(), tries.req(), &reader.answer.attempt).await;
+            crashes::check_broken_connection(tries.app(), tries.req(), &reader.answer.attempt)
+                .await;
             Ok(Err(reader.lost(tries, why)))
         }
         Next::OutOfReach => Ok(Err(reader.lost(tries, OUT_OF_REACH.to_owned()))),
