--- a/daemon/src/orders.rs
+++ b/daemon/src/orders.rs
@@ -9,7 +9,7 @@
 use catalogue::Target;
 use ids::{HallName, Incarnation, Revision, VmName};
 use slog::{Logger, info, warn};
-use store_client::{HeldLease, Store};
+use store_client::{LeaseGrant, Store};
 use target_calls::{ORDER_TIMEOUT, Order, OrderClient, OrderResult};
 
 use crate::dispatcher_messages::Message;
@@ -37,7 +37,7 @@
 /// The lease as last renewed, and when this VM acquired it.
 #[derive(Debug, Clone, Copy)]
 struct OrdersLease {
-    held: HeldLease,
+    held: LeaseGrant,
     since: Instant,
 }
 
