--- a/gateway/src/streams.rs
+++ b/gateway/src/streams.rs
@@ -200,7 +200,7 @@
                 attempts.req(),
                 &reader.answer.attempt,
             )
-                .await;
+            .await;
             Ok(Err(reader.fail(attempts, why)))
         }
         NextEvent::OutOfReach => Ok(Err(reader.fail(attempts, OUT_OF_REACH.to_owned()))),
