--- a/components/batching/tests/fetch_time.rs
+++ b/components/batching/tests/fetch_time.rs
@@ -28,7 +28,7 @@
 }
 
 fn made(call: &Call) -> CallEnd {
-    let handle = |index| PieceAnswer::Made(format!("127.0.0.1:9/{index}"));
+    let handle = |index| PieceAnswer::Stored(format!("127.0.0.1:9/{index}"));
     CallEnd::Answered((0..call.pieces.len()).map(handle).collect())
 }
 
--- a/components/batching/tests/support/mod.rs
+++ b/components/batching/tests/support/mod.rs
@@ -53,7 +53,7 @@
 pub fn submission(id: &str, pieces: u32, due: Instant) -> Submission {
     Submission {
         request: RequestId::new(id).unwrap(),
-        content: None,
+        digest: None,
         stage: 0,
         pieces: (0..pieces).collect(),
         key: Some("secret".to_owned()),
--- a/daemon/src/pipeline.rs
+++ b/daemon/src/pipeline.rs
@@ -436,7 +436,7 @@
         why: &CallFailure,
     ) {
         let problem = format!("{why:?}");
-        let end = (CallEnd::GivenUp, AttemptEnd::Failed { problem }, "given up");
+        let end = (CallEnd::Abandoned, AttemptEnd::Failed { problem }, "given up");
         self.report_call_end(stage, granted, started, end, TargetStatus::default());
     }
 
--- a/gateway/src/admission.rs
+++ b/gateway/src/admission.rs
@@ -223,7 +223,7 @@
     let mut ahead =
         forecast.queue.ahead_of(req.urgency, due.saturating_duration_since(forecast.at));
     if !start.is_zero() {
-        ahead += forecast.coming;
+        ahead += forecast.incoming;
     }
     ahead += unreported_pieces(shared, req, pool, forecast.at, due);
     forecast.expected_time(start, ahead)
--- a/gateway/src/halls.rs
+++ b/gateway/src/halls.rs
@@ -65,7 +65,7 @@
 
     /// Replaces the set of unreachable halls.
     pub(crate) fn set_unreachable_halls(&mut self, unreachable: UnreachableHalls) {
-        self.halls.set_out_of_reach(unreachable.clone());
+        self.halls.set_unreachable(unreachable.clone());
         self.fleet.unreachable_halls = unreachable;
         self.propagate_halls();
     }
--- a/gateway/src/owner_selection.rs
+++ b/gateway/src/owner_selection.rs
@@ -130,7 +130,7 @@
             turnaround: pool.expected_turnaround(),
             queue,
             late: late as f64,
-            coming: self.incoming_pieces(name, now),
+            incoming: self.incoming_pieces(name, now),
             rate: pool.rate(now),
             at: now,
         })
--- a/gateway/src/stages.rs
+++ b/gateway/src/stages.rs
@@ -404,7 +404,7 @@
     };
     let submission = Submission {
         request: ctx.id.clone(),
-        content: Some(ctx.digest.for_stage(attempt.stage)),
+        digest: Some(ctx.digest.for_stage(attempt.stage)),
         stage: attempt.stage,
         pieces: runs[index].missing(),
         key,
