--- a/components/batching/src/completion.rs
+++ b/components/batching/src/completion.rs
@@ -3,7 +3,7 @@
 
 use std::time::Instant;
 
-use platform_adapter::calls::PieceAnswer;
+use platform_interface::calls::PieceAnswer;
 
 use crate::pool::{ActiveCall, Pool, QueuedPiece};
 use crate::submission::{CallEnd, CallKey, Finished, JobKey, PieceOutcome};
--- a/components/batching/src/submission.rs
+++ b/components/batching/src/submission.rs
@@ -4,7 +4,7 @@
 
 use ids::{HallName, RequestId};
 use intent::Target;
-use platform_adapter::calls::PieceAnswer;
+use platform_interface::calls::PieceAnswer;
 use quarantine::RequestDigest;
 use slotmap::new_key_type;
 
--- a/components/batching/tests/fetch_time.rs
+++ b/components/batching/tests/fetch_time.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 
 use batching::{Call, CallEnd, Pool, Submission};
-use platform_adapter::calls::PieceAnswer;
+use platform_interface::calls::PieceAnswer;
 use support::{CALL, pool, submission, worker};
 
 mod support;
--- a/components/batching/tests/pool.rs
+++ b/components/batching/tests/pool.rs
@@ -10,7 +10,7 @@
 use eligibility::Halls;
 use ids::HallName;
 use intent::Target;
-use platform_adapter::calls::PieceAnswer;
+use platform_interface::calls::PieceAnswer;
 use support::{CALL, LIFE, pool, submission, worker};
 
 mod support;
--- a/gateway/src/admission.rs
+++ b/gateway/src/admission.rs
@@ -7,7 +7,7 @@
 
 use fleet::{HEARTBEAT_INTERVAL, PoolLoad};
 use ids::ServiceName;
-use platform_adapter::callers::Refusal;
+use platform_interface::callers::Refusal;
 use slog::info;
 
 use crate::app::App;
--- a/gateway/src/answers.rs
+++ b/gateway/src/answers.rs
@@ -8,7 +8,7 @@
 use http_body_util::{BodyExt, Full};
 use hyper::Response;
 use ids::RequestId;
-use platform_adapter::callers::Refusal;
+use platform_interface::callers::Refusal;
 
 use crate::app::App;
 
--- a/gateway/src/app.rs
+++ b/gateway/src/app.rs
@@ -10,7 +10,7 @@
 use fleet::UnreachableHalls;
 use ids::{ServiceName, VmName};
 use peering::work::Beat;
-use platform_adapter::Adapter;
+use platform_interface::Adapter;
 use result_leases::LinkKey;
 use slog::Logger;
 use telemetry::Metrics;
--- a/gateway/src/call_counts.rs
+++ b/gateway/src/call_counts.rs
@@ -1,7 +1,7 @@
 //! Summarizes how a pool's call ended, for logs and metrics.
 
 use batching::CallEnd;
-use platform_adapter::calls::PieceAnswer;
+use platform_interface::calls::PieceAnswer;
 
 /// Number of a call's pieces by outcome, for the log.
 #[derive(Default)]
--- a/gateway/src/crashes.rs
+++ b/gateway/src/crashes.rs
@@ -8,7 +8,7 @@
 use batching::{Call, CallEnd, JobKey, Pool, Submission};
 use ids::ServiceName;
 use intent::Target;
-use platform_adapter::callers::Refusal;
+use platform_interface::callers::Refusal;
 use quarantine::{Crash, Lifetime, LifetimeHash, RequestDigest};
 use slog::info;
 use tokio::task::spawn_local;
--- a/gateway/src/own_calls.rs
+++ b/gateway/src/own_calls.rs
@@ -7,7 +7,7 @@
 use hyper::Request;
 use ids::RequestId;
 use intent::Target;
-use platform_adapter::calls::{Evidence, OwnCall};
+use platform_interface::calls::{Evidence, OwnCall};
 use slog::debug;
 
 use crate::app::App;
--- a/gateway/src/own_entry.rs
+++ b/gateway/src/own_entry.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use platform_adapter::store::Write;
+use platform_interface::store::Write;
 use slog::info;
 use tokio::time::sleep;
 
--- a/gateway/src/pool_calls.rs
+++ b/gateway/src/pool_calls.rs
@@ -6,7 +6,7 @@
 
 use batching::{Call, CallEnd, CallKey, Finished, JobKey, PieceOutcome, Pool};
 use ids::ServiceName;
-use platform_adapter::calls::{OwnCall, PieceAnswer, PieceCall};
+use platform_interface::calls::{OwnCall, PieceAnswer, PieceCall};
 use slog::info;
 use tokio::task::spawn_local;
 
--- a/gateway/src/request_stages.rs
+++ b/gateway/src/request_stages.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-use platform_adapter::callers::Refusal;
+use platform_interface::callers::Refusal;
 use selection::{CallSize, prefix_chain};
 use slog::info;
 
--- a/gateway/src/requests.rs
+++ b/gateway/src/requests.rs
@@ -11,7 +11,7 @@
 use hyper::{Request, Response};
 use ids::{CustomerName, RequestId, ServiceName};
 use intent::{Customer, Entry, Intent};
-use platform_adapter::callers::{CallerHead, Refusal};
+use platform_interface::callers::{CallerHead, Refusal};
 use quarantine::{RequestDigest, RequestParts};
 use slog::info;
 
--- a/gateway/src/run.rs
+++ b/gateway/src/run.rs
@@ -9,7 +9,7 @@
 
 use errors::{Error, Result};
 use fleet::UnreachableHalls;
-use platform_adapter::Adapter;
+use platform_interface::Adapter;
 use slog::{info, warn};
 use stopping::{Limits, StopPlan};
 use telemetry::Metrics;
--- a/gateway/src/shared.rs
+++ b/gateway/src/shared.rs
@@ -11,7 +11,7 @@
 use fleet::{Fleet, Owner, Split, VmEntry};
 use ids::{HallName, ServiceName, TargetName, VmName};
 use intent::Intent;
-use platform_adapter::Adapter;
+use platform_interface::Adapter;
 use quarantine::Quarantine;
 use result_leases::Leases;
 use selection::{FleetRetryBudget, FleetRetryRules, Targets};
--- a/gateway/src/shutdown.rs
+++ b/gateway/src/shutdown.rs
@@ -3,7 +3,7 @@
 
 use std::time::{Duration, Instant};
 
-use platform_adapter::callers::Refusal;
+use platform_interface::callers::Refusal;
 use slog::{info, warn};
 use stopping::{Progress, StopDecision};
 use tokio::time::sleep;
--- a/gateway/src/stages.rs
+++ b/gateway/src/stages.rs
@@ -8,7 +8,7 @@
 use fleet::{Owner, SETTLE_TIME};
 use ids::{HallName, RequestId, ServiceName};
 use intent::{Entry, Intent};
-use platform_adapter::callers::CallerHead;
+use platform_interface::callers::CallerHead;
 use quarantine::RequestDigest;
 use selection::CallSize;
 use slog::info;
--- a/gateway/src/store_connection.rs
+++ b/gateway/src/store_connection.rs
@@ -12,7 +12,7 @@
 use hyper::body::Incoming;
 use hyper::client::conn::http1::{Builder, SendRequest};
 use hyper_util::rt::TokioIo;
-use platform_adapter::store::StoreCall;
+use platform_interface::store::StoreCall;
 use store_view::SILENCE_TIMEOUT;
 use tokio::task::AbortHandle;
 use tokio::time::timeout;
--- a/gateway/src/store_watch.rs
+++ b/gateway/src/store_watch.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use fleet::HEARTBEAT_INTERVAL;
-use platform_adapter::store::{Freshness, Page, StoreItem};
+use platform_interface::store::{Freshness, Page, StoreItem};
 use slog::{info, warn};
 use store_view::Item;
 use tokio::time::sleep;
--- a/gateway/src/stored_refusals.rs
+++ b/gateway/src/stored_refusals.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 
 use bytes::Bytes;
-use platform_adapter::store::Write;
+use platform_interface::store::Write;
 use quarantine::{Crash, Lifetime, RefusedRequest, RequestDigest};
 use serde::{Deserialize, Serialize};
 use slog::{debug, info, warn};
--- a/gateway/src/streams.rs
+++ b/gateway/src/streams.rs
@@ -7,7 +7,7 @@
 use bytes::Bytes;
 use http_body_util::BodyExt;
 use hyper::Response;
-use platform_adapter::callers::Refusal;
+use platform_interface::callers::Refusal;
 use selection::{CallSize, TargetOutcome};
 use slog::info;
 use tokio::sync::mpsc::channel;
--- a/gateway/src/target_announcements.rs
+++ b/gateway/src/target_announcements.rs
@@ -11,7 +11,7 @@
 use ids::ServiceName;
 use intent::Target;
 use peering::work::Rates;
-use platform_adapter::calls::{AnnouncedRate, AnswerHead, Evidence};
+use platform_interface::calls::{AnnouncedRate, AnswerHead, Evidence};
 use slog::{debug, info, warn};
 
 use crate::app::App;
--- a/gateway/src/whole_answers.rs
+++ b/gateway/src/whole_answers.rs
@@ -5,7 +5,7 @@
 
 use http_body_util::BodyExt;
 use hyper::Response;
-use platform_adapter::callers::Refusal;
+use platform_interface::callers::Refusal;
 use selection::TargetOutcome;
 use tokio::time::timeout_at;
 
