--- a/components/batching/src/completion.rs
+++ b/components/batching/src/completion.rs
@@ -9,8 +9,8 @@
 use crate::submission::{CallEnd, CallKey, Finished, JobKey, PieceOutcome};
 use crate::worker::WorkerKey;
 
-/// Maximum number of failed tries of a piece.
-const MAX_PIECE_TRIES: u32 = 4;
+/// Maximum number of failed attempts of a piece.
+const MAX_PIECE_ATTEMPTS: u32 = 4;
 /// Lower bound of the fraction of room that is used, however often a worker had none.
 const MIN_ROOM_FRACTION: f64 = 0.6;
 /// Decrease of the fraction when a worker had no room for a result.
@@ -151,15 +151,15 @@
         Some(finished)
     }
 
-    /// Requeues pieces, adding `cost` to their tries, and finishes those that have no tries left as
+    /// Requeues pieces, adding `cost` to their failed attempts, and finishes those that have no attempts left as
     /// failed.
     fn requeue(&mut self, pieces: Vec<QueuedPiece>, cost: u32) -> Vec<Finished> {
         let mut given_up = Vec::new();
         for mut waiting in pieces {
             let Some(job) = self.jobs.get_mut(waiting.job) else { continue };
             job.unfetched += usize::from(std::mem::take(&mut waiting.fetched));
-            waiting.tries += cost;
-            if waiting.tries < MAX_PIECE_TRIES {
+            waiting.failed_attempts += cost;
+            if waiting.failed_attempts < MAX_PIECE_ATTEMPTS {
                 self.waiting.push(waiting);
                 continue;
             }
--- a/components/batching/src/filling.rs
+++ b/components/batching/src/filling.rs
@@ -20,11 +20,11 @@
 /// Time added to the multiple given by [`TIMEOUT_FACTOR`].
 const TIMEOUT_MARGIN: Duration = Duration::from_millis(250);
 /// After this many failed calls, a piece shares calls only with pieces of its own request: a piece that
-/// crashes every worker must not use up the tries of others, nor make them look like the cause. Without
+/// crashes every worker must not use up the attempts of others, nor make them look like the cause. Without
 /// this limit all four requests of a call shared all four failed calls of such a piece; with it they
 /// share two (`a_piece_that_fails_its_calls_...`). After a single failed call, most often a worker that
 /// crashed by itself, pieces still share calls.
-const ISOLATION_TRIES: u32 = 2;
+const ISOLATION_ATTEMPTS: u32 = 2;
 /// Weight of a new call in the moving average of pieces in a call.
 const PIECES_WEIGHT: f64 = 0.2;
 /// Weight of a new call in the moving average of pieces in calls that leave others waiting. Such calls
@@ -49,7 +49,7 @@
 
 /// Whether a piece may join a call whose first piece is `begun`.
 fn may_share(begun: &QueuedPiece, other: &QueuedPiece) -> bool {
-    let is_isolated = |waiting: &QueuedPiece| waiting.tries >= ISOLATION_TRIES;
+    let is_isolated = |waiting: &QueuedPiece| waiting.failed_attempts >= ISOLATION_ATTEMPTS;
     begun.job == other.job || (!is_isolated(begun) && !is_isolated(other))
 }
 
--- a/components/batching/src/pool.rs
+++ b/components/batching/src/pool.rs
@@ -39,8 +39,8 @@
     pub(crate) job: JobKey,
     /// Number of the piece in its stage.
     pub(crate) piece: u32,
-    /// Failed tries.
-    pub(crate) tries: u32,
+    /// Number of attempts that failed.
+    pub(crate) failed_attempts: u32,
     /// Whether its target has fetched the inputs.
     pub(crate) fetched: bool,
 }
@@ -149,7 +149,7 @@
     }
 
     /// Finishes the waiting pieces for which no worker opens before their time is over as
-    /// [`PieceOutcome::Failed`], regardless of the tries left, and returns them.
+    /// [`PieceOutcome::Failed`], regardless of the attempts left, and returns them.
     pub fn fail_unservable(&mut self, now: Instant) -> Vec<Finished> {
         if self.workers.is_empty() {
             return Vec::new();
@@ -205,7 +205,7 @@
         let pieces = submission.pieces.clone();
         let (unfinished, unfetched) = (pieces.len(), pieces.len());
         let job = self.jobs.insert(Job { submission, submitted: now, unfinished, unfetched });
-        let waiting = |piece| QueuedPiece { job, piece, tries: 0, fetched: false };
+        let waiting = |piece| QueuedPiece { job, piece, failed_attempts: 0, fetched: false };
         self.waiting.extend(pieces.into_iter().map(waiting));
         job
     }
@@ -233,20 +233,20 @@
                 of_worker.1 += bytes;
             }
         }
-        let told = |(key, (handles, bytes))| {
+        let release = |(key, (handles, bytes))| {
             Some(PendingRelease { target: self.workers.get(key)?.target.clone(), handles, bytes })
         };
-        by_worker.into_iter().filter_map(told).collect()
+        by_worker.into_iter().filter_map(release).collect()
     }
 
     /// Records whether a worker was told of a release. If it may not have been, the results count as
     /// using room until they expire.
-    pub fn finish_release(&mut self, told: &PendingRelease, heard: bool, now: Instant) {
-        let Some(key) = self.by_id.get(&told.target.id).copied() else { return };
-        if heard {
-            self.free_room(key, told.bytes);
+    pub fn finish_release(&mut self, release: &PendingRelease, confirmed: bool, now: Instant) {
+        let Some(key) = self.by_id.get(&release.target.id).copied() else { return };
+        if confirmed {
+            self.free_room(key, release.bytes);
         } else {
-            self.results.add_lost(key, told.bytes, now + self.spec.result_life);
+            self.results.add_lost(key, release.bytes, now + self.spec.result_life);
         }
     }
 
--- a/components/batching/src/room_use.rs
+++ b/components/batching/src/room_use.rs
@@ -22,7 +22,7 @@
     /// Results that may remain at a worker until they expire: those of failed calls, and those of whose
     /// release the worker may not know.
     pub lost: u64,
-    /// Released results whose worker has not confirmed it.
+    /// Released results whose worker has not confirmed the release.
     pub unconfirmed: u64,
     /// Results that this VM did not have made.
     pub foreign: u64,
--- a/components/batching/src/submission.rs
+++ b/components/batching/src/submission.rs
@@ -30,8 +30,8 @@
 pub struct Submission {
     /// The request.
     pub request: RequestId,
-    /// Identifies the same content in each attempt at the same request; `None` from a VM of an older
-    /// build.
+    /// Digest that is the same in each submission of the same pieces, also under another request id;
+    /// `None` from a VM of an older build.
     pub digest: Option<RequestDigest>,
     /// Index of the stage.
     pub stage: u32,
--- a/components/batching/tests/pool.rs
+++ b/components/batching/tests/pool.rs
@@ -517,7 +517,7 @@
         }
     }
 
-    assert_eq!(ends["fatal"], 4, "all tries of the piece");
+    assert_eq!(ends["fatal"], 4, "all attempts of the piece");
     assert!(ids[1..].iter().all(|id| ends[*id] == 2), "{ends:?}");
 }
 
--- a/components/caller_request/src/lib.rs
+++ b/components/caller_request/src/lib.rs
@@ -1,6 +1,6 @@
 //! Parses the path and headers of a caller's HTTP request.
 //!
-//! Whatever can't be accepted is refused as a bad_request request that has not run.
+//! A request that can't be accepted is refused with the reason `bad_request`; it has not run.
 
 use std::time::{Duration, Instant};
 
--- a/components/eligibility/src/backoffs.rs
+++ b/components/eligibility/src/backoffs.rs
@@ -7,7 +7,7 @@
 
 use crate::Lifetime;
 
-/// Ends of the backoffs that targets asked of this VM, by lifetime. A backoff continues if the target's entry lapses
+/// Ends of the backoffs that targets requested from this VM, by lifetime. A backoff continues if the target's entry lapses
 /// and comes back within the lifetime.
 #[derive(Debug, Default)]
 pub struct Backoffs(HashMap<Lifetime, Instant>);
--- a/components/eligibility/src/halls.rs
+++ b/components/eligibility/src/halls.rs
@@ -30,7 +30,7 @@
     }
 }
 
-/// Data halls that are out of reach or taken out of service.
+/// Data halls that are unreachable or taken out of service.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Halls {
     unreachable: BTreeSet<HallName>,
--- a/components/eligibility/src/token_buckets.rs
+++ b/components/eligibility/src/token_buckets.rs
@@ -21,7 +21,7 @@
 /// request has to wait.
 const IDLE_TTL: Duration = Duration::from_secs(60);
 
-/// Answer to the question whether one request may be sent.
+/// Decision on a permit to send one request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum PermitDecision {
     /// It may be sent after this time. The permit is reserved for it.
--- a/components/fleet/src/lib.rs
+++ b/components/fleet/src/lib.rs
@@ -115,7 +115,7 @@
     /// Records that a peer was heard; `linked` says whether this VM has a link to it that it dialled itself.
     pub fn record_heard(&mut self, vm: &VmName, linked: bool, now: Instant) {
         let peer = self.peers.entry(vm.clone()).or_insert_with(|| PeerVm::new(now));
-        peer.heard = now;
+        peer.last_heard = now;
         peer.lost = false;
         peer.linked = linked;
         if linked && let Some(address) = self.entry_of(vm).map(|entry| entry.peers) {
@@ -194,7 +194,7 @@
     pub fn forget_silent(&mut self, now: Instant) {
         let before = self.peers.len();
         self.peers.retain(|_, peer| {
-            peer.linked || now.saturating_duration_since(peer.heard) < PEER_RETENTION
+            peer.linked || now.saturating_duration_since(peer.last_heard) < PEER_RETENTION
         });
         if self.peers.len() != before {
             self.ranking.clear();
@@ -213,7 +213,7 @@
             .peers
             .values()
             .filter_map(|peer| {
-                let silence = now.saturating_duration_since(peer.heard);
+                let silence = now.saturating_duration_since(peer.last_heard);
                 let hall = &peer.entry.as_ref()?.hall;
                 (silence < PEER_RETENTION).then_some((hall, silence < HALL_TIMEOUT))
             })
--- a/components/fleet/src/peer.rs
+++ b/components/fleet/src/peer.rs
@@ -40,8 +40,8 @@
 }
 
 impl PoolLoad {
-    /// Time until the pool has made all pieces that are queued or announced now. Late pieces count: without
-    /// them a part with a thousand late pieces looked idle, while other parts were idle.
+    /// Time until the pool has made all pieces that are queued or announced now. Late pieces count:
+    /// without them a part with a thousand late pieces would look as idle as other parts.
     pub fn drain_time(&self) -> Duration {
         self.time_for(self.queue.total() as f64 + self.late + self.incoming)
     }
@@ -66,7 +66,7 @@
     /// The entry that it sent of itself.
     pub entry: Option<VmEntry>,
     /// When it was last heard.
-    pub heard: Instant,
+    pub last_heard: Instant,
     /// Whether the link to it was lost since it was last heard, so that its process may have ended.
     pub lost: bool,
     /// Whether a link that this VM dialled is open.
@@ -87,11 +87,11 @@
 
 impl PeerVm {
     /// A peer of which nothing is known except when it was heard.
-    pub fn new(heard: Instant) -> Self {
+    pub fn new(last_heard: Instant) -> Self {
         PeerVm {
             incarnation: 0,
             entry: None,
-            heard,
+            last_heard,
             lost: false,
             linked: false,
             draining: false,
@@ -116,6 +116,6 @@
 
     /// Whether it was heard within [`PEER_TIMEOUT`] and its link was not lost since.
     pub fn is_fresh(&self, now: Instant) -> bool {
-        !self.lost && now.saturating_duration_since(self.heard) <= PEER_TIMEOUT
+        !self.lost && now.saturating_duration_since(self.last_heard) <= PEER_TIMEOUT
     }
 }
--- a/components/ids/src/lib.rs
+++ b/components/ids/src/lib.rs
@@ -1,4 +1,4 @@
-//! Distinct types for names, numbers and ids, so that the compiler rejects a mix-up.
+//! Distinct types for names, numbers and ids, so that the compiler rejects one used as another.
 
 use std::fmt;
 use std::sync::Arc;
--- a/components/intent/src/target.rs
+++ b/components/intent/src/target.rs
@@ -30,7 +30,7 @@
     /// Time until which this VM sends it nothing because its request rate is used up. Never part
     /// of a registration.
     pub rate_limited_until: Option<Instant>,
-    /// Interval between two requests of all VMs together, if the target names a request rate in its
+    /// Interval between two requests of all VMs together, if the target announces a rate limit in its
     /// answers.
     pub request_interval: Option<Duration>,
     /// Remaining time for which the target was cold when it wrote its registration. A cold target
--- a/components/quarantine/src/crash.rs
+++ b/components/quarantine/src/crash.rs
@@ -8,7 +8,8 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct LifetimeHash(pub u64);
 
-/// One lifetime of a target.
+/// One lifetime of a target, as far as VMs can tell lifetimes apart: by what the target reports, and by the ends
+/// that were known.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Lifetime {
     /// Id and start time that the target reported, possibly for an earlier lifetime.
--- a/components/quarantine/src/lib.rs
+++ b/components/quarantine/src/lib.rs
@@ -1,7 +1,7 @@
 //! Quarantine of requests that crash every target which runs them.
 //!
-//! Callers retry such a request under a new id and at any VM, so neither the tries of one attempt nor the failures of
-//! one target reveal it. This crate decides which attempts are the same request, which crashes count as evidence,
+//! Callers retry such a request under a new id and at any VM, so neither the calls for one request id nor the failures of
+//! one target reveal it. This crate decides which submissions are the same request, which crashes count as evidence,
 //! and which requests are refused. It is plain state without I/O; each call gets the current time.
 
 mod crash;
--- a/components/quarantine/src/request_digest.rs
+++ b/components/quarantine/src/request_digest.rs
@@ -1,4 +1,4 @@
-//! Digest that identifies a request. Two attempts are the same request if they differ in nothing but the attempt id.
+//! Digest that identifies a request. Two submissions are the same request if they differ in nothing but their id.
 
 use std::fmt;
 
@@ -7,7 +7,7 @@
 /// Bytes of the SHA-256 digest that are kept: 128 bits, so that no caller can construct another customer's digest.
 const DIGEST_BYTES: usize = 16;
 
-/// The parts of a request that identify it; the attempt id is not among them.
+/// The parts of a request that identify it. The request id is not among them: callers retry under a new one.
 #[derive(Debug, Clone, Copy)]
 pub struct RequestParts<'a> {
     /// The HTTP method.
@@ -22,7 +22,7 @@
     pub body: &'a [u8],
 }
 
-/// Digest of a request. Attempts with the same digest make the same request for the same customer.
+/// Digest of a request. Submissions with the same digest make the same request for the same customer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct RequestDigest([u8; DIGEST_BYTES]);
 
--- a/components/selection/src/targets.rs
+++ b/components/selection/src/targets.rs
@@ -180,13 +180,13 @@
 
     /// Updates the state that a target announced in its answers: departure, backoff and rate limit. Returns false
     /// if the target is unknown.
-    pub fn update_announced(&mut self, said: &Target) -> bool {
-        let known = self.by_id.get(&said.id).and_then(|key| self.arena.get_mut(*key));
+    pub fn update_announced(&mut self, announced: &Target) -> bool {
+        let known = self.by_id.get(&announced.id).and_then(|key| self.arena.get_mut(*key));
         let Some(TargetState { target, .. }) = known else { return false };
-        target.leaving |= said.leaving;
-        target.backoff_until = said.backoff_until.max(target.backoff_until);
-        target.rate_limited_until = said.rate_limited_until;
-        target.request_interval = said.request_interval;
+        target.leaving |= announced.leaving;
+        target.backoff_until = announced.backoff_until.max(target.backoff_until);
+        target.rate_limited_until = announced.rate_limited_until;
+        target.request_interval = announced.request_interval;
         true
     }
 
--- a/components/store_view/src/lib.rs
+++ b/components/store_view/src/lib.rs
@@ -10,7 +10,7 @@
 use bytes::Bytes;
 
 pub use contact::{SILENCE_TIMEOUT, StoreContact};
-pub use parts::{Assembler, Batch, BatchRequest, Part, Position};
+pub use parts::{Assembler, Batch, BatchRequest, ItemPart, Position};
 pub use stall::StallDetector;
 
 /// State of one key at one revision.
--- a/components/store_view/src/parts.rs
+++ b/components/store_view/src/parts.rs
@@ -35,7 +35,7 @@
 
 /// A change, or a part of one whose value does not fit into one batch.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Part {
+pub struct ItemPart {
     /// The change; its value holds only the bytes of this part, starting at `offset`.
     pub item: Item,
     /// Offset of this part within the whole value, in bytes.
@@ -48,7 +48,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Batch {
     /// The parts, in the order of changes.
-    pub parts: Vec<Part>,
+    pub parts: Vec<ItemPart>,
     /// Whether there are no further changes after this batch.
     pub is_last: bool,
 }
@@ -80,14 +80,14 @@
 }
 
 /// Cuts the part of an item that starts at `offset` and has at most `max_bytes` bytes of its value.
-fn cut_part(item: &Item, offset: usize, max_bytes: usize) -> Part {
+fn cut_part(item: &Item, offset: usize, max_bytes: usize) -> ItemPart {
     let Some(value) = &item.value else {
-        return Part { item: item.clone(), offset: 0, ends: true };
+        return ItemPart { item: item.clone(), offset: 0, ends: true };
     };
     let offset = offset.min(value.len());
     let end = value.len().min(offset + max_bytes);
     let item = Item { value: Some(value.slice(offset..end)), ..item.clone() };
-    Part { item, offset, ends: end == value.len() }
+    ItemPart { item, offset, ends: end == value.len() }
 }
 
 /// Bytes of an item that count towards the limit of a batch: its key and value.
@@ -119,8 +119,8 @@
     ///
     /// A part that does not continue what was received before is dropped, and the next request asks
     /// for that change from its first byte.
-    pub fn push(&mut self, part: Part) -> Option<Item> {
-        let Part { item, offset, ends } = part;
+    pub fn push(&mut self, part: ItemPart) -> Option<Item> {
+        let ItemPart { item, offset, ends } = part;
         let position = Position { revision: item.revision, key: item.key.clone() };
         let Some(value) = item.value else {
             self.advance(position);
--- a/components/store_view/tests/view.rs
+++ b/components/store_view/tests/view.rs
@@ -2,7 +2,7 @@
 //! batches.
 
 use bytes::Bytes;
-use store_view::{Assembler, Change, Item, Part, View};
+use store_view::{Assembler, Change, Item, ItemPart, View};
 
 fn put(key: &str, revision: u64, value: &str) -> Item {
     let value = Some(Bytes::copy_from_slice(value.as_bytes()));
@@ -148,7 +148,7 @@
 #[test]
 fn a_part_without_its_beginning_is_dropped() {
     let mut assembler = Assembler::after(0);
-    let part = Part { item: put("long", 6, "rest"), offset: 4, ends: true };
+    let part = ItemPart { item: put("long", 6, "rest"), offset: 4, ends: true };
 
     assert_eq!(assembler.push(part), None);
     assert_eq!(assembler.next_request(), Assembler::after(0).next_request());
--- a/components/target_calls/src/call.rs
+++ b/components/target_calls/src/call.rs
@@ -79,7 +79,7 @@
 pub enum CallFailure {
     /// Nothing was sent, so the call did not run.
     NotSent(String),
-    /// The target did not run the call, and said so.
+    /// The answer states that the target did not run the call.
     Declined(String),
     /// The answer named another attempt or none; this one may have run.
     Crossed(String),
--- a/gateway/src/http_endpoints.rs
+++ b/gateway/src/http_endpoints.rs
@@ -141,9 +141,9 @@
     let entry = |(lifetime, limit, heard): (&Lifetime, RateLimit, Instant)| {
         let target = shared.targets.get(&lifetime.target);
         let held = target.and_then(|target| target.rate_limited_until);
-        let account = target.map(|target| shared.bucket_owner_known(&target.service, now));
+        let bucket_owner = target.map(|target| shared.bucket_owner(&target.service, now));
         json!({
-            "account_at": account.map(|owner| owner_name(&owner)),
+            "account_at": bucket_owner.map(|owner| owner_name(&owner)),
             "held_ms": held.map(|until| until.saturating_duration_since(now).as_millis() as u64),
             "target": lifetime.target.as_str(),
             "born": lifetime.born,
@@ -166,7 +166,7 @@
                     "vm": vm.as_str(),
                     "linked": peer.linked,
                     "draining": peer.draining,
-                    "heard_ms": (now - peer.heard).as_millis() as u64,
+                    "heard_ms": (now - peer.last_heard).as_millis() as u64,
                     "as_of": peer.as_of,
                     "incarnation": peer.incarnation,
                 })
--- a/gateway/src/peer_sync.rs
+++ b/gateway/src/peer_sync.rs
@@ -10,7 +10,7 @@
 use ids::VmName;
 use peering::work::{Ask, News, StoreItem};
 use slog::{debug, info, warn};
-use store_view::{Assembler, Batch, Item, Part, Position, View};
+use store_view::{Assembler, Batch, Item, ItemPart, Position, View};
 use tokio::time::{MissedTickBehavior, interval, sleep, timeout};
 
 use crate::app::App;
@@ -98,7 +98,7 @@
         let news = timeout(PART_TIMEOUT, news).await.ok()?.ok()?;
         // Only changes that the peer knew when it sent the first part are sure to be complete after the last one.
         known = known.min(news.as_of);
-        let parts: Vec<Part> = news.items.into_iter().map(decode_part).collect();
+        let parts: Vec<ItemPart> = news.items.into_iter().map(decode_part).collect();
         let count = parts.len();
         let items: Vec<Item> = parts.into_iter().filter_map(|part| assembly.push(part)).collect();
         info!(app.log, "news of the store from a peer"; "peer" => %vm, "parts" => count,
@@ -131,9 +131,9 @@
     }
 }
 
-fn decode_part(item: StoreItem) -> Part {
+fn decode_part(item: StoreItem) -> ItemPart {
     let value = (!item.removed).then(|| Bytes::from(item.value));
-    Part {
+    ItemPart {
         item: Item { key: item.key, revision: item.revision, value },
         offset: usize::try_from(item.offset).unwrap_or(usize::MAX),
         ends: !item.goes_on,
@@ -151,8 +151,8 @@
     News { items: parts.into_iter().map(encode_part).collect(), as_of: view.as_of(), is_last }
 }
 
-fn encode_part(part: Part) -> StoreItem {
-    let Part { item, offset, ends } = part;
+fn encode_part(part: ItemPart) -> StoreItem {
+    let ItemPart { item, offset, ends } = part;
     StoreItem {
         key: item.key,
         revision: item.revision,
--- a/gateway/src/permits.rs
+++ b/gateway/src/permits.rs
@@ -1,10 +1,9 @@
-//! Permits to send something to a target. Nothing is sent without one: a target that names a rate
-//! limit gets no more than that from all VMs together, by any path.
+//! Permits to send something to a target. Nothing is sent without one: a target that announces a
+//! rate limit gets no more than that from all VMs together, by any path.
 //!
-//! The permit for a request to a plain target or an engine is asked of the VM that holds the
-//! accounts (token buckets) of the service. All VMs determine that VM alike, since requests may
-//! arrive at any of them. A pool's calls are made by one VM, which holds the accounts of its
-//! workers itself.
+//! The permit for a request to a plain target or an engine is requested from the VM that holds the
+//! token buckets of the service. All VMs determine that VM alike, since requests may arrive at any
+//! of them. A pool's calls are made by one VM, which holds the token buckets of its workers itself.
 
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -22,11 +21,11 @@
 use crate::rate_messages::{decode_rate, encode_rate};
 use crate::shared::Shared;
 
-/// Longest wait for the answer of the VM that holds an account; dozens of round trips between
+/// Longest wait for the answer of the VM that holds a token bucket; dozens of round trips between
 /// halls.
 const ASK_TIMEOUT: Duration = Duration::from_millis(60);
-/// Pause before the accounts of a service are asked again when nobody answered: the VM that holds
-/// them may be paused, or a link to it is about to be established.
+/// Pause before a permit is requested again when nobody answered: the VM that holds the token
+/// buckets may be paused, or a link to it is about to be established.
 const NO_OWNER_PAUSE: Duration = Duration::from_millis(100);
 /// Shortest time for which a target is skipped after a denial. Without it, each request would spend
 /// a round trip to another VM on a target that is at its rate limit.
@@ -78,7 +77,7 @@
 /// `within` at most.
 ///
 /// # Errors
-/// [`RateLimited`] if the permit is denied, or nobody who holds the account answers.
+/// [`RateLimited`] if the permit is denied, or the VM that holds the token bucket doesn't answer.
 pub(crate) async fn for_request(
     app: &Rc<App>,
     target: &Target,
@@ -119,7 +118,7 @@
     permit(app, target, Kind::Release)
 }
 
-/// Time for which release notices to a target are batched; `None` if it names no rate limit.
+/// Time for which release notices to a target are batched; `None` if it announces no rate limit.
 /// Batching keeps them few compared to the calls that the rate allows, also where the target counts
 /// them.
 pub(crate) fn release_batch_window(app: &App, target: &Target) -> Option<Duration> {
@@ -127,7 +126,7 @@
     Some((interval * RELEASE_BATCH_INTERVALS).min(MAX_RELEASE_BATCH_WINDOW))
 }
 
-/// The permit to ask a worker for its report; `None` if it names a rate limit, all of which its
+/// The permit to ask a worker for its report; `None` if it announces a rate limit, all of which its
 /// calls need.
 pub(crate) fn for_report(app: &Rc<App>, target: &Target) -> Option<Permit> {
     let names_rate = app.hub.with(|shared, _| shared.rates.limit(target).is_some());
@@ -139,14 +138,14 @@
     Permit { app: Rc::clone(app), target: target.clone(), kind }
 }
 
-/// The decision of the VM that holds the account; `None` if nobody answers.
+/// The decision of the VM that holds the token bucket; `None` if nobody answers.
 async fn decide(
     app: &Rc<App>,
     target: &Target,
     limit: RateLimit,
     within: Duration,
 ) -> Option<PermitDecision> {
-    let owner = app.hub.with(|shared, now| shared.bucket_owner(&target.service, now));
+    let owner = app.hub.with(|shared, now| shared.update_bucket_owner(&target.service, now));
     match owner {
         Owner::This => Some(app.hub.with(|shared, now| {
             shared.token_buckets.acquire(&Lifetime::from(target), limit, within, now)
@@ -164,7 +163,7 @@
     Some(if reply.granted { PermitDecision::Granted(wait) } else { PermitDecision::Denied(wait) })
 }
 
-/// The question for a permit, with what this VM has observed of the target's rate.
+/// The request for a permit, with what this VM has observed of the target's rate.
 fn build_permit_ask(app: &App, target: &Target, within: Duration) -> PermitAsk {
     app.hub.with(|shared, now| {
         let lifetime = Lifetime::from(target);
@@ -175,19 +174,19 @@
     })
 }
 
-/// Answers a peer that asks for a permit; `None` if its question can't be read.
+/// Answers a peer that asks for a permit; `None` if its request can't be read.
 pub(crate) async fn answer(app: &App, vm: &str, ask: PermitAsk) -> Option<PermitReply> {
     let (lifetime, observations) = ask.rate.as_ref().and_then(|rate| decode_rate(rate, now()))?;
     let number = ask.number;
     let owner = app.hub.with(|shared, now| {
         shared.merge_peer_rate(lifetime.clone(), &observations, vm, now);
         let service = shared.targets.service_of(&lifetime.target).cloned()?;
-        Some(shared.bucket_owner(&service, now))
+        Some(shared.update_bucket_owner(&service, now))
     });
     let decision = match owner {
         Some(Owner::This) => Some(decide_here(app, &lifetime, &ask)),
-        // The asking VM may know fewer VMs, or learn of them later. Two accounts for one target
-        // would admit twice its rate, so the question is passed on, once.
+        // The asking VM may know fewer VMs, or learn of them later. Two token buckets for one
+        // target would admit twice its rate, so the request is forwarded, once.
         Some(Owner::Peer(owner)) if !ask.passed_on => {
             ask_peer(app, &owner, PermitAsk { passed_on: true, ..ask }).await
         }
@@ -202,7 +201,7 @@
     Some(PermitReply { number, granted, wait_ms })
 }
 
-/// Decides about a permit with the accounts of this VM.
+/// Decides about a permit with the token buckets of this VM.
 fn decide_here(app: &App, lifetime: &Lifetime, ask: &PermitAsk) -> PermitDecision {
     let within = Duration::from_millis(u64::from(ask.within_ms));
     app.hub.with(|shared, now| match shared.rates.limit_of(lifetime) {
@@ -213,10 +212,10 @@
 }
 
 impl Shared {
-    /// The VM that holds the accounts of a service's targets. When they come to this VM from
-    /// another, its old accounts are closed, since it does not know what the other one granted.
-    pub(crate) fn bucket_owner(&mut self, service: &ServiceName, now: Instant) -> Owner {
-        let owner = self.bucket_owner_known(service, now);
+    /// Determines the VM that holds the token buckets of a service's targets. If this VM takes them
+    /// over from another, it drops its old ones, since it does not know what the other VM granted.
+    pub(crate) fn update_bucket_owner(&mut self, service: &ServiceName, now: Instant) -> Owner {
+        let owner = self.bucket_owner(service, now);
         let previous = self.token_bucket_owners.insert(service.clone(), owner.clone());
         if owner == Owner::This && previous.is_some_and(|previous| previous != Owner::This) {
             let targets: Vec<Lifetime> =
@@ -226,17 +225,17 @@
         owner
     }
 
-    /// Like [`Shared::bucket_owner`], but without closing any accounts.
-    pub(crate) fn bucket_owner_known(&self, service: &ServiceName, now: Instant) -> Owner {
+    /// The VM that holds the token buckets of a service's targets; records nothing, drops nothing.
+    pub(crate) fn bucket_owner(&self, service: &ServiceName, now: Instant) -> Owner {
         let (split, draining) = (Split::default(), self.is_stopping());
         self.fleet.owner_of(service.as_str(), &split, Part::default(), draining, now)
     }
 
-    /// Determines the account owners again, so that a change is noticed even if nobody asks for a
-    /// permit.
+    /// Determines the owners of token buckets again, so that a change is noticed even if nobody
+    /// requests a permit.
     pub(crate) fn refresh_bucket_owners(&mut self, now: Instant) {
         for service in self.rate_limited_services() {
-            self.bucket_owner(&service, now);
+            self.update_bucket_owner(&service, now);
         }
     }
 
@@ -252,8 +251,8 @@
         )
     }
 
-    /// Services, except pools, with a target that names a rate limit. Their accounts may be asked
-    /// for.
+    /// Services, except pools, with a target that announces a rate limit. Permits may be requested
+    /// for them.
     pub(crate) fn rate_limited_services(&self) -> Vec<ServiceName> {
         let rate_limited = self.rates.all().filter_map(|(lifetime, ..)| {
             let service = self.targets.service_of(&lifetime.target)?;
--- a/gateway/src/shared.rs
+++ b/gateway/src/shared.rs
@@ -304,8 +304,8 @@
     pub(crate) fn wanted_links(&self) -> BTreeSet<SocketAddr> {
         let pools = self.splits.iter().map(|(name, split)| (name.as_str(), split));
         let (rated, whole) = (self.rate_limited_services(), Split::default());
-        let accounts = rated.iter().map(|service| (service.as_str(), &whole));
-        self.fleet.wanted_links(pools.chain(accounts))
+        let bucket_services = rated.iter().map(|service| (service.as_str(), &whole));
+        self.fleet.wanted_links(pools.chain(bucket_services))
     }
 
     /// Counts a request of a service towards its retry budget.
