--- a/components/batching/src/completion.rs
+++ b/components/batching/src/completion.rs
@@ -42,7 +42,7 @@
     pub fn call_ended(&mut self, key: CallKey, end: CallEnd, now: Instant) -> Vec<Finished> {
         let Some(call) = self.calls.remove(key) else { return Vec::new() };
         let took = now.saturating_duration_since(call.began);
-        if matches!(end, CallEnd::Failed | CallEnd::OutOfReach) {
+        if matches!(end, CallEnd::Failed | CallEnd::HallUnreachable) {
             // The worker may have made all of the results.
             self.results.add_lost(call.worker, call.bytes, now + self.spec.result_life);
         } else {
@@ -54,12 +54,12 @@
                 CallEnd::Answered(_) => worker.record_answer(took, call.expected),
                 CallEnd::Full => worker.record_full(now),
                 CallEnd::TargetGone | CallEnd::Failed => worker.record_failure(now),
-                CallEnd::OutOfReach => {}
+                CallEnd::HallUnreachable => {}
             }
         }
         match end {
             CallEnd::Answered(answers) => self.handle_answers(&call, answers, now),
-            CallEnd::Full | CallEnd::OutOfReach => self.requeue(call.pieces, 0),
+            CallEnd::Full | CallEnd::HallUnreachable => self.requeue(call.pieces, 0),
             CallEnd::TargetGone | CallEnd::Failed => self.requeue(call.pieces, 1),
         }
     }
@@ -76,12 +76,12 @@
         let missing = std::iter::repeat(PieceAnswer::Failed);
         for (waiting, answer) in call.pieces.iter().zip(answers.into_iter().chain(missing)) {
             let made = match answer {
-                PieceAnswer::Made(handle) => {
+                PieceAnswer::Stored(handle) => {
                     self.store_result(call.worker, waiting, &handle, now);
                     PieceOutcome::Stored(handle)
                 }
                 PieceAnswer::Late => PieceOutcome::Late,
-                PieceAnswer::Gone => PieceOutcome::InputGone,
+                PieceAnswer::InputGone => PieceOutcome::InputGone,
                 PieceAnswer::NoRoom => {
                     if let Some(worker) = self.workers.get_mut(call.worker) {
                         worker.record_no_room(now);
@@ -111,7 +111,7 @@
             return;
         }
         let of_piece = call.bytes / (call.pieces.len() as u64).max(1);
-        let made = count(|answer| matches!(answer, PieceAnswer::Made(_))) * of_piece;
+        let made = count(|answer| matches!(answer, PieceAnswer::Stored(_))) * of_piece;
         let foreign = self.spec.room_bytes.saturating_sub(call.room_before + made);
         let life = self.spec.result_life;
         match self.workers.get_mut(call.worker) {
--- a/components/batching/src/filling.rs
+++ b/components/batching/src/filling.rs
@@ -113,7 +113,7 @@
         if self.order == Order::Arrival {
             return;
         }
-        let soonest = now + self.spec.call + self.spec.piece.mul_f64(self.mean_pieces);
+        let soonest = now + self.spec.call_time + self.spec.piece_time.mul_f64(self.mean_pieces);
         let jobs = &self.jobs;
         self.waiting.sort_by_cached_key(|waiting| {
             let submission = jobs.get(waiting.job).map(|job| &job.submission);
@@ -201,8 +201,8 @@
         {
             return None;
         }
-        let max_wait = self.spec.call.mul_f64(PREFERRED_HALL_WAIT);
-        let by_slack = job.submission.due.checked_sub(self.spec.call * 2)?;
+        let max_wait = self.spec.call_time.mul_f64(PREFERRED_HALL_WAIT);
+        let by_slack = job.submission.due.checked_sub(self.spec.call_time * 2)?;
         let until = (job.submitted + max_wait).min(by_slack);
         (until > now).then_some(until)
     }
@@ -217,7 +217,7 @@
             |w: &QueuedPiece| self.jobs.get(w.job).map_or(0, |j| j.submission.result_bytes);
         let bytes = pieces.iter().map(bytes_of).sum();
         let count = u32::try_from(pieces.len()).unwrap_or(u32::MAX);
-        let expected = (self.spec.call + self.spec.piece * count).max(MIN_DURATION);
+        let expected = (self.spec.call_time + self.spec.piece_time * count).max(MIN_DURATION);
         self.mean_pieces += PIECES_WEIGHT * (f64::from(count) - self.mean_pieces);
         self.learn_backlogged_pieces(count);
         let fetch_time = self.fetch_time(&pieces);
@@ -260,7 +260,8 @@
         jobs.dedup();
         let submissions = jobs.iter().filter_map(|job| self.submission(*job));
         let bytes: u64 = submissions.map(|submission| submission.input_bytes).sum();
-        let time = FETCH_LINKS * bytes as f64 / self.spec.link.filter(|link| *link > 0)? as f64;
+        let time =
+            FETCH_LINKS * bytes as f64 / self.spec.fetch_rate.filter(|link| *link > 0)? as f64;
         (bytes > 0).then(|| FETCH_MARGIN + Duration::from_secs_f64(time))
     }
 }
--- a/components/batching/src/forecast.rs
+++ b/components/batching/src/forecast.rs
@@ -22,7 +22,7 @@
         let by_room = by_room.map_or(usize::MAX, |count| usize::try_from(count).unwrap_or(1));
         let full = self.spec.batch.min(by_room).max(1) as f64;
         let full = self.backlogged_pieces.map_or(full, |pressed| full.min(pressed)).max(1.0);
-        let time = self.spec.call.as_secs_f64() + full * self.spec.piece.as_secs_f64();
+        let time = self.spec.call_time.as_secs_f64() + full * self.spec.piece_time.as_secs_f64();
         let calls = f64::from(self.spec.at_once.max(1)) / time.max(MIN_DURATION.as_secs_f64());
         let schedulable = self.workers.values().filter(|worker| self.is_schedulable(worker, now));
         schedulable.map(|worker| calls.min(worker.max_call_rate())).sum::<f64>() * full
@@ -41,8 +41,8 @@
     pub fn expected_turnaround(&self) -> Duration {
         let busy = self.workers.values().filter(|worker| worker.active_calls > 0).count() as f64;
         let busy_fraction = busy / self.workers.len().max(1) as f64;
-        let next_free = self.spec.call.mul_f64(busy_fraction.powi(NEXT_FREE_POWER) / 2.0);
-        next_free + self.spec.call + self.spec.piece.mul_f64(self.mean_pieces)
+        let next_free = self.spec.call_time.mul_f64(busy_fraction.powi(NEXT_FREE_POWER) / 2.0);
+        next_free + self.spec.call_time + self.spec.piece_time.mul_f64(self.mean_pieces)
     }
 
     /// Returns the waiting pieces that can still be in time, by urgency and slack.
@@ -50,7 +50,7 @@
         let mut queue = Queue::default();
         let submission = |waiting: &QueuedPiece| Some(&self.jobs.get(waiting.job)?.submission);
         for submission in self.waiting.iter().filter_map(submission) {
-            if submission.due > now + self.spec.call {
+            if submission.due > now + self.spec.call_time {
                 let slack = effective_due_of(submission).saturating_duration_since(now);
                 queue.add(submission.urgency, slack);
             }
--- a/components/batching/src/submission.rs
+++ b/components/batching/src/submission.rs
@@ -32,7 +32,7 @@
     pub request: RequestId,
     /// Identifies the same content in each attempt at the same request; `None` from a VM of an older
     /// build.
-    pub content: Option<RequestDigest>,
+    pub digest: Option<RequestDigest>,
     /// Index of the stage.
     pub stage: u32,
     /// Numbers of the pieces.
@@ -98,7 +98,7 @@
     /// The target is gone and another one has its address.
     TargetGone,
     /// The target's hall is unreachable.
-    OutOfReach,
+    HallUnreachable,
     /// The call failed or timed out.
     Failed,
 }
--- a/components/batching/tests/fetch_time.rs
+++ b/components/batching/tests/fetch_time.rs
@@ -28,7 +28,7 @@
 }
 
 fn made(call: &Call) -> CallEnd {
-    let handle = |index| PieceAnswer::Made(format!("127.0.0.1:9/{index}"));
+    let handle = |index| PieceAnswer::Stored(format!("127.0.0.1:9/{index}"));
     CallEnd::Answered((0..call.pieces.len()).map(handle).collect())
 }
 
@@ -56,7 +56,7 @@
 fn the_fetch_time_is_unknown_if_the_link_speed_is_unknown() {
     let now = Instant::now();
     let mut pool = pool(&[worker("m", "a")]);
-    pool.set_spec(intent::PoolSpec { link: None, ..support::spec() });
+    pool.set_spec(intent::PoolSpec { fetch_rate: None, ..support::spec() });
 
     let call = begin(&mut pool, now);
 
--- a/components/batching/tests/pool.rs
+++ b/components/batching/tests/pool.rs
@@ -16,7 +16,7 @@
 mod support;
 
 fn made(count: usize) -> CallEnd {
-    let answer = |index| PieceAnswer::Made(format!("127.0.0.1:9/{index}"));
+    let answer = |index| PieceAnswer::Stored(format!("127.0.0.1:9/{index}"));
     CallEnd::Answered((0..count).map(answer).collect())
 }
 
@@ -119,7 +119,7 @@
     let mut pool = pool(&[worker("m", "a")]);
     pool.submit(submission("r", 4, now + CALL * 4), now);
     let call = pool.next_call(now).unwrap();
-    let answers = vec![PieceAnswer::Late, PieceAnswer::Gone, PieceAnswer::NoRoom];
+    let answers = vec![PieceAnswer::Late, PieceAnswer::InputGone, PieceAnswer::NoRoom];
 
     let finished = pool.call_ended(call.key, CallEnd::Answered(answers), now);
 
@@ -265,7 +265,7 @@
     let full = pool.next_call(now).unwrap();
     let three_made = (0..4).map(|piece| match piece {
         3 => PieceAnswer::NoRoom,
-        _ => PieceAnswer::Made(format!("127.0.0.1:9/{piece}")),
+        _ => PieceAnswer::Stored(format!("127.0.0.1:9/{piece}")),
     });
 
     pool.call_ended(full.key, CallEnd::Answered(three_made.collect()), now);
@@ -285,12 +285,12 @@
     let now = Instant::now();
     let mut pool = pool(&[worker("m", "a"), worker("n", "b")]);
     let mut halls = Halls::default();
-    halls.set_out_of_reach([HallName::new("a").unwrap()].into());
+    halls.set_unreachable([HallName::new("a").unwrap()].into());
     let job = pool.submit(submission("r", 2, now + CALL * 9), now);
     for _ in 0..8 {
         pool.set_halls(Halls::default());
         let call = pool.next_call(now).unwrap();
-        assert!(pool.call_ended(call.key, CallEnd::OutOfReach, now).is_empty(), "not failed");
+        assert!(pool.call_ended(call.key, CallEnd::HallUnreachable, now).is_empty(), "not failed");
     }
 
     pool.set_halls(halls);
@@ -383,7 +383,7 @@
     pool.submit(sized("first"), now);
     let call = pool.next_call(now).unwrap();
     let made_two = (0..4).map(|piece| match piece {
-        0 | 1 => PieceAnswer::Made(format!("127.0.0.1:9/{piece}")),
+        0 | 1 => PieceAnswer::Stored(format!("127.0.0.1:9/{piece}")),
         _ => PieceAnswer::NoRoom,
     });
 
@@ -433,7 +433,7 @@
     pool.set_halls(halls);
     pool.submit(submission("other", 4, now + CALL * 9), now);
     let elsewhere = pool.next_call(now).unwrap();
-    let made = vec![PieceAnswer::Made("m/1".to_owned())];
+    let made = vec![PieceAnswer::Stored("m/1".to_owned())];
     let finished = pool.call_ended(in_progress.key, CallEnd::Answered(made), now);
 
     assert_ne!(elsewhere.target.hall, in_progress.target.hall);
@@ -477,7 +477,7 @@
         let at = now + (LIFE + CALL) * number;
         let call = pool.next_call(at).unwrap();
         assert_eq!(call.pieces.len(), 1);
-        let made = PieceAnswer::Made(format!("m/{number}"));
+        let made = PieceAnswer::Stored(format!("m/{number}"));
         pool.call_ended(call.key, CallEnd::Answered(vec![made]), at + CALL);
     }
     let backlogged = pool.rate(now + LIFE * 60);
@@ -486,7 +486,7 @@
         let at = now + LIFE * 70 + CALL * number;
         pool.submit(submission(&format!("s-{number}"), 1, at + CALL * 9), at);
         let call = pool.next_call(at).unwrap();
-        let made = vec![PieceAnswer::Made(format!("n/{number}"))];
+        let made = vec![PieceAnswer::Stored(format!("n/{number}"))];
         pool.call_ended(call.key, CallEnd::Answered(made), at);
     }
     let free = pool.rate(now + LIFE * 90);
--- a/components/batching/tests/support/mod.rs
+++ b/components/batching/tests/support/mod.rs
@@ -17,11 +17,11 @@
         at_once: 1,
         queue: 2,
         batch: 4,
-        call: CALL,
-        piece: Duration::from_millis(10),
+        call_time: CALL,
+        piece_time: Duration::from_millis(10),
         room_bytes: 1000,
         result_life: LIFE,
-        link: Some(1_000_000),
+        fetch_rate: Some(1_000_000),
     }
 }
 
@@ -53,7 +53,7 @@
 pub fn submission(id: &str, pieces: u32, due: Instant) -> Submission {
     Submission {
         request: RequestId::new(id).unwrap(),
-        content: None,
+        digest: None,
         stage: 0,
         pieces: (0..pieces).collect(),
         key: Some("secret".to_owned()),
--- a/components/eligibility/src/halls.rs
+++ b/components/eligibility/src/halls.rs
@@ -12,7 +12,7 @@
     /// It may be sent new work.
     Open,
     /// Its hall does not answer; the target is tried only if no other one is left.
-    OutOfReach,
+    HallUnreachable,
     /// Operators took its hall out of service.
     Evacuated,
     /// It asked this VM to back off, and that time has not ended.
@@ -26,14 +26,14 @@
 impl Eligibility {
     /// Whether the target may be sent new work if no other one is left.
     pub fn is_allowed(self) -> bool {
-        matches!(self, Eligibility::Open | Eligibility::OutOfReach)
+        matches!(self, Eligibility::Open | Eligibility::HallUnreachable)
     }
 }
 
 /// Data halls that are out of reach or taken out of service.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Halls {
-    out_of_reach: BTreeSet<HallName>,
+    unreachable: BTreeSet<HallName>,
     evacuated: BTreeSet<HallName>,
 }
 
@@ -48,7 +48,7 @@
             () if target.rate_limited_until.is_some_and(|until| now < until) => {
                 Eligibility::Limited
             }
-            () if self.out_of_reach.contains(&target.hall) => Eligibility::OutOfReach,
+            () if self.unreachable.contains(&target.hall) => Eligibility::HallUnreachable,
             () => Eligibility::Open,
         }
     }
@@ -57,7 +57,7 @@
     /// it is leaving or evacuated, so that no time is known.
     pub fn opens_at(&self, target: &Target, now: Instant) -> Option<Instant> {
         match self.eligibility(target, now) {
-            Eligibility::Open | Eligibility::OutOfReach => Some(now),
+            Eligibility::Open | Eligibility::HallUnreachable => Some(now),
             Eligibility::BackedOff | Eligibility::Limited => {
                 target.backoff_until.max(target.rate_limited_until)
             }
@@ -71,8 +71,8 @@
     }
 
     /// Sets the halls that this VM can't reach.
-    pub fn set_out_of_reach(&mut self, halls: BTreeSet<HallName>) {
-        self.out_of_reach = halls;
+    pub fn set_unreachable(&mut self, halls: BTreeSet<HallName>) {
+        self.unreachable = halls;
     }
 
     /// Takes a hall out of service; returns false if it already was.
--- a/components/eligibility/src/lib.rs
+++ b/components/eligibility/src/lib.rs
@@ -18,4 +18,4 @@
 pub use departures::{Departure, Departures, Lifetime};
 pub use halls::{Eligibility, Halls};
 pub use rates::{RateChange, RateLimit, RateLimits, RateObservation, RateObservations};
-pub use token_buckets::{Decision, TokenBuckets};
+pub use token_buckets::{PermitDecision, TokenBuckets};
--- a/components/eligibility/src/token_buckets.rs
+++ b/components/eligibility/src/token_buckets.rs
@@ -23,7 +23,7 @@
 
 /// Answer to the question whether one request may be sent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Decision {
+pub enum PermitDecision {
     /// It may be sent after this time. The permit is reserved for it.
     Granted(Duration),
     /// It may not be sent in the time that it can wait. Another attempt after this time may succeed.
@@ -63,14 +63,14 @@
         limit: RateLimit,
         within: Duration,
         now: Instant,
-    ) -> Decision {
+    ) -> PermitDecision {
         let bucket = self.refilled(lifetime, limit, now);
         let wait = bucket.wait(limit);
         if wait > within {
-            return Decision::Denied(wait - within);
+            return PermitDecision::Denied(wait - within);
         }
         bucket.permits -= 1.0;
-        Decision::Granted(wait)
+        PermitDecision::Granted(wait)
     }
 
     /// Counts a request that is sent without a permit; returns the time until the next permit is left.
--- a/components/eligibility/tests/halls.rs
+++ b/components/eligibility/tests/halls.rs
@@ -20,7 +20,7 @@
 fn only_open_and_out_of_reach_targets_are_allowed() {
     let allowed = [
         (Eligibility::Open, true),
-        (Eligibility::OutOfReach, true),
+        (Eligibility::HallUnreachable, true),
         (Eligibility::Evacuated, false),
         (Eligibility::BackedOff, false),
         (Eligibility::Limited, false),
@@ -36,11 +36,11 @@
 fn evacuation_and_departure_take_precedence_over_reachability() {
     let now = Instant::now();
     let mut halls = Halls::default();
-    halls.set_out_of_reach([hall("a")].into());
-    let out_of_reach = halls.eligibility(&target("a"), now);
+    halls.set_unreachable([hall("a")].into());
+    let unreachable = halls.eligibility(&target("a"), now);
     halls.evacuate(hall("a"));
 
-    assert_eq!(out_of_reach, Eligibility::OutOfReach);
+    assert_eq!(unreachable, Eligibility::HallUnreachable);
     assert_eq!(halls.eligibility(&target("a"), now), Eligibility::Evacuated);
     assert_eq!(halls.eligibility(&target("b"), now), Eligibility::Open);
     let leaving = Target { leaving: true, ..target("b") };
@@ -73,7 +73,7 @@
     assert_eq!(halls.eligibility(&backed_off, until), Eligibility::Open);
     assert_eq!(halls.opens_at(&backed_off, until), Some(until));
     assert_eq!(halls.opens_at(&leaving, now), None);
-    halls.set_out_of_reach([hall("a")].into());
+    halls.set_unreachable([hall("a")].into());
     assert_eq!(
         halls.eligibility(&backed_off, now),
         Eligibility::BackedOff,
--- a/components/eligibility/tests/token_buckets.rs
+++ b/components/eligibility/tests/token_buckets.rs
@@ -5,7 +5,7 @@
 
 use std::time::{Duration, Instant};
 
-use eligibility::{Decision, Lifetime, RateLimit, TokenBuckets};
+use eligibility::{Lifetime, PermitDecision, RateLimit, TokenBuckets};
 use ids::TargetName;
 use proptest::prelude::{ProptestConfig, prop_assert, proptest};
 
@@ -44,14 +44,14 @@
         buckets.acquire(&lifetime(), rate(2.0), Duration::ZERO, at)
     };
 
-    assert_eq!(ask(0), Decision::Denied(Duration::from_millis(1500)));
-    assert_eq!(ask(1500), Decision::Granted(Duration::ZERO));
-    assert!(matches!(ask(1600), Decision::Denied(_)));
+    assert_eq!(ask(0), PermitDecision::Denied(Duration::from_millis(1500)));
+    assert_eq!(ask(1500), PermitDecision::Granted(Duration::ZERO));
+    assert!(matches!(ask(1600), PermitDecision::Denied(_)));
     // The bucket holds at most two and a half permits, however long nobody asked.
-    assert_eq!(ask(30_000), Decision::Granted(Duration::ZERO));
-    assert_eq!(ask(30_000), Decision::Granted(Duration::ZERO));
-    assert_eq!(ask(30_250), Decision::Granted(Duration::ZERO));
-    assert!(matches!(ask(30_300), Decision::Denied(_)));
+    assert_eq!(ask(30_000), PermitDecision::Granted(Duration::ZERO));
+    assert_eq!(ask(30_000), PermitDecision::Granted(Duration::ZERO));
+    assert_eq!(ask(30_250), PermitDecision::Granted(Duration::ZERO));
+    assert!(matches!(ask(30_300), PermitDecision::Denied(_)));
 }
 
 #[test]
@@ -61,9 +61,9 @@
     let mut ask =
         |within| buckets.acquire(&lifetime(), rate(2.0), Duration::from_millis(within), start);
 
-    assert_eq!(ask(2200), Decision::Granted(Duration::from_millis(1500)));
-    assert_eq!(ask(2200), Decision::Granted(Duration::from_secs(2)));
-    assert_eq!(ask(2200), Decision::Denied(Duration::from_millis(300)));
+    assert_eq!(ask(2200), PermitDecision::Granted(Duration::from_millis(1500)));
+    assert_eq!(ask(2200), PermitDecision::Granted(Duration::from_secs(2)));
+    assert_eq!(ask(2200), PermitDecision::Denied(Duration::from_millis(300)));
 }
 
 #[test]
@@ -116,7 +116,7 @@
             let held: Vec<usize> = (0..holders.len()).filter(|n| asks(&holders[*n])).collect();
             let holder = held[asked % held.len()];
             let decision = buckets[holder].acquire(&lifetime(), limit, within, start + at);
-            if let Decision::Granted(wait) = decision {
+            if let PermitDecision::Granted(wait) = decision {
                 sent.push(start + at + wait);
             }
         }
--- a/components/fleet/src/lib.rs
+++ b/components/fleet/src/lib.rs
@@ -181,7 +181,7 @@
             peer.entry.as_ref().is_none_or(|entry| split.part_of(&entry.hall) == part)
         };
         let fresh = self.peers.values().filter(|peer| peer.is_fresh(now));
-        fresh.filter(is_of_part).filter_map(|peer| peer.coming.get(pool)).sum()
+        fresh.filter(is_of_part).filter_map(|peer| peer.incoming.get(pool)).sum()
     }
 
     /// The newest version of the configuration that a live peer has in force; 0 if there is none.
--- a/components/fleet/src/peer.rs
+++ b/components/fleet/src/peer.rs
@@ -32,7 +32,7 @@
     /// and hold their inputs.
     pub late: f64,
     /// Pieces that earlier stages will submit.
-    pub coming: f64,
+    pub incoming: f64,
     /// Pieces that the pool can make per second.
     pub rate: f64,
     /// When this report was received.
@@ -43,7 +43,7 @@
     /// Time until the pool has made all pieces that are queued or announced now. Late pieces count: without
     /// them a part with a thousand late pieces looked idle, while other parts were idle.
     pub fn drain_time(&self) -> Duration {
-        self.time_for(self.queue.total() as f64 + self.late + self.coming)
+        self.time_for(self.queue.total() as f64 + self.late + self.incoming)
     }
 
     /// Expected time from submission to result of a piece that is submitted in `begin` from now and has `ahead`
@@ -76,13 +76,13 @@
     /// Revision of the store up to which it knows every change.
     pub as_of: u64,
     /// Whether it watches the store itself and the store answers it.
-    pub watches: bool,
+    pub watches_store: bool,
     /// Version of the configuration that it has in force.
     pub configuration: u64,
     /// Load of each pool whose calls it fills.
     pub pools: HashMap<String, PoolLoad>,
     /// Pieces of its requests that are not submitted yet, for each pool.
-    pub coming: HashMap<String, f64>,
+    pub incoming: HashMap<String, f64>,
 }
 
 impl PeerVm {
@@ -96,10 +96,10 @@
             linked: false,
             draining: false,
             as_of: 0,
-            watches: false,
+            watches_store: false,
             configuration: 0,
             pools: HashMap::new(),
-            coming: HashMap::new(),
+            incoming: HashMap::new(),
         }
     }
 
--- a/components/fleet/src/watchers.rs
+++ b/components/fleet/src/watchers.rs
@@ -52,6 +52,6 @@
 
     /// Whether a live peer that this VM is linked to watches the store.
     fn is_linked_to_watcher(&self, now: Instant) -> bool {
-        self.peers.values().any(|peer| peer.linked && peer.watches && peer.is_fresh(now))
+        self.peers.values().any(|peer| peer.linked && peer.watches_store && peer.is_fresh(now))
     }
 }
--- a/components/fleet/tests/ownership.rs
+++ b/components/fleet/tests/ownership.rs
@@ -76,11 +76,11 @@
         at_once: 1,
         queue: 2,
         batch: 14,
-        call: Duration::from_millis(240),
-        piece: Duration::from_millis(15),
+        call_time: Duration::from_millis(240),
+        piece_time: Duration::from_millis(15),
         room_bytes: 17_000_000,
         result_life: Duration::from_secs(4),
-        link: None,
+        fetch_rate: None,
     }
 }
 
@@ -235,7 +235,7 @@
     let mut fleet = listed(own, 60, 6, now);
     let linked = vm((own + 6) % 60);
     fleet.record_heard(&linked, true, now);
-    fleet.peers.get_mut(&linked).unwrap().watches = true;
+    fleet.peers.get_mut(&linked).unwrap().watches_store = true;
     fleet.must_watch_store(now)
 }
 
@@ -257,7 +257,8 @@
     let mut fleet = listed(own, 60, 6, now);
     let linked = vm((own + 6) % 60);
     fleet.record_heard(&linked, true, now);
-    let set = |fleet: &mut Fleet, watches| fleet.peers.get_mut(&linked).unwrap().watches = watches;
+    let set =
+        |fleet: &mut Fleet, watches| fleet.peers.get_mut(&linked).unwrap().watches_store = watches;
 
     set(&mut fleet, true);
     assert!(!fleet.must_watch_store(now + Duration::from_millis(900)));
@@ -280,7 +281,7 @@
         fleet.record_unlinked(&vm(other), false, now);
     }
     fleet.record_heard(&watcher, true, now);
-    fleet.peers.get_mut(&watcher).unwrap().watches = true;
+    fleet.peers.get_mut(&watcher).unwrap().watches_store = true;
 
     assert!(!fleet.must_watch_store(now));
 }
--- a/components/fleet/tests/spill.rs
+++ b/components/fleet/tests/spill.rs
@@ -22,7 +22,7 @@
 
 fn owner(name: &str, late: f64, rate: f64) -> (Owner, PoolLoad) {
     let (turnaround, queue, at) = (Duration::ZERO, Queue::default(), Instant::now());
-    let load = PoolLoad { turnaround, queue, late, coming: 0.0, rate, at };
+    let load = PoolLoad { turnaround, queue, late, incoming: 0.0, rate, at };
     (Owner::Peer(VmName::new(name).unwrap()), load)
 }
 
--- a/components/intent/src/service.rs
+++ b/components/intent/src/service.rs
@@ -14,15 +14,15 @@
     /// Maximum number of pieces in a call.
     pub batch: usize,
     /// Approximate time of a call, without its pieces.
-    pub call: Duration,
+    pub call_time: Duration,
     /// Approximate time that each piece adds to a call.
-    pub piece: Duration,
+    pub piece_time: Duration,
     /// Space for results, in bytes.
     pub room_bytes: u64,
     /// Time for which a result is kept after its call.
     pub result_life: Duration,
     /// Bytes per second at which a target fetches inputs; `None` if unknown.
-    pub link: Option<u64>,
+    pub fetch_rate: Option<u64>,
 }
 
 /// An inference engine, whose targets generate tokens. All values are per target.
@@ -38,7 +38,7 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ColdStart {
     /// Time for which a target is cold.
-    pub lasts: Duration,
+    pub duration: Duration,
     /// Requests per second that a cold target can handle.
     pub per_s: f64,
 }
--- a/components/intent/tests/entries.rs
+++ b/components/intent/tests/entries.rs
@@ -23,11 +23,11 @@
         at_once: 1,
         queue: 1,
         batch: 4,
-        call: Duration::from_millis(100),
-        piece: Duration::from_millis(10),
+        call_time: Duration::from_millis(100),
+        piece_time: Duration::from_millis(10),
         room_bytes: 1000,
         result_life: Duration::from_secs(4),
-        link: None,
+        fetch_rate: None,
     });
     (name(text), Service { name: name(text), connections: 10, pool, engine: None, cold: None })
 }
--- a/components/platform_adapter/src/calls.rs
+++ b/components/platform_adapter/src/calls.rs
@@ -44,16 +44,16 @@
     /// The answer belongs to this request.
     Answered,
     /// The answer belongs to another request, or names none.
-    Crossed,
+    OtherRequest,
     /// The answer can't come from a target as it is: a success without a signature, or an encoded body.
     Invalid,
 }
 
 /// The rate limit in an answer.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub enum NamedRate {
+pub enum AnnouncedRate {
     /// The answer has none.
-    Nothing,
+    Absent,
     /// Requests a second that the target accepts from all VMs together.
     PerSecond(f64),
     /// The answer has one that can't be read, so nothing is known about the limit.
@@ -76,7 +76,7 @@
     /// For how long a target that refused the call wants no more calls from this VM.
     pub retry_after: Option<Duration>,
     /// The target's rate limit.
-    pub rate: NamedRate,
+    pub rate: AnnouncedRate,
 }
 
 /// A piece in a call to a pool's worker.
@@ -100,11 +100,11 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum PieceAnswer {
     /// Done. The worker holds the result under this handle.
-    Made(String),
+    Stored(String),
     /// The deadline passed before the piece started.
     Late,
     /// An input no longer exists.
-    Gone,
+    InputGone,
     /// The worker has no space for the result.
     NoRoom,
     /// The piece failed.
--- a/components/quarantine/src/crash.rs
+++ b/components/quarantine/src/crash.rs
@@ -6,14 +6,14 @@
 
 /// Hash of a target's id and of the start time that it reports.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub struct Birth(pub u64);
+pub struct LifetimeHash(pub u64);
 
 /// One lifetime of a target.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Lifetime {
     /// Id and start time that the target reported, possibly for an earlier lifetime.
-    pub birth: Birth,
-    /// Number of ends known for this birth when the request was sent. A target that accepts requests after its end
+    pub lifetime_hash: LifetimeHash,
+    /// Number of ends known for this hash when the request was sent. A target that accepts requests after its end
     /// is another lifetime, even if its new start time is not known yet. While the platform's store is unavailable,
     /// the new start time does not arrive at all.
     pub ends_before: u32,
@@ -21,16 +21,16 @@
 
 impl fmt::Display for Lifetime {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{:016x}.{}", self.birth.0, self.ends_before)
+        write!(f, "{:016x}.{}", self.lifetime_hash.0, self.ends_before)
     }
 }
 
 impl Lifetime {
     /// Parses the displayed form; `None` if `text` is not a lifetime.
     pub fn parse(text: &str) -> Option<Self> {
-        let (birth, ends_before) = text.split_once('.')?;
-        let birth = Birth(u64::from_str_radix(birth, 16).ok()?);
-        Some(Lifetime { birth, ends_before: ends_before.parse().ok()? })
+        let (lifetime_hash, ends_before) = text.split_once('.')?;
+        let lifetime_hash = LifetimeHash(u64::from_str_radix(lifetime_hash, 16).ok()?);
+        Some(Lifetime { lifetime_hash, ends_before: ends_before.parse().ok()? })
     }
 }
 
--- a/components/quarantine/src/lib.rs
+++ b/components/quarantine/src/lib.rs
@@ -9,6 +9,6 @@
 mod request_digest;
 mod table;
 
-pub use crash::{Birth, Crash, Lifetime};
+pub use crash::{Crash, Lifetime, LifetimeHash};
 pub use request_digest::{RequestDigest, RequestParts};
-pub use table::{Cursor, Quarantine, RefusedRequest, Rules};
+pub use table::{CrashCursor, Quarantine, RefusedRequest, Rules};
--- a/components/quarantine/src/table.rs
+++ b/components/quarantine/src/table.rs
@@ -10,7 +10,7 @@
 
 use crate::crash::Crashes;
 use crate::recent_completions::RecentCompletions;
-use crate::{Birth, Crash, Lifetime, RequestDigest};
+use crate::{Crash, Lifetime, LifetimeHash, RequestDigest};
 
 /// Most requests that are kept. The one with the fewest crashes is evicted first, and of several such the oldest. An
 /// engine that crashes has 64 requests in progress.
@@ -51,7 +51,7 @@
     at: Instant,
 }
 
-/// Known ends of lifetimes of one birth.
+/// Known ends of lifetimes with one hash.
 #[derive(Debug, Clone, Copy)]
 struct Ends {
     count: u32,
@@ -73,7 +73,7 @@
 
 /// Position in the sequence of changes up to which a peer has received them.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub struct Cursor(u64);
+pub struct CrashCursor(u64);
 
 /// What one VM knows of requests that crash targets.
 #[derive(Debug)]
@@ -81,7 +81,7 @@
     rules: Rules,
     records: HashMap<RequestDigest, Record>,
     losses: VecDeque<Loss>,
-    ends: HashMap<Birth, Ends>,
+    ends: HashMap<LifetimeHash, Ends>,
     completions: RecentCompletions,
     /// Crashes in the order in which they became known.
     changes: VecDeque<Crash>,
@@ -103,10 +103,10 @@
         }
     }
 
-    /// Returns the lifetime to which a request is sent now at a target with this birth.
-    pub fn current_lifetime(&self, birth: Birth) -> Lifetime {
-        let ends_before = self.ends.get(&birth).map_or(0, |ends| ends.count);
-        Lifetime { birth, ends_before }
+    /// Returns the lifetime to which a request is sent now at a target with this lifetime hash.
+    pub fn current_lifetime(&self, lifetime_hash: LifetimeHash) -> Lifetime {
+        let ends_before = self.ends.get(&lifetime_hash).map_or(0, |ends| ends.count);
+        Lifetime { lifetime_hash, ends_before }
     }
 
     /// Records that the connection to a target was lost during a request. It counts as a crash if the target's end
@@ -124,9 +124,9 @@
         self.end_lifetimes(|other| *other == lifetime, now)
     }
 
-    /// Records that a target with this birth is gone, whichever its lifetime; returns the crashes that are new.
-    pub fn target_gone(&mut self, birth: Birth, now: Instant) -> Vec<Crash> {
-        self.end_lifetimes(|lifetime| lifetime.birth == birth, now)
+    /// Records that a target with this lifetime hash is gone, whichever its lifetime; returns the crashes that are new.
+    pub fn target_gone(&mut self, lifetime_hash: LifetimeHash, now: Instant) -> Vec<Crash> {
+        self.end_lifetimes(|lifetime| lifetime.lifetime_hash == lifetime_hash, now)
     }
 
     fn end_lifetimes(&mut self, has_ended: impl Fn(&Lifetime) -> bool, now: Instant) -> Vec<Crash> {
@@ -239,11 +239,11 @@
     }
 
     /// Returns the changes after a cursor, and the cursor after these.
-    pub fn changes_after(&self, cursor: Cursor) -> (Vec<Crash>, Cursor) {
+    pub fn changes_after(&self, cursor: CrashCursor) -> (Vec<Crash>, CrashCursor) {
         let from = cursor.0.saturating_sub(self.changes_dropped);
         let from = usize::try_from(from).unwrap_or(usize::MAX).min(self.changes.len());
         let up_to = self.changes_dropped + self.changes.len() as u64;
-        (self.changes.range(from..).copied().collect(), Cursor(up_to))
+        (self.changes.range(from..).copied().collect(), CrashCursor(up_to))
     }
 
     /// Removes records and ends that are older than the rules' duration.
@@ -291,7 +291,8 @@
         if !crash.cleared {
             record.last = now;
         }
-        let ends = self.ends.entry(crash.lifetime.birth).or_insert(Ends { count: 0, last: now });
+        let ends =
+            self.ends.entry(crash.lifetime.lifetime_hash).or_insert(Ends { count: 0, last: now });
         ends.count = ends.count.max(crash.lifetime.ends_before.saturating_add(1));
         ends.last = now;
         if self.changes.len() >= MAX_CHANGES {
--- a/components/quarantine/tests/table.rs
+++ b/components/quarantine/tests/table.rs
@@ -4,7 +4,9 @@
 use std::time::{Duration, Instant};
 
 use proptest::prelude::{Strategy, any, prop, proptest};
-use quarantine::{Birth, Crash, Cursor, Lifetime, Quarantine, RequestDigest, RequestParts, Rules};
+use quarantine::{
+    Crash, CrashCursor, Lifetime, LifetimeHash, Quarantine, RequestDigest, RequestParts, Rules,
+};
 
 const RULES: Rules = Rules { crashes: 3, duration: Duration::from_secs(600) };
 /// Time after which a peer has received a change: one heartbeat and its transmission.
@@ -25,20 +27,20 @@
     Quarantine::new(RULES)
 }
 
-/// The first lifetime of a birth.
-fn lifetime(birth: u64) -> Lifetime {
-    Lifetime { birth: Birth(birth), ends_before: 0 }
+/// The first lifetime with a hash.
+fn lifetime(lifetime_hash: u64) -> Lifetime {
+    Lifetime { lifetime_hash: LifetimeHash(lifetime_hash), ends_before: 0 }
 }
 
 /// Crashes a target during one request.
-fn crash(vm: &mut Quarantine, of: RequestDigest, birth: u64, now: Instant) -> Vec<Crash> {
-    vm.connection_lost(of, lifetime(birth), now);
-    vm.lifetime_ended(lifetime(birth), now)
+fn crash(vm: &mut Quarantine, of: RequestDigest, lifetime_hash: u64, now: Instant) -> Vec<Crash> {
+    vm.connection_lost(of, lifetime(lifetime_hash), now);
+    vm.lifetime_ended(lifetime(lifetime_hash), now)
 }
 
 /// Sends one VM all changes of another one.
 fn send_changes(to: &mut Quarantine, from: &Quarantine, now: Instant) {
-    to.merge(&from.changes_after(Cursor::default()).0, now);
+    to.merge(&from.changes_after(CrashCursor::default()).0, now);
 }
 
 #[test]
@@ -61,10 +63,10 @@
 fn lost_connection_alone_is_not_a_crash() {
     let (mut vm, cut, now) = (vm(), digest(0), Instant::now());
 
-    (1..=5).for_each(|birth| vm.connection_lost(cut, lifetime(birth), now));
+    (1..=5).for_each(|lifetime_hash| vm.connection_lost(cut, lifetime(lifetime_hash), now));
 
     assert_eq!(vm.refused_for(&cut, now), None);
-    assert!(vm.changes_after(Cursor::default()).0.is_empty());
+    assert!(vm.changes_after(CrashCursor::default()).0.is_empty());
     let late = now + Duration::from_secs(7);
     assert!(
         vm.lifetime_ended(lifetime(1), late).is_empty(),
@@ -95,7 +97,7 @@
     let (mut vm, mut peer, fatal, now) = (vm(), vm(), digest(0), Instant::now());
 
     for _ in 0..3 {
-        let sent_to = vm.current_lifetime(Birth(7));
+        let sent_to = vm.current_lifetime(LifetimeHash(7));
         vm.connection_lost(fatal, sent_to, now);
         vm.connection_lost(fatal, sent_to, now);
         vm.lifetime_ended(sent_to, now);
@@ -104,7 +106,7 @@
 
     assert!(vm.refused_for(&fatal, now).is_some());
     assert!(peer.refused_for(&fatal, now).is_some());
-    assert_eq!(peer.current_lifetime(Birth(7)).ends_before, 3);
+    assert_eq!(peer.current_lifetime(LifetimeHash(7)).ends_before, 3);
 }
 
 #[test]
@@ -154,7 +156,7 @@
 
     assert!(still.is_some());
     assert_eq!(vm.refused_for(&fatal, over), None);
-    assert!(vm.changes_after(Cursor::default()).0.is_empty());
+    assert!(vm.changes_after(CrashCursor::default()).0.is_empty());
 }
 
 #[test]
@@ -162,7 +164,7 @@
     let (mut vm, fatal, now) = (vm(), digest(0), Instant::now());
     crash(&mut vm, fatal, 1, now);
 
-    let (first, cursor) = vm.changes_after(Cursor::default());
+    let (first, cursor) = vm.changes_after(CrashCursor::default());
     let (nothing, cursor) = vm.changes_after(cursor);
     crash(&mut vm, fatal, 2, now);
     let (second, _) = vm.changes_after(cursor);
@@ -279,7 +281,7 @@
     fn heartbeat(&mut self) {
         self.now += PROPAGATION;
         let changes: Vec<Vec<Crash>> =
-            self.vms.iter().map(|vm| vm.changes_after(Cursor::default()).0).collect();
+            self.vms.iter().map(|vm| vm.changes_after(CrashCursor::default()).0).collect();
         let count = self.vms.len();
         for (index, vm) in self.vms.iter_mut().enumerate() {
             vm.merge(&changes[(index + 1) % count], self.now);
@@ -306,9 +308,9 @@
         let now = Instant::now();
         let crashes: Vec<Crash> = reports
             .iter()
-            .map(|(of, birth, cleared)| Crash {
+            .map(|(of, lifetime_hash, cleared)| Crash {
                 digest: digest(*of),
-                lifetime: lifetime(*birth),
+                lifetime: lifetime(*lifetime_hash),
                 cleared: *cleared,
             })
             .collect();
--- a/components/routing/src/api.rs
+++ b/components/routing/src/api.rs
@@ -111,7 +111,7 @@
     /// The call failed after something was sent.
     Failed,
     /// Cancelled by this VM, which is no evidence about the target.
-    GivenUp,
+    Abandoned,
 }
 
 /// State of one target, for the dump on the operations page.
--- a/components/routing/src/feedback.rs
+++ b/components/routing/src/feedback.rs
@@ -53,7 +53,7 @@
                 }
                 CallEnd::Unreachable => target.health.record_failure(true, now),
                 CallEnd::Failed => target.health.record_failure(false, now),
-                CallEnd::GivenUp => {}
+                CallEnd::Abandoned => {}
             }
         }
         if let Some(lane) = self.lanes.get_mut(slot.lane) {
--- a/components/selection/src/choice.rs
+++ b/components/selection/src/choice.rs
@@ -78,5 +78,5 @@
     /// The call failed after a part of it was sent.
     Failed,
     /// This VM gave the call up.
-    GivenUp,
+    Abandoned,
 }
--- a/components/selection/src/target_state.rs
+++ b/components/selection/src/target_state.rs
@@ -88,7 +88,7 @@
             end,
             TargetOutcome::OwnFailure | TargetOutcome::Failed | TargetOutcome::Unreachable
         );
-        if end != TargetOutcome::GivenUp {
+        if end != TargetOutcome::Abandoned {
             self.failure_rate +=
                 FAILURE_RATE_WEIGHT * (f64::from(u8::from(failed)) - self.failure_rate);
         }
@@ -96,7 +96,7 @@
             TargetOutcome::Answered => self.recover(),
             TargetOutcome::Unreachable => self.record_failure(1, now),
             TargetOutcome::Failed => self.record_failure(FAILURES_TO_EJECT, now),
-            TargetOutcome::OwnFailure | TargetOutcome::Declined | TargetOutcome::GivenUp => {}
+            TargetOutcome::OwnFailure | TargetOutcome::Declined | TargetOutcome::Abandoned => {}
         }
     }
 
--- a/components/selection/tests/choice.rs
+++ b/components/selection/tests/choice.rs
@@ -212,7 +212,7 @@
     let now = Instant::now();
     let mut targets = targets(&[("near", "a"), ("far", "b")]);
     let mut halls = Halls::default();
-    halls.set_out_of_reach([HallName::new("a").unwrap()].into());
+    halls.set_unreachable([HallName::new("a").unwrap()].into());
     targets.set_halls(halls);
 
     let chosen = pick(&mut targets, &[], now).unwrap();
--- a/components/target_calls/src/call.rs
+++ b/components/target_calls/src/call.rs
@@ -82,7 +82,7 @@
     /// The target did not run the call, and said so.
     Declined(String),
     /// The answer named another attempt or none; this one may have run.
-    Crossed(String),
+    OtherAttempt(String),
     /// Something was sent and no complete answer came, so the call may have run.
     MayHaveRun(String),
 }
@@ -226,7 +226,7 @@
 fn check_head(rx: &Response<Body>, attempt: &AttemptId) -> Result<(), CallFailure> {
     let answered = header(rx, ATTEMPT_HEADER).unwrap_or("none");
     if answered != attempt.as_str() {
-        return Err(CallFailure::Crossed(format!(
+        return Err(CallFailure::OtherAttempt(format!(
             "expected an answer to attempt {attempt}, its head names {answered}"
         )));
     }
@@ -251,7 +251,7 @@
     let body: AnswerBody = serde_json::from_slice(&bytes)
         .map_err(|e| may_have_run(format!("the answer can't be parsed: {e}")))?;
     if body.attempt != attempt.as_str() {
-        return Err(CallFailure::Crossed(format!(
+        return Err(CallFailure::OtherAttempt(format!(
             "expected attempt {attempt}, the answer's body names {}",
             body.attempt
         )));
--- a/daemon/src/requests.rs
+++ b/daemon/src/requests.rs
@@ -105,7 +105,7 @@
             (grant.slot, stage_request.service.clone(), stage.name.clone());
         if reply.send(Ok(Granted { grant, attempt })).is_err() {
             // The thread no longer waits, so the slot is released to the next request.
-            let end = CallEnd::GivenUp;
+            let end = CallEnd::Abandoned;
             let updates =
                 self.router.release(slot, (&service, &stage), end, Duration::ZERO, None, now);
             self.apply_wait_updates(updates);
--- a/gateway/src/admission.rs
+++ b/gateway/src/admission.rs
@@ -217,13 +217,16 @@
 ) -> Duration {
     let pool = &req.entry.stages[index].pool;
     let Some(forecast) = forecast(shared, pool, now) else {
-        return req.intent.pool(pool).map_or(Duration::ZERO, |pool| pool.call + pool.piece);
+        return req
+            .intent
+            .pool(pool)
+            .map_or(Duration::ZERO, |pool| pool.call_time + pool.piece_time);
     };
     let due = stage_due(shared, req, index);
     let mut ahead =
         forecast.queue.ahead_of(req.urgency, due.saturating_duration_since(forecast.at));
     if !start.is_zero() {
-        ahead += forecast.coming;
+        ahead += forecast.incoming;
     }
     ahead += unreported_pieces(shared, req, pool, forecast.at, due);
     forecast.expected_time(start, ahead)
--- a/gateway/src/attempts.rs
+++ b/gateway/src/attempts.rs
@@ -35,7 +35,7 @@
 const PERMIT_WAIT_DIVISOR: u32 = 4;
 
 /// Why an attempt is abandoned when its target's hall becomes unreachable.
-pub(crate) const OUT_OF_REACH: &str = "the target's hall is unreachable";
+pub(crate) const HALL_UNREACHABLE: &str = "the target's hall is unreachable";
 
 /// The attempts of one request.
 pub(crate) struct Attempts {
@@ -82,7 +82,7 @@
 
 impl Drop for Attempt {
     fn drop(&mut self) {
-        self.end(TargetOutcome::GivenUp);
+        self.end(TargetOutcome::Abandoned);
     }
 }
 
@@ -183,7 +183,7 @@
             // A request that must not run twice keeps waiting: its hall may become reachable again
             // with the answer.
             () = hall_reachability::until_unreachable(&mut unreachable, &target.hall), if self.req.entry.repeatable => {
-                Err(SendError::GivenUp(OUT_OF_REACH.to_owned()))
+                Err(SendError::Abandoned(HALL_UNREACHABLE.to_owned()))
             }
             // The request may still be queued at the target and would crash it as well; what was
             // sent may run.
@@ -199,7 +199,7 @@
                 Err(AttemptError::NotReached)
             }
             Err(SendError::Withheld) => {
-                attempt.end(TargetOutcome::GivenUp);
+                attempt.end(TargetOutcome::Abandoned);
                 self.sent -= 1;
                 self.unreachable += 1;
                 Err(AttemptError::NotReached)
@@ -209,7 +209,7 @@
                 attempt.end(TargetOutcome::Failed);
                 Err(AttemptError::Lost(why))
             }
-            Err(SendError::GivenUp(why)) => {
+            Err(SendError::Abandoned(why)) => {
                 attempt.end(TargetOutcome::Failed);
                 Err(AttemptError::Lost(why))
             }
@@ -264,7 +264,7 @@
             match permits::for_request(&self.app, &target, max_wait).await {
                 Ok(permit) => return Ok((attempt, permit)),
                 Err(RateLimited) => {
-                    attempt.end(TargetOutcome::GivenUp);
+                    attempt.end(TargetOutcome::Abandoned);
                     permits::log_passed_over(&self.app, &self.req.id, &target);
                     excluded.push(attempt.pick.key);
                     permit_requests += 1;
@@ -315,7 +315,7 @@
         target_announcements::report_unknown_headers(&self.app, &attempt.pick.target, &head);
         target_announcements::apply_answer(&self.app, &attempt.pick.target, &parsed, self.started);
         let key = attempt.pick.key;
-        if let (Some(load), true) = (parsed.load, parsed.evidence != Evidence::Crossed) {
+        if let (Some(load), true) = (parsed.load, parsed.evidence != Evidence::OtherRequest) {
             self.app.hub.with(|shared, now| {
                 shared.targets.record_target_load(key, load.running, load.waiting, now);
             });
@@ -337,7 +337,7 @@
                 self.app.hub.with(|shared, now| shared.target_replaced(&attempt.pick.target, now));
                 Err(AttemptError::Replaced)
             }
-            Evidence::Crossed => {
+            Evidence::OtherRequest => {
                 attempt.end(TargetOutcome::Failed);
                 self.app.metrics.answer_to_other_attempt(attempt.pick.target.id.as_str());
                 Err(AttemptError::Lost("received an answer to another request".to_owned()))
--- a/gateway/src/call_counts.rs
+++ b/gateway/src/call_counts.rs
@@ -19,10 +19,10 @@
         let CallEnd::Answered(answers) = end else { return counts };
         for answer in answers {
             *match answer {
-                PieceAnswer::Made(_) => &mut counts.made,
+                PieceAnswer::Stored(_) => &mut counts.made,
                 PieceAnswer::Failed => &mut counts.failed,
                 PieceAnswer::NoRoom => &mut counts.no_room,
-                PieceAnswer::Gone => &mut counts.gone,
+                PieceAnswer::InputGone => &mut counts.gone,
                 PieceAnswer::Late => &mut counts.late,
             } += 1;
         }
@@ -36,7 +36,7 @@
         CallEnd::Answered(_) => "answered",
         CallEnd::Full => "full",
         CallEnd::TargetGone => "target gone",
-        CallEnd::OutOfReach => "out of reach",
+        CallEnd::HallUnreachable => "out of reach",
         CallEnd::Failed => "failed",
     }
 }
--- a/gateway/src/connections.rs
+++ b/gateway/src/connections.rs
@@ -52,7 +52,7 @@
     /// The connection ended after part of the call may have been sent, so it may have run.
     Broke(String),
     /// The call was given up and may have run.
-    GivenUp(String),
+    Abandoned(String),
 }
 
 /// A connection with a call under way. It is closed on drop.
--- a/gateway/src/crashes.rs
+++ b/gateway/src/crashes.rs
@@ -9,7 +9,7 @@
 use ids::ServiceName;
 use intent::Target;
 use platform_adapter::callers::Refusal;
-use quarantine::{Birth, Crash, Lifetime, RequestDigest};
+use quarantine::{Crash, Lifetime, LifetimeHash, RequestDigest};
 use slog::info;
 use tokio::task::spawn_local;
 use tokio::time::sleep;
@@ -114,7 +114,7 @@
 ) -> Vec<RequestDigest> {
     app.hub.with(|shared, _| {
         let pool = shared.pools.get(pool);
-        let of = |(job, _): &(JobKey, u32)| pool?.submission(*job)?.content;
+        let of = |(job, _): &(JobKey, u32)| pool?.submission(*job)?.digest;
         let digests: BTreeSet<RequestDigest> = call.pieces.iter().filter_map(of).collect();
         digests.into_iter().collect()
     })
@@ -157,7 +157,7 @@
 impl Shared {
     /// The current lifetime of a target, to which work sent now belongs.
     pub(crate) fn lifetime_of(&self, target: &Target) -> Lifetime {
-        self.quarantine.current_lifetime(birth_of(target))
+        self.quarantine.current_lifetime(lifetime_hash_of(target))
     }
 
     /// Records that a connection to a target broke under these requests. A leaving target is not counted: it
@@ -201,7 +201,7 @@
         }
         let waiting = self.pools.get(pool).into_iter().flat_map(Pool::waiting_submissions);
         let is_refused = |(_, submission): &(JobKey, &Submission)| {
-            submission.content.is_some_and(|c| self.quarantine.refused_for(&c, now).is_some())
+            submission.digest.is_some_and(|c| self.quarantine.refused_for(&c, now).is_some())
         };
         waiting.filter(is_refused).map(|(job, _)| job).collect()
     }
@@ -216,7 +216,7 @@
     /// has its address.
     pub(crate) fn target_ended(&mut self, target: &Target, now: Instant) {
         if !target.leaving {
-            let new = self.quarantine.target_gone(birth_of(target), now);
+            let new = self.quarantine.target_gone(lifetime_hash_of(target), now);
             self.announce(&new, "its entry", now);
         }
     }
@@ -243,6 +243,6 @@
     }
 }
 
-fn birth_of(target: &Target) -> Birth {
-    Birth(target.lifetime_id())
+fn lifetime_hash_of(target: &Target) -> LifetimeHash {
+    LifetimeHash(target.lifetime_id())
 }
--- a/gateway/src/halls.rs
+++ b/gateway/src/halls.rs
@@ -55,7 +55,8 @@
             return;
         }
         if let Some(intent) = self.intent.clone() {
-            let cold_time = |service: &ServiceName| Some(intent.services.get(service)?.cold?.lasts);
+            let cold_time =
+                |service: &ServiceName| Some(intent.services.get(service)?.cold?.duration);
             self.targets.assume_cold(&hall, cold_time, now);
         }
         self.propagate_halls();
@@ -65,7 +66,7 @@
 
     /// Replaces the set of unreachable halls.
     pub(crate) fn set_unreachable_halls(&mut self, unreachable: UnreachableHalls) {
-        self.halls.set_out_of_reach(unreachable.clone());
+        self.halls.set_unreachable(unreachable.clone());
         self.fleet.unreachable_halls = unreachable;
         self.propagate_halls();
     }
--- a/gateway/src/http_endpoints.rs
+++ b/gateway/src/http_endpoints.rs
@@ -141,7 +141,7 @@
     let entry = |(lifetime, limit, heard): (&Lifetime, RateLimit, Instant)| {
         let target = shared.targets.get(&lifetime.target);
         let held = target.and_then(|target| target.rate_limited_until);
-        let account = target.map(|target| shared.account_owner_known(&target.service, now));
+        let account = target.map(|target| shared.bucket_owner_known(&target.service, now));
         json!({
             "account_at": account.map(|owner| owner_name(&owner)),
             "held_ms": held.map(|until| until.saturating_duration_since(now).as_millis() as u64),
--- a/gateway/src/link_dialer.rs
+++ b/gateway/src/link_dialer.rs
@@ -73,7 +73,7 @@
             shared.backoffs.remove_expired(now);
             shared.rates.remove_expired(now);
             shared.token_buckets.remove_expired(now);
-            shared.refresh_account_owners(now);
+            shared.refresh_bucket_owners(now);
             shared.update_cold_shares(now);
         });
     }
--- a/gateway/src/link_messages.rs
+++ b/gateway/src/link_messages.rs
@@ -10,7 +10,7 @@
     self, Beat, Coming, Crashes, Departures, Done, Failure, Fetched, FromOwner, Hello, PieceDone,
     PoolLoad, Rates, Submit, TargetLoad, Waiting, from_owner,
 };
-use quarantine::{Birth, Crash, Cursor, Lifetime, RequestDigest};
+use quarantine::{Crash, CrashCursor, Lifetime, LifetimeHash, RequestDigest};
 
 use crate::app::App;
 use crate::outbound_links::DialerSender;
@@ -76,7 +76,7 @@
                 rate: load.rate as f32,
                 waiting: encode_queue(&load.queue),
                 late: load.late as u32,
-                coming: load.coming as u32,
+                coming: load.incoming as u32,
             })
             .collect(),
     })
@@ -128,18 +128,21 @@
         let pools = beat.pools.iter().map(|pool| {
             let turnaround = Duration::from_millis(u64::from(pool.turn_ms));
             let queue = decode_queue(&pool.waiting);
-            let (rate, coming) = (f64::from(pool.rate), f64::from(pool.coming));
+            let (rate, incoming) = (f64::from(pool.rate), f64::from(pool.coming));
             let late = f64::from(pool.late);
-            (pool.pool.clone(), fleet::PoolLoad { turnaround, rate, queue, late, coming, at: now })
+            (
+                pool.pool.clone(),
+                fleet::PoolLoad { turnaround, rate, queue, late, incoming, at: now },
+            )
         });
         shared.targets.record_peer_load(peer_hash(vm), &loads, now);
         let Some(peer) = shared.fleet.peers.get_mut(vm) else { return starts_draining };
         peer.as_of = beat.as_of;
-        peer.watches = beat.watches;
+        peer.watches_store = beat.watches;
         peer.configuration = beat.configuration;
         peer.pools = pools.collect();
         let coming = beat.coming.iter();
-        peer.coming = coming.map(|c| (c.pool.clone(), f64::from(c.pieces))).collect();
+        peer.incoming = coming.map(|c| (c.pool.clone(), f64::from(c.pieces))).collect();
         shared.compare_versions(now);
         let age = beat.store_age_ms.map(|ms| Duration::from_millis(u64::from(ms)));
         if let Some(at) = age.and_then(|age| now.checked_sub(age)) {
@@ -192,7 +195,7 @@
     let slack = Duration::from_millis(u64::try_from(submit.slack_ms).unwrap_or(0));
     let submission = Submission {
         request: RequestId::new(&submit.request).ok()?,
-        content: RequestDigest::from_bytes(&submit.content),
+        digest: RequestDigest::from_bytes(&submit.content),
         stage: submit.stage,
         pieces: submit.pieces,
         key: (!submit.key.is_empty()).then_some(submit.key),
@@ -211,7 +214,8 @@
 pub(crate) fn decode_crashes(message: &Crashes) -> Vec<Crash> {
     let crash = |crash: &work::Crash| {
         let content = RequestDigest::from_bytes(&crash.content)?;
-        let lifetime = Lifetime { birth: Birth(crash.birth), ends_before: crash.ends_before };
+        let lifetime =
+            Lifetime { lifetime_hash: LifetimeHash(crash.birth), ends_before: crash.ends_before };
         Some(Crash { digest: content, lifetime, cleared: crash.cleared })
     };
     message.crashes.iter().filter_map(crash).collect()
@@ -234,7 +238,7 @@
 /// What was already sent on a link: requests that crash targets, leaving targets and targets' rate limits.
 #[derive(Debug, Default)]
 pub(crate) struct SentCursors {
-    crashes: Cursor,
+    crashes: CrashCursor,
     departures: ChangeCursor,
     rates: ChangeCursor,
 }
@@ -274,12 +278,12 @@
     u32::try_from(time.as_millis()).unwrap_or(u32::MAX)
 }
 
-fn take_unsent_crashes(app: &App, cursor: &mut Cursor) -> Option<Crashes> {
+fn take_unsent_crashes(app: &App, cursor: &mut CrashCursor) -> Option<Crashes> {
     let (changes, up_to) = app.hub.with(|shared, _| shared.quarantine.changes_after(*cursor));
     *cursor = up_to;
     let crash = |crash: Crash| work::Crash {
         content: crash.digest.to_bytes().to_vec(),
-        birth: crash.lifetime.birth.0,
+        birth: crash.lifetime.lifetime_hash.0,
         ends_before: crash.lifetime.ends_before,
         cleared: crash.cleared,
     };
--- a/gateway/src/outbound_links.rs
+++ b/gateway/src/outbound_links.rs
@@ -114,7 +114,7 @@
             job,
             pool: pool.to_string(),
             request: submission.request.to_string(),
-            content: submission.content.map(|c| c.to_bytes().to_vec()).unwrap_or_default(),
+            content: submission.digest.map(|c| c.to_bytes().to_vec()).unwrap_or_default(),
             stage: submission.stage,
             pieces: submission.pieces.clone(),
             key: submission.key.clone().unwrap_or_default(),
--- a/gateway/src/permits.rs
+++ b/gateway/src/permits.rs
@@ -9,7 +9,7 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-use eligibility::{Decision, Lifetime, RateLimit};
+use eligibility::{Lifetime, PermitDecision, RateLimit};
 use fleet::{Owner, Part, Split};
 use ids::{ServiceName, VmName};
 use intent::Target;
@@ -89,14 +89,14 @@
     };
     let asked = now();
     let decision = decide(app, target, limit, within).await;
-    let granted = matches!(decision, Some(Decision::Granted(_)));
+    let granted = matches!(decision, Some(PermitDecision::Granted(_)));
     app.metrics.permit_requested(target.service.as_str(), granted);
     match decision {
-        Some(Decision::Granted(wait)) => {
+        Some(PermitDecision::Granted(wait)) => {
             tokio::time::sleep_until(tokio::time::Instant::from_std(asked + wait)).await;
             return Ok(permit(app, target, Kind::Counted));
         }
-        Some(Decision::Denied(wait)) => {
+        Some(PermitDecision::Denied(wait)) => {
             app.hub.with(|shared, now| shared.hold_back(target, now + wait.max(MIN_HOLD_BACK)));
         }
         None => {
@@ -145,8 +145,8 @@
     target: &Target,
     limit: RateLimit,
     within: Duration,
-) -> Option<Decision> {
-    let owner = app.hub.with(|shared, now| shared.account_owner(&target.service, now));
+) -> Option<PermitDecision> {
+    let owner = app.hub.with(|shared, now| shared.bucket_owner(&target.service, now));
     match owner {
         Owner::This => Some(app.hub.with(|shared, now| {
             shared.token_buckets.acquire(&Lifetime::from(target), limit, within, now)
@@ -157,11 +157,11 @@
 }
 
 /// Asks a peer for a permit; `None` if it does not answer in time.
-async fn ask_peer(app: &App, vm: &VmName, ask: PermitAsk) -> Option<Decision> {
+async fn ask_peer(app: &App, vm: &VmName, ask: PermitAsk) -> Option<PermitDecision> {
     let link = app.links.borrow().get(vm).cloned()?;
     let reply = timeout(ASK_TIMEOUT, link.request_permit(ask)).await.ok()?.ok()?;
     let wait = Duration::from_millis(u64::from(reply.wait_ms));
-    Some(if reply.granted { Decision::Granted(wait) } else { Decision::Denied(wait) })
+    Some(if reply.granted { PermitDecision::Granted(wait) } else { PermitDecision::Denied(wait) })
 }
 
 /// The question for a permit, with what this VM has observed of the target's rate.
@@ -182,7 +182,7 @@
     let owner = app.hub.with(|shared, now| {
         shared.merge_peer_rate(lifetime.clone(), &observations, vm, now);
         let service = shared.targets.service_of(&lifetime.target).cloned()?;
-        Some(shared.account_owner(&service, now))
+        Some(shared.bucket_owner(&service, now))
     });
     let decision = match owner {
         Some(Owner::This) => Some(decide_here(app, &lifetime, &ask)),
@@ -194,8 +194,8 @@
         Some(Owner::Peer(_) | Owner::Unknown) | None => None,
     };
     let (granted, wait) = match decision {
-        Some(Decision::Granted(wait)) => (true, wait),
-        Some(Decision::Denied(wait)) => (false, wait),
+        Some(PermitDecision::Granted(wait)) => (true, wait),
+        Some(PermitDecision::Denied(wait)) => (false, wait),
         None => (false, NO_OWNER_PAUSE),
     };
     let wait_ms = u32::try_from(wait.as_millis()).unwrap_or(u32::MAX);
@@ -203,20 +203,20 @@
 }
 
 /// Decides about a permit with the accounts of this VM.
-fn decide_here(app: &App, lifetime: &Lifetime, ask: &PermitAsk) -> Decision {
+fn decide_here(app: &App, lifetime: &Lifetime, ask: &PermitAsk) -> PermitDecision {
     let within = Duration::from_millis(u64::from(ask.within_ms));
     app.hub.with(|shared, now| match shared.rates.limit_of(lifetime) {
         Some(limit) => shared.token_buckets.acquire(lifetime, limit, within, now),
         // This VM has learned meanwhile that the target has no rate limit.
-        None => Decision::Granted(Duration::ZERO),
+        None => PermitDecision::Granted(Duration::ZERO),
     })
 }
 
 impl Shared {
     /// The VM that holds the accounts of a service's targets. When they come to this VM from
     /// another, its old accounts are closed, since it does not know what the other one granted.
-    pub(crate) fn account_owner(&mut self, service: &ServiceName, now: Instant) -> Owner {
-        let owner = self.account_owner_known(service, now);
+    pub(crate) fn bucket_owner(&mut self, service: &ServiceName, now: Instant) -> Owner {
+        let owner = self.bucket_owner_known(service, now);
         let previous = self.token_bucket_owners.insert(service.clone(), owner.clone());
         if owner == Owner::This && previous.is_some_and(|previous| previous != Owner::This) {
             let targets: Vec<Lifetime> =
@@ -226,17 +226,17 @@
         owner
     }
 
-    /// Like [`Shared::account_owner`], but without closing any accounts.
-    pub(crate) fn account_owner_known(&self, service: &ServiceName, now: Instant) -> Owner {
+    /// Like [`Shared::bucket_owner`], but without closing any accounts.
+    pub(crate) fn bucket_owner_known(&self, service: &ServiceName, now: Instant) -> Owner {
         let (split, draining) = (Split::default(), self.is_stopping());
         self.fleet.owner_of(service.as_str(), &split, Part::default(), draining, now)
     }
 
     /// Determines the account owners again, so that a change is noticed even if nobody asks for a
     /// permit.
-    pub(crate) fn refresh_account_owners(&mut self, now: Instant) {
+    pub(crate) fn refresh_bucket_owners(&mut self, now: Instant) {
         for service in self.rate_limited_services() {
-            self.account_owner(&service, now);
+            self.bucket_owner(&service, now);
         }
     }
 
--- a/gateway/src/pool_calls.rs
+++ b/gateway/src/pool_calls.rs
@@ -185,7 +185,7 @@
                 notify_fetched(app, pool, call.key);
             }
             () = hall_reachability::until_unreachable(&mut unreachable, &call.target.hall) =>
-                return Ok(CallEnd::OutOfReach),
+                return Ok(CallEnd::HallUnreachable),
         }
     }
 }
@@ -208,7 +208,7 @@
     let Ok(Ok(body)) = tokio::time::timeout(life.unwrap_or_default(), sent).await else { return };
     let Ok(answers) = (app.adapter.calls.read_pool_answer)(&body) else { return };
     let handles = answers.into_iter().filter_map(|answer| match answer {
-        PieceAnswer::Made(handle) => Some(handle),
+        PieceAnswer::Stored(handle) => Some(handle),
         _ => None,
     });
     let handles: Vec<String> = handles.collect();
--- a/gateway/src/stages.rs
+++ b/gateway/src/stages.rs
@@ -155,7 +155,7 @@
         let time = |index: &usize| {
             let stage = &req.entry.stages[*index];
             let bytes = stage.result_bytes * u64::from(self.runs[*index].pieces);
-            let link = req.intent.pool(&stage.pool)?.link.filter(|link| *link > 0)?;
+            let link = req.intent.pool(&stage.pool)?.fetch_rate.filter(|link| *link > 0)?;
             Some(Duration::from_secs_f64(FETCH_LINKS * bytes as f64 / link as f64))
         };
         FETCH_OVERHEAD + self.last.iter().filter_map(time).sum::<Duration>()
@@ -404,7 +404,7 @@
     };
     let submission = Submission {
         request: ctx.id.clone(),
-        content: Some(ctx.digest.for_stage(attempt.stage)),
+        digest: Some(ctx.digest.for_stage(attempt.stage)),
         stage: attempt.stage,
         pieces: runs[index].missing(),
         key,
@@ -459,7 +459,7 @@
     let dependents = stages.filter(|(other, s)| has(*other) > 0 && s.needs.contains(&index));
     let time = |(other, stage): (usize, &intent::EntryStage)| {
         let pool = intent.pool(&stage.pool);
-        let own = pool.map_or(Duration::ZERO, |pool| pool.call + pool.piece * has(other));
+        let own = pool.map_or(Duration::ZERO, |pool| pool.call_time + pool.piece_time * has(other));
         own + min_time_after(intent, entry, pieces, other)
     };
     dependents.map(time).max().unwrap_or(Duration::ZERO)
--- a/gateway/src/stream_forwarding.rs
+++ b/gateway/src/stream_forwarding.rs
@@ -15,7 +15,7 @@
 
 use crate::answers::StreamCut;
 use crate::app::App;
-use crate::attempts::{Answer, AttemptError, Attempts, OUT_OF_REACH};
+use crate::attempts::{Answer, AttemptError, Attempts, HALL_UNREACHABLE};
 use crate::crashes;
 use crate::events::Event;
 use crate::hub::now;
@@ -124,7 +124,7 @@
                 .await;
                 why
             }
-            Ok(NextEvent::OutOfReach) => OUT_OF_REACH.to_owned(),
+            Ok(NextEvent::HallUnreachable) => HALL_UNREACHABLE.to_owned(),
             Err(_) if TokioInstant::now() >= deadline => {
                 return ForwardEnd::Cut("the deadline has passed".into());
             }
--- a/gateway/src/stream_reader.rs
+++ b/gateway/src/stream_reader.rs
@@ -26,7 +26,7 @@
     /// The connection ended, or the stream ended within an event.
     Broken(String),
     /// The hall of its target became unreachable.
-    OutOfReach,
+    HallUnreachable,
 }
 
 impl EventReader {
@@ -53,7 +53,7 @@
         tokio::select! {
             biased;
             next = next_event(&mut answer.body, splitter) => next,
-            () = hall_reachability::until_unreachable(unreachable, hall), if repeatable => NextEvent::OutOfReach,
+            () = hall_reachability::until_unreachable(unreachable, hall), if repeatable => NextEvent::HallUnreachable,
         }
     }
 }
--- a/gateway/src/streams.rs
+++ b/gateway/src/streams.rs
@@ -16,7 +16,7 @@
 
 use crate::answers::{AnswerBody, refusal, whole};
 use crate::app::App;
-use crate::attempts::{Answer, AttemptError, Attempts, OUT_OF_REACH};
+use crate::attempts::{Answer, AttemptError, Attempts, HALL_UNREACHABLE};
 use crate::events::Event;
 use crate::hub::now;
 use crate::missing_inputs::Cause;
@@ -203,7 +203,7 @@
             .await;
             Ok(Err(reader.fail(attempts, why)))
         }
-        NextEvent::OutOfReach => Ok(Err(reader.fail(attempts, OUT_OF_REACH.to_owned()))),
+        NextEvent::HallUnreachable => Ok(Err(reader.fail(attempts, HALL_UNREACHABLE.to_owned()))),
     }
 }
 
--- a/gateway/src/target_announcements.rs
+++ b/gateway/src/target_announcements.rs
@@ -11,7 +11,7 @@
 use ids::ServiceName;
 use intent::Target;
 use peering::work::Rates;
-use platform_adapter::calls::{AnswerHead, Evidence, NamedRate};
+use platform_adapter::calls::{AnnouncedRate, AnswerHead, Evidence};
 use slog::{debug, info, warn};
 
 use crate::app::App;
@@ -29,7 +29,7 @@
     let is_trusted = match answer.evidence {
         Evidence::Answered | Evidence::Declined | Evidence::InputGone => true,
         // The answer comes from another lifetime, or any part of it may be corrupt.
-        Evidence::OtherTarget | Evidence::Crossed | Evidence::Invalid => false,
+        Evidence::OtherTarget | Evidence::OtherRequest | Evidence::Invalid => false,
     };
     if is_trusted {
         apply_announcements(app, target, answer, sent);
@@ -84,11 +84,11 @@
 }
 
 /// Applies the rate limit that an answer announces. An answer without one ends an earlier limit.
-fn apply_rate(app: &Rc<App>, target: &Target, rate: NamedRate, sent: Instant) {
+fn apply_rate(app: &Rc<App>, target: &Target, rate: AnnouncedRate, sent: Instant) {
     let limit = match rate {
-        NamedRate::Nothing => None,
-        NamedRate::PerSecond(per_s) => RateLimit::new(per_s),
-        NamedRate::Unreadable => {
+        AnnouncedRate::Absent => None,
+        AnnouncedRate::PerSecond(per_s) => RateLimit::new(per_s),
+        AnnouncedRate::Unreadable => {
             debug!(app.log, "target's rate not parsed"; "target" => %target.id);
             return;
         }
--- a/load/src/rates.rs
+++ b/load/src/rates.rs
@@ -3,7 +3,7 @@
 
 use std::time::{Duration, Instant};
 
-use eligibility::{Decision, Lifetime, RateLimit, TokenBuckets};
+use eligibility::{Lifetime, PermitDecision, RateLimit, TokenBuckets};
 use ids::TargetName;
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
@@ -100,7 +100,7 @@
     let mut ask = |vm: usize, at: Duration| match (way, limit) {
         (Way::Account, Some(limit)) => {
             let decision = account.acquire(&lifetime, limit, Duration::ZERO, start + at);
-            matches!(decision, Decision::Granted(_))
+            matches!(decision, PermitDecision::Granted(_))
         }
         _ => parts.get_mut(vm).is_some_and(|part| part.take(at)),
     };
