--- a/components/batching/tests/support/mod.rs
+++ b/components/batching/tests/support/mod.rs
@@ -38,7 +38,7 @@
         backoff_until: None,
         rate_limited_until: None,
         request_interval: None,
-        cold_remaining: Duration::ZERO,
+        cold_start_remaining: Duration::ZERO,
     }
 }
 
--- a/components/eligibility/tests/support/mod.rs
+++ b/components/eligibility/tests/support/mod.rs
@@ -21,6 +21,6 @@
         backoff_until: None,
         rate_limited_until: None,
         request_interval: None,
-        cold_remaining: Duration::ZERO,
+        cold_start_remaining: Duration::ZERO,
     }
 }
--- a/components/intent/src/target.rs
+++ b/components/intent/src/target.rs
@@ -35,7 +35,7 @@
     pub request_interval: Option<Duration>,
     /// Remaining time for which the target was cold when it wrote its registration. A cold target
     /// handles few requests.
-    pub cold_remaining: Duration,
+    pub cold_start_remaining: Duration,
 }
 
 impl Target {
--- a/components/selection/src/targets.rs
+++ b/components/selection/src/targets.rs
@@ -48,7 +48,7 @@
             self.remove(&target.id);
         }
         let (id, service, address) = (target.id.clone(), target.service.clone(), target.address);
-        let cold = target.cold_remaining;
+        let cold = target.cold_start_remaining;
         if let Some(key) = self.by_id.get(&id).copied() {
             self.arena[key].target = target;
             self.arena[key].cold_state.set_remaining(cold, now);
--- a/components/selection/tests/choice.rs
+++ b/components/selection/tests/choice.rs
@@ -33,7 +33,7 @@
         backoff_until: None,
         rate_limited_until: None,
         request_interval: None,
-        cold_remaining: Duration::ZERO,
+        cold_start_remaining: Duration::ZERO,
     }
 }
 
@@ -262,7 +262,7 @@
 fn cold_target_gets_only_this_vms_share() {
     let now = Instant::now();
     let mut targets = targets(&[("warm", "a")]);
-    let cold = Target { cold_remaining: Duration::from_secs(3), ..target("cold", "a") };
+    let cold = Target { cold_start_remaining: Duration::from_secs(3), ..target("cold", "a") };
     targets.upsert(cold, now);
     targets.update_cold_shares(|_, _| 2, now);
 
@@ -282,7 +282,10 @@
 fn cold_target_without_a_share_for_this_vm_is_not_selected() {
     let now = Instant::now();
     let mut targets = Targets::new(Policy::Adaptive, hall("a"));
-    targets.upsert(Target { cold_remaining: Duration::from_secs(3), ..target("cold", "a") }, now);
+    targets.upsert(
+        Target { cold_start_remaining: Duration::from_secs(3), ..target("cold", "a") },
+        now,
+    );
     targets.update_cold_shares(|_, _| 0, now);
 
     assert!(pick(&mut targets, &[], now).is_none());
--- a/gateway/src/target_entries.rs
+++ b/gateway/src/target_entries.rs
@@ -41,7 +41,7 @@
         info!(self.log, "target known"; "target" => %target.id,
             "service" => %target.service, "address" => %target.address,
             "hall" => %target.hall, "leaving" => target.leaving,
-            "cold_ms" => target.cold_remaining.as_millis(), "from" => from,
+            "cold_ms" => target.cold_start_remaining.as_millis(), "from" => from,
             "as_of" => self.view.as_of());
         let known = self.targets.get(&target.id).cloned();
         if let Some(known) = known.as_ref().filter(|known| target.is_earlier_lifetime_than(known)) {
--- a/load/src/choice.rs
+++ b/load/src/choice.rs
@@ -38,7 +38,7 @@
             backoff_until: None,
             rate_limited_until: None,
             request_interval: None,
-            cold_remaining: Duration::ZERO,
+            cold_start_remaining: Duration::ZERO,
         };
         targets.upsert(target, Instant::now());
     }
