--- a/components/store_view/src/contact.rs
+++ b/components/store_view/src/contact.rs
@@ -109,7 +109,7 @@
     /// reachable, and is not kept.
     ///
     /// An outage that only this VM sees must not count: a VM that kept entries for that reason sent requests to a
-    /// removed target for 2.8 s after its peers knew of the removal (`tests/lapses.rs`); some platforms tolerate 2 s.
+    /// removed target for 2.8 s after its peers knew of the removal (`tests/lapsed_entries.rs`); some platforms tolerate 2 s.
     pub fn grace_until(&self, now: Instant) -> Option<Instant> {
         let returned = if self.is_down(now) { Some(now) } else { self.returned };
         returned.map(|at| at + LAPSE_GRACE).filter(|until| *until > now)
--- a/tests/configuration.rs
+++ b/tests/configuration.rs
@@ -15,7 +15,7 @@
 use ids::Revision;
 use serde_json::json;
 use store_client::{Store, publish, read_catalogue, read_head};
-use support::{EndsLoad, Fleet, SERVICES, ask, usual_fleet, usual_pools, wait_until};
+use support::{Fleet, SERVICES, StopOnDrop, ask, usual_fleet, usual_pools, wait_until};
 use todc_utils::linearizability::WGLChecker;
 use todc_utils::linearizability::history::Action::{Call, Response};
 use todc_utils::linearizability::history::History;
@@ -186,7 +186,7 @@
                 }
             });
         }
-        let _ends = EndsLoad(&over);
+        let _ends = StopOnDrop(&over);
         for number in 0..10 {
             let label = format!("round=r{number}");
             let changed = fleet.tool(&["label", "target/plain-1", &label, "--wait"]);
--- a/tests/leaving.rs
+++ b/tests/leaving.rs
@@ -11,7 +11,7 @@
 use std::time::{Duration, Instant};
 
 use serde_json::json;
-use support::{EndsLoad, Fleet, ask, get_json, put_json, usual_fleet, wait_until};
+use support::{Fleet, StopOnDrop, ask, get_json, put_json, usual_fleet, wait_until};
 
 /// Time within which the last new call must have come (aim: 3 s).
 const FEW_SECONDS: Duration = Duration::from_secs(3);
@@ -31,7 +31,7 @@
                 }
             });
         }
-        let _ends = EndsLoad(&over);
+        let _ends = StopOnDrop(&over);
         during();
     });
 }
--- a/tests/stops.rs
+++ b/tests/stops.rs
@@ -11,7 +11,7 @@
 use std::time::{Duration, Instant};
 
 use serde_json::json;
-use support::{Ask, EndsLoad, Fleet, Reply, agent, ask, usual_fleet, wait_until};
+use support::{Ask, Fleet, Reply, StopOnDrop, agent, ask, usual_fleet, wait_until};
 
 /// A balancer: asks each VM for its readiness and sends a request to one that is ready; a
 /// connection that is refused goes to the next.
@@ -97,7 +97,7 @@
                 }
             });
         }
-        let _ends = EndsLoad(&over);
+        let _ends = StopOnDrop(&over);
         during();
     });
     answered.into_inner()
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -11,9 +11,9 @@
 pub use standins::fleet::{Fleet, LONG, Pool, agent, get_json, put_json, wait_until};
 
 /// Ends a test's background threads when dropped, also when the test fails before its end.
-pub struct EndsLoad<'a>(pub &'a AtomicBool);
+pub struct StopOnDrop<'a>(pub &'a AtomicBool);
 
-impl Drop for EndsLoad<'_> {
+impl Drop for StopOnDrop<'_> {
     fn drop(&mut self) {
         self.0.store(true, Ordering::Relaxed);
     }
