--- a/load/src/fleet.rs
+++ b/load/src/fleet.rs
@@ -22,11 +22,11 @@
     let settings =
         format!("policy: {}\nlimits: {{requests: 4096, notice_ms: 200}}\n", layout.policy);
     for index in 0..layout.vms {
-        fleet.start_vm_unready(layout.halls[index % layout.halls.len()], &settings);
+        fleet.start_vm_without_waiting(layout.halls[index % layout.halls.len()], &settings);
     }
     (0..layout.vms).for_each(|index| fleet.wait_ready(index));
-    fleet.list_vms(&[]);
-    fleet.wait_acquainted();
+    fleet.publish_vm_list(&[]);
+    fleet.wait_for_peer_discovery();
     fleet
 }
 
--- a/load/src/prove.rs
+++ b/load/src/prove.rs
@@ -10,7 +10,7 @@
 use rand::seq::IndexedRandom;
 use rand::{RngExt, SeedableRng};
 use serde_json::json;
-use standins::callers::{Submission, ask, calls_by_request, violations};
+use standins::callers::{Submission, caller_request, calls_by_request, violations};
 use standins::fleet::{Fleet, Pool};
 
 use crate::fleet::{Layout, start};
@@ -121,7 +121,7 @@
         let id = format!("prove-{number}");
         let service = if rng.random_bool(0.5) { "hold" } else { "check" };
         let repeatable = rng.random_bool(0.4);
-        let asked = ask(service, 2000).body(&json!({ "q": number }).to_string());
+        let asked = caller_request(service, 2000).body(&json!({ "q": number }).to_string());
         let asked = if repeatable {
             asked.repeatable().header("saddlerail-request-id", &id)
         } else {
@@ -176,7 +176,7 @@
         thread::sleep(Duration::from_millis(rng.random_range(0..800)));
     }
     let fleet = lock(fleet);
-    fleet.set_platform(&json!({}));
+    fleet.set_platform_faults(&json!({}));
     for number in 1..=PLAIN_TARGETS {
         fleet.set_faults(&format!("plain-{number}"), &json!({ "service_ms": 3 }));
     }
@@ -207,14 +207,14 @@
             fleet.stop(vm);
             fleet.restart(vm);
         }
-        Failure::Outage => fleet.set_platform(&json!({ "outage": true })),
-        Failure::SlowStore => fleet.set_platform(&json!({ "delay_ms": 700 })),
-        Failure::LostAnswers => fleet.set_platform(&json!({ "lose_answers": 3 })),
+        Failure::Outage => fleet.set_platform_faults(&json!({ "outage": true })),
+        Failure::SlowStore => fleet.set_platform_faults(&json!({ "delay_ms": 700 })),
+        Failure::LostAnswers => fleet.set_platform_faults(&json!({ "lose_answers": 3 })),
         Failure::Label => {
-            fleet.set_platform(&json!({}));
+            fleet.set_platform_faults(&json!({}));
             let label = format!("round=r{}", time.as_millis());
             // It may be refused or unknown while other failures last.
-            fleet.tool(&["label", &format!("target/{target}"), &label]);
+            fleet.run_cli(&["label", &format!("target/{target}"), &label]);
         }
     }
 }
--- a/load/src/slopes.rs
+++ b/load/src/slopes.rs
@@ -50,11 +50,11 @@
     let applied = fleet.apply(&catalogue(targets));
     assert!(applied.status.success(), "{}", String::from_utf8_lossy(&applied.stderr));
     for _ in 0..vms {
-        fleet.start_vm_unready("hall-a", "");
+        fleet.start_vm_without_waiting("hall-a", "");
     }
     (0..vms).for_each(|index| fleet.wait_ready(index));
-    fleet.list_vms(&[]);
-    fleet.wait_acquainted();
+    fleet.publish_vm_list(&[]);
+    fleet.wait_for_peer_discovery();
     thread::sleep(SETTLE);
 
     let before: Vec<(Duration, f64)> =
@@ -89,7 +89,7 @@
     let vms = fleet.vms.len();
     let before: f64 = (0..vms).map(|i| control_bytes(fleet, i)).sum();
     let old = fleet.revision(0).unwrap_or(0);
-    let label = fleet.tool(&["label", "target/target-number-1", "version=v2"]);
+    let label = fleet.run_cli(&["label", "target/target-number-1", "version=v2"]);
     assert!(label.status.success(), "{}", String::from_utf8_lossy(&label.stderr));
     let began = Instant::now();
     wait_until("the change is everywhere", || {
--- a/standins/src/bin/soak.rs
+++ b/standins/src/bin/soak.rs
@@ -7,9 +7,9 @@
 use std::time::Duration;
 
 use clap::{Arg, ArgAction, ArgMatches, Command, value_parser};
-use standins::users::scenes::{ResultScene, TurnScene};
-use standins::users::soak::{self, Size};
-use standins::users::stop_soak;
+use standins::serving_path::scenarios::{QueuedCallScenario, ResultReleaseScenario};
+use standins::serving_path::soak::{self, Size};
+use standins::serving_path::stop_soak;
 
 fn number(name: &'static str, default: &'static str, help: &'static str) -> Arg {
     Arg::new(name).long(name).default_value(default).value_parser(value_parser!(u64)).help(help)
@@ -36,13 +36,13 @@
 }
 
 fn turn_scene(seed: u64) -> (String, bool) {
-    let scene = TurnScene::draw(seed);
+    let scene = QueuedCallScenario::draw(seed);
     let calls = scene.calls(&format!("turn-{seed}"));
     (format!("{scene:?} calls={calls}"), calls == 2)
 }
 
 fn result_scene(seed: u64) -> (String, bool) {
-    let scene = ResultScene::draw(seed);
+    let scene = ResultReleaseScenario::draw(seed);
     let told = scene.told(&format!("result-{seed}"));
     (format!("{scene:?} {told:?}"), scene.keeps(&told))
 }
@@ -79,13 +79,13 @@
         println!(
             "seed={seed} requests={} whole={} faults={} results={} broken={}",
             report.requests,
-            report.whole,
+            report.complete,
             report.faults,
             report.results,
-            report.broken.len()
+            report.violations.len()
         );
-        report.broken.iter().for_each(|what| println!("seed={seed} broken=\"{what}\""));
-        broken += report.broken.len();
+        report.violations.iter().for_each(|what| println!("seed={seed} broken=\"{what}\""));
+        broken += report.violations.len();
     }
     if broken == 0 { ExitCode::SUCCESS } else { ExitCode::FAILURE }
 }
--- a/standins/src/bin/standin-platform.rs
+++ b/standins/src/bin/standin-platform.rs
@@ -12,7 +12,7 @@
 use hyper::{Method, Response};
 use serde::{Deserialize, Serialize};
 use serde_json::json;
-use standins::{Asked, json, raw};
+use standins::{BufferedRequest, json_response, raw_response};
 use tokio::sync::Notify;
 
 /// Faults; each holds until it is set otherwise.
@@ -65,46 +65,46 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    async fn answer(&self, asked: Asked) -> Response<Body> {
-        match (&asked.method, asked.path.as_str()) {
-            (&Method::PUT, "/faults") => return self.set_faults(&asked),
-            (&Method::PUT, "/vms") => return self.set_list(&asked),
+    async fn answer(&self, req: BufferedRequest) -> Response<Body> {
+        match (&req.method, req.path.as_str()) {
+            (&Method::PUT, "/faults") => return self.set_faults(&req),
+            (&Method::PUT, "/vms") => return self.set_list(&req),
             (&Method::GET, "/counts") => return self.counts(),
             _ => {}
         }
         let faults = self.state().faults.clone();
         tokio::time::sleep(Duration::from_millis(faults.delay_ms)).await;
         if faults.outage {
-            return raw(503, b"outage".to_vec());
+            return raw_response(503, b"outage".to_vec());
         }
-        let key = asked.path.trim_start_matches("/kv/").to_owned();
-        match (&asked.method, asked.path.as_str()) {
+        let key = req.path.trim_start_matches("/kv/").to_owned();
+        match (&req.method, req.path.as_str()) {
             (&Method::GET, "/vms") => self.list(),
-            (&Method::GET, path) if path.starts_with("/kv/") => self.read(&key, &asked).await,
-            (_, path) if path.starts_with("/kv/") => self.write(&key, &asked).await,
-            (&Method::PUT, path) if path.starts_with("/leases/") => self.lease(&asked),
-            _ => raw(404, b"no such path".to_vec()),
+            (&Method::GET, path) if path.starts_with("/kv/") => self.read(&key, &req).await,
+            (_, path) if path.starts_with("/kv/") => self.write(&key, &req).await,
+            (&Method::PUT, path) if path.starts_with("/leases/") => self.lease(&req),
+            _ => raw_response(404, b"no such path".to_vec()),
         }
     }
 
-    fn set_faults(&self, asked: &Asked) -> Response<Body> {
-        match serde_json::from_slice(&asked.body) {
+    fn set_faults(&self, req: &BufferedRequest) -> Response<Body> {
+        match serde_json::from_slice(&req.body) {
             Ok(faults) => {
                 self.state().faults = faults;
                 self.changed.notify_waiters();
-                json(200, &"set")
+                json_response(200, &"set")
             }
-            Err(e) => json(400, &e.to_string()),
+            Err(e) => json_response(400, &e.to_string()),
         }
     }
 
-    fn set_list(&self, asked: &Asked) -> Response<Body> {
-        match serde_json::from_slice(&asked.body) {
+    fn set_list(&self, req: &BufferedRequest) -> Response<Body> {
+        match serde_json::from_slice(&req.body) {
             Ok(list) => {
                 self.state().lists.push((Some(Instant::now()), list));
-                json(200, &"set")
+                json_response(200, &"set")
             }
-            Err(e) => json(400, &e.to_string()),
+            Err(e) => json_response(400, &e.to_string()),
         }
     }
 
@@ -114,7 +114,7 @@
             "reads": state.reads, "writes": state.writes, "watches": state.watches,
             "keys": state.values.len(),
         });
-        json(200, &counts)
+        json_response(200, &counts)
     }
 
     fn list(&self) -> Response<Body> {
@@ -123,12 +123,12 @@
         let lag = Duration::from_millis(state.faults.list_lag_ms);
         let old_enough = |at: &Option<Instant>| at.is_none_or(|at| at.elapsed() >= lag);
         let seen = state.lists.iter().rev().find(|(at, _)| old_enough(at));
-        json(200, &seen.map_or(json!([]), |(_, list)| list.clone()))
+        json_response(200, &seen.map_or(json!([]), |(_, list)| list.clone()))
     }
 
-    async fn read(&self, key: &str, asked: &Asked) -> Response<Body> {
-        let until = Instant::now() + Duration::from_millis(asked.number("wait_ms"));
-        let seen = asked.query.get("watch").and_then(|v| v.parse::<u64>().ok());
+    async fn read(&self, key: &str, req: &BufferedRequest) -> Response<Body> {
+        let until = Instant::now() + Duration::from_millis(req.number("wait_ms"));
+        let seen = req.query.get("watch").and_then(|v| v.parse::<u64>().ok());
         {
             let mut state = self.state();
             state.reads += 1;
@@ -139,12 +139,12 @@
             let value = self.state().values.get(key).cloned();
             let version = value.as_ref().map_or(0, |v| v.version);
             if self.state().faults.outage {
-                return raw(503, b"outage".to_vec());
+                return raw_response(503, b"outage".to_vec());
             }
             if seen != Some(version) || Instant::now() >= until {
                 return value.map_or_else(
-                    || raw(404, Vec::new()),
-                    |v| versioned(raw(200, v.bytes), v.version),
+                    || raw_response(404, Vec::new()),
+                    |v| versioned(raw_response(200, v.bytes), v.version),
                 );
             }
             let left = until.saturating_duration_since(Instant::now());
@@ -152,11 +152,11 @@
         }
     }
 
-    async fn write(&self, key: &str, asked: &Asked) -> Response<Body> {
+    async fn write(&self, key: &str, req: &BufferedRequest) -> Response<Body> {
         let (rx, lost) = {
             let mut state = self.state();
             state.writes += 1;
-            let rx = apply(&mut state, key, asked);
+            let rx = apply(&mut state, key, req);
             let lost = state.faults.lose_answers > 0;
             state.faults.lose_answers = state.faults.lose_answers.saturating_sub(1);
             (rx, lost)
@@ -169,41 +169,41 @@
         rx
     }
 
-    fn lease(&self, asked: &Asked) -> Response<Body> {
-        let name = asked.path.trim_start_matches("/leases/").to_owned();
-        let holder = String::from_utf8_lossy(&asked.body).into_owned();
+    fn lease(&self, req: &BufferedRequest) -> Response<Body> {
+        let name = req.path.trim_start_matches("/leases/").to_owned();
+        let holder = String::from_utf8_lossy(&req.body).into_owned();
         let mut state = self.state();
         state.writes += 1;
         let now = Instant::now();
         let old = state.leases.get(&name).cloned();
         let held = old.clone().filter(|l| l.until.is_some_and(|until| until > now));
         if let Some(held) = held.as_ref().filter(|l| l.holder != holder) {
-            return json(409, held);
+            return json_response(409, held);
         }
         let fence = match (&held, &old) {
             (Some(held), _) => held.fence,
             (None, Some(old)) => old.fence + 1,
             (None, None) => 1,
         };
-        let until = Some(now + Duration::from_millis(asked.number("ttl_ms")));
+        let until = Some(now + Duration::from_millis(req.number("ttl_ms")));
         let lease = Lease { holder, fence, until };
         state.leases.insert(name, lease.clone());
-        json(200, &lease)
+        json_response(200, &lease)
     }
 }
 
-fn apply(state: &mut State, key: &str, asked: &Asked) -> Response<Body> {
+fn apply(state: &mut State, key: &str, req: &BufferedRequest) -> Response<Body> {
     let found = state.values.get(key).map_or(0, |v| v.version);
-    if asked.number("expect") != found {
-        return versioned(raw(409, Vec::new()), found);
+    if req.number("expect") != found {
+        return versioned(raw_response(409, Vec::new()), found);
     }
-    if asked.method == Method::DELETE {
+    if req.method == Method::DELETE {
         state.values.remove(key);
-        return versioned(raw(200, Vec::new()), found);
+        return versioned(raw_response(200, Vec::new()), found);
     }
-    let value = Value { bytes: asked.body.to_vec(), version: found + 1 };
+    let value = Value { bytes: req.body.to_vec(), version: found + 1 };
     state.values.insert(key.to_owned(), value);
-    versioned(raw(200, Vec::new()), found + 1)
+    versioned(raw_response(200, Vec::new()), found + 1)
 }
 
 fn versioned(mut rx: Response<Body>, version: u64) -> Response<Body> {
@@ -221,9 +221,9 @@
         return Ok(());
     };
     let platform = Arc::new(Platform::default());
-    standins::serve(*address, move |asked| {
+    standins::serve(*address, move |req| {
         let platform = Arc::clone(&platform);
-        async move { platform.answer(asked).await }
+        async move { platform.answer(req).await }
     })
     .await
 }
--- a/standins/src/bin/standin-target.rs
+++ b/standins/src/bin/standin-target.rs
@@ -14,7 +14,7 @@
 use hyper::{Method, Response};
 use serde::{Deserialize, Serialize};
 use serde_json::json;
-use standins::{Asked, json, raw};
+use standins::{BufferedRequest, json_response, raw_response};
 use tokio::sync::{mpsc, oneshot};
 
 /// How calls go wrong.
@@ -175,33 +175,33 @@
         format!("{}/{}", state.reported.0, state.reported.1)
     }
 
-    async fn answer(self: Arc<Self>, asked: Asked) -> Response<Body> {
-        let path = asked.path.clone();
-        match (&asked.method, path.as_str()) {
-            (&Method::PUT, "/faults") => self.set_switches(&asked),
-            (&Method::GET, "/record") => json(200, &self.state().record),
-            (&Method::GET, "/v1/load") => json(200, &self.load()),
-            (&Method::GET, "/v1/cache-events") => json(200, &self.cache_events()),
+    async fn answer(self: Arc<Self>, req: BufferedRequest) -> Response<Body> {
+        let path = req.path.clone();
+        match (&req.method, path.as_str()) {
+            (&Method::PUT, "/faults") => self.set_switches(&req),
+            (&Method::GET, "/record") => json_response(200, &self.state().record),
+            (&Method::GET, "/v1/load") => json_response(200, &self.load()),
+            (&Method::GET, "/v1/cache-events") => json_response(200, &self.cache_events()),
             (&Method::GET, "/v1/condition") => self.condition(),
-            (&Method::POST, "/v1/orders") => self.order(&asked),
-            (&Method::GET, "/v1/orders") => json(200, &self.state().orders),
+            (&Method::POST, "/v1/orders") => self.order(&req),
+            (&Method::GET, "/v1/orders") => json_response(200, &self.state().orders),
             (&Method::DELETE, path) => {
                 let attempt = path.trim_start_matches("/v1/attempts/").to_owned();
                 self.state().cancelled.insert(attempt);
-                json(200, &"cancelled")
+                json_response(200, &"cancelled")
             }
-            (&Method::POST, path) if path.starts_with("/v1/stages/") => self.stage(asked).await,
-            _ => raw(404, b"no such path".to_vec()),
+            (&Method::POST, path) if path.starts_with("/v1/stages/") => self.stage(req).await,
+            _ => raw_response(404, b"no such path".to_vec()),
         }
     }
 
-    fn set_switches(&self, asked: &Asked) -> Response<Body> {
-        match serde_json::from_slice(&asked.body) {
+    fn set_switches(&self, req: &BufferedRequest) -> Response<Body> {
+        match serde_json::from_slice(&req.body) {
             Ok(switches) => {
                 self.state().switches = switches;
-                json(200, &"set")
+                json_response(200, &"set")
             }
-            Err(e) => json(400, &e.to_string()),
+            Err(e) => json_response(400, &e.to_string()),
         }
     }
 
@@ -217,54 +217,54 @@
     /// What the last order that was taken wants.
     fn condition(&self) -> Response<Body> {
         let none = json!({ "fence": 0, "wanted": {} });
-        json(200, self.state().orders.last().unwrap_or(&none))
+        json_response(200, self.state().orders.last().unwrap_or(&none))
     }
 
-    fn order(&self, asked: &Asked) -> Response<Body> {
-        let Ok(order) = serde_json::from_slice::<serde_json::Value>(&asked.body) else {
-            return json(400, &"no order");
+    fn order(&self, req: &BufferedRequest) -> Response<Body> {
+        let Ok(order) = serde_json::from_slice::<serde_json::Value>(&req.body) else {
+            return json_response(400, &"no order");
         };
         let fence = order["fence"].as_u64().unwrap_or(0);
         let mut state = self.state();
         if state.switches.checks_fence && fence < state.fence {
-            return json(409, &json!({ "fence": state.fence }));
+            return json_response(409, &json!({ "fence": state.fence }));
         }
         state.fence = state.fence.max(fence);
         state.orders.push(order);
-        json(200, &"taken")
+        json_response(200, &"taken")
     }
 
-    async fn stage(self: Arc<Self>, asked: Asked) -> Response<Body> {
+    async fn stage(self: Arc<Self>, req: BufferedRequest) -> Response<Body> {
         let mut switches = self.state().switches.clone();
-        let input: serde_json::Value = serde_json::from_slice(&asked.body).unwrap_or_default();
+        let input: serde_json::Value = serde_json::from_slice(&req.body).unwrap_or_default();
         if let Some(tokens) = find(&input, "tokens").and_then(serde_json::Value::as_u64) {
             switches.tokens = tokens;
         }
         let met = rand::random_range(0..100) < switches.fault_percent;
         let fault = if met { switches.fault } else { Fault::None };
-        let attempt = asked.header("x-attempt-id");
+        let attempt = req.header("x-attempt-id");
         let earlier = self.state().answered.clone().filter(|_| fault == Fault::Crossed);
         let named = earlier.as_ref().map_or_else(|| attempt.clone(), |(id, _)| id.clone());
         if switches.leaving || fault == Fault::Busy {
-            return self.with_head(raw(503, Vec::new()), &named, switches.leaving);
+            return self.with_head(raw_response(503, Vec::new()), &named, switches.leaving);
         }
-        let slot = self.slot(&asked.header("x-priority")).await;
-        let index = self.begin_record(&asked, &attempt);
+        let slot = self.slot(&req.header("x-priority")).await;
+        let index = self.begin_record(&req, &attempt);
         if fault == Fault::Hang {
             tokio::time::sleep(Duration::from_secs(3600)).await;
         }
-        let streams = self.engine && asked.header("accept").contains("event-stream");
+        let streams = self.engine && req.header("accept").contains("event-stream");
         let hit = self.state().record[index].prefix_hit;
         let prefill = if hit { 0 } else { switches.prefill_ms };
         let first = Duration::from_millis(switches.service_ms + prefill);
         tokio::time::sleep(first).await;
         if fault == Fault::Error {
-            return self.with_head(raw(500, Vec::new()), &named, false);
+            return self.with_head(raw_response(500, Vec::new()), &named, false);
         }
         if streams {
-            return self.stream(slot, &asked, index, fault, &named, &switches);
+            return self.stream(slot, &req, index, fault, &named, &switches);
         }
-        let output = json!({ "by": asked.path.rsplit('/').next(), "of": input });
+        let output = json!({ "by": req.path.rsplit('/').next(), "of": input });
         let cost = if self.engine { switches.tokens } else { 1 };
         if self.engine {
             self.generate(switches.tokens, switches.token_ms).await;
@@ -281,7 +281,7 @@
             let _ = tx.send(Err(BodyAborted)).await;
             return self.with_head(Response::new(stream_body(rx)), &named, false);
         }
-        self.with_head(raw(200, bytes), &named, false)
+        self.with_head(raw_response(200, bytes), &named, false)
     }
 
     async fn generate(&self, tokens: u64, token_ms: u64) {
@@ -299,7 +299,7 @@
     fn stream(
         self: Arc<Self>,
         slot: Slot,
-        asked: &Asked,
+        req: &BufferedRequest,
         index: usize,
         fault: Fault,
         named: &str,
@@ -307,10 +307,10 @@
     ) -> Response<Body> {
         let (tx, rx) = mpsc::channel(64);
         let switches = switches.clone();
-        let first = asked.header("last-event-id").parse::<u64>().unwrap_or(0);
-        let seed = hash(&asked.body);
+        let first = req.header("last-event-id").parse::<u64>().unwrap_or(0);
+        let seed = hash(&req.body);
         let (target, name) = (Arc::clone(&self), named.to_owned());
-        let attempt = asked.header("x-attempt-id");
+        let attempt = req.header("x-attempt-id");
         tokio::spawn(async move {
             let _slot = slot;
             for number in first + 1..=switches.tokens {
@@ -352,12 +352,12 @@
         rx
     }
 
-    fn begin_record(&self, asked: &Asked, attempt: &str) -> usize {
+    fn begin_record(&self, req: &BufferedRequest, attempt: &str) -> usize {
         let mut state = self.state();
-        let input: serde_json::Value = serde_json::from_slice(&asked.body).unwrap_or_default();
+        let input: serde_json::Value = serde_json::from_slice(&req.body).unwrap_or_default();
         let prefix = match find(&input, "prefix") {
             Some(prefix) => hash(prefix.to_string().as_bytes()),
-            None => hash(&asked.body),
+            None => hash(&req.body),
         };
         let prefix_hit = state.prefixes.contains(&prefix);
         state.prefixes.retain(|p| *p != prefix);
@@ -371,10 +371,10 @@
                 state.cache_events.push((self.started.elapsed().as_millis(), event));
             }
         }
-        let resumed_after = asked.header("last-event-id").parse().unwrap_or(0);
+        let resumed_after = req.header("last-event-id").parse().unwrap_or(0);
         state.record.push(CallRecord {
             attempt: attempt.to_owned(),
-            stage: asked.path.rsplit('/').next().unwrap_or_default().to_owned(),
+            stage: req.path.rsplit('/').next().unwrap_or_default().to_owned(),
             resumed_after,
             at_ms: self.started.elapsed().as_millis(),
             ended: false,
@@ -448,7 +448,7 @@
             started: Instant::now(),
         });
         let address = SocketAddr::new(first.ip(), first.port() + offset);
-        servers.spawn(standins::serve(address, move |asked| Arc::clone(&target).answer(asked)));
+        servers.spawn(standins::serve(address, move |req| Arc::clone(&target).answer(req)));
     }
     while let Some(ended) = servers.join_next().await {
         ended??;
--- a/standins/src/callers.rs
+++ b/standins/src/callers.rs
@@ -28,7 +28,7 @@
 
 /// A caller's request to one VM.
 #[derive(Debug, Clone)]
-pub struct Ask<'a> {
+pub struct CallerRequest<'a> {
     /// The service.
     pub service: &'a str,
     /// All headers.
@@ -38,15 +38,15 @@
 }
 
 /// A request with the headers that are always needed.
-pub fn ask(service: &str, deadline_ms: u64) -> Ask<'_> {
+pub fn caller_request(service: &str, deadline_ms: u64) -> CallerRequest<'_> {
     let headers = vec![
         ("saddlerail-customer", "small".to_owned()),
         ("saddlerail-deadline-ms", deadline_ms.to_string()),
     ];
-    Ask { service, headers, body: "{\"q\":1}".to_owned() }
+    CallerRequest { service, headers, body: "{\"q\":1}".to_owned() }
 }
 
-impl<'a> Ask<'a> {
+impl<'a> CallerRequest<'a> {
     /// With a further header.
     #[must_use]
     pub fn header(mut self, name: &'a str, value: &str) -> Self {
--- a/standins/src/fleet.rs
+++ b/standins/src/fleet.rs
@@ -16,7 +16,7 @@
 use serde_json::{Value, json};
 
 /// Longest wait for any condition; reached only if the condition never comes.
-pub const LONG: Duration = Duration::from_secs(20);
+pub const MAX_WAIT: Duration = Duration::from_secs(20);
 /// VMs that a VM keeps in mind whatever hall they are in.
 const KEPT_AT_LEAST: usize = 16;
 const PLATFORM_PORT: u16 = 7000;
@@ -71,7 +71,7 @@
 ///
 /// # Panics
 /// If it is not built.
-pub fn program(name: &str) -> PathBuf {
+pub fn program_path(name: &str) -> PathBuf {
     let own = std::env::current_exe().expect("own path");
     let found = own.ancestors().skip(1).take(2).map(|dir| dir.join(name)).find(|p| p.exists());
     found.unwrap_or_else(|| panic!("{name} is not built: build or test the whole workspace"))
@@ -81,7 +81,7 @@
 pub fn wait_until(what: &str, mut done: impl FnMut() -> bool) {
     let began = Instant::now();
     while !done() {
-        assert!(began.elapsed() < LONG, "not within {LONG:?}: {what}");
+        assert!(began.elapsed() < MAX_WAIT, "not within {MAX_WAIT:?}: {what}");
         thread::sleep(Duration::from_millis(10));
     }
 }
@@ -90,7 +90,7 @@
 pub fn agent() -> ureq::Agent {
     ureq::Agent::config_builder()
         .http_status_as_error(false)
-        .timeout_global(Some(LONG))
+        .timeout_global(Some(MAX_WAIT))
         .max_idle_connections(0)
         .build()
         .new_agent()
@@ -126,7 +126,7 @@
 
 /// A loopback address that no other fixture has, of this process or another one, so that its
 /// ports are free.
-pub fn own_address() -> IpAddr {
+pub fn unique_loopback_address() -> IpAddr {
     let number = FLEETS.fetch_add(1, Ordering::Relaxed);
     let [.., high, low] = std::process::id().to_be_bytes();
     IpAddr::V4(Ipv4Addr::new(127, high.max(1), low, number))
@@ -135,12 +135,12 @@
 impl Fleet {
     /// Platform and targets, with no entry VM yet.
     pub fn start(pools: &[Pool]) -> Fleet {
-        let ip = own_address();
+        let ip = unique_loopback_address();
         let dir = std::env::temp_dir().join(format!("saddlerail-test-{ip}"));
         fs::create_dir_all(&dir).expect("temporary directory");
         let platform = SocketAddr::new(ip, PLATFORM_PORT);
         let children = vec![spawn(
-            Command::new(program("standin-platform")).arg(format!("--listen={platform}")),
+            Command::new(program_path("standin-platform")).arg(format!("--listen={platform}")),
         )];
         let mut fleet = Fleet {
             ip,
@@ -155,7 +155,7 @@
         for pool in pools {
             let listen = format!("--listen={}", SocketAddr::new(ip, port));
             let count = format!("--count={}", pool.count);
-            let mut command = Command::new(program("standin-target"));
+            let mut command = Command::new(program_path("standin-target"));
             fleet.children.push(spawn(command.args([listen, count]).args(pool.args)));
             for number in 0..pool.count {
                 let name = format!("{}-{}", pool.name, number + 1);
@@ -186,20 +186,20 @@
 
     /// Writes the text to a file and applies it.
     pub fn apply(&self, text: &str) -> Output {
-        let file = self.file("apply.yaml", text);
-        self.tool(&["apply", "-f", file.to_str().unwrap_or_default()])
+        let file = self.write_file("apply.yaml", text);
+        self.run_cli(&["apply", "-f", file.to_str().unwrap_or_default()])
     }
 
     /// Writes a file into the fleet's folder.
-    pub fn file(&self, name: &str, text: &str) -> PathBuf {
+    pub fn write_file(&self, name: &str, text: &str) -> PathBuf {
         let path = self.dir.join(name);
         fs::write(&path, text).expect("write");
         path
     }
 
     /// Runs the operators' tool.
-    pub fn tool(&self, args: &[&str]) -> Output {
-        let mut command = Command::new(program("saddlerail"));
+    pub fn run_cli(&self, args: &[&str]) -> Output {
+        let mut command = Command::new(program_path("saddlerail"));
         command.arg(format!("--platform={}", self.platform));
         if let Some(vm) = self.vms.first() {
             command.arg(format!("--vm={}", vm.operations));
@@ -210,13 +210,13 @@
     /// Starts entry VM `number` (from 1) in a hall, with further settings, and waits until it
     /// is ready.
     pub fn start_vm(&mut self, hall: &str, more: &str) -> usize {
-        let index = self.start_vm_unready(hall, more);
+        let index = self.start_vm_without_waiting(hall, more);
         self.wait_ready(index);
         index
     }
 
     /// Starts an entry VM without waiting for it.
-    pub fn start_vm_unready(&mut self, hall: &str, more: &str) -> usize {
+    pub fn start_vm_without_waiting(&mut self, hall: &str, more: &str) -> usize {
         let index = self.vms.len();
         let port = 9000 + 10 * u16::try_from(index).expect("few VMs");
         let address = |offset| SocketAddr::new(self.ip, port + offset);
@@ -231,7 +231,7 @@
             self.platform_for_vms,
             seeds.join(", "),
         );
-        let settings = self.file(&format!("{name}.yaml"), &text);
+        let settings = self.write_file(&format!("{name}.yaml"), &text);
         let (callers, peers, operations) = (address(0), address(1), address(2));
         let vm = Vm { name, callers, peers, operations, settings, child: None };
         self.vms.push(vm);
@@ -247,7 +247,7 @@
             .append(true)
             .open(self.dir.join(format!("{}.log", vm.name)))
             .expect("log file");
-        let mut command = Command::new(program("saddleraild"));
+        let mut command = Command::new(program_path("saddleraild"));
         command.arg("--settings").arg(&vm.settings).stderr(log).stdout(Stdio::null());
         vm.child = Some(command.spawn().expect("saddleraild starts"));
     }
@@ -261,7 +261,7 @@
     }
 
     /// Waits until every VM has heard of every other one, or of as many as it keeps at least.
-    pub fn wait_acquainted(&self) {
+    pub fn wait_for_peer_discovery(&self) {
         let others = (self.vms.len() - 1).min(KEPT_AT_LEAST);
         for vm in &self.vms {
             wait_until(&format!("{} knows all", vm.name), || {
@@ -310,12 +310,12 @@
     }
 
     /// Sets the faults of the platform.
-    pub fn set_platform(&self, faults: &Value) {
+    pub fn set_platform_faults(&self, faults: &Value) {
         put_json(self.platform, "/faults", faults);
     }
 
     /// Puts all targets and VMs on the platform's list, those named as leaving.
-    pub fn list_vms(&self, leaving: &[&str]) {
+    pub fn publish_vm_list(&self, leaving: &[&str]) {
         let state = |name: &str| {
             if leaving.contains(&name) { "leaving" } else { "live" }
         };
--- a/standins/src/lib.rs
+++ b/standins/src/lib.rs
@@ -2,7 +2,7 @@
 
 pub mod callers;
 pub mod fleet;
-pub mod users;
+pub mod serving_path;
 
 use std::collections::HashMap;
 use std::future::Future;
@@ -22,7 +22,7 @@
 
 /// A request with its body read.
 #[derive(Debug)]
-pub struct Asked {
+pub struct BufferedRequest {
     /// Method.
     pub method: Method,
     /// Path without the query.
@@ -35,7 +35,7 @@
     pub body: Bytes,
 }
 
-impl Asked {
+impl BufferedRequest {
     /// A query parameter as a number; 0 if absent or no number.
     pub fn number(&self, name: &str) -> u64 {
         self.query.get(name).and_then(|v| v.parse().ok()).unwrap_or(0)
@@ -50,7 +50,7 @@
 /// Serves until the process ends.
 pub async fn serve<H, F>(address: SocketAddr, handle: H) -> std::io::Result<()>
 where
-    H: Fn(Asked) -> F + Clone + Send + Sync + 'static,
+    H: Fn(BufferedRequest) -> F + Clone + Send + Sync + 'static,
     F: Future<Output = Response<Body>> + Send + 'static,
 {
     let listener = TcpListener::bind(address).await?;
@@ -64,10 +64,17 @@
             let query = pairs.filter_map(|pair| pair.split_once('='));
             let query = query.map(|(k, v)| (k.to_owned(), v.to_owned())).collect();
             let Ok(body) = read_body(body, MAX_BODY, WAIT).await else {
-                return json(400, &"body");
+                return json_response(400, &"body");
             };
             let path = head.uri.path().to_owned();
-            handle(Asked { method: head.method, path, query, headers: head.headers, body }).await
+            handle(BufferedRequest {
+                method: head.method,
+                path,
+                query,
+                headers: head.headers,
+                body,
+            })
+            .await
         }
     })
     .await;
@@ -75,12 +82,12 @@
 }
 
 /// An answer with a status and a JSON body.
-pub fn json<T: Serialize>(status: u16, value: &T) -> Response<Body> {
-    raw(status, serde_json::to_vec(value).unwrap_or_default())
+pub fn json_response<T: Serialize>(status: u16, value: &T) -> Response<Body> {
+    raw_response(status, serde_json::to_vec(value).unwrap_or_default())
 }
 
 /// An answer with a status and a body as it is.
-pub fn raw(status: u16, body: Vec<u8>) -> Response<Body> {
+pub fn raw_response(status: u16, body: Vec<u8>) -> Response<Body> {
     let mut rx = Response::new(full_body(body));
     *rx.status_mut() = hyper::StatusCode::from_u16(status).unwrap_or_default();
     rx
--- a/standins/src/users/acts.rs
+++ b/standins/src/serving_path/behavior.rs
@@ -4,7 +4,7 @@
 
 /// How a runner behaves towards the next request.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Act {
+pub enum Behavior {
     /// A whole answer.
     Answer,
     /// A whole answer of so many bytes.
@@ -49,31 +49,31 @@
     NoRoomForLast(Duration),
 }
 
-impl Act {
+impl Behavior {
     /// Whether an answer comes at once that is the runner's own.
     pub(super) fn speaks_for_it(&self) -> bool {
         match self {
-            Act::Misdirected
-            | Act::Lose
-            | Act::Cross
-            | Act::Garbage
-            | Act::Unsigned
-            | Act::Encoded
-            | Act::Hang(_) => false,
-            Act::Answer
-            | Act::Large(_)
-            | Act::Fail
-            | Act::Decline
-            | Act::DeclineFor(_)
-            | Act::CutBody
-            | Act::Extra
-            | Act::Unframed
-            | Act::Stream(_)
-            | Act::StreamFromFirst(_)
-            | Act::BreakStream(_)
-            | Act::SlowStream(..)
-            | Act::InputGone
-            | Act::NoRoomForLast(_) => true,
+            Behavior::Misdirected
+            | Behavior::Lose
+            | Behavior::Cross
+            | Behavior::Garbage
+            | Behavior::Unsigned
+            | Behavior::Encoded
+            | Behavior::Hang(_) => false,
+            Behavior::Answer
+            | Behavior::Large(_)
+            | Behavior::Fail
+            | Behavior::Decline
+            | Behavior::DeclineFor(_)
+            | Behavior::CutBody
+            | Behavior::Extra
+            | Behavior::Unframed
+            | Behavior::Stream(_)
+            | Behavior::StreamFromFirst(_)
+            | Behavior::BreakStream(_)
+            | Behavior::SlowStream(..)
+            | Behavior::InputGone
+            | Behavior::NoRoomForLast(_) => true,
         }
     }
 }
--- a/standins/src/users/callers.rs
+++ b/standins/src/serving_path/callers.rs
@@ -2,7 +2,7 @@
 
 use std::net::{SocketAddr, TcpStream};
 
-use super::{Message, Wire};
+use super::{HttpConnection, HttpMessage};
 
 /// A request to be sent.
 #[derive(Debug, Clone)]
@@ -23,7 +23,7 @@
 
     /// The same with another header.
     #[must_use]
-    pub fn with(mut self, name: &str, value: &str) -> Self {
+    pub fn with_header(mut self, name: &str, value: &str) -> Self {
         self.headers.push((name.to_owned(), value.to_owned()));
         self
     }
@@ -49,16 +49,16 @@
     }
 
     /// Sends it on a connection; `None` if that ends with no head of an answer.
-    pub fn send_on(&self, wire: &mut Wire) -> Option<Message> {
+    pub fn send_on(&self, wire: &mut HttpConnection) -> Option<HttpMessage> {
         wire.write(&self.bytes()).then(|| wire.read()).flatten()
     }
 
     /// Sends it on a connection and reads the answer after a while.
     pub fn send_on_and_read_after(
         &self,
-        wire: &mut Wire,
+        wire: &mut HttpConnection,
         wait: std::time::Duration,
-    ) -> Option<Message> {
+    ) -> Option<HttpMessage> {
         if !wire.write(&self.bytes()) {
             return None;
         }
@@ -67,8 +67,8 @@
     }
 
     /// Sends it on a new connection.
-    pub fn send(&self, address: SocketAddr) -> Option<Message> {
-        self.send_on(&mut Wire::new(TcpStream::connect(address).ok()?))
+    pub fn send(&self, address: SocketAddr) -> Option<HttpMessage> {
+        self.send_on(&mut HttpConnection::new(TcpStream::connect(address).ok()?))
     }
 
     /// Sends it and begins to read its answer once `begin` returns.
@@ -76,8 +76,8 @@
         &self,
         address: SocketAddr,
         begin: impl FnOnce(),
-    ) -> Option<Message> {
-        let mut wire = Wire::new(TcpStream::connect(address).ok()?);
+    ) -> Option<HttpMessage> {
+        let mut wire = HttpConnection::new(TcpStream::connect(address).ok()?);
         if !wire.write(&self.bytes()) {
             return None;
         }
@@ -86,9 +86,9 @@
     }
 
     /// Sends it and closes the connection after a while without reading.
-    pub fn send_and_leave(&self, address: SocketAddr, after: std::time::Duration) {
+    pub fn send_and_disconnect(&self, address: SocketAddr, after: std::time::Duration) {
         if let Ok(stream) = TcpStream::connect(address) {
-            let mut wire = Wire::new(stream);
+            let mut wire = HttpConnection::new(stream);
             wire.write(&self.bytes());
             std::thread::sleep(after);
         }
--- a/standins/src/users/fragile.rs
+++ b/standins/src/serving_path/crashing.rs
@@ -7,9 +7,9 @@
 
 use serde_json::{Value, json};
 
-use super::runners::{Act, Runner};
+use super::runners::{Behavior, Runner};
 use super::store::Store;
-use super::{Message, Wire};
+use super::{HttpConnection, HttpMessage};
 
 /// Pause between two tries to listen at the same port again.
 const LISTEN_PAUSE: Duration = Duration::from_millis(5);
@@ -18,7 +18,7 @@
 
 /// How a runner comes back.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Return {
+pub enum RestartId {
     /// Under a new id.
     NewId,
     /// Under the id that it had; only its time of birth tells the lifetimes apart.
@@ -27,7 +27,7 @@
 
 /// What ends a runner.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Fatal {
+pub enum CrashTrigger {
     /// A request with this body.
     Body(Vec<u8>),
     /// A call with a piece that has this secret.
@@ -36,17 +36,17 @@
 
 /// What a fragile runner is.
 #[derive(Debug, Clone)]
-pub struct Nature {
+pub struct CrashingRunnerConfig {
     /// What ends it.
-    pub fatal: Fatal,
+    pub trigger: CrashTrigger,
     /// It ends this long after it began to run such a request.
-    pub after: Duration,
+    pub crash_delay: Duration,
     /// It is away for this long.
-    pub down: Duration,
+    pub downtime: Duration,
     /// How it comes back.
-    pub back: Return,
+    pub restart_id: RestartId,
     /// What it does with other requests.
-    pub usual: Act,
+    pub default_behavior: Behavior,
 }
 
 struct State {
@@ -61,21 +61,21 @@
 
 /// A runner that ends under a certain request.
 #[derive(Clone)]
-pub struct Fragile {
+pub struct CrashingRunner {
     name: String,
     service: String,
     address: SocketAddr,
-    nature: Nature,
+    config: CrashingRunnerConfig,
     store: Store,
     state: Arc<Mutex<State>>,
 }
 
-impl Fragile {
+impl CrashingRunner {
     /// Starts a runner of a service and writes its entry.
     pub fn start(
         name: &str,
         service: &str,
-        nature: Nature,
+        config: CrashingRunnerConfig,
         store: &Store,
     ) -> std::io::Result<Self> {
         let listener = TcpListener::bind("127.0.0.1:0")?;
@@ -86,11 +86,11 @@
             lifetimes: 0,
             reached: Vec::new(),
         };
-        let fragile = Fragile {
+        let fragile = CrashingRunner {
             name: name.to_owned(),
             service: service.to_owned(),
             address: listener.local_addr()?,
-            nature,
+            config,
             store: store.clone(),
             state: Arc::new(Mutex::new(state)),
         };
@@ -101,12 +101,12 @@
     }
 
     /// How often it has ended.
-    pub fn ends(&self) -> u64 {
+    pub fn crashes(&self) -> u64 {
         self.with(|state| state.lifetimes.saturating_sub(u64::from(state.lifetime.is_some())))
     }
 
     /// How many requests with this body reached it, in all of its lifetimes.
-    pub fn reached_by(&self, body: &[u8]) -> usize {
+    pub fn requests_with_body(&self, body: &[u8]) -> usize {
         self.with(|state| state.reached.iter().filter(|seen| *seen == body).count())
     }
 
@@ -121,7 +121,7 @@
             self.accept(&listener, &runner);
             drop(listener);
             self.with(|state| state.listens = false);
-            sleep(self.nature.down);
+            sleep(self.config.downtime);
             listener = loop {
                 match TcpListener::bind(self.address) {
                     Ok(listener) => break listener,
@@ -134,17 +134,18 @@
 
     fn begin_lifetime(&self) -> Runner {
         let number = self.with(|state| state.lifetimes);
-        let id = |number: u64| match self.nature.back {
-            Return::NewId => format!("{}-{number}", self.name),
-            Return::SameId => self.name.clone(),
+        let id = |number: u64| match self.config.restart_id {
+            RestartId::NewId => format!("{}-{number}", self.name),
+            RestartId::SameId => self.name.clone(),
         };
-        let runner = Runner::unserved(&id(number), self.address, self.nature.usual.clone());
+        let runner =
+            Runner::unserved(&id(number), self.address, self.config.default_behavior.clone());
         self.with(|state| {
             state.lifetimes += 1;
             state.lifetime = Some(runner.clone());
             state.listens = true;
         });
-        if self.nature.back == Return::NewId && number > 0 {
+        if self.config.restart_id == RestartId::NewId && number > 0 {
             self.store.remove(&format!("servers/{}", id(number - 1)));
         }
         self.store.put(&format!("servers/{}", runner.id), &self.entry(&runner));
@@ -169,11 +170,11 @@
                 return;
             }
             let (serving, runner) = (self.clone(), runner.clone());
-            spawn(move || serving.serve(Wire::new(stream), &runner));
+            spawn(move || serving.serve(HttpConnection::new(stream), &runner));
         }
     }
 
-    fn serve(&self, mut wire: Wire, runner: &Runner) {
+    fn serve(&self, mut wire: HttpConnection, runner: &Runner) {
         while let Some(req) = wire.read() {
             self.with(|state| state.reached.push(req.body.clone()));
             if self.is_fatal(&req, runner) {
@@ -186,14 +187,14 @@
         }
     }
 
-    fn is_fatal(&self, req: &Message, runner: &Runner) -> bool {
-        let is_fatal = match &self.nature.fatal {
-            Fatal::Body(body) => req.body == *body,
-            Fatal::PieceKey(key) => req.text().contains(&format!("\"{key}\"")),
+    fn is_fatal(&self, req: &HttpMessage, runner: &Runner) -> bool {
+        let is_fatal = match &self.config.trigger {
+            CrashTrigger::Body(body) => req.body == *body,
+            CrashTrigger::PieceKey(key) => req.text().contains(&format!("\"{key}\"")),
         };
         let fatal = is_fatal && req.header("expected-instance") == runner.id;
         if fatal {
-            sleep(self.nature.after);
+            sleep(self.config.crash_delay);
         }
         fatal
     }
--- a/standins/src/users/link.rs
+++ b/standins/src/serving_path/faulty_link.rs
@@ -12,16 +12,16 @@
 
 /// What the link does.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub enum Passing {
+pub enum LinkMode {
     /// It passes bytes both ways.
     #[default]
-    Both,
+    Normal,
     /// It passes them late.
-    Late(Duration),
+    Delayed(Duration),
     /// It passes so many bytes a second in each direction of each connection.
-    Slow(u32),
+    RateLimited(u32),
     /// It passes none, and says nothing.
-    None,
+    Blackhole,
     /// It passes only those of the side that connected.
     OneWay,
     /// It closes connections, those that are open too.
@@ -39,14 +39,14 @@
 
 /// A link from a port of its own to an address.
 #[derive(Clone)]
-pub struct Link {
+pub struct FaultyLink {
     /// Where to connect.
     pub address: SocketAddr,
-    passing: Arc<Mutex<Passing>>,
+    passing: Arc<Mutex<LinkMode>>,
     connections: Arc<Mutex<Vec<Arc<Connection>>>>,
 }
 
-impl Link {
+impl FaultyLink {
     /// Listens on a free port and passes to `to`.
     ///
     /// # Errors
@@ -54,7 +54,7 @@
     pub fn start(to: SocketAddr) -> std::io::Result<Self> {
         let listener = TcpListener::bind("127.0.0.1:0")?;
         let address = listener.local_addr()?;
-        let link = Link { address, passing: Arc::default(), connections: Arc::default() };
+        let link = FaultyLink { address, passing: Arc::default(), connections: Arc::default() };
         let own = link.clone();
         thread::spawn(move || {
             for near in listener.incoming().flatten() {
@@ -73,12 +73,12 @@
     }
 
     /// Changes what the link does.
-    pub fn set(&self, passing: Passing) {
+    pub fn set(&self, passing: LinkMode) {
         *self.passing.lock().unwrap_or_else(PoisonError::into_inner) = passing;
     }
 
     /// Lets nothing pass any more on connections whose answer is waited for now; others and new ones work.
-    pub fn silence_waiting(&self) {
+    pub fn blackhole_waiting(&self) {
         for connection in self.connections().iter() {
             let waits = connection.waits.load(Ordering::Relaxed);
             connection.silent.fetch_or(waits, Ordering::Relaxed);
@@ -89,7 +89,7 @@
         self.connections.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn now(&self) -> Passing {
+    fn now(&self) -> LinkMode {
         *self.passing.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
@@ -124,18 +124,18 @@
     fn wait(&self, there: bool, count: usize) -> bool {
         loop {
             match self.now() {
-                Passing::Both => return true,
-                Passing::OneWay if there => return true,
-                Passing::Late(time) => {
+                LinkMode::Normal => return true,
+                LinkMode::OneWay if there => return true,
+                LinkMode::Delayed(time) => {
                     sleep(time);
                     return true;
                 }
-                Passing::Slow(rate) => {
+                LinkMode::RateLimited(rate) => {
                     sleep(Duration::from_secs_f64(count as f64 / f64::from(rate)));
                     return true;
                 }
-                Passing::Reset => return false,
-                Passing::None | Passing::OneWay => sleep(LOOK),
+                LinkMode::Reset => return false,
+                LinkMode::Blackhole | LinkMode::OneWay => sleep(LOOK),
             }
         }
     }
--- a/standins/src/users/mod.rs
+++ b/standins/src/serving_path/mod.rs
@@ -2,17 +2,17 @@
 //! runners with the faults that its pages name, and callers. Threads with plain sockets, so that
 //! each byte can be spoiled.
 
-mod acts;
+mod behavior;
 pub mod callers;
-pub mod fragile;
-pub mod link;
-mod pieces;
+pub mod crashing;
+pub mod faulty_link;
 pub mod runners;
-pub mod scenes;
-pub mod serving;
+pub mod scenarios;
+pub mod site;
 pub mod soak;
 mod soak_checks;
-mod soak_words;
+mod soak_notices;
+mod stage_calls;
 pub mod stop_soak;
 pub mod store;
 
@@ -26,18 +26,18 @@
 
 /// A message as it came over a connection: first line, headers with names in lower case, body.
 #[derive(Debug, Clone, Default)]
-pub struct Message {
+pub struct HttpMessage {
     /// First line.
-    pub first: String,
+    pub start_line: String,
     /// Headers, names in lower case.
     pub headers: HashMap<String, String>,
     /// Body, with its chunks joined.
     pub body: Vec<u8>,
     /// Whether the body came to its end.
-    pub whole: bool,
+    pub is_complete: bool,
 }
 
-impl Message {
+impl HttpMessage {
     /// A header; empty if absent.
     pub fn header(&self, name: &str) -> &str {
         self.headers.get(name).map_or("", String::as_str)
@@ -45,17 +45,17 @@
 
     /// The method of a request.
     pub fn method(&self) -> &str {
-        self.first.split(' ').next().unwrap_or_default()
+        self.start_line.split(' ').next().unwrap_or_default()
     }
 
     /// The path and query of a request.
-    pub fn target(&self) -> &str {
-        self.first.split(' ').nth(1).unwrap_or_default()
+    pub fn path_and_query(&self) -> &str {
+        self.start_line.split(' ').nth(1).unwrap_or_default()
     }
 
     /// The status of an answer; 0 if there is none.
     pub fn status(&self) -> u16 {
-        self.first.split(' ').nth(1).and_then(|status| status.parse().ok()).unwrap_or(0)
+        self.start_line.split(' ').nth(1).and_then(|status| status.parse().ok()).unwrap_or(0)
     }
 
     /// The body as text.
@@ -65,16 +65,16 @@
 }
 
 /// A connection that reads and writes messages.
-pub struct Wire {
+pub struct HttpConnection {
     reader: BufReader<TcpStream>,
 }
 
-impl Wire {
+impl HttpConnection {
     /// Takes over a connection.
     pub fn new(stream: TcpStream) -> Self {
         drop(stream.set_nodelay(true));
         drop(stream.set_read_timeout(Some(READ_WAIT)));
-        Wire { reader: BufReader::new(stream) }
+        HttpConnection { reader: BufReader::new(stream) }
     }
 
     /// Writes bytes; false if the peer is gone.
@@ -97,8 +97,8 @@
     }
 
     /// Reads a message; `None` if the peer closed before its head was whole.
-    pub fn read(&mut self) -> Option<Message> {
-        let mut message = Message { first: self.line()?, ..Message::default() };
+    pub fn read(&mut self) -> Option<HttpMessage> {
+        let mut message = HttpMessage { start_line: self.line()?, ..HttpMessage::default() };
         loop {
             let line = self.line()?;
             if line.is_empty() {
@@ -107,8 +107,8 @@
             let (name, value) = line.split_once(':')?;
             message.headers.insert(name.to_ascii_lowercase(), value.trim().to_owned());
         }
-        let is_answer = message.first.starts_with("HTTP/");
-        message.whole = if message.header("transfer-encoding").contains("chunked") {
+        let is_answer = message.start_line.starts_with("HTTP/");
+        message.is_complete = if message.header("transfer-encoding").contains("chunked") {
             self.chunks(&mut message.body)
         } else if let Ok(length) = message.header("content-length").parse::<usize>() {
             message.body = vec![0; length];
@@ -144,13 +144,13 @@
 /// Serves connections with a function each on a thread of its own, until the process ends.
 pub(crate) fn serve_each(
     listener: std::net::TcpListener,
-    serve: impl Fn(Wire) + Send + Sync + 'static,
+    serve: impl Fn(HttpConnection) + Send + Sync + 'static,
 ) {
     let serve = std::sync::Arc::new(serve);
     std::thread::spawn(move || {
         for stream in listener.incoming().flatten() {
             let serve = std::sync::Arc::clone(&serve);
-            std::thread::spawn(move || serve(Wire::new(stream)));
+            std::thread::spawn(move || serve(HttpConnection::new(stream)));
         }
     });
 }
--- a/standins/src/users/runners.rs
+++ b/standins/src/serving_path/runners.rs
@@ -8,12 +8,12 @@
 
 use serde_json::{Value, json};
 
-pub use super::acts::Act;
-use super::{Message, Wire, answer, serve_each};
+pub use super::behavior::Behavior;
+use super::{HttpConnection, HttpMessage, answer, serve_each};
 
 /// A request that a runner received, and what its answer said beside the rest.
 #[derive(Debug, Clone)]
-pub struct Received {
+pub struct ReceivedRequest {
     /// The request's id.
     pub id: String,
     /// When it came.
@@ -30,7 +30,7 @@
 
 /// A result that a runner made.
 #[derive(Debug, Clone)]
-pub struct Made {
+pub struct StageResult {
     /// Its handle.
     pub handle: String,
     /// When its call came.
@@ -44,15 +44,15 @@
 /// What a runner saw and does.
 #[derive(Default)]
 pub(super) struct State {
-    seen: Vec<Message>,
+    seen: Vec<HttpMessage>,
     ran: Vec<String>,
     /// Requests and calls that it received, in order.
-    received: Vec<Received>,
-    pub(super) script: Vec<Act>,
-    usual: Option<Act>,
+    received: Vec<ReceivedRequest>,
+    pub(super) script: Vec<Behavior>,
+    usual: Option<Behavior>,
     pub(super) released: Vec<(String, Instant)>,
     /// Results that it made.
-    pub(super) made: Vec<Made>,
+    pub(super) made: Vec<StageResult>,
     /// Words that results are given up which it will lose: it closes with no answer and frees nothing.
     pub(super) losing: usize,
     /// How long the next call of pieces waits for its turn, behind a call of somebody else.
@@ -67,7 +67,7 @@
     pub(super) pieces: Vec<(String, u64, u64)>,
     /// Sizes of calls.
     pub(super) calls: Vec<usize>,
-    cut_off: u64,
+    aborted_streams: u64,
     /// Connections that are open.
     open: u64,
     /// Whether each answer says that it leaves.
@@ -79,9 +79,9 @@
 }
 
 impl State {
-    pub(super) fn receive(&mut self, req: &Message, act: &Act) {
+    pub(super) fn receive(&mut self, req: &HttpMessage, act: &Behavior) {
         let left_alone = match act {
-            Act::DeclineFor(seconds) => seconds.parse().ok().map(Duration::from_secs_f64),
+            Behavior::DeclineFor(seconds) => seconds.parse().ok().map(Duration::from_secs_f64),
             _ => None,
         };
         let id = req.header("request-id").to_owned();
@@ -89,7 +89,7 @@
         let leaves = self.leaves && speaks;
         let rate = self.rate.as_deref().and_then(|rate| rate.parse().ok());
         let at = Instant::now();
-        self.received.push(Received { id, at, leaves, left_alone, rate, speaks });
+        self.received.push(ReceivedRequest { id, at, leaves, left_alone, rate, speaks });
         self.seen.push(req.clone());
     }
 }
@@ -107,7 +107,7 @@
 
 impl Runner {
     /// Starts a runner that answers as `usual`.
-    pub fn start(id: &str, usual: Act) -> std::io::Result<Self> {
+    pub fn start(id: &str, usual: Behavior) -> std::io::Result<Self> {
         let listener = TcpListener::bind("127.0.0.1:0")?;
         let runner = Runner::unserved(id, listener.local_addr()?, usual);
         let serving = runner.clone();
@@ -120,7 +120,7 @@
     }
 
     /// A runner whose connections somebody else takes and serves.
-    pub(super) fn unserved(id: &str, address: SocketAddr, usual: Act) -> Self {
+    pub(super) fn unserved(id: &str, address: SocketAddr, usual: Behavior) -> Self {
         let state = State { usual: Some(usual), ..State::default() };
         Runner {
             address,
@@ -137,12 +137,12 @@
     }
 
     /// Behaves so towards the next requests, then as usual again.
-    pub fn next(&self, acts: &[Act]) {
+    pub fn queue_behaviors(&self, acts: &[Behavior]) {
         self.with(|state| state.script.extend_from_slice(acts));
     }
 
     /// From now on each answer says that it leaves, or no answer does.
-    pub fn set_leaves(&self, leaves: bool) {
+    pub fn set_leaving(&self, leaves: bool) {
         self.with(|state| state.leaves = leaves);
     }
 
@@ -152,7 +152,7 @@
     }
 
     /// From now on each answer has this header.
-    pub fn set_says(&self, name: &'static str, value: &str) {
+    pub fn set_extra_header(&self, name: &'static str, value: &str) {
         self.with(|state| state.says = Some((name, value.to_owned())));
     }
 
@@ -183,12 +183,12 @@
     }
 
     /// Requests and calls that it received, in order.
-    pub fn received(&self) -> Vec<Received> {
+    pub fn received(&self) -> Vec<ReceivedRequest> {
         self.with(|state| state.received.clone())
     }
 
     /// Everything that it was sent.
-    pub fn seen(&self) -> Vec<Message> {
+    pub fn messages(&self) -> Vec<HttpMessage> {
         self.with(|state| state.seen.clone())
     }
 
@@ -198,17 +198,17 @@
     }
 
     /// Results that it made.
-    pub fn made(&self) -> Vec<Made> {
+    pub fn made(&self) -> Vec<StageResult> {
         self.with(|state| state.made.clone())
     }
 
     /// Lets the next call of pieces wait for its turn, as one behind a call of somebody else does.
-    pub fn delay_turn(&self, time: Duration) {
+    pub fn delay_next_call(&self, time: Duration) {
         self.with(|state| state.turn_after = time);
     }
 
     /// Tells its report when it is asked, or that it has none.
-    pub fn set_reports(&self, reports: bool) {
+    pub fn set_reporting(&self, reports: bool) {
         self.with(|state| state.reports_nothing = !reports);
     }
 
@@ -219,11 +219,11 @@
 
     /// Handles that it was told to give up.
     pub fn released(&self) -> Vec<String> {
-        self.given_up().into_iter().map(|(handle, _)| handle).collect()
+        self.timed_releases().into_iter().map(|(handle, _)| handle).collect()
     }
 
     /// The same, with the times of the words.
-    pub fn given_up(&self) -> Vec<(String, Instant)> {
+    pub fn timed_releases(&self) -> Vec<(String, Instant)> {
         self.with(|state| state.released.clone())
     }
 
@@ -233,15 +233,15 @@
     }
 
     /// Streams whose reader was gone before their end.
-    pub fn cut_off(&self) -> u64 {
-        self.with(|state| state.cut_off)
+    pub fn aborted_streams(&self) -> u64 {
+        self.with(|state| state.aborted_streams)
     }
 
     pub(super) fn with<R>(&self, f: impl FnOnce(&mut State) -> R) -> R {
         f(&mut self.state.lock().unwrap_or_else(PoisonError::into_inner))
     }
 
-    fn serve(&self, mut wire: Wire) {
+    fn serve(&self, mut wire: HttpConnection) {
         while let Some(req) = wire.read() {
             if !self.answer(&mut wire, &req) {
                 return;
@@ -250,8 +250,8 @@
     }
 
     /// Answers a request; false if the connection is to end.
-    pub(super) fn answer(&self, wire: &mut Wire, req: &Message) -> bool {
-        match req.target() {
+    pub(super) fn answer(&self, wire: &mut HttpConnection, req: &HttpMessage) -> bool {
+        match req.path_and_query() {
             "/stage-run" => self.make_pieces(wire, req),
             "/stage-free" => self.release(wire, req),
             "/report" => self.report(wire),
@@ -259,18 +259,23 @@
         }
     }
 
-    fn run(&self, wire: &mut Wire, req: &Message) -> bool {
+    fn run(&self, wire: &mut HttpConnection, req: &HttpMessage) -> bool {
         let id = req.header("request-id").to_owned();
         let expected = req.header("expected-instance").to_owned();
         let act = self.with(|state| {
             let next = (!state.script.is_empty()).then(|| state.script.remove(0));
-            let act = next.or(state.usual.clone()).unwrap_or(Act::Answer);
+            let act = next.or(state.usual.clone()).unwrap_or(Behavior::Answer);
             state.receive(req, &act);
             act
         });
-        let act = if expected == self.id { act } else { Act::Misdirected };
-        let not_run =
-            matches!(act, Act::Decline | Act::DeclineFor(_) | Act::Misdirected | Act::InputGone);
+        let act = if expected == self.id { act } else { Behavior::Misdirected };
+        let not_run = matches!(
+            act,
+            Behavior::Decline
+                | Behavior::DeclineFor(_)
+                | Behavior::Misdirected
+                | Behavior::InputGone
+        );
         if !not_run {
             self.with(|state| state.ran.push(id.clone()));
         }
@@ -294,51 +299,55 @@
         })
     }
 
-    fn act(&self, wire: &mut Wire, act: &Act, id: &str, req: &Message) -> bool {
+    fn act(&self, wire: &mut HttpConnection, act: &Behavior, id: &str, req: &HttpMessage) -> bool {
         let body = format!("{} answers {id}", self.id);
         let receipt = format!("sig-{}", self.id);
         let own = [("Request-Id", id), ("Response-Signature", receipt.as_str())];
         let whole = self.reply("200 OK", &own, body.as_bytes());
         match act {
-            Act::Answer => wire.write(&whole),
-            Act::Large(bytes) => {
+            Behavior::Answer => wire.write(&whole),
+            Behavior::Large(bytes) => {
                 let large = "x".repeat(bytes.saturating_sub(body.len())) + &body;
                 wire.write(&self.reply("200 OK", &own, large.as_bytes()))
             }
-            Act::Fail => wire.write(&self.reply("500 Oops", &own, b"failed")),
-            Act::Decline => wire.write(&self.reply("503 Full", &[("Not-Executed", "1")], b"")),
-            Act::DeclineFor(seconds) => {
+            Behavior::Fail => wire.write(&self.reply("500 Oops", &own, b"failed")),
+            Behavior::Decline => wire.write(&self.reply("503 Full", &[("Not-Executed", "1")], b"")),
+            Behavior::DeclineFor(seconds) => {
                 let turned_away = [("Not-Executed", "1"), ("Retry-After", *seconds)];
                 wire.write(&self.reply("503 Full", &turned_away, b""))
             }
-            Act::InputGone => wire.write(&self.reply("409 Gone", &[("Not-Executed", "1")], b"")),
-            Act::Misdirected => {
+            Behavior::InputGone => {
+                wire.write(&self.reply("409 Gone", &[("Not-Executed", "1")], b""))
+            }
+            Behavior::Misdirected => {
                 wire.write(&self.reply("421 Other", &[("Instance-Id", "i-other")], b""))
             }
-            Act::Lose => false,
-            Act::CutBody => {
+            Behavior::Lose => false,
+            Behavior::CutBody => {
                 wire.write(&whole[..whole.len() - body.len() / 2]);
                 false
             }
-            Act::Cross => {
+            Behavior::Cross => {
                 let other = [("Request-Id", "another"), ("Response-Signature", "sig-x")];
                 wire.write(&self.reply("200 OK", &other, b"of another request"))
             }
-            Act::Extra => {
+            Behavior::Extra => {
                 let written = wire.write(&whole);
                 sleep(Duration::from_millis(2));
                 written && wire.write(&whole)
             }
-            Act::Garbage => {
+            Behavior::Garbage => {
                 wire.write(b"\x00\x01 this is no answer\r\n\r\n");
                 false
             }
-            Act::Unsigned => wire.write(&self.reply("200 OK", &[("Request-Id", id)], b"unsigned")),
-            Act::Encoded => {
+            Behavior::Unsigned => {
+                wire.write(&self.reply("200 OK", &[("Request-Id", id)], b"unsigned"))
+            }
+            Behavior::Encoded => {
                 let coded = [own[0], own[1], ("Content-Encoding", "gzip")];
                 wire.write(&self.reply("200 OK", &coded, b"coded"))
             }
-            Act::Unframed => {
+            Behavior::Unframed => {
                 let head = format!(
                     "HTTP/1.1 200 OK\r\nRequest-Id: {id}\r\nResponse-Signature: {receipt}\r\n\r\n"
                 );
@@ -346,28 +355,30 @@
                 wire.write(body.as_bytes());
                 false
             }
-            Act::Hang(time) | Act::NoRoomForLast(time) => {
+            Behavior::Hang(time) | Behavior::NoRoomForLast(time) => {
                 sleep(*time);
                 wire.write(&whole)
             }
-            Act::Stream(events) => self.stream(wire, id, req, *events, None, Duration::ZERO),
-            Act::StreamFromFirst(events) => {
-                let fresh = Message::default();
+            Behavior::Stream(events) => self.stream(wire, id, req, *events, None, Duration::ZERO),
+            Behavior::StreamFromFirst(events) => {
+                let fresh = HttpMessage::default();
                 self.stream(wire, id, &fresh, *events, None, Duration::ZERO)
             }
-            Act::BreakStream(after) => {
+            Behavior::BreakStream(after) => {
                 self.stream(wire, id, req, u64::MAX, Some(*after), Duration::ZERO)
             }
-            Act::SlowStream(events, pause) => self.stream(wire, id, req, *events, None, *pause),
+            Behavior::SlowStream(events, pause) => {
+                self.stream(wire, id, req, *events, None, *pause)
+            }
         }
     }
 
     /// Streams events up to number `last`, from the one after the caller's last.
     fn stream(
         &self,
-        wire: &mut Wire,
+        wire: &mut HttpConnection,
         id: &str,
-        req: &Message,
+        req: &HttpMessage,
         last: u64,
         break_after: Option<u64>,
         pause: Duration,
@@ -390,7 +401,7 @@
             let event = format!("id: {number}\ndata: {id}/{number}\n\n");
             sent = sent && wire.write(format!("{:x}\r\n{event}\r\n", event.len()).as_bytes());
             if !sent {
-                self.with(|state| state.cut_off += 1);
+                self.with(|state| state.aborted_streams += 1);
                 return false;
             }
             sleep(pause);
--- a/standins/src/users/scenes.rs
+++ b/standins/src/serving_path/scenarios.rs
@@ -12,10 +12,10 @@
 use rand::{RngExt, SeedableRng};
 use serde_json::json;
 
-use super::Message;
+use super::HttpMessage;
 use super::callers::Call;
-use super::runners::{Act, Made, Runner};
-use super::serving::{Site, Vm, post, usual_configuration};
+use super::runners::{Behavior, Runner, StageResult};
+use super::site::{Site, Vm, default_configuration, post};
 use crate::fleet::wait_until;
 
 /// Requests before the one whose call waits.
@@ -51,18 +51,18 @@
 
 /// A call that waits for its turn behind a call of another VM.
 #[derive(Debug)]
-pub struct TurnScene {
+pub struct QueuedCallScenario {
     before: u64,
     gap: Duration,
     delay: Duration,
     result_bytes: u64,
 }
 
-impl TurnScene {
+impl QueuedCallScenario {
     /// Draws a scene.
     pub fn draw(seed: u64) -> Self {
         let mut rng = StdRng::seed_from_u64(seed);
-        TurnScene {
+        QueuedCallScenario {
             before: rng.random_range(BEFORE),
             gap: Duration::from_millis(rng.random_range(GAP)),
             delay: Duration::from_millis(rng.random_range(DELAY)),
@@ -76,7 +76,7 @@
     /// If a fixture can't be set up, or the request is not served.
     pub fn calls(&self, name: &str) -> usize {
         let site = Site::start();
-        let mut scarce = usual_configuration(2);
+        let mut scarce = default_configuration(2);
         scarce["routes"][4]["stages"][0]["bytes"] = json!(self.result_bytes);
         site.store.put("op/config", &scarce);
         site.store.remove("servers/i-pool-2");
@@ -88,18 +88,18 @@
             assert!(is_served(answer.as_ref()), "a request before: {answer:?}");
             thread::sleep(self.gap);
         }
-        let before = worker.seen().len();
+        let before = worker.messages().len();
 
         let call = chain("waits", "6,1");
         let address = vm.callers;
         let asked = thread::spawn(move || call.send(address));
-        wait_until("the first stage is at work", || worker.seen().len() > before);
+        wait_until("the first stage is at work", || worker.messages().len() > before);
         thread::sleep(Duration::from_millis(5));
-        worker.delay_turn(self.delay);
+        worker.delay_next_call(self.delay);
 
         let answer = asked.join().expect("no panic");
         assert!(is_served(answer.as_ref()), "{answer:?}");
-        worker.seen().len() - before
+        worker.messages().len() - before
     }
 }
 
@@ -118,7 +118,7 @@
 
 /// A fault while engines are at work on requests whose stages were made by another VM.
 #[derive(Debug)]
-pub struct ResultScene {
+pub struct ResultReleaseScenario {
     vms: usize,
     requests: usize,
     fault: Fault,
@@ -129,7 +129,7 @@
 
 /// What became of the results of a scene.
 #[derive(Debug)]
-pub struct Told {
+pub struct ReleaseSummary {
     /// Results that were made.
     pub made: usize,
     /// Those among them that their workers were told to give up.
@@ -142,7 +142,7 @@
     pub left_ms: Vec<i64>,
 }
 
-impl ResultScene {
+impl ResultReleaseScenario {
     /// Draws a scene.
     pub fn draw(seed: u64) -> Self {
         let mut rng = StdRng::seed_from_u64(seed);
@@ -152,7 +152,7 @@
             Fault::OwnerPaused,
             Fault::RequesterPaused,
         ];
-        ResultScene {
+        ResultReleaseScenario {
             vms: FLEETS[rng.random_range(0..FLEETS.len())],
             requests: rng.random_range(REQUESTS),
             fault: faults[rng.random_range(0..faults.len())],
@@ -164,7 +164,7 @@
     /// Whether each result is given up once. One that the owner had as it stood still may have run out meanwhile, and
     /// nobody knows those that were on their way to an owner as it was killed. An owner can't know that a worker was
     /// told just before the VM which told it stood still.
-    pub fn keeps(&self, told: &Told) -> bool {
+    pub fn keeps(&self, told: &ReleaseSummary) -> bool {
         let is_known = match self.fault {
             Fault::OwnerKilled => |_: &i64| true,
             Fault::OwnerKilledAtWork => |made: &i64| *made < -ON_THE_WAY_MS,
@@ -180,16 +180,16 @@
     ///
     /// # Panics
     /// If a fixture can't be set up.
-    pub fn told(&self, name: &str) -> Told {
+    pub fn told(&self, name: &str) -> ReleaseSummary {
         let site = Site::start();
-        let mut config = usual_configuration(1);
+        let mut config = default_configuration(1);
         config["services"][1]["pieces"]["handle_s"] = json!(self.life_s);
         site.store.put("op/config", &config);
         let mut vms = start_vms(&site, name, self.vms);
         let owner = owner_of_the_pool(&vms);
         let requester = (owner + 1) % vms.len();
-        let silent = vec![Act::Hang(SILENCE); REQUESTS.end];
-        site.engines.iter().for_each(|engine| engine.next(&silent));
+        let silent = vec![Behavior::Hang(SILENCE); REQUESTS.end];
+        site.engines.iter().for_each(|engine| engine.queue_behaviors(&silent));
         let asked = ask(vms[requester].callers, self.requests);
         if self.fault == Fault::OwnerKilledAtWork {
             wait_until("a piece is asked for", || at(&site.pool) > 0);
@@ -222,14 +222,14 @@
 }
 
 fn chain(id: &str, pieces: &str) -> Call {
-    post("/chain/", id).with("Pieces", pieces).with("Piece-Key", "k")
+    post("/chain/", id).with_header("Pieces", pieces).with_header("Piece-Key", "k")
 }
 
-fn is_served(answer: Option<&Message>) -> bool {
+fn is_served(answer: Option<&HttpMessage>) -> bool {
     answer.is_some_and(|answer| answer.status() == 200)
 }
 
-fn ask(address: SocketAddr, requests: usize) -> Vec<thread::JoinHandle<Option<Message>>> {
+fn ask(address: SocketAddr, requests: usize) -> Vec<thread::JoinHandle<Option<HttpMessage>>> {
     let ask = |number: usize| {
         let call = chain(&format!("c-{number}"), "1,2");
         thread::spawn(move || call.send(address))
@@ -238,14 +238,14 @@
 }
 
 fn at(runners: &[Runner]) -> usize {
-    runners.iter().map(|runner| runner.seen().len()).sum()
+    runners.iter().map(|runner| runner.messages().len()).sum()
 }
 
 /// Starts VMs; waits until all of them have the same one fill the calls of the pool.
 fn start_vms(site: &Site, name: &str, count: usize) -> Vec<Vm> {
     let start = |number| Vm::start(&format!("{name}-{number}"), "hall-a", site.store.address, "");
     let vms: Vec<Vm> = (0..count).map(start).collect();
-    vms.iter().for_each(|vm| site.wait_known(vm));
+    vms.iter().for_each(|vm| site.wait_for_all_runners(vm));
     wait_until("one VM fills the calls", || {
         let fillers: Vec<String> = vms.iter().map(filler).collect();
         let others = fillers.iter().filter(|filler| *filler != THIS_VM);
@@ -265,16 +265,16 @@
 }
 
 /// What the workers were told.
-fn told(site: &Site, fault_at: Instant) -> Told {
+fn told(site: &Site, fault_at: Instant) -> ReleaseSummary {
     let mut words: BTreeMap<String, Vec<i64>> = BTreeMap::new();
-    for (handle, at) in site.pool.iter().flat_map(Runner::given_up) {
+    for (handle, at) in site.pool.iter().flat_map(Runner::timed_releases) {
         words.entry(handle).or_default().push(millis_after(at, fault_at));
     }
     let again_ms = words.values().filter(|times| times.len() > 1).cloned().collect();
-    let made: Vec<Made> = site.pool.iter().flat_map(Runner::made).collect();
+    let made: Vec<StageResult> = site.pool.iter().flat_map(Runner::made).collect();
     let left = made.iter().filter(|made| !words.contains_key(&made.handle));
     let left_ms: Vec<i64> = left.map(|made| millis_after(made.at, fault_at)).collect();
-    Told {
+    ReleaseSummary {
         given_up: made.len() - left_ms.len(),
         made: made.len(),
         again: words.values().map(|times| times.len() - 1).sum(),
--- a/standins/src/users/serving.rs
+++ b/standins/src/serving_path/site.rs
@@ -10,17 +10,17 @@
 
 use serde_json::{Value, json};
 
-use super::Message;
+use super::HttpMessage;
 use super::callers::Call;
-use super::runners::{Act, Runner};
+use super::runners::{Behavior, Runner};
 use super::store::Store;
-use crate::fleet::{own_address, program, wait_until};
+use crate::fleet::{program_path, unique_loopback_address, wait_until};
 
 /// Host that the usual configuration serves.
 pub const HOST: &str = "h.example";
 
 /// Time within which the VMs of a test have a change in force, in milliseconds; less than
-/// [`A_WHILE`], after which tests look.
+/// [`SETTLE_TIME`], after which tests look.
 const IN_FORCE_MS: u64 = 600;
 
 /// Ports of a VM, on a loopback address of its own: callers, ready, peers, operations.
@@ -61,7 +61,7 @@
         extra: &str,
         out: fn(&PathBuf) -> Stdio,
     ) -> Self {
-        let ip = own_address();
+        let ip = unique_loopback_address();
         let [callers, ready, peers, operations] = PORTS.map(|port| SocketAddr::new(ip, port));
         let dir = std::env::temp_dir().join(format!("saddlerail-{}-{name}", std::process::id()));
         std::fs::create_dir_all(&dir).expect("a directory for the test");
@@ -102,24 +102,24 @@
     }
 
     /// Waits until it is ready and knows so many runners.
-    pub fn wait_knows(&self, runners: u64) {
+    pub fn wait_for_targets(&self, runners: u64) {
         self.wait_ready();
         wait_until("the VM knows the runners", || self.targets() == runners);
     }
 
     /// A page of its operations address.
-    pub fn page(&self, path: &str) -> String {
+    pub fn operations_page(&self, path: &str) -> String {
         let answer = Call::new("GET", "operations", path, "-").send(self.operations);
         answer.map(|answer| answer.text()).unwrap_or_default()
     }
 
     /// Its state dump.
     pub fn state(&self) -> Value {
-        serde_json::from_str(&self.page("/state")).unwrap_or_default()
+        serde_json::from_str(&self.operations_page("/state")).unwrap_or_default()
     }
 
     /// What its state lists under a name.
-    pub fn listed(&self, name: &str) -> Vec<Value> {
+    pub fn state_list(&self, name: &str) -> Vec<Value> {
         self.state()[name].as_array().cloned().unwrap_or_default()
     }
 
@@ -130,7 +130,7 @@
 
     /// Peers that it is linked to.
     pub fn linked_peers(&self) -> usize {
-        self.listed("peers").iter().filter(|peer| peer["linked"] == true).count()
+        self.state_list("peers").iter().filter(|peer| peer["linked"] == true).count()
     }
 
     /// Its log so far.
@@ -146,7 +146,7 @@
     }
 
     /// Waits for its end; gives the exit code.
-    pub fn wait_end(&mut self) -> Option<i32> {
+    pub fn wait_exit(&mut self) -> Option<i32> {
         let mut code = None;
         wait_until("the VM has ended", || match self.child.try_wait() {
             Ok(Some(status)) => {
@@ -171,7 +171,7 @@
 }
 
 fn spawn(settings: &PathBuf, out: Stdio) -> Child {
-    Command::new(program("saddleraild"))
+    Command::new(program_path("saddleraild"))
         .arg("serve")
         .arg("--settings")
         .arg(settings)
@@ -184,7 +184,7 @@
 /// The usual configuration: a plain service that may be repeated and one that may not, one that has no
 /// runners unless a test starts some, streams that may be resumed and others, and a chain of two stages
 /// before an engine.
-pub fn usual_configuration(version: u64) -> Value {
+pub fn default_configuration(version: u64) -> Value {
     let route = |path: &str, kind: &str, service: &str| {
         json!({"name": path.trim_matches('/'), "host": HOST, "path_prefix": path, "kind": kind,
             "timeout_ms": 3000, "target_latency_ms": 300, "priority": 1, "service": service,
@@ -239,8 +239,8 @@
     /// other.
     pub fn start_in(halls: [&str; 2]) -> Self {
         let store = Store::start().expect("the store starts");
-        store.put("op/config", &usual_configuration(1));
-        let runners = |service: &str, usual: &Act| -> Vec<Runner> {
+        store.put("op/config", &default_configuration(1));
+        let runners = |service: &str, usual: &Behavior| -> Vec<Runner> {
             let start = |number| {
                 let id = format!("i-{service}-{number}");
                 Runner::start(&id, usual.clone()).expect("a runner starts")
@@ -248,14 +248,14 @@
             (1..=2).map(start).collect()
         };
         let site = Site {
-            plain: runners("plain", &Act::Answer),
-            engines: runners("engine", &Act::Stream(5)),
-            pool: runners("pool", &Act::Answer),
+            plain: runners("plain", &Behavior::Answer),
+            engines: runners("engine", &Behavior::Stream(5)),
+            pool: runners("pool", &Behavior::Answer),
             store,
         };
         for (service, runners) in site.services() {
             for (runner, hall) in runners.iter().zip(halls) {
-                site.put_runner(runner, service, hall, Duration::ZERO);
+                site.register_runner(runner, service, hall, Duration::ZERO);
             }
         }
         site
@@ -267,7 +267,7 @@
     }
 
     /// Writes a runner's entry, as one that is cold for some time yet.
-    pub fn put_runner(&self, runner: &Runner, service: &str, hall: &str, cold: Duration) {
+    pub fn register_runner(&self, runner: &Runner, service: &str, hall: &str, cold: Duration) {
         let mut entry = runner.entry(service, hall, "ready");
         entry["cold_remaining_ms"] = json!(u64::try_from(cold.as_millis()).unwrap_or(u64::MAX));
         self.store.put(&format!("servers/{}", runner.id), &entry);
@@ -279,27 +279,27 @@
     }
 
     /// Takes them back.
-    pub fn take_back(&self, hall: &str) {
+    pub fn end_evacuation(&self, hall: &str) {
         self.store.remove(&format!("op/evacuate/{hall}"));
     }
 
     /// Starts a VM and waits until it is ready and knows all runners.
     pub fn start_vm(&self, name: &str, extra: &str) -> Vm {
         let vm = Vm::start(name, "hall-a", self.store.address, extra);
-        self.wait_known(&vm);
+        self.wait_for_all_runners(&vm);
         vm
     }
 
     /// The same, where some entries name no runner; waits until it knows so many.
-    pub fn start_vm_among(&self, name: &str, runners: u64) -> Vm {
+    pub fn start_vm_expecting(&self, name: &str, runners: u64) -> Vm {
         let vm = Vm::start(name, "hall-a", self.store.address, "");
-        vm.wait_knows(runners);
+        vm.wait_for_targets(runners);
         vm
     }
 
     /// Waits until a VM knows all runners.
-    pub fn wait_known(&self, vm: &Vm) {
-        vm.wait_knows(self.store.keys("servers/").len() as u64);
+    pub fn wait_for_all_runners(&self, vm: &Vm) {
+        vm.wait_for_targets(self.store.keys("servers/").len() as u64);
     }
 
     /// How often a request ran, over all runners that answer requests.
@@ -309,34 +309,34 @@
     }
 
     /// Lets the next requests at all runners of a list be answered so.
-    pub fn next(runners: &[Runner], act: &Act) {
-        runners.iter().for_each(|runner| runner.next(std::slice::from_ref(act)));
+    pub fn queue_behavior(runners: &[Runner], act: &Behavior) {
+        runners.iter().for_each(|runner| runner.queue_behaviors(std::slice::from_ref(act)));
     }
 }
 
 /// Pause that lets what should not happen show itself.
-pub const A_WHILE: Duration = Duration::from_millis(700);
+pub const SETTLE_TIME: Duration = Duration::from_millis(700);
 
 /// A request with no body to a path of the usual host.
 pub fn get(path: &str, id: &str) -> Call {
-    Call::new("GET", HOST, path, id).with("Deadline-Milliseconds", "2000")
+    Call::new("GET", HOST, path, id).with_header("Deadline-Milliseconds", "2000")
 }
 
 /// A request with a body to a path of the usual host.
 pub fn post(path: &str, id: &str) -> Call {
-    Call::new("POST", HOST, path, id).with("Deadline-Milliseconds", "2000").body(b"a body")
+    Call::new("POST", HOST, path, id).with_header("Deadline-Milliseconds", "2000").body(b"a body")
 }
 
 /// The answer of a VM.
 ///
 /// # Panics
 /// If there is none.
-pub fn answered(call: &Call, vm: &Vm) -> Message {
+pub fn send_expecting_answer(call: &Call, vm: &Vm) -> HttpMessage {
     call.send(vm.callers).expect("an answer")
 }
 
 /// Numbers of the events of a stream's answer.
-pub fn events(answer: &Message) -> Vec<u64> {
+pub fn event_ids(answer: &HttpMessage) -> Vec<u64> {
     let text = answer.text();
     text.lines().filter_map(|line| line.strip_prefix("id: ")?.parse().ok()).collect()
 }
--- a/standins/src/users/soak.rs
+++ b/standins/src/serving_path/soak.rs
@@ -18,15 +18,15 @@
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 
-use super::Message;
+use super::HttpMessage;
 use super::callers::Call;
-use super::fragile::{Fatal, Fragile, Nature, Return};
-use super::link::{Link, Passing};
-use super::runners::{Act, Runner};
-use super::serving::{HOST, Site, Vm, usual_configuration};
+use super::crashing::{CrashTrigger, CrashingRunner, CrashingRunnerConfig, RestartId};
+use super::faulty_link::{FaultyLink, LinkMode};
+use super::runners::{Behavior, Runner};
+use super::site::{HOST, Site, Vm, default_configuration};
 use super::soak_checks::{check_answer, check_fragile, check_rates, check_results, check_words};
-use super::soak_words::{come_back, let_runners_leave, let_runners_name_rates};
-use super::store::Mood;
+use super::soak_notices::{come_back, let_runners_leave, let_runners_name_rates};
+use super::store::StoreMode;
 
 /// Pause between two faults, in milliseconds.
 const FAULT_PAUSE: std::ops::Range<u64> = 80..500;
@@ -81,19 +81,19 @@
     /// Requests that were sent.
     pub requests: u64,
     /// Those that were answered whole.
-    pub whole: u64,
+    pub complete: u64,
     /// Faults that were brought about.
     pub faults: u64,
     /// Restarts of VMs among them.
     pub restarts: u64,
     /// Requests that runners answered with a word that they leave or want to be left alone.
-    pub words: usize,
+    pub notices: usize,
     /// Requests from VMs that had heard of it which reached runners while they named a rate.
-    pub at_rates: usize,
+    pub rate_limited: usize,
     /// Results of stages that were made, but for those of which no VM learned the handle.
     pub results: usize,
     /// Promises that were broken.
-    pub broken: Vec<String>,
+    pub violations: Vec<String>,
 }
 
 pub(super) struct Answered {
@@ -102,7 +102,7 @@
     /// The VM that was asked.
     pub(super) vm: usize,
     pub(super) sent: Instant,
-    pub(super) answer: Option<Message>,
+    pub(super) answer: Option<HttpMessage>,
 }
 
 /// A VM was restarted or stood still.
@@ -116,8 +116,8 @@
 /// Plays one run.
 pub fn run(seed: u64, time: Duration, size: Size) -> Report {
     let site = Site::start_in(HALLS);
-    let links: Vec<Link> =
-        (0..size.vms).map(|_| Link::start(site.store.address).expect("a link")).collect();
+    let links: Vec<FaultyLink> =
+        (0..size.vms).map(|_| FaultyLink::start(site.store.address).expect("a link")).collect();
     let mut vms: Vec<Vm> = links
         .iter()
         .enumerate()
@@ -127,7 +127,7 @@
         })
         .collect();
     let fragile = start_fragile(seed, &site);
-    vms.iter().for_each(|vm| site.wait_known(vm));
+    vms.iter().for_each(|vm| site.wait_for_all_runners(vm));
     let addresses: Vec<SocketAddr> = vms.iter().map(|vm| vm.callers).collect();
     let over = AtomicBool::new(false);
     let sent = AtomicU64::new(0);
@@ -165,24 +165,24 @@
     check_rates(&site, &answered, &interruptions, &mut report);
     come_back(&site);
     if !recovers(&addresses, seed) {
-        report.broken.push(format!("not every VM serves {RECOVERY:?} after the last fault"));
+        report.violations.push(format!("not every VM serves {RECOVERY:?} after the last fault"));
     }
     check_results(&site, &interruptions, &mut report);
     report
 }
 
 /// Runners of a service of their own, half of which come back under their ids.
-fn start_fragile(seed: u64, site: &Site) -> Vec<Fragile> {
+fn start_fragile(seed: u64, site: &Site) -> Vec<CrashingRunner> {
     let start = |number: usize| {
-        let nature = Nature {
-            fatal: Fatal::Body(FATAL.to_vec()),
-            after: Duration::from_millis(10),
-            down: Duration::from_millis(150),
-            back: if number.is_multiple_of(2) { Return::SameId } else { Return::NewId },
-            usual: Act::Answer,
+        let config = CrashingRunnerConfig {
+            trigger: CrashTrigger::Body(FATAL.to_vec()),
+            crash_delay: Duration::from_millis(10),
+            downtime: Duration::from_millis(150),
+            restart_id: if number.is_multiple_of(2) { RestartId::SameId } else { RestartId::NewId },
+            default_behavior: Behavior::Answer,
         };
         let name = format!("i-fragile-{seed}-{number}");
-        Fragile::start(&name, "fragile", nature, &site.store).expect("a runner starts")
+        CrashingRunner::start(&name, "fragile", config, &site.store).expect("a runner starts")
     };
     (0..FRAGILE).map(start).collect()
 }
@@ -196,7 +196,7 @@
         let is_fatal = rng.random_bool(0.5);
         let body = if is_fatal { FATAL } else { b"a body".as_slice() };
         let call = Call::new("POST", HOST, "/fragile/", &format!("fragile-{seed}-{number}"))
-            .with("Deadline-Milliseconds", "1000")
+            .with_header("Deadline-Milliseconds", "1000")
             .body(body);
         call.send(addresses[rng.random_range(0..addresses.len())]);
         thread::sleep(Duration::from_millis(rng.random_range(FATAL_PAUSE)));
@@ -207,10 +207,10 @@
     let kind = rng.random_range(0..KINDS.len());
     let id = format!("soak-{seed}-{number}");
     let mut call = Call::new("POST", HOST, KINDS[kind].0, &id)
-        .with("Deadline-Milliseconds", "1500")
+        .with_header("Deadline-Milliseconds", "1500")
         .body(b"a body");
     if KINDS[kind].0 == "/chain/" {
-        call = call.with("Pieces", "1,2").with("Piece-Key", "k");
+        call = call.with_header("Pieces", "1,2").with_header("Piece-Key", "k");
     }
     let (vm, sent) = (rng.random_range(0..addresses.len()), Instant::now());
     let answer = call.send(addresses[vm]);
@@ -226,7 +226,7 @@
     seed: u64,
     time: Duration,
     site: &'a Site,
-    links: &'a [Link],
+    links: &'a [FaultyLink],
 }
 
 /// Brings them about; gives what interrupted VMs.
@@ -246,16 +246,16 @@
         report.faults += 1;
         let vm = rng.random_range(0..vms.len());
         match rng.random_range(0..12) {
-            0 => site.store.set_mood(Mood::Busy),
-            1 => site.store.set_mood(Mood::Silent),
-            2 => site.store.forget_history(),
-            3 => links[vm].set(Passing::None),
-            4 => links[vm].set(Passing::Reset),
-            5 => links[vm].set(Passing::OneWay),
-            6 => links[vm].set(Passing::Late(Duration::from_millis(150))),
+            0 => site.store.set_mode(StoreMode::Unavailable),
+            1 => site.store.set_mode(StoreMode::Unresponsive),
+            2 => site.store.compact_history(),
+            3 => links[vm].set(LinkMode::Blackhole),
+            4 => links[vm].set(LinkMode::Reset),
+            5 => links[vm].set(LinkMode::OneWay),
+            6 => links[vm].set(LinkMode::Delayed(Duration::from_millis(150))),
             7 => {
                 version += 1;
-                site.store.put("op/config", &usual_configuration(version));
+                site.store.put("op/config", &default_configuration(version));
             }
             8 => {
                 pause(&vms[vm], Duration::from_millis(rng.random_range(50..900)));
@@ -274,13 +274,13 @@
         turn_away(&mut words, site);
         thread::sleep(Duration::from_millis(rng.random_range(FAULT_PAUSE)));
         if rng.random_bool(0.4) {
-            site.store.set_mood(Mood::Well);
-            links.iter().for_each(|link| link.set(Passing::Both));
+            site.store.set_mode(StoreMode::Normal);
+            links.iter().for_each(|link| link.set(LinkMode::Normal));
         }
     }
-    site.store.set_mood(Mood::Well);
-    links.iter().for_each(|link| link.set(Passing::Both));
-    HALLS.iter().for_each(|hall| site.take_back(hall));
+    site.store.set_mode(StoreMode::Normal);
+    links.iter().for_each(|link| link.set(LinkMode::Normal));
+    HALLS.iter().for_each(|hall| site.end_evacuation(hall));
     for runner in site.plain.iter().chain(&site.engines).chain(&site.pool) {
         runner.clear_acts();
     }
@@ -292,7 +292,7 @@
     let (service, runner) = (rng.random_range(0..3), rng.random_range(0..2));
     let seconds = LEFT_ALONE[rng.random_range(0..LEFT_ALONE.len())];
     if rng.random_bool(LEFT_ALONE_PART) {
-        site.services()[service].1[runner].next(&[Act::DeclineFor(seconds)]);
+        site.services()[service].1[runner].queue_behaviors(&[Behavior::DeclineFor(seconds)]);
     }
 }
 
@@ -301,11 +301,11 @@
     let index = rng.random_range(0..HALLS.len());
     match rng.random_range(0..6) {
         0 => site.evacuate(HALLS[index]),
-        1 | 2 => site.take_back(HALLS[index]),
+        1 | 2 => site.end_evacuation(HALLS[index]),
         3 => {
             let (service, runners) = site.services()[rng.random_range(0..3)];
             let cold = Duration::from_millis(rng.random_range(COLD));
-            site.put_runner(&runners[index], service, HALLS[index], cold);
+            site.register_runner(&runners[index], service, HALLS[index], cold);
         }
         _ => {}
     }
@@ -322,23 +322,30 @@
     let pick = |rng: &mut StdRng, runners: &[Runner]| runners[rng.random_range(0..2)].clone();
     let time = Duration::from_millis(rng.random_range(100..900));
     let plain = [
-        Act::Lose,
-        Act::CutBody,
-        Act::Cross,
-        Act::Extra,
-        Act::Garbage,
-        Act::Unsigned,
-        Act::Encoded,
-        Act::Unframed,
-        Act::Decline,
-        Act::Fail,
-        Act::Hang(time),
+        Behavior::Lose,
+        Behavior::CutBody,
+        Behavior::Cross,
+        Behavior::Extra,
+        Behavior::Garbage,
+        Behavior::Unsigned,
+        Behavior::Encoded,
+        Behavior::Unframed,
+        Behavior::Decline,
+        Behavior::Fail,
+        Behavior::Hang(time),
     ];
-    let engines = [Act::BreakStream(2), Act::InputGone, Act::Decline, Act::Lose, Act::Cross];
-    let pool = [Act::Lose, Act::Decline, Act::InputGone, Act::Hang(time)];
-    pick(rng, &site.plain).next(&[plain[rng.random_range(0..plain.len())].clone()]);
-    pick(rng, &site.engines).next(&[engines[rng.random_range(0..engines.len())].clone()]);
-    pick(rng, &site.pool).next(&[pool[rng.random_range(0..pool.len())].clone()]);
+    let engines = [
+        Behavior::BreakStream(2),
+        Behavior::InputGone,
+        Behavior::Decline,
+        Behavior::Lose,
+        Behavior::Cross,
+    ];
+    let pool = [Behavior::Lose, Behavior::Decline, Behavior::InputGone, Behavior::Hang(time)];
+    pick(rng, &site.plain).queue_behaviors(&[plain[rng.random_range(0..plain.len())].clone()]);
+    pick(rng, &site.engines)
+        .queue_behaviors(&[engines[rng.random_range(0..engines.len())].clone()]);
+    pick(rng, &site.pool).queue_behaviors(&[pool[rng.random_range(0..pool.len())].clone()]);
 }
 
 /// Whether every VM serves again in time.
@@ -346,7 +353,7 @@
     let end = Instant::now() + RECOVERY;
     let serves = |address: SocketAddr, number: usize| {
         let call = Call::new("GET", HOST, "/repeat/", &format!("soak-{seed}-after-{number}"))
-            .with("Deadline-Milliseconds", "1000");
+            .with_header("Deadline-Milliseconds", "1000");
         call.send(address).is_some_and(|answer| answer.status() == 200)
     };
     let mut number = 0;
--- a/standins/src/users/soak_checks.rs
+++ b/standins/src/serving_path/soak_checks.rs
@@ -4,10 +4,10 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use super::Message;
-use super::fragile::Fragile;
-use super::runners::{Made, Received, Runner};
-use super::serving::{Site, Vm};
+use super::HttpMessage;
+use super::crashing::CrashingRunner;
+use super::runners::{ReceivedRequest, Runner, StageResult};
+use super::site::{Site, Vm};
 use super::soak::{Answered, Interruption, KINDS, Report};
 
 /// Ends that make a fatal request known.
@@ -34,15 +34,15 @@
 const RATE_MORE: f64 = 5.0;
 
 /// Few runners ended under the fatal request, and no other request is taken for one.
-pub(super) fn check_fragile(fragile: &[Fragile], vms: &[Vm], report: &mut Report) {
-    let ends: u64 = fragile.iter().map(Fragile::ends).sum();
+pub(super) fn check_fragile(fragile: &[CrashingRunner], vms: &[Vm], report: &mut Report) {
+    let ends: u64 = fragile.iter().map(CrashingRunner::crashes).sum();
     let most = CRASHES + MORE_ENDS * (1 + report.restarts);
     if ends > most {
-        report.broken.push(format!("{ends} runners ended under one request, {most} are borne"));
+        report.violations.push(format!("{ends} runners ended under one request, {most} are borne"));
     }
     let refused = |vm: &Vm| vm.state()["quarantine"].as_array().map_or(0, Vec::len);
     if let Some(many) = vms.iter().map(refused).max().filter(|refused| *refused > 1) {
-        report.broken.push(format!("{many} requests are refused as fatal, one is"));
+        report.violations.push(format!("{many} requests are refused as fatal, one is"));
     }
 }
 
@@ -56,11 +56,11 @@
     let sent = by_id(answered);
     for runner in site.plain.iter().chain(&site.engines) {
         let received = runner.received();
-        let by_vm: Vec<(&Received, &Answered)> =
+        let by_vm: Vec<(&ReceivedRequest, &Answered)> =
             received.iter().filter_map(|r| Some((r, *sent.get(r.id.as_str())?))).collect();
         let words = by_vm.iter().filter(|(r, _)| r.leaves || r.left_alone.is_some());
         for (word, told) in words {
-            report.words += 1;
+            report.notices += 1;
             let later = by_vm.iter().filter(|(r, one)| {
                 let interrupted = is_interrupted(interruptions, told.vm, word.at, r.at);
                 one.vm == told.vm && r.at > word.at && !interrupted
@@ -71,12 +71,14 @@
             });
             if too_many.clone().count() > LATE_BORNE {
                 let count = too_many.count();
-                report.broken.push(format!("{}: {count} requests while left alone", runner.id));
+                report.violations.push(format!("{}: {count} requests while left alone", runner.id));
             }
             for (_, one) in
                 later.filter(|(_, one)| word.leaves && one.sent > word.at + LEAVING_BORNE)
             {
-                report.broken.push(format!("{}: {} reached it, which leaves", runner.id, one.id));
+                report
+                    .violations
+                    .push(format!("{}: {} reached it, which leaves", runner.id, one.id));
             }
         }
     }
@@ -87,11 +89,11 @@
 pub(super) fn check_results(site: &Site, interruptions: &[Interruption], report: &mut Report) {
     let until = Instant::now() + RESULT_LIFE;
     let ends: Vec<Instant> = interruptions.iter().filter(|i| i.is_end).map(|i| i.at).collect();
-    let is_owed = |made: &Made| {
+    let is_owed = |made: &StageResult| {
         let life = made.called..made.at + RESULT_LIFE;
         !made.is_unheard && !ends.iter().any(|end| life.contains(end))
     };
-    let owed: Vec<Made> = site.pool.iter().flat_map(Runner::made).filter(is_owed).collect();
+    let owed: Vec<StageResult> = site.pool.iter().flat_map(Runner::made).filter(is_owed).collect();
     report.results = owed.len();
     loop {
         let given_up: BTreeSet<String> = site.pool.iter().flat_map(Runner::released).collect();
@@ -100,7 +102,7 @@
             return;
         }
         if Instant::now() > until {
-            report.broken.push(format!("{kept} of {} results are not given up", owed.len()));
+            report.violations.push(format!("{kept} of {} results are not given up", owed.len()));
             return;
         }
         thread::sleep(Duration::from_millis(50));
@@ -127,7 +129,7 @@
     let sent = by_id(answered);
     for runner in site.plain.iter().chain(&site.engines) {
         let counted = counted_at_rate(&runner.received(), &sent, interruptions);
-        report.at_rates += counted.len();
+        report.rate_limited += counted.len();
         for (first, _) in &counted {
             let within =
                 || counted.iter().filter(|(at, _)| (*first..*first + RATE_SPAN).contains(at));
@@ -136,7 +138,7 @@
             let count = within().count();
             if count as f64 > borne {
                 let what = format!("{}: {count} requests in 4 s, {borne} are borne", runner.id);
-                report.broken.push(what);
+                report.violations.push(what);
                 break;
             }
         }
@@ -145,7 +147,7 @@
 
 /// Requests that came while a runner named a rate, from VMs that had heard it do so, with that rate.
 fn counted_at_rate(
-    received: &[Received],
+    received: &[ReceivedRequest],
     sent: &HashMap<&str, &Answered>,
     interruptions: &[Interruption],
 ) -> Vec<(Instant, f64)> {
@@ -172,7 +174,7 @@
 pub(super) fn check_answer(site: &Site, one: &Answered, report: &mut Report) {
     let (path, repeatable, streams) = KINDS[one.kind];
     let id = &one.id;
-    let mut broken = |what: String| report.broken.push(format!("{path} {id}: {what}"));
+    let mut broken = |what: String| report.violations.push(format!("{path} {id}: {what}"));
     let runs = site.runs(id);
     if !repeatable && runs > 1 {
         broken(format!("ran {runs} times"));
@@ -188,10 +190,10 @@
             }
             if streams {
                 check_events(id, answer, &mut broken);
-            } else if answer.whole && !answer.text().ends_with(&format!("answers {id}")) {
+            } else if answer.is_complete && !answer.text().ends_with(&format!("answers {id}")) {
                 broken(format!("another body: {}", answer.text()));
             }
-            report.whole += u64::from(answer.whole);
+            report.complete += u64::from(answer.is_complete);
         }
         503 | 429 | 408 | 421 if !repeatable && runs > 0 => {
             broken(format!("status {} though it ran", answer.status()));
@@ -202,7 +204,7 @@
 }
 
 /// Events of a stream are its own, in order, none missing; a whole one has all of them.
-fn check_events(id: &str, answer: &Message, broken: &mut impl FnMut(String)) {
+fn check_events(id: &str, answer: &HttpMessage, broken: &mut impl FnMut(String)) {
     let text = answer.text();
     let data: Vec<&str> = text.lines().filter_map(|line| line.strip_prefix("data: ")).collect();
     for (index, event) in data.iter().enumerate() {
@@ -211,7 +213,7 @@
             return;
         }
     }
-    if answer.whole && data.len() as u64 != EVENTS {
+    if answer.is_complete && data.len() as u64 != EVENTS {
         broken(format!("{} events of a stream that looks whole", data.len()));
     }
 }
--- a/standins/src/users/soak_words.rs
+++ b/standins/src/serving_path/soak_notices.rs
@@ -7,7 +7,7 @@
 use rand::{RngExt, SeedableRng};
 
 use super::runners::Runner;
-use super::serving::Site;
+use super::site::Site;
 use super::soak::{HALLS, LATER_FAULTS};
 
 /// When runners begin to leave, in milliseconds of the run.
@@ -32,7 +32,7 @@
     for (at, runner) in leaving {
         let at = Duration::from_millis(at).min(time);
         thread::sleep(at.saturating_sub(began.elapsed()));
-        runner.set_leaves(true);
+        runner.set_leaving(true);
     }
 }
 
@@ -64,7 +64,7 @@
 pub(super) fn come_back(site: &Site) {
     for (service, runners) in site.services() {
         for (runner, hall) in runners.iter().zip(HALLS) {
-            runner.set_leaves(false);
+            runner.set_leaving(false);
             runner.set_rate(None);
             let mut entry = runner.entry(service, hall, "ready");
             entry["born"] = serde_json::json!(BORN_AGAIN);
--- a/standins/src/users/pieces.rs
+++ b/standins/src/serving_path/stage_calls.rs
@@ -8,56 +8,56 @@
 
 use serde_json::{Value, json};
 
-use super::runners::{Act, Made, Runner};
-use super::{Message, Wire};
+use super::runners::{Behavior, Runner, StageResult};
+use super::{HttpConnection, HttpMessage};
 
 /// Time from the turn of a call until its inputs are fetched.
 const FETCH: Duration = Duration::from_millis(10);
 /// Time that a call is at work, fetching included.
 const AT_WORK: Duration = Duration::from_millis(20);
 
-impl Act {
+impl Behavior {
     /// Time that a call of pieces is at work.
     fn time_at_work(&self) -> Duration {
         match self {
-            Act::Hang(time) | Act::NoRoomForLast(time) => *time,
+            Behavior::Hang(time) | Behavior::NoRoomForLast(time) => *time,
             _ => AT_WORK,
         }
     }
 }
 
 impl Runner {
-    pub(super) fn make_pieces(&self, wire: &mut Wire, req: &Message) -> bool {
+    pub(super) fn make_pieces(&self, wire: &mut HttpConnection, req: &HttpMessage) -> bool {
         let called = Instant::now();
         let body: Value = serde_json::from_slice(&req.body).unwrap_or_default();
         let items = body["items"].as_array().cloned().unwrap_or_default();
         let act = self.with(|state| {
             let next = (!state.script.is_empty()).then(|| state.script.remove(0));
-            let act = next.unwrap_or(Act::Answer);
+            let act = next.unwrap_or(Behavior::Answer);
             state.receive(req, &act);
             act
         });
         self.wait_for_turn();
         let at_work = AtWork::begin(self);
         match act {
-            Act::Decline => {
+            Behavior::Decline => {
                 return wire.write(&self.reply("503 Full", &[("Not-Executed", "1")], b""));
             }
-            Act::DeclineFor(seconds) => {
+            Behavior::DeclineFor(seconds) => {
                 let turned_away = [("Not-Executed", "1"), ("Retry-After", seconds)];
                 return wire.write(&self.reply("503 Full", &turned_away, b""));
             }
-            Act::Lose => return false,
+            Behavior::Lose => return false,
             _ => {}
         }
         sleep(FETCH);
         let is_gone =
-            |item| act == Act::InputGone || inputs_of(item).any(|input| is_given_up(&input));
+            |item| act == Behavior::InputGone || inputs_of(item).any(|input| is_given_up(&input));
         let gone: Vec<bool> = items.iter().map(is_gone).collect();
         sleep(act.time_at_work().saturating_sub(FETCH));
         self.with(|state| state.calls.push(items.len()));
         let is_unheard = wire.is_closed();
-        let with_room = items.len() - usize::from(matches!(act, Act::NoRoomForLast(_)));
+        let with_room = items.len() - usize::from(matches!(act, Behavior::NoRoomForLast(_)));
         let made = |(number, item)| match () {
             () if number >= with_room => json!({"reason": "room"}),
             () if gone[number] => json!({"reason": "gone"}),
@@ -79,7 +79,7 @@
     }
 
     /// Tells how many calls wait; while one does, another one is at work.
-    pub(super) fn report(&self, wire: &mut Wire) -> bool {
+    pub(super) fn report(&self, wire: &mut HttpConnection) -> bool {
         if self.with(|state| state.reports_nothing) {
             return wire.write(&self.reply("404 None", &[], b""));
         }
@@ -97,12 +97,12 @@
         self.with(|state| state.pieces.push((id, number("stage"), number("piece"))));
         let handle = self.next_handle.fetch_add(1, Ordering::Relaxed);
         let handle = format!("{}/{handle:x}", self.address);
-        let made = Made { handle: handle.clone(), called, at: Instant::now(), is_unheard };
+        let made = StageResult { handle: handle.clone(), called, at: Instant::now(), is_unheard };
         self.with(|state| state.made.push(made));
         json!({ "handle": handle })
     }
 
-    pub(super) fn release(&self, wire: &mut Wire, req: &Message) -> bool {
+    pub(super) fn release(&self, wire: &mut HttpConnection, req: &HttpMessage) -> bool {
         let body: Value = serde_json::from_slice(&req.body).unwrap_or_default();
         let handles = body["handles"].as_array().cloned().unwrap_or_default();
         let handles = handles.iter().filter_map(|h| h.as_str().map(str::to_owned));
--- a/standins/src/users/stop_soak.rs
+++ b/standins/src/serving_path/stop_soak.rs
@@ -18,10 +18,10 @@
 use rand::{RngExt, SeedableRng};
 use serde_json::json;
 
-use super::Wire;
+use super::HttpConnection;
 use super::callers::Call;
-use super::runners::{Act, Runner};
-use super::serving::{HOST, Site, Vm, usual_configuration};
+use super::runners::{Behavior, Runner};
+use super::site::{HOST, Site, Vm, default_configuration};
 use super::soak::{Answered, KINDS, LATER_FAULTS, Report, Size};
 use super::soak_checks::check_answer;
 
@@ -99,7 +99,7 @@
 
 /// The usual configuration with requests that have longer than a stop.
 fn long_configuration(version: u64) -> serde_json::Value {
-    let mut cfg = usual_configuration(version);
+    let mut cfg = default_configuration(version);
     for route in cfg["routes"].as_array_mut().expect("routes") {
         route["timeout_ms"] = json!(TIME_MS);
         route["target_latency_ms"] = json!(1500);
@@ -125,14 +125,14 @@
             thread::sleep(Duration::from_millis(rng.random_range(SIGNAL_PAUSE)));
             vm.signal(["-TERM", "-HUP", "-INT"][rng.random_range(0..3)]);
         }
-        let code = vm.wait_end();
+        let code = vm.wait_exit();
         let took = signalled.elapsed();
         member.logs.lock().unwrap_or_else(PoisonError::into_inner).push(vm.log());
         let mut report = report.lock().unwrap_or_else(PoisonError::into_inner);
         report.faults += 1;
         report.restarts += 1;
         if code != Some(0) || took > GRACE {
-            report.broken.push(format!("VM {number} ended with {code:?} after {took:?}"));
+            report.violations.push(format!("VM {number} ended with {code:?} after {took:?}"));
         }
         drop(report);
         vm.restart();
@@ -156,7 +156,7 @@
             thread::sleep(Duration::from_millis(20));
             continue;
         };
-        let mut wire = Wire::new(stream);
+        let mut wire = HttpConnection::new(stream);
         let mut is_open = true;
         while is_open && !over.load(Ordering::Relaxed) {
             let number = sent.fetch_add(1, Ordering::Relaxed);
@@ -166,8 +166,8 @@
             let late = if rng.random_bool(0.3) { late } else { Duration::ZERO };
             let at = Instant::now();
             let answer = long_call(kind, &id).send_on_and_read_after(&mut wire, late);
-            let closes = |answer: &super::Message| answer.header("connection") == "close";
-            is_open = answer.as_ref().is_some_and(|answer| answer.whole && !closes(answer));
+            let closes = |answer: &super::HttpMessage| answer.header("connection") == "close";
+            is_open = answer.as_ref().is_some_and(|answer| answer.is_complete && !closes(answer));
             let one = Answered { id, kind, vm, sent: at, answer };
             answered.lock().unwrap_or_else(PoisonError::into_inner).push(one);
         }
@@ -177,9 +177,13 @@
 fn long_call(kind: usize, id: &str) -> Call {
     let path = KINDS[kind].0;
     let call = Call::new("POST", HOST, path, id)
-        .with("Deadline-Milliseconds", &TIME_MS.to_string())
+        .with_header("Deadline-Milliseconds", &TIME_MS.to_string())
         .body(b"a body");
-    if path == "/chain/" { call.with("Pieces", "1,2").with("Piece-Key", "k") } else { call }
+    if path == "/chain/" {
+        call.with_header("Pieces", "1,2").with_header("Piece-Key", "k")
+    } else {
+        call
+    }
 }
 
 /// Lets runners be silent, slow or full, or lose inputs, and the configuration change.
@@ -188,17 +192,17 @@
     let mut version = 2;
     while !over.load(Ordering::Relaxed) {
         thread::sleep(Duration::from_millis(rng.random_range(ACT_PAUSE)));
-        let silent = Act::Hang(Duration::from_millis(rng.random_range(SILENT)));
-        let slow = Act::SlowStream(5, Duration::from_millis(rng.random_range(10..600)));
+        let silent = Behavior::Hang(Duration::from_millis(rng.random_range(SILENT)));
+        let slow = Behavior::SlowStream(5, Duration::from_millis(rng.random_range(10..600)));
         let pick = |rng: &mut StdRng, runners: &[Runner]| runners[rng.random_range(0..2)].clone();
         match rng.random_range(0..8) {
-            0 => pick(&mut rng, &site.plain).next(&[silent]),
-            1 => pick(&mut rng, &site.engines).next(&[silent]),
-            2 => pick(&mut rng, &site.pool).next(&[silent]),
-            3 => pick(&mut rng, &site.engines).next(&[slow]),
-            4 => pick(&mut rng, &site.pool).next(&[Act::Decline]),
-            5 => pick(&mut rng, &site.engines).next(&[Act::InputGone]),
-            6 => pick(&mut rng, &site.plain).next(&[Act::Large(LARGE)]),
+            0 => pick(&mut rng, &site.plain).queue_behaviors(&[silent]),
+            1 => pick(&mut rng, &site.engines).queue_behaviors(&[silent]),
+            2 => pick(&mut rng, &site.pool).queue_behaviors(&[silent]),
+            3 => pick(&mut rng, &site.engines).queue_behaviors(&[slow]),
+            4 => pick(&mut rng, &site.pool).queue_behaviors(&[Behavior::Decline]),
+            5 => pick(&mut rng, &site.engines).queue_behaviors(&[Behavior::InputGone]),
+            6 => pick(&mut rng, &site.plain).queue_behaviors(&[Behavior::Large(LARGE)]),
             _ => {
                 version += 1;
                 site.store.put("op/config", &long_configuration(version));
@@ -217,12 +221,12 @@
     let lines: Vec<&str> = log.lines().filter(|line| has_word(line, &of_it)).collect();
     let mut broken = |what: &str| {
         let last = lines.last().copied().unwrap_or("no line");
-        report.broken.push(format!("{path} {}: {what}; {last}", one.id));
+        report.violations.push(format!("{path} {}: {what}; {last}", one.id));
     };
     match &one.answer {
         None if !lines.is_empty() => broken("read, and no answer"),
-        Some(answer) if !answer.whole && !streams => broken("its answer is cut"),
-        Some(answer) if !answer.whole => {
+        Some(answer) if !answer.is_complete && !streams => broken("its answer is cut"),
+        Some(answer) if !answer.is_complete => {
             let told =
                 |line: &&str| line.contains("closed by the stop") || line.contains("outcome=cut");
             if !lines.iter().any(told) {
--- a/standins/src/users/store.rs
+++ b/standins/src/serving_path/store.rs
@@ -8,21 +8,21 @@
 
 use serde_json::{Value, json};
 
-use super::{Message, Wire, answer, serve_each};
+use super::{HttpConnection, HttpMessage, answer, serve_each};
 
 /// Pause between two looks of a waiting watch.
 const LOOK: Duration = Duration::from_millis(5);
 
 /// How the store behaves.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub enum Mood {
+pub enum StoreMode {
     /// It serves.
     #[default]
-    Well,
+    Normal,
     /// It answers 503 to everything.
-    Busy,
+    Unavailable,
     /// It says nothing.
-    Silent,
+    Unresponsive,
 }
 
 #[derive(Default)]
@@ -32,7 +32,7 @@
     log: Vec<(u64, String)>,
     /// Changes up to this revision are forgotten.
     forgotten: u64,
-    mood: Mood,
+    mode: StoreMode,
     leases: BTreeMap<u64, (Instant, Duration)>,
     calls: u64,
     /// Items in a page of a listing; 0 for all.
@@ -72,12 +72,12 @@
     }
 
     /// Changes how the store behaves.
-    pub fn set_mood(&self, mood: Mood) {
-        self.with(|state| state.mood = mood);
+    pub fn set_mode(&self, mode: StoreMode) {
+        self.with(|state| state.mode = mode);
     }
 
     /// Forgets all history; watches of older revisions are answered so.
-    pub fn forget_history(&self) {
+    pub fn compact_history(&self) {
         self.with(|state| state.forgotten = state.revision);
     }
 
@@ -87,17 +87,17 @@
     }
 
     /// Gives listings in pages of so many items.
-    pub fn set_page(&self, items: usize) {
+    pub fn set_page_size(&self, items: usize) {
         self.with(|state| state.page = items);
     }
 
     /// Refuses one page of the listings of a prefix, counted from 1.
-    pub fn fail_at(&self, prefix: &str, page: u64) {
+    pub fn fail_listing_page(&self, prefix: &str, page: u64) {
         self.with(|state| state.fail_at = Some((prefix.to_owned(), page)));
     }
 
     /// Pages asked for of the listings of a prefix.
-    pub fn listed(&self, prefix: &str) -> u64 {
+    pub fn listed_pages(&self, prefix: &str) -> u64 {
         self.with(|state| state.listed.get(prefix).copied().unwrap_or(0))
     }
 
@@ -112,25 +112,25 @@
         f(&mut state)
     }
 
-    fn serve(&self, mut wire: Wire) {
+    fn serve(&self, mut wire: HttpConnection) {
         while let Some(req) = wire.read() {
-            let mood = self.with(|state| {
+            let mode = self.with(|state| {
                 state.calls += 1;
-                state.mood
+                state.mode
             });
-            match mood {
-                Mood::Busy => {
+            match mode {
+                StoreMode::Unavailable => {
                     wire.write(&answer("503 Busy", &[], b""));
                     continue;
                 }
-                Mood::Silent => {
-                    while self.with(|state| state.mood) == Mood::Silent {
+                StoreMode::Unresponsive => {
+                    while self.with(|state| state.mode) == StoreMode::Unresponsive {
                         sleep(LOOK);
                     }
                     // What was asked meanwhile stays without an answer.
                     return;
                 }
-                Mood::Well => {}
+                StoreMode::Normal => {}
             }
             let Some((status, body)) = self.answer_to(&req) else { return };
             if !wire.write(&answer(status, &[], body.to_string().as_bytes())) {
@@ -139,8 +139,9 @@
         }
     }
 
-    fn answer_to(&self, req: &Message) -> Option<(&'static str, Value)> {
-        let (path, query) = req.target().split_once('?').unwrap_or((req.target(), ""));
+    fn answer_to(&self, req: &HttpMessage) -> Option<(&'static str, Value)> {
+        let (path, query) =
+            req.path_and_query().split_once('?').unwrap_or((req.path_and_query(), ""));
         let param = |name: &str| {
             let pairs = query.split('&').filter_map(|pair| pair.split_once('='));
             pairs.filter(|(key, _)| *key == name).map(|(_, v)| v.to_owned()).next()
@@ -178,11 +179,11 @@
         loop {
             let seen = self.with(|state| {
                 // A watch that waits as the store falls silent hears nothing, not even its end.
-                was_silent |= state.mood == Mood::Silent;
-                match (state.mood, was_silent) {
-                    (Mood::Silent, _) => return None,
-                    (Mood::Busy, _) | (Mood::Well, true) => return Some(None),
-                    (Mood::Well, false) => {}
+                was_silent |= state.mode == StoreMode::Unresponsive;
+                match (state.mode, was_silent) {
+                    (StoreMode::Unresponsive, _) => return None,
+                    (StoreMode::Unavailable, _) | (StoreMode::Normal, true) => return Some(None),
+                    (StoreMode::Normal, false) => {}
                 }
                 if after < state.forgotten {
                     return Some(Some(("410 Gone", json!({}))));
--- a/tests/configuration.rs
+++ b/tests/configuration.rs
@@ -15,7 +15,7 @@
 use ids::Revision;
 use serde_json::json;
 use store_client::{Store, publish, read_catalogue, read_head};
-use support::{EndsLoad, Fleet, SERVICES, ask, usual_fleet, usual_pools, wait_until};
+use support::{EndsLoad, Fleet, SERVICES, caller_request, usual_fleet, usual_pools, wait_until};
 use todc_utils::linearizability::WGLChecker;
 use todc_utils::linearizability::history::Action::{Call, Response};
 use todc_utils::linearizability::history::History;
@@ -119,7 +119,7 @@
     let (head, version) = read_head(&store).expect("head");
     let none = Catalogue::default();
     // Both writes of the change take effect and lose their answers.
-    fleet.set_platform(&json!({ "lose_answers": 2 }));
+    fleet.set_platform_faults(&json!({ "lose_answers": 2 }));
 
     let first = publish(&store, (&head, version), &none, &customers(1), "lost");
     let second = publish(&store, (&head, version), &none, &customers(2), "late");
@@ -127,7 +127,7 @@
     assert_eq!(first.expect("accepted"), Revision(1));
     let refused = second.expect_err("refused").to_string();
     assert!(refused.contains("+ customer/c0"), "{refused}");
-    let settled = fleet.tool(&["settle", "lost"]);
+    let settled = fleet.run_cli(&["settle", "lost"]);
     assert!(String::from_utf8_lossy(&settled.stdout).contains("accepted as revision 1"));
     let keys = support::get_json(fleet.platform, "/counts").expect("counts")["keys"].clone();
     assert_eq!(keys, 2, "the head and one catalogue");
@@ -139,7 +139,7 @@
     let store = Store::new(fleet.platform);
     let (head, version) = read_head(&store).expect("head");
     let before = read_catalogue(&store, &head).expect("catalogue");
-    let other = fleet.tool(&["label", "target/plain-1", "version=v2"]);
+    let other = fleet.run_cli(&["label", "target/plain-1", "version=v2"]);
     assert!(other.status.success());
 
     let mine = publish(&store, (&head, version), &before, &customers(1), "mine");
@@ -159,11 +159,11 @@
     let told = String::from_utf8_lossy(&refused.stderr).into_owned();
     assert!(told.contains("service/x.stages.a.select: matches no target"), "{told}");
     assert_eq!(fleet.revision(0), Some(1));
-    let same = fleet.file("same.yaml", "customer: {name: small}\n");
-    let none = fleet.tool(&["apply", "--dry-run", "-f", same.to_str().expect("path")]);
+    let same = fleet.write_file("same.yaml", "customer: {name: small}\n");
+    let none = fleet.run_cli(&["apply", "--dry-run", "-f", same.to_str().expect("path")]);
     assert_eq!(none.status.code(), Some(0));
-    let new = fleet.file("new.yaml", "customer: {name: new}\n");
-    let some = fleet.tool(&["diff", "-f", new.to_str().expect("path")]);
+    let new = fleet.write_file("new.yaml", "customer: {name: new}\n");
+    let some = fleet.run_cli(&["diff", "-f", new.to_str().expect("path")]);
     assert_eq!(some.status.code(), Some(10));
 }
 
@@ -189,14 +189,14 @@
         let _ends = EndsLoad(&over);
         for number in 0..10 {
             let label = format!("round=r{number}");
-            let changed = fleet.tool(&["label", "target/plain-1", &label, "--wait"]);
+            let changed = fleet.run_cli(&["label", "target/plain-1", &label, "--wait"]);
             let told = String::from_utf8_lossy(&changed.stderr).into_owned();
             assert!(changed.status.success(), "not everywhere within 5 s: {told}");
         }
     });
 
     // Over a restart with the store out, the VM takes what its peers have.
-    fleet.set_platform(&json!({ "outage": true }));
+    fleet.set_platform_faults(&json!({ "outage": true }));
     fleet.kill(4);
     fleet.restart(4);
     fleet.wait_ready(4);
@@ -209,15 +209,18 @@
 fn a_vm_with_neither_store_nor_peers_serves_nothing_and_says_so() {
     let mut fleet = Fleet::start(&usual_pools());
     assert!(fleet.apply(&fleet.catalogue(SERVICES)).status.success());
-    fleet.set_platform(&json!({ "outage": true }));
-    let index = fleet.start_vm_unready("hall-a", "");
+    fleet.set_platform_faults(&json!({ "outage": true }));
+    let index = fleet.start_vm_without_waiting("hall-a", "");
     wait_until("the VM answers", || fleet.revision(index).is_some());
 
-    let reply = ask("hold", 1000).repeatable().send(fleet.vms[index].callers).expect("an answer");
+    let reply = caller_request("hold", 1000)
+        .repeatable()
+        .send(fleet.vms[index].callers)
+        .expect("an answer");
 
     assert_eq!((reply.status, reply.outcome.as_str()), (503, "not-run"));
     assert_eq!(reply.body["reason"], "no-configuration");
-    fleet.set_platform(&json!({}));
+    fleet.set_platform_faults(&json!({}));
     fleet.wait_ready(index);
 }
 
@@ -230,18 +233,19 @@
         fleet.set_faults(target, &json!({ "service_ms": 300 }));
     }
     let to = fleet.vms[0].callers;
-    let sender =
-        thread::spawn(move || ask("check", 8000).repeatable().send(to).expect("an answer"));
+    let sender = thread::spawn(move || {
+        caller_request("check", 8000).repeatable().send(to).expect("an answer")
+    });
     wait_until("the first stage runs", || !fleet.records().is_empty());
 
     // From now on the last stage is a plain one, and then the engines are gone.
     let plain = SERVICES.replace("pool: engine}}, streams: true", "pool: plain}}");
     assert!(fleet.apply(&plain).status.success());
-    let gone = fleet.tool(&["remove", "target/engine-1", "target/engine-2", "--wait"]);
+    let gone = fleet.run_cli(&["remove", "target/engine-1", "target/engine-2", "--wait"]);
     assert!(gone.status.success(), "{}", String::from_utf8_lossy(&gone.stderr));
     assert!(fleet.records().len() < 4, "the request ended before the change");
     let reply = sender.join().expect("sender");
-    let next = ask("check", 8000).repeatable().send(to).expect("an answer");
+    let next = caller_request("check", 8000).repeatable().send(to).expect("an answer");
 
     let last = |reply: &support::Reply| reply.targets().pop().unwrap_or_default();
     assert_eq!((reply.outcome.as_str(), next.outcome.as_str()), ("whole", "whole"));
--- a/tests/evidence.rs
+++ b/tests/evidence.rs
@@ -12,7 +12,7 @@
 
 use serde_json::json;
 use standins::callers::{Calls, Submission, calls_by_request, violations};
-use support::{Ask, Fleet, ask, usual_fleet};
+use support::{CallerRequest, Fleet, caller_request, usual_fleet};
 
 const CALLERS: usize = 8;
 const REQUESTS: usize = 40;
@@ -23,8 +23,8 @@
         let number = (caller * REQUESTS + index) as u64;
         let repeatable = number.is_multiple_of(2);
         let id = format!("{service}-{number}");
-        let ask = ask(service, 4000).body(&json!({ "q": number }).to_string());
-        let ask: Ask<'_> = if repeatable {
+        let ask = caller_request(service, 4000).body(&json!({ "q": number }).to_string());
+        let ask: CallerRequest<'_> = if repeatable {
             ask.repeatable().header("saddlerail-request-id", &id)
         } else {
             ask.once(&id)
@@ -112,7 +112,7 @@
         .map(|number| {
             let id = format!("hang-{number}");
             let body = json!({ "q": number }).to_string();
-            let ask = ask("hold", 400).repeatable().header("saddlerail-request-id", &id);
+            let ask = caller_request("hold", 400).repeatable().header("saddlerail-request-id", &id);
             let reply = ask.body(&body).send(fleet.vms[0].callers);
             Submission { id, number, repeatable: true, reply }
         })
@@ -124,7 +124,7 @@
 
 fn raw_stream(fleet: &Fleet, repeatable: &str) -> String {
     let mut stream = TcpStream::connect(fleet.vms[0].callers).expect("connect");
-    stream.set_read_timeout(Some(support::LONG)).expect("set");
+    stream.set_read_timeout(Some(support::MAX_WAIT)).expect("set");
     let head = format!(
         "POST /v1/services/check HTTP/1.1\r\nhost: a\r\nsaddlerail-customer: small\r\n\
          saddlerail-deadline-ms: 5000\r\nsaddlerail-repeatable: {repeatable}\r\n\
--- a/tests/fatal_requests.rs
+++ b/tests/fatal_requests.rs
@@ -14,11 +14,13 @@
 use std::time::{Duration, Instant};
 
 use standins::fleet::wait_until;
-use standins::users::callers::Call;
-use standins::users::fragile::{Fatal, Fragile, Nature, Return};
-use standins::users::runners::Act;
-use standins::users::serving::{A_WHILE, Site, Vm, answered, post};
-use standins::users::store::{Mood, Store};
+use standins::serving_path::callers::Call;
+use standins::serving_path::crashing::{
+    CrashTrigger, CrashingRunner, CrashingRunnerConfig, RestartId,
+};
+use standins::serving_path::runners::Behavior;
+use standins::serving_path::site::{SETTLE_TIME, Site, Vm, post, send_expecting_answer};
+use standins::serving_path::store::{Store, StoreMode};
 
 /// The body that ends its target.
 const FATAL: &[u8] = b"a request that no target survives";
@@ -48,23 +50,30 @@
 /// VMs before fragile engines, which are the only ones.
 struct Case {
     site: Site,
-    engines: Vec<Fragile>,
+    engines: Vec<CrashingRunner>,
     vms: Vec<Vm>,
 }
 
 impl Case {
-    fn start(name: &str, back: Return) -> Self {
-        Case::start_with(name, back, Act::Stream(5), 3)
+    fn start(name: &str, restart_id: RestartId) -> Self {
+        Case::start_with(name, restart_id, Behavior::Stream(5), 3)
     }
 
     /// The same; engines do this with other requests.
-    fn start_with(name: &str, back: Return, usual: Act, vms: usize) -> Self {
+    fn start_with(
+        name: &str,
+        restart_id: RestartId,
+        default_behavior: Behavior,
+        vms: usize,
+    ) -> Self {
         let site = Site::start();
         for engine in &site.engines {
             site.store.remove(&format!("servers/{}", engine.id));
         }
-        let engines: Vec<Fragile> = (0..5)
-            .map(|number| fragile(&format!("i-{name}-{number}"), back, &usual, &site.store))
+        let engines: Vec<CrashingRunner> = (0..5)
+            .map(|number| {
+                fragile(&format!("i-{name}-{number}"), restart_id, &default_behavior, &site.store)
+            })
             .collect();
         let vms = (0..vms).map(|number| site.start_vm(&format!("{name}-{number}"), "")).collect();
         Case { site, engines, vms }
@@ -75,12 +84,12 @@
         wait_until("the VMs are linked", || self.vms.iter().all(|vm| vm.linked_peers() >= least));
     }
 
-    fn ends(&self) -> u64 {
-        self.engines.iter().map(Fragile::ends).sum()
+    fn crashes(&self) -> u64 {
+        self.engines.iter().map(CrashingRunner::crashes).sum()
     }
 
     fn reached(&self) -> usize {
-        self.engines.iter().map(|engine| engine.reached_by(FATAL)).sum()
+        self.engines.iter().map(|engine| engine.requests_with_body(FATAL)).sum()
     }
 
     /// The fatal request, returned so many times at one VM after the other; gives the last answer's status,
@@ -101,37 +110,38 @@
     /// Whether each VM serves a request that does no harm.
     fn serves_others(&self, name: &str) -> bool {
         self.vms.iter().enumerate().all(|(number, vm)| {
-            let answer = answered(&post("/stream/", &format!("{name}-other-{number}")), vm);
-            answer.status() == 200 && answer.whole
+            let answer =
+                send_expecting_answer(&post("/stream/", &format!("{name}-other-{number}")), vm);
+            answer.status() == 200 && answer.is_complete
         })
     }
 }
 
-fn nature() -> Nature {
-    Nature {
-        fatal: Fatal::Body(FATAL.to_vec()),
-        after: Duration::from_millis(30),
-        down: Duration::from_millis(400),
-        back: Return::NewId,
-        usual: Act::Answer,
+fn nature() -> CrashingRunnerConfig {
+    CrashingRunnerConfig {
+        trigger: CrashTrigger::Body(FATAL.to_vec()),
+        crash_delay: Duration::from_millis(30),
+        downtime: Duration::from_millis(400),
+        restart_id: RestartId::NewId,
+        default_behavior: Behavior::Answer,
     }
 }
 
-fn fragile(name: &str, back: Return, usual: &Act, store: &Store) -> Fragile {
-    let nature = Nature { back, usual: usual.clone(), ..nature() };
-    Fragile::start(name, "engine", nature, store).expect("a runner starts")
+fn fragile(name: &str, restart_id: RestartId, usual: &Behavior, store: &Store) -> CrashingRunner {
+    let nature = CrashingRunnerConfig { restart_id, default_behavior: usual.clone(), ..nature() };
+    CrashingRunner::start(name, "engine", nature, store).expect("a runner starts")
 }
 
 /// Sends the request until it is known, then more often; nothing may reach a target any more.
-fn is_stopped_for_good(name: &str, back: Return) {
-    let case = Case::start(name, back);
+fn is_stopped_for_good(name: &str, restart_id: RestartId) {
+    let case = Case::start(name, restart_id);
     case.send_fatal("first", CRASHES as usize);
-    assert_eq!(case.ends(), CRASHES, "it ends each target that runs it");
+    assert_eq!(case.crashes(), CRASHES, "it ends each target that runs it");
     let before = case.reached();
 
     let (status, retry_after, took) = case.send_fatal("again", RETURNS);
 
-    assert_eq!(case.ends(), CRASHES, "no further target ended");
+    assert_eq!(case.crashes(), CRASHES, "no further target ended");
     assert_eq!(case.reached(), before, "it reached no further target");
     assert_eq!(status, 503);
     assert!(!retry_after.is_empty(), "it is told when to come back");
@@ -141,42 +151,42 @@
 
 #[test]
 fn a_request_that_ended_three_targets_reaches_none_at_any_vm() {
-    is_stopped_for_good("fatal-new-ids", Return::NewId);
+    is_stopped_for_good("fatal-new-ids", RestartId::NewId);
 }
 
 #[test]
 fn a_request_that_ended_three_targets_under_their_ids_reaches_none_at_any_vm() {
-    is_stopped_for_good("fatal-same-ids", Return::SameId);
+    is_stopped_for_good("fatal-same-ids", RestartId::SameId);
 }
 
 #[test]
 fn it_stays_known_when_all_vms_have_lost_power() {
-    let mut case = Case::start("fatal-power", Return::NewId);
+    let mut case = Case::start("fatal-power", RestartId::NewId);
     case.send_fatal("first", CRASHES as usize);
     wait_until("it stands in the store", || {
         !case.site.store.keys("saddlerail/quarantine/").is_empty()
     });
 
     case.vms.iter_mut().for_each(Vm::restart);
-    case.vms.iter().for_each(|vm| case.site.wait_known(vm));
+    case.vms.iter().for_each(|vm| case.site.wait_for_all_runners(vm));
     let (status, ..) = case.send_fatal("again", RETURNS);
 
-    assert_eq!((case.ends(), status), (CRASHES, 503));
+    assert_eq!((case.crashes(), status), (CRASHES, 503));
     assert!(case.serves_others("after"));
 }
 
 #[test]
 fn vms_that_have_no_store_tell_each_other() {
-    let case = Case::start("fatal-no-store", Return::SameId);
+    let case = Case::start("fatal-no-store", RestartId::SameId);
     case.wait_linked(2);
-    case.site.store.set_mood(Mood::Silent);
+    case.site.store.set_mode(StoreMode::Unresponsive);
 
     case.send_fatal("first", CRASHES as usize);
-    let ends = case.ends();
+    let ends = case.crashes();
     let (status, ..) = case.send_fatal("again", RETURNS);
-    case.site.store.set_mood(Mood::Well);
+    case.site.store.set_mode(StoreMode::Normal);
 
-    assert_eq!((ends, case.ends(), status), (CRASHES, CRASHES, 503));
+    assert_eq!((ends, case.crashes(), status), (CRASHES, CRASHES, 503));
     wait_until("it stands in the store", || {
         !case.site.store.keys("saddlerail/quarantine/").is_empty()
     });
@@ -184,7 +194,7 @@
 
 #[test]
 fn an_operator_sees_it_and_releases_it() {
-    let mut case = Case::start("fatal-release", Return::NewId);
+    let mut case = Case::start("fatal-release", RestartId::NewId);
     case.send_fatal("first", CRASHES as usize);
     let content = case.vms[0].state()["quarantine"][0]["content"].clone();
     let content = content.as_str().expect("a refused request").to_owned();
@@ -200,18 +210,23 @@
         case.vms.iter().all(|vm| vm.state()["quarantine"].as_array().is_some_and(Vec::is_empty))
     });
     case.send_fatal("once-more", CRASHES as usize);
-    assert_eq!(case.ends(), 2 * CRASHES, "it runs again, until it is known again");
+    assert_eq!(case.crashes(), 2 * CRASHES, "it runs again, until it is known again");
     // What the store has of the time before must not stand in the way.
-    sleep(A_WHILE);
+    sleep(SETTLE_TIME);
     case.vms.iter_mut().for_each(Vm::restart);
-    case.vms.iter().for_each(|vm| case.site.wait_known(vm));
+    case.vms.iter().for_each(|vm| case.site.wait_for_all_runners(vm));
     case.send_fatal("after-power", 2);
-    assert_eq!(case.ends(), 2 * CRASHES, "it stays known");
+    assert_eq!(case.crashes(), 2 * CRASHES, "it stays known");
 }
 
 #[test]
 fn streams_beside_it_are_not_held_against_their_callers() {
-    let case = Case::start_with("fatal-beside", Return::NewId, Act::SlowStream(5, BESIDE_PAUSE), 3);
+    let case = Case::start_with(
+        "fatal-beside",
+        RestartId::NewId,
+        Behavior::SlowStream(5, BESIDE_PAUSE),
+        3,
+    );
     let callers: Vec<_> = (0..CALLERS_BESIDE)
         .map(|caller| {
             let at = case.vms[caller % case.vms.len()].callers;
@@ -230,7 +245,7 @@
     let statuses = callers.into_iter().flat_map(|caller| caller.join().expect("a caller"));
     let statuses: Vec<u16> = statuses.collect();
 
-    assert!(case.ends() >= CRASHES);
+    assert!(case.crashes() >= CRASHES);
     let refused = case.vms.iter().map(|vm| vm.state()["quarantine"].as_array().map_or(0, Vec::len));
     assert_eq!(refused.max(), Some(1), "the fatal one only: {statuses:?}");
 }
@@ -244,16 +259,22 @@
     let site = Site::start();
     site.pool.iter().for_each(|worker| site.store.remove(&format!("servers/{}", worker.id)));
     let worker = |number: usize| {
-        let nature = Nature { fatal: Fatal::PieceKey("fatal".to_owned()), ..nature() };
+        let nature = CrashingRunnerConfig {
+            trigger: CrashTrigger::PieceKey("fatal".to_owned()),
+            ..nature()
+        };
         let name = format!("i-fatal-pool-{number}");
-        Fragile::start(&name, "pool", nature, &site.store).expect("a worker starts")
+        CrashingRunner::start(&name, "pool", nature, &site.store).expect("a worker starts")
     };
-    let workers: Vec<Fragile> = (0..5).map(worker).collect();
+    let workers: Vec<CrashingRunner> = (0..5).map(worker).collect();
     let vms: Vec<Vm> =
         (0..3).map(|number| site.start_vm(&format!("fatal-pool-{number}"), "")).collect();
-    let ends = || workers.iter().map(Fragile::ends).sum::<u64>();
+    let ends = || workers.iter().map(CrashingRunner::crashes).sum::<u64>();
     let send = |vm: &Vm, id: &str, body: &[u8], key: &str| {
-        let call = post("/chain/", id).body(body).with("Pieces", "1,1").with("Piece-Key", key);
+        let call = post("/chain/", id)
+            .body(body)
+            .with_header("Pieces", "1,1")
+            .with_header("Piece-Key", key);
         call.send(vm.callers).unwrap_or_default()
     };
 
@@ -282,9 +303,9 @@
 
 #[test]
 fn in_a_fleet_that_is_not_fully_linked_all_vms_know_it_without_the_store() {
-    let case = Case::start_with("fatal-fleet", Return::SameId, Act::Stream(5), LARGE_FLEET);
+    let case = Case::start_with("fatal-fleet", RestartId::SameId, Behavior::Stream(5), LARGE_FLEET);
     case.wait_linked(1);
-    case.site.store.set_mood(Mood::Silent);
+    case.site.store.set_mode(StoreMode::Unresponsive);
 
     // Each end is seen by another VM.
     case.send_fatal("first", CRASHES as usize);
@@ -296,26 +317,26 @@
     });
     let took = began.elapsed();
     let (status, ..) = case.send_fatal("again", LARGE_FLEET);
-    case.site.store.set_mood(Mood::Well);
+    case.site.store.set_mode(StoreMode::Normal);
 
     assert!(took < WORD_IS_OUT, "{took:?}");
-    assert_eq!((case.ends(), status), (CRASHES, 503));
+    assert_eq!((case.crashes(), status), (CRASHES, 503));
 }
 
 #[test]
 fn a_return_that_waits_for_its_stages_is_told_as_soon_as_it_is_known() {
-    let case = Case::start("fatal-waits", Return::NewId);
+    let case = Case::start("fatal-waits", RestartId::NewId);
     let chain = |id: &str, pieces: &str| {
-        let call = post("/chain/", id).body(FATAL).with("Deadline-Milliseconds", "3000");
-        call.with("Pieces", pieces).with("Piece-Key", "secret")
+        let call = post("/chain/", id).body(FATAL).with_header("Deadline-Milliseconds", "3000");
+        call.with_header("Pieces", pieces).with_header("Piece-Key", "secret")
     };
     for _ in 0..HANGS {
-        Site::next(&case.site.pool, &Act::Hang(HANG));
+        Site::queue_behavior(&case.site.pool, &Behavior::Hang(HANG));
     }
     let (at, waiting) = (case.vms[0].callers, chain("waits", "1,1"));
     let waits = spawn(move || (waiting.send(at), Instant::now()));
     wait_until("a worker is at work on it", || {
-        case.site.pool.iter().any(|worker| !worker.seen().is_empty())
+        case.site.pool.iter().any(|worker| !worker.messages().is_empty())
     });
 
     for number in 0..CRASHES as usize {
@@ -326,7 +347,7 @@
     let (answer, at) = waits.join().expect("a caller");
     let took = at.saturating_duration_since(known);
 
-    assert_eq!(case.ends(), CRASHES);
+    assert_eq!(case.crashes(), CRASHES);
     assert_eq!(answer.map(|answer| answer.status()), Some(503));
     assert!(took < AT_ONCE, "{took:?}");
 }
--- a/tests/given_up_results.rs
+++ b/tests/given_up_results.rs
@@ -11,9 +11,11 @@
 
 use serde_json::json;
 use standins::fleet::wait_until;
-use standins::users::Message;
-use standins::users::runners::{Act, Runner};
-use standins::users::serving::{A_WHILE, Site, Vm, answered, post, usual_configuration};
+use standins::serving_path::HttpMessage;
+use standins::serving_path::runners::{Behavior, Runner};
+use standins::serving_path::site::{
+    SETTLE_TIME, Site, Vm, default_configuration, post, send_expecting_answer,
+};
 
 /// Two VMs that are linked: the owner of the pool and the other one.
 struct Pair {
@@ -35,16 +37,16 @@
 }
 
 /// Sends requests of a chain with three pieces each.
-fn ask(address: SocketAddr, count: usize) -> Vec<JoinHandle<Option<Message>>> {
+fn ask(address: SocketAddr, count: usize) -> Vec<JoinHandle<Option<HttpMessage>>> {
     let ask = |number: usize| {
         let id = format!("c-{number}");
-        let call = post("/chain/", &id).with("Pieces", "1,2").with("Piece-Key", "k");
+        let call = post("/chain/", &id).with_header("Pieces", "1,2").with_header("Piece-Key", "k");
         thread::spawn(move || call.send(address))
     };
     (0..count).map(ask).collect()
 }
 
-fn join(asked: Vec<JoinHandle<Option<Message>>>) {
+fn join(asked: Vec<JoinHandle<Option<HttpMessage>>>) {
     for asked in asked {
         // A caller whose VM is gone has no answer.
         drop(asked.join().expect("no panic"));
@@ -68,20 +70,24 @@
     site: &Site,
     address: SocketAddr,
     count: usize,
-) -> Vec<JoinHandle<Option<Message>>> {
-    let acts = vec![Act::Hang(Duration::from_millis(1500)); count];
-    site.engines.iter().for_each(|engine| engine.next(&acts));
+) -> Vec<JoinHandle<Option<HttpMessage>>> {
+    let acts = vec![Behavior::Hang(Duration::from_millis(1500)); count];
+    site.engines.iter().for_each(|engine| engine.queue_behaviors(&acts));
     let asked = ask(address, count);
-    let at_engines = || site.engines.iter().map(|engine| engine.seen().len()).sum::<usize>();
+    let at_engines = || site.engines.iter().map(|engine| engine.messages().len()).sum::<usize>();
     wait_until("the engines have them", || at_engines() >= count);
     asked
 }
 
 /// Starts three requests whose first pieces take 0.4 s; waits until one is at work.
-fn ask_slow_workers(site: &Site, address: SocketAddr) -> Vec<JoinHandle<Option<Message>>> {
-    site.pool.iter().for_each(|worker| worker.next(&[Act::Hang(Duration::from_millis(400))]));
+fn ask_slow_workers(site: &Site, address: SocketAddr) -> Vec<JoinHandle<Option<HttpMessage>>> {
+    site.pool
+        .iter()
+        .for_each(|worker| worker.queue_behaviors(&[Behavior::Hang(Duration::from_millis(400))]));
     let asked = ask(address, 3);
-    wait_until("a piece is at work", || site.pool.iter().any(|worker| !worker.seen().is_empty()));
+    wait_until("a piece is at work", || {
+        site.pool.iter().any(|worker| !worker.messages().is_empty())
+    });
     asked
 }
 
@@ -136,7 +142,7 @@
 #[test]
 fn results_of_a_killed_owner_are_given_up_by_a_requester_that_stood_still() {
     let site = Site::start();
-    let mut long_lives = usual_configuration(1);
+    let mut long_lives = default_configuration(1);
     long_lives["services"][1]["pieces"]["handle_s"] = json!(20);
     site.store.put("op/config", &long_lives);
     let Pair { owner, requester } = Pair::start(&site, "both");
@@ -180,14 +186,15 @@
 fn results_of_requests_whose_callers_leave_are_given_up() {
     let site = Site::start();
     let Pair { owner: _owner, requester } = Pair::start(&site, "callers-leave");
-    site.pool
-        .iter()
-        .for_each(|worker| worker.next(&vec![Act::Hang(Duration::from_millis(300)); 6]));
+    site.pool.iter().for_each(|worker| {
+        worker.queue_behaviors(&vec![Behavior::Hang(Duration::from_millis(300)); 6])
+    });
     let call = |number: usize, wait: u64| {
-        let call =
-            post("/chain/", &format!("c-{number}")).with("Pieces", "2,2").with("Piece-Key", "k");
+        let call = post("/chain/", &format!("c-{number}"))
+            .with_header("Pieces", "2,2")
+            .with_header("Piece-Key", "k");
         let (address, wait) = (requester.callers, Duration::from_millis(wait));
-        thread::spawn(move || call.send_and_leave(address, wait))
+        thread::spawn(move || call.send_and_disconnect(address, wait))
     };
 
     let asked: Vec<_> = (0..12).map(|number| call(number, 60 * number as u64)).collect();
@@ -209,8 +216,8 @@
     let ids = ["of-peer", "of-owner"];
     let vms = [&requester, &owner];
     for (id, vm) in ids.iter().zip(vms) {
-        let call = post("/chain/", id).with("Pieces", "2,2").with("Piece-Key", "k");
-        assert_eq!(answered(&call, vm).status(), 200);
+        let call = post("/chain/", id).with_header("Pieces", "2,2").with_header("Piece-Key", "k");
+        assert_eq!(send_expecting_answer(&call, vm).status(), 200);
     }
 
     assert_eq!(made(&site).len(), 8);
@@ -230,7 +237,7 @@
     join(asked);
 
     for worker in &site.pool {
-        site.put_runner(worker, "pool", "hall-a", Duration::ZERO);
+        site.register_runner(worker, "pool", "hall-a", Duration::ZERO);
     }
 
     assert_eq!(made(&site).len(), 3);
@@ -249,7 +256,7 @@
         site.store.put(&format!("servers/{}-other", worker.id), &entry);
     }
     wait_until("the others are known", || requester.targets() == 6);
-    thread::sleep(A_WHILE);
+    thread::sleep(SETTLE_TIME);
     let before = given_up(&site);
 
     join(asked);
@@ -279,7 +286,7 @@
 #[test]
 fn inputs_of_a_call_that_waits_for_its_turn_are_not_taken_back() {
     let site = Site::start();
-    let mut scarce = usual_configuration(2);
+    let mut scarce = default_configuration(2);
     // Six results take 0.6 of the room of 1 MB that a worker has.
     scarce["routes"][4]["stages"][0]["bytes"] = json!(100_000);
     site.store.put("op/config", &scarce);
@@ -287,16 +294,16 @@
     let vm = site.start_vm("waits-for-turn", "");
     wait_until("it is in force", || vm.state()["configuration"] == json!(2));
     let address = vm.callers;
-    let call = post("/chain/", "c-1").with("Pieces", "6,1").with("Piece-Key", "k");
+    let call = post("/chain/", "c-1").with_header("Pieces", "6,1").with_header("Piece-Key", "k");
 
     let asked = thread::spawn(move || call.send(address));
-    wait_until("the first stage is at work", || site.pool[0].seen().len() == 1);
+    wait_until("the first stage is at work", || site.pool[0].messages().len() == 1);
     thread::sleep(Duration::from_millis(5));
-    site.pool[0].delay_turn(Duration::from_millis(150));
+    site.pool[0].delay_next_call(Duration::from_millis(150));
 
     let answer = asked.join().expect("no panic").expect("an answer");
     assert_eq!(answer.status(), 200, "{answer:?}");
-    assert_eq!(site.pool[0].seen().len(), 2, "each stage is called once");
+    assert_eq!(site.pool[0].messages().len(), 2, "each stage is called once");
 }
 
 /// Guards against inputs that an owner takes back from a requester that lives and still needs them.
--- a/tests/halls.rs
+++ b/tests/halls.rs
@@ -10,7 +10,7 @@
 
 use serde_json::json;
 use support::forwarder::Forwarder;
-use support::{Fleet, SERVICES, ask, get_json, usual_pools, wait_until};
+use support::{Fleet, SERVICES, caller_request, get_json, usual_pools, wait_until};
 
 /// Two halls with a VM each; hall-b reaches the platform and hall-a's targets over links.
 struct TwoHalls {
@@ -38,8 +38,8 @@
     fleet.start_vm("hall-a", "");
     fleet.platform_for_vms = platform_link.address;
     fleet.start_vm("hall-b", "");
-    fleet.list_vms(&[]);
-    fleet.wait_acquainted();
+    fleet.publish_vm_list(&[]);
+    fleet.wait_for_peer_discovery();
     TwoHalls { fleet, platform_link, target_links }
 }
 
@@ -50,14 +50,14 @@
     halls.platform_link.cut();
     let cut_off = fleet.vms[1].callers;
 
-    let served = ask("check", 5000).repeatable().send(cut_off).expect("an answer");
-    let once = ask("hold", 5000).send(cut_off).expect("an answer");
-    let own_id = ask("hold", 5000).once("cut-off").send(cut_off).expect("an answer");
+    let served = caller_request("check", 5000).repeatable().send(cut_off).expect("an answer");
+    let once = caller_request("hold", 5000).send(cut_off).expect("an answer");
+    let own_id = caller_request("hold", 5000).once("cut-off").send(cut_off).expect("an answer");
 
     assert_eq!((served.outcome.as_str(), once.outcome.as_str()), ("whole", "whole"));
     assert_eq!((own_id.outcome.as_str(), &own_id.body["reason"]), ("unknown", &json!("store-out")));
     // A change reaches it through the other hall.
-    let changed = fleet.tool(&["label", "target/plain-2", "a=b"]);
+    let changed = fleet.run_cli(&["label", "target/plain-2", "a=b"]);
     assert!(changed.status.success());
     wait_until("the change comes through peers", || fleet.revision(1) == Some(2));
     let state = get_json(fleet.vms[1].operations, "/state").expect("state");
@@ -66,7 +66,7 @@
     halls.platform_link.heal();
     wait_until("claims work again", || {
         let id = "cut-off";
-        let reply = ask("hold", 5000).once(id).send(cut_off).expect("an answer");
+        let reply = caller_request("hold", 5000).once(id).send(cut_off).expect("an answer");
         reply.outcome != "unknown" || reply.body["reason"] == "id-taken"
     });
 }
@@ -78,7 +78,9 @@
     halls.target_links.iter().for_each(Forwarder::cut);
 
     let served: Vec<_> = (0..40)
-        .map(|_| ask("hold", 5000).repeatable().send(fleet.vms[1].callers).expect("an answer"))
+        .map(|_| {
+            caller_request("hold", 5000).repeatable().send(fleet.vms[1].callers).expect("an answer")
+        })
         .collect();
 
     assert!(served.iter().all(|r| r.outcome == "whole"), "{served:?}");
@@ -87,11 +89,15 @@
     assert!(last.is_subset(&own), "{last:?}");
 
     // hall-a has lost its own targets and is served by the other hall's.
-    let spilled = ask("hold", 5000).repeatable().send(fleet.vms[0].callers).expect("an answer");
+    let spilled =
+        caller_request("hold", 5000).repeatable().send(fleet.vms[0].callers).expect("an answer");
     assert_eq!(spilled.outcome, "whole");
     halls.target_links.iter().for_each(Forwarder::heal);
     wait_until("the healed targets are used again", || {
-        let reply = ask("hold", 5000).repeatable().send(fleet.vms[0].callers).expect("an answer");
+        let reply = caller_request("hold", 5000)
+            .repeatable()
+            .send(fleet.vms[0].callers)
+            .expect("an answer");
         !own.is_superset(&reply.targets().into_iter().collect())
     });
 }
@@ -102,11 +108,11 @@
     let mut fleet = halls.fleet;
     halls.platform_link.cut();
     halls.target_links.iter().for_each(Forwarder::cut);
-    fleet.set_platform(&json!({ "outage": true }));
+    fleet.set_platform_faults(&json!({ "outage": true }));
     fleet.kill(0);
 
     for _ in 0..20 {
-        let reply = ask("check", 5000).repeatable().send(fleet.vms[1].callers);
+        let reply = caller_request("check", 5000).repeatable().send(fleet.vms[1].callers);
         assert_eq!(reply.expect("an answer").outcome, "whole");
     }
     assert_eq!(fleet.revision(1), Some(1));
@@ -126,8 +132,8 @@
         let advertised = fleet.vms.len() - 1;
         fleet.vms[advertised].peers = link.address;
     }
-    fleet.list_vms(&[]);
-    fleet.wait_acquainted();
+    fleet.publish_vm_list(&[]);
+    fleet.wait_for_peer_discovery();
     let age = |fleet: &Fleet, vm: usize| {
         let state = get_json(fleet.vms[vm].operations, "/state").expect("state");
         state["vms"][0]["age"].as_str().unwrap_or("forgotten").to_owned()
@@ -136,14 +142,15 @@
     links.iter().for_each(Forwarder::cut);
     wait_until("each takes the other for stale", || (0..2).all(|vm| age(&fleet, vm) == "stale"));
     for vm in 0..2 {
-        let reply = ask("check", 5000).repeatable().send(fleet.vms[vm].callers);
+        let reply = caller_request("check", 5000).repeatable().send(fleet.vms[vm].callers);
         assert_eq!(reply.expect("an answer").outcome, "whole");
     }
     // One id at both halls still runs once, and a change still comes to both, by the store.
-    let replies = [0, 1].map(|vm| ask("hold", 5000).once("cut").send(fleet.vms[vm].callers));
+    let replies =
+        [0, 1].map(|vm| caller_request("hold", 5000).once("cut").send(fleet.vms[vm].callers));
     let whole = replies.iter().flatten().filter(|reply| reply.outcome == "whole").count();
     assert_eq!(whole, 1, "{replies:?}");
-    assert!(fleet.tool(&["label", "target/plain-2", "a=b"]).status.success());
+    assert!(fleet.run_cli(&["label", "target/plain-2", "a=b"]).status.success());
     wait_until("the change is at both", || (0..2).all(|vm| fleet.revision(vm) == Some(2)));
 
     links.iter().for_each(Forwarder::heal);
--- a/tests/lapses.rs
+++ b/tests/lapses.rs
@@ -13,9 +13,9 @@
 
 use serde_json::json;
 use standins::fleet::wait_until;
-use standins::users::link::{Link, Passing};
-use standins::users::serving::{Site, Vm};
-use standins::users::store::Mood;
+use standins::serving_path::faulty_link::{FaultyLink, LinkMode};
+use standins::serving_path::site::{Site, Vm};
+use standins::serving_path::store::StoreMode;
 
 /// A target that is gone gets no more requests after this time.
 const BORNE: Duration = Duration::from_secs(2);
@@ -26,11 +26,11 @@
 const KEPT: Duration = Duration::from_millis(1500);
 
 /// A VM that follows the store, and one whose way there can be cut.
-fn start(site: &Site, name: &str) -> (Vm, Vm, Link) {
-    let link = Link::start(site.store.address).expect("a link");
+fn start(site: &Site, name: &str) -> (Vm, Vm, FaultyLink) {
+    let link = FaultyLink::start(site.store.address).expect("a link");
     let has_it = site.start_vm(&format!("{name}-has-it"), "");
     let lost_it = Vm::start(&format!("{name}-lost-it"), "hall-a", link.address, "");
-    site.wait_known(&lost_it);
+    site.wait_for_all_runners(&lost_it);
     wait_until("the VMs are linked", || has_it.linked_peers() + lost_it.linked_peers() == 2);
     (has_it, lost_it, link)
 }
@@ -39,7 +39,7 @@
 fn an_entry_that_goes_while_a_peer_has_the_store_is_not_kept() {
     let site = Site::start();
     let (_has_it, lost_it, link) = start(&site, "lapses");
-    link.set(Passing::None);
+    link.set(LinkMode::Blackhole);
     wait_until("it has lost the store", || lost_it.state()["store_lost"] == json!(true));
     let before = lost_it.targets();
 
@@ -56,12 +56,12 @@
     let (one, other, _link) = start(&site, "outage");
     let vms = [&one, &other];
     let before = one.targets();
-    site.store.set_mood(Mood::Silent);
+    site.store.set_mode(StoreMode::Unresponsive);
     wait_until("both have lost the store", || {
         vms.iter().all(|vm| vm.state()["store_lost"] == json!(true))
     });
     site.store.remove(&format!("servers/{}", site.plain[0].id));
-    site.store.set_mood(Mood::Well);
+    site.store.set_mode(StoreMode::Normal);
     wait_until("one has the store again", || {
         vms.iter().any(|vm| vm.state()["store_lost"] == json!(false))
     });
--- a/tests/large_configuration.rs
+++ b/tests/large_configuration.rs
@@ -5,8 +5,8 @@
 
 use serde_json::{Value, json};
 use standins::fleet::wait_until;
-use standins::users::link::{Link, Passing};
-use standins::users::serving::{Site, Vm, answered, get, usual_configuration};
+use standins::serving_path::faulty_link::{FaultyLink, LinkMode};
+use standins::serving_path::site::{Site, Vm, default_configuration, get, send_expecting_answer};
 
 /// Bytes a second of the slow link: the configuration takes over two seconds, more than any wait
 /// for a single answer.
@@ -16,7 +16,7 @@
 
 /// The usual configuration with many more entries.
 fn large_configuration(version: u64) -> Value {
-    let mut large = usual_configuration(version);
+    let mut large = default_configuration(version);
     let usual = large["routes"][0].clone();
     let routes = large["routes"].as_array_mut().expect("routes");
     for number in 0..ENTRIES {
@@ -28,9 +28,9 @@
     large
 }
 
-fn slow_link(site: &Site) -> Link {
-    let link = Link::start(site.store.address).expect("a link");
-    link.set(Passing::Slow(SLOW));
+fn slow_link(site: &Site) -> FaultyLink {
+    let link = FaultyLink::start(site.store.address).expect("a link");
+    link.set(LinkMode::RateLimited(SLOW));
     link
 }
 
@@ -42,8 +42,8 @@
 
     let vm = Vm::start("large-listed", "hall-a", link.address, "");
 
-    site.wait_known(&vm);
-    assert_eq!(answered(&get("/further-7/", "r-1"), &vm).status(), 200);
+    site.wait_for_all_runners(&vm);
+    assert_eq!(send_expecting_answer(&get("/further-7/", "r-1"), &vm).status(), 200);
     assert!(!vm.log().contains("no answer in time"), "a call that brings bytes lives on");
 }
 
@@ -52,7 +52,7 @@
     let site = Site::start();
     let link = slow_link(&site);
     let vm = Vm::start("large-watched", "hall-a", link.address, "");
-    site.wait_known(&vm);
+    site.wait_for_all_runners(&vm);
 
     site.store.put("op/config", &large_configuration(2));
 
@@ -64,15 +64,15 @@
 fn a_listing_goes_on_at_the_page_that_failed() {
     let site = Site::start();
     site.store.put("op/config", &large_configuration(2));
-    site.store.set_page(2);
-    let link = Link::start(site.store.address).expect("a link");
-    site.store.fail_at("servers/", 2);
+    site.store.set_page_size(2);
+    let link = FaultyLink::start(site.store.address).expect("a link");
+    site.store.fail_listing_page("servers/", 2);
 
     let vm = Vm::start("large-resumed", "hall-a", link.address, "");
 
-    site.wait_known(&vm);
-    assert_eq!(site.store.listed("op/config"), 1, "what was read is not read again");
-    assert_eq!(site.store.listed("servers/"), 4, "three pages, one of them twice");
+    site.wait_for_all_runners(&vm);
+    assert_eq!(site.store.listed_pages("op/config"), 1, "what was read is not read again");
+    assert_eq!(site.store.listed_pages("servers/"), 4, "three pages, one of them twice");
 }
 
 #[test]
@@ -80,14 +80,14 @@
     let site = Site::start();
     site.store.put("op/config", &large_configuration(2));
     let near = site.start_vm("large-near", "");
-    let dead = Link::start(site.store.address).expect("a link");
-    dead.set(Passing::None);
+    let dead = FaultyLink::start(site.store.address).expect("a link");
+    dead.set(LinkMode::Blackhole);
     let seed = format!("seeds: [{}]\n", near.peers());
 
     let far = Vm::start("large-far", "hall-a", dead.address, &seed);
 
-    site.wait_known(&far);
-    assert_eq!(answered(&get("/further-7/", "r-1"), &far).status(), 200);
+    site.wait_for_all_runners(&far);
+    assert_eq!(send_expecting_answer(&get("/further-7/", "r-1"), &far).status(), 200);
     let parts = || {
         let log = far.log();
         log.lines().filter(|line| line.contains("news of the store from a peer")).count()
@@ -102,39 +102,39 @@
     let site = Site::start();
     site.store.put("op/config", &large_configuration(2));
     let near = site.start_vm("large-first", "");
-    let link = Link::start(site.store.address).expect("a link");
-    link.set(Passing::Reset);
+    let link = FaultyLink::start(site.store.address).expect("a link");
+    link.set(LinkMode::Reset);
     let seed = format!("seeds: [{}]\n", near.peers());
     let far = Vm::start("large-second", "hall-a", link.address, &seed);
-    site.wait_known(&far);
-    let listed = site.store.listed("op/config");
+    site.wait_for_all_runners(&far);
+    let listed = site.store.listed_pages("op/config");
 
-    link.set(Passing::Both);
+    link.set(LinkMode::Normal);
     wait_until("the VM has the store", || far.state()["store_lost"] == json!(false));
-    site.store.put("op/config", &usual_configuration(3));
+    site.store.put("op/config", &default_configuration(3));
     wait_until("the newest is in force", || far.state()["configuration"] == json!(3));
 
-    assert_eq!(site.store.listed("op/config"), listed, "it watches from what it holds");
+    assert_eq!(site.store.listed_pages("op/config"), listed, "it watches from what it holds");
 }
 
 #[test]
 fn a_vm_that_is_behind_says_so_and_denies_nothing_that_a_newer_version_may_know() {
     let site = Site::start();
-    let link = Link::start(site.store.address).expect("a link");
+    let link = FaultyLink::start(site.store.address).expect("a link");
     let behind = Vm::start("behind-far", "hall-a", link.address, "");
-    site.wait_known(&behind);
-    assert_eq!(answered(&get("/further-7/", "r-1"), &behind).status(), 404);
-    link.set(Passing::None);
+    site.wait_for_all_runners(&behind);
+    assert_eq!(send_expecting_answer(&get("/further-7/", "r-1"), &behind).status(), 404);
+    link.set(LinkMode::Blackhole);
     wait_until("it has lost the store", || behind.state()["store_lost"] == json!(true));
 
-    let unknown = answered(&get("/further-7/", "r-2"), &behind);
+    let unknown = send_expecting_answer(&get("/further-7/", "r-2"), &behind);
 
     assert_eq!(unknown.status(), 503, "a newer version may know the path");
-    assert_eq!(answered(&get("/repeat/", "r-3"), &behind).status(), 200);
-    link.set(Passing::Both);
+    assert_eq!(send_expecting_answer(&get("/repeat/", "r-3"), &behind).status(), 200);
+    link.set(LinkMode::Normal);
     site.store.put("op/config", &large_configuration(2));
     wait_until("it has caught up", || {
-        answered(&get("/further-7/", "r-4"), &behind).status() == 200
+        send_expecting_answer(&get("/further-7/", "r-4"), &behind).status() == 200
     });
     assert!(behind.is_ready());
 }
--- a/tests/leaving.rs
+++ b/tests/leaving.rs
@@ -11,7 +11,7 @@
 use std::time::{Duration, Instant};
 
 use serde_json::json;
-use support::{EndsLoad, Fleet, ask, get_json, put_json, usual_fleet, wait_until};
+use support::{EndsLoad, Fleet, caller_request, get_json, put_json, usual_fleet, wait_until};
 
 /// Time within which the last new call must have come (aim: 3 s).
 const FEW_SECONDS: Duration = Duration::from_secs(3);
@@ -25,7 +25,7 @@
             let over = &over;
             scope.spawn(move || {
                 while !over.load(Ordering::Relaxed) {
-                    let reply = ask("hold", 3000).repeatable().send(vm.callers);
+                    let reply = caller_request("hold", 3000).repeatable().send(vm.callers);
                     let reply = reply.expect("an answer");
                     assert_eq!(reply.outcome, "whole", "{reply:?}");
                 }
@@ -53,8 +53,8 @@
     let fleet = usual_fleet(4);
     under_load(&fleet, || {
         wait_until("it is called", || calls(&fleet) > 0);
-        fleet.set_platform(&json!({ "list_lag_ms": 500 }));
-        fleet.list_vms(&[LEAVING]);
+        fleet.set_platform_faults(&json!({ "list_lag_ms": 500 }));
+        fleet.publish_vm_list(&[LEAVING]);
         assert_no_new_calls(&fleet);
     });
 }
@@ -64,7 +64,7 @@
     let fleet = usual_fleet(4);
     under_load(&fleet, || {
         wait_until("it is called", || calls(&fleet) > 0);
-        fleet.set_platform(&json!({ "outage": true }));
+        fleet.set_platform_faults(&json!({ "outage": true }));
         put_json(fleet.target(LEAVING), "/faults", &json!({ "leaving": true, "service_ms": 2 }));
         assert_no_new_calls(&fleet);
     });
@@ -82,7 +82,8 @@
 fn a_target_that_came_back_is_used_again() {
     let fleet = usual_fleet(1);
     put_json(fleet.target(LEAVING), "/faults", &json!({ "leaving": true, "service_ms": 2 }));
-    let send = || ask("hold", 3000).repeatable().send(fleet.vms[0].callers).expect("an answer");
+    let send =
+        || caller_request("hold", 3000).repeatable().send(fleet.vms[0].callers).expect("an answer");
     wait_until("it is known to leave", || {
         send();
         let state = get_json(fleet.vms[0].operations, "/state").expect("state");
@@ -91,9 +92,9 @@
     put_json(fleet.target(LEAVING), "/faults", &json!({ "service_ms": 2 }));
 
     // Declared anew: removed and added under the same name.
-    let shown = fleet.tool(&["show", "target/plain-1"]);
+    let shown = fleet.run_cli(&["show", "target/plain-1"]);
     assert!(shown.status.success());
-    assert!(fleet.tool(&["remove", "target/plain-1", "--wait"]).status.success());
+    assert!(fleet.run_cli(&["remove", "target/plain-1", "--wait"]).status.success());
     let yaml = String::from_utf8_lossy(&shown.stdout).into_owned();
     assert!(fleet.apply(&yaml).status.success());
 
@@ -118,7 +119,8 @@
     let mut sent = 0;
     while began.elapsed() < Duration::from_secs(3) {
         // May not be repeated: only a proof that nothing was sent allows another target.
-        let reply = ask("hold", 3000).send(fleet.vms[sent % 2].callers).expect("an answer");
+        let reply =
+            caller_request("hold", 3000).send(fleet.vms[sent % 2].callers).expect("an answer");
         assert_eq!(reply.outcome, "whole", "{reply:?}");
         sent += 1;
     }
--- a/tests/mixed_versions.rs
+++ b/tests/mixed_versions.rs
@@ -9,13 +9,13 @@
 
 use serde_json::{Value, json};
 use standins::fleet::wait_until;
-use standins::users::link::{Link, Passing};
-use standins::users::runners::{Act, Runner};
-use standins::users::serving::{Site, Vm, answered, post, usual_configuration};
+use standins::serving_path::faulty_link::{FaultyLink, LinkMode};
+use standins::serving_path::runners::{Behavior, Runner};
+use standins::serving_path::site::{Site, Vm, default_configuration, post, send_expecting_answer};
 
 /// The usual configuration with one more pool, and an entry whose requests need it.
 fn with_new_pool(version: u64) -> Value {
-    let mut cfg = usual_configuration(version);
+    let mut cfg = default_configuration(version);
     let mut pool = cfg["services"][1].clone();
     pool["name"] = json!("new-pool");
     cfg["services"].as_array_mut().expect("services").push(pool);
@@ -30,20 +30,23 @@
 #[test]
 fn a_pool_that_the_better_owner_does_not_know_yet_is_served() {
     let site = Site::start();
-    let worker = Runner::start("i-new-1", Act::Answer).expect("a runner starts");
+    let worker = Runner::start("i-new-1", Behavior::Answer).expect("a runner starts");
     site.store.put("servers/i-new-1", &worker.entry("new-pool", "hall-a", "ready"));
-    let link = Link::start(site.store.address).expect("a link");
+    let link = FaultyLink::start(site.store.address).expect("a link");
     let owner = Vm::start("mixed-owner", "hall-a", link.address, "cores: 64\n");
-    site.wait_known(&owner);
+    site.wait_for_all_runners(&owner);
     let vm = site.start_vm("mixed-small", "cores: 0.1\n");
     wait_until("they are linked", || vm.state()["pools"][0]["filled_by"] == json!("mixed-owner"));
-    link.set(Passing::None);
+    link.set(LinkMode::Blackhole);
 
     site.store.put("op/config", &with_new_pool(2));
     wait_until("one VM has it in force", || vm.state()["configuration"] == json!(2));
     assert_eq!(owner.state()["configuration"], json!(1), "the other VM is behind");
-    let call = post("/new/", "r-1").with("Pieces", "1").with("Piece-Key", "k-1");
-    let answer = answered(&call.with("Model", "m").with("Token-Counts", "10,5"), &vm);
+    let call = post("/new/", "r-1").with_header("Pieces", "1").with_header("Piece-Key", "k-1");
+    let answer = send_expecting_answer(
+        &call.with_header("Model", "m").with_header("Token-Counts", "10,5"),
+        &vm,
+    );
 
     assert_eq!(answer.status(), 200);
 }
@@ -61,8 +64,10 @@
         number += 1;
         let once = format!("once-{name}-{number}");
         let chain = format!("chain-{name}-{number}");
-        let chain = post("/chain/", &chain).with("Pieces", "1,1").with("Piece-Key", "k");
-        let statuses = [post("/once/", &once), chain].map(|call| answered(&call, vm).status());
+        let chain =
+            post("/chain/", &chain).with_header("Pieces", "1,1").with_header("Piece-Key", "k");
+        let statuses =
+            [post("/once/", &once), chain].map(|call| send_expecting_answer(&call, vm).status());
         other.extend(statuses.into_iter().filter(|status| *status != 200));
         runs.push(site.runs(&once));
     }
@@ -82,7 +87,7 @@
         };
         let senders: Vec<_> = vms.iter().enumerate().map(send).collect();
         for version in 2..2 + CHANGES {
-            site.store.put("op/config", &usual_configuration(version));
+            site.store.put("op/config", &default_configuration(version));
             vms.iter().step_by(2).for_each(|vm| vm.signal("-HUP"));
             thread::sleep(CHANGE_PAUSE);
         }
--- a/tests/once.rs
+++ b/tests/once.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 
 use serde_json::json;
-use support::{Fleet, Reply, ask, usual_fleet, wait_until};
+use support::{Fleet, Reply, caller_request, usual_fleet, wait_until};
 
 fn runs_of(fleet: &Fleet, id: &str) -> usize {
     let start = format!("{id}/");
@@ -37,7 +37,7 @@
             let senders: Vec<_> = (0..6)
                 .map(|n| {
                     let (vm, id) = (&fleet.vms[n % 3], &id);
-                    scope.spawn(move || ask("hold", 3000).once(id).send(vm.callers))
+                    scope.spawn(move || caller_request("hold", 3000).once(id).send(vm.callers))
                 })
                 .collect();
             senders.into_iter().map(|s| s.join().expect("sender").expect("an answer")).collect()
@@ -54,12 +54,13 @@
     let mut fleet = usual_fleet(2);
     slow_targets(&fleet, 400);
     let to = fleet.vms[0].callers;
-    let sender = thread::spawn(move || ask("hold", 3000).once("dies").send(to));
+    let sender = thread::spawn(move || caller_request("hold", 3000).once("dies").send(to));
     wait_until("the call is under way", || runs_of(&fleet, "dies") == 1);
     fleet.kill(0);
     assert!(sender.join().expect("sender").is_none(), "a dead VM answered");
 
-    let again = ask("hold", 3000).once("dies").send(fleet.vms[1].callers).expect("an answer");
+    let again =
+        caller_request("hold", 3000).once("dies").send(fleet.vms[1].callers).expect("an answer");
 
     assert_eq!((again.outcome.as_str(), again.status), ("unknown", 409));
     assert_eq!(again.body["reason"], "id-taken");
@@ -69,12 +70,14 @@
 #[test]
 fn nothing_runs_under_a_callers_id_while_the_store_is_out() {
     let fleet = usual_fleet(2);
-    ask("hold", 3000).once("before").send(fleet.vms[0].callers).expect("an answer");
-    fleet.set_platform(&json!({ "outage": true }));
+    caller_request("hold", 3000).once("before").send(fleet.vms[0].callers).expect("an answer");
+    fleet.set_platform_faults(&json!({ "outage": true }));
 
-    let fresh = ask("hold", 3000).once("fresh").send(fleet.vms[1].callers).expect("an answer");
-    let before = ask("hold", 3000).once("before").send(fleet.vms[1].callers).expect("an answer");
-    let no_id = ask("hold", 3000).send(fleet.vms[1].callers).expect("an answer");
+    let fresh =
+        caller_request("hold", 3000).once("fresh").send(fleet.vms[1].callers).expect("an answer");
+    let before =
+        caller_request("hold", 3000).once("before").send(fleet.vms[1].callers).expect("an answer");
+    let no_id = caller_request("hold", 3000).send(fleet.vms[1].callers).expect("an answer");
 
     // "Not run" would be a lie for the second, and this VM can't tell the two apart.
     for reply in [&fresh, &before] {
@@ -86,18 +89,21 @@
     }
     assert_eq!((runs_of(&fleet, "fresh"), runs_of(&fleet, "before")), (0, 1));
     assert_eq!(no_id.outcome, "whole", "a request with no id needs no store");
-    fleet.set_platform(&json!({}));
-    let again = ask("hold", 3000).once("fresh").send(fleet.vms[0].callers).expect("an answer");
+    fleet.set_platform_faults(&json!({}));
+    let again =
+        caller_request("hold", 3000).once("fresh").send(fleet.vms[0].callers).expect("an answer");
     assert_eq!((again.outcome.as_str(), runs_of(&fleet, "fresh")), ("whole", 1));
 }
 
 #[test]
 fn a_claim_whose_answer_was_lost_is_settled_by_reading() {
     let fleet = usual_fleet(2);
-    fleet.set_platform(&json!({ "lose_answers": 1 }));
+    fleet.set_platform_faults(&json!({ "lose_answers": 1 }));
 
-    let reply = ask("hold", 8000).once("lost").send(fleet.vms[0].callers).expect("an answer");
-    let again = ask("hold", 8000).once("lost").send(fleet.vms[1].callers).expect("an answer");
+    let reply =
+        caller_request("hold", 8000).once("lost").send(fleet.vms[0].callers).expect("an answer");
+    let again =
+        caller_request("hold", 8000).once("lost").send(fleet.vms[1].callers).expect("an answer");
 
     assert_eq!((reply.outcome.as_str(), again.outcome.as_str()), ("whole", "unknown"));
     assert_eq!(runs_of(&fleet, "lost"), 1);
@@ -111,12 +117,13 @@
         let id = format!("frozen-{round}");
         let to = fleet.vms[0].callers;
         let sent = id.clone();
-        let sender = thread::spawn(move || ask("hold", 10_000).once(&sent).send(to));
+        let sender = thread::spawn(move || caller_request("hold", 10_000).once(&sent).send(to));
         // Freezes it at another point of its work in each round.
         thread::sleep(Duration::from_micros(500 * round));
         fleet.signal(0, "STOP");
 
-        let other = ask("hold", 3000).once(&id).send(fleet.vms[1].callers).expect("an answer");
+        let other =
+            caller_request("hold", 3000).once(&id).send(fleet.vms[1].callers).expect("an answer");
         fleet.signal(0, "CONT");
 
         let first = sender.join().expect("sender").expect("an answer");
@@ -131,20 +138,21 @@
 #[test]
 fn a_refused_request_stays_refused_under_its_id() {
     let fleet = usual_fleet(2);
-    let gone = fleet.tool(&["label", "target/plain-1", "state=x"]);
+    let gone = fleet.run_cli(&["label", "target/plain-1", "state=x"]);
     assert!(gone.status.success());
     for target in ["plain-1", "plain-2", "plain-3", "plain-4"] {
         fleet.set_faults(target, &json!({ "fault": "busy" }));
     }
 
-    let refused = ask("hold", 1000).once("refused").send(fleet.vms[0].callers).expect("an answer");
+    let refused =
+        caller_request("hold", 1000).once("refused").send(fleet.vms[0].callers).expect("an answer");
     for target in ["plain-1", "plain-2", "plain-3", "plain-4"] {
         fleet.set_faults(target, &json!({}));
     }
     assert_eq!(refused.outcome, "not-run", "{refused:?}");
     // The store hears of the refusal after the caller; until then the id is only taken.
     wait_until("the id is known as refused", || {
-        let again = ask("hold", 1000).once("refused").send(fleet.vms[1].callers);
+        let again = caller_request("hold", 1000).once("refused").send(fleet.vms[1].callers);
         let again = again.expect("an answer");
         assert_eq!(again.body["reason"], "id-taken", "{again:?}");
         assert_eq!(runs_of(&fleet, "refused"), 0);
@@ -159,9 +167,9 @@
     slow_targets(&fleet, 600);
     let to = fleet.vms[0].callers;
     let began = std::time::Instant::now();
-    let sender = thread::spawn(move || ask("hold", 1000).once("slow-store").send(to));
+    let sender = thread::spawn(move || caller_request("hold", 1000).once("slow-store").send(to));
     wait_until("the call is under way", || runs_of(&fleet, "slow-store") == 1);
-    fleet.set_platform(&json!({ "delay_ms": 1400 }));
+    fleet.set_platform_faults(&json!({ "delay_ms": 1400 }));
 
     let reply = sender.join().expect("sender").expect("an answer");
 
@@ -176,14 +184,14 @@
     fleet.start_vm("hall-a", "limits: {requests: 1}\n");
     slow_targets(&fleet, 1500);
     let full = fleet.vms[1].callers;
-    let occupies = thread::spawn(move || ask("hold", 5000).repeatable().send(full));
+    let occupies = thread::spawn(move || caller_request("hold", 5000).repeatable().send(full));
     wait_until("the VM is full", || fleet.records().len() == 1);
     let to = fleet.vms[0].callers;
-    let runs = thread::spawn(move || ask("hold", 5000).once("elsewhere").send(to));
+    let runs = thread::spawn(move || caller_request("hold", 5000).once("elsewhere").send(to));
     wait_until("the other VM runs it", || runs_of(&fleet, "elsewhere") == 1);
 
-    let refused = ask("hold", 5000).once("elsewhere").send(full).expect("an answer");
-    let no_id = ask("hold", 5000).send(full).expect("an answer");
+    let refused = caller_request("hold", 5000).once("elsewhere").send(full).expect("an answer");
+    let no_id = caller_request("hold", 5000).send(full).expect("an answer");
 
     assert_eq!(
         (refused.outcome.as_str(), &refused.body["reason"]),
--- a/tests/orders.rs
+++ b/tests/orders.rs
@@ -42,8 +42,8 @@
 fn fleet() -> Fleet {
     let mut fleet = usual_fleet(2);
     fleet.start_vm("hall-a", "");
-    fleet.list_vms(&[]);
-    fleet.wait_acquainted();
+    fleet.publish_vm_list(&[]);
+    fleet.wait_for_peer_discovery();
     fleet
 }
 
@@ -126,12 +126,12 @@
     wait_until("m1 is ordered", || model(&fleet) == "m1");
     let holder = [0, 2].into_iter().find(|vm| fence(&fleet, *vm).is_some()).expect("a holder");
     want(&fleet, "m2", true);
-    fleet.set_platform(&json!({ "outage": true }));
+    fleet.set_platform_faults(&json!({ "outage": true }));
     wait_until("the holder knows that it is none", || fence(&fleet, holder).is_none());
     let then = orders(&fleet).len();
     thread::sleep(Duration::from_millis(2500));
 
     assert_eq!(orders(&fleet).len(), then);
-    fleet.set_platform(&json!({}));
+    fleet.set_platform_faults(&json!({}));
     wait_until("m2 is ordered", || model(&fleet) == "m2");
 }
--- a/tests/path.rs
+++ b/tests/path.rs
@@ -10,13 +10,14 @@
 use std::time::Duration;
 
 use serde_json::Value;
-use support::{agent, ask, get_json, usual_fleet, wait_until};
+use support::{agent, caller_request, get_json, usual_fleet, wait_until};
 
 #[test]
 fn answers_whole_over_four_stages() {
     let fleet = usual_fleet(1);
 
-    let reply = ask("check", 5000).repeatable().send(fleet.vms[0].callers).expect("an answer");
+    let reply =
+        caller_request("check", 5000).repeatable().send(fleet.vms[0].callers).expect("an answer");
 
     assert_eq!((reply.status, reply.outcome.as_str()), (200, "whole"));
     let stages = reply.body["stages"].as_array().expect("stages").len();
@@ -32,7 +33,7 @@
 fn streams_every_token_and_the_outcome() {
     let fleet = usual_fleet(1);
 
-    let ask = ask("check", 5000).repeatable().header("accept", "text/event-stream");
+    let ask = caller_request("check", 5000).repeatable().header("accept", "text/event-stream");
     let reply = ask.send(fleet.vms[0].callers).expect("an answer");
 
     assert_eq!((reply.status, reply.outcome.as_str()), (200, "streaming"));
@@ -50,48 +51,48 @@
     let to = fleet.vms[0].callers;
     let big = format!("\"{}\"", "x".repeat(2 << 20));
     let cases = [
-        (ask("check", 5000).body("{\"a\":"), 400, "bad-request", "line 1"),
-        (ask("nothing", 5000), 404, "unknown-service", "nothing"),
+        (caller_request("check", 5000).body("{\"a\":"), 400, "bad-request", "line 1"),
+        (caller_request("nothing", 5000), 404, "unknown-service", "nothing"),
         (
-            ask("check", 5000).header("saddlerail-priority", "high"),
+            caller_request("check", 5000).header("saddlerail-priority", "high"),
             400,
             "bad-request",
             "background",
         ),
         (
-            ask("check", 5000).header("saddlerail-colour", "red"),
+            caller_request("check", 5000).header("saddlerail-colour", "red"),
             400,
             "bad-request",
             "saddlerail-colour",
         ),
         (
-            ask("check", 5000).header("saddlerail-repeatable", "maybe"),
+            caller_request("check", 5000).header("saddlerail-repeatable", "maybe"),
             400,
             "bad-request",
             "yes or no",
         ),
         (
-            ask("check", 5000).header("saddlerail-request-id", "a b"),
+            caller_request("check", 5000).header("saddlerail-request-id", "a b"),
             400,
             "bad-request",
             "request id",
         ),
-        (ask("check", 0), 400, "bad-request", "saddlerail-deadline-ms"),
-        (ask("check", 99_999_999), 400, "bad-request", "saddlerail-deadline-ms"),
-        (ask("check", 5000).body(&big), 413, "body-too-large", "1048576"),
+        (caller_request("check", 0), 400, "bad-request", "saddlerail-deadline-ms"),
+        (caller_request("check", 99_999_999), 400, "bad-request", "saddlerail-deadline-ms"),
+        (caller_request("check", 5000).body(&big), 413, "body-too-large", "1048576"),
     ];
 
-    for (ask, status, reason, detail) in cases {
-        let reply = ask.send(to).expect("an answer");
+    for (caller_request, status, reason, detail) in cases {
+        let reply = caller_request.send(to).expect("an answer");
         assert_eq!((reply.status, reply.outcome.as_str()), (status, "not-run"), "{detail}");
         assert_eq!(reply.body["reason"], reason);
         let told = reply.body["detail"].as_str().unwrap_or_default();
         assert!(told.contains(detail), "{told}");
     }
-    let mut no_deadline = ask("check", 1);
+    let mut no_deadline = caller_request("check", 1);
     no_deadline.headers.pop();
     assert_eq!(no_deadline.send(to).expect("an answer").status, 400);
-    let mut no_customer = ask("check", 100);
+    let mut no_customer = caller_request("check", 100);
     no_customer.headers[0].1 = "nobody".to_owned();
     assert_eq!(no_customer.send(to).expect("an answer").status, 403);
     assert!(fleet.records().is_empty());
@@ -113,7 +114,7 @@
           saddlerail-deadline-ms: 1000\r\ncontent-length: 100\r\n\r\n{",
     )
     .expect("head");
-    let served = ask("hold", 2000).repeatable().send(to).expect("an answer");
+    let served = caller_request("hold", 2000).repeatable().send(to).expect("an answer");
 
     assert_eq!(served.outcome, "whole");
     for mut connection in idle.into_iter().chain([slow]) {
@@ -130,7 +131,7 @@
 fn operations_page_tells_health_metrics_state_and_decisions() {
     let fleet = usual_fleet(2);
     let id = "explained-1";
-    let ask = ask("check", 5000).repeatable().header("saddlerail-request-id", id);
+    let ask = caller_request("check", 5000).repeatable().header("saddlerail-request-id", id);
     ask.send(fleet.vms[1].callers).expect("an answer");
 
     let page = |path: &str| {
@@ -146,10 +147,10 @@
         records[0]["outcome"] == "whole"
     });
     // The tool asks the first VM, which finds the record at the second.
-    let told = fleet.tool(&["explain", id]);
+    let told = fleet.run_cli(&["explain", id]);
     let text = String::from_utf8_lossy(&told.stdout).into_owned();
     assert!(told.status.success() && text.matches("answered").count() == 4, "{text}");
-    assert!(!fleet.tool(&["explain", "no-such-id"]).status.success());
+    assert!(!fleet.run_cli(&["explain", "no-such-id"]).status.success());
 }
 
 /// A reader that closes the pipe early, such as `head`, is no failure of the tool.
--- a/tests/rates.rs
+++ b/tests/rates.rs
@@ -18,9 +18,11 @@
 
 use serde_json::json;
 use standins::fleet::wait_until;
-use standins::users::callers::Call;
-use standins::users::runners::{Act, Runner};
-use standins::users::serving::{Site, Vm, answered, get, post, usual_configuration};
+use standins::serving_path::callers::Call;
+use standins::serving_path::runners::{Behavior, Runner};
+use standins::serving_path::site::{
+    Site, Vm, default_configuration, get, post, send_expecting_answer,
+};
 
 /// VMs of a test.
 const VMS: usize = 3;
@@ -57,20 +59,20 @@
 struct Kind {
     call: Asks,
     /// What keeps a target busy with one of them.
-    busy: Act,
+    busy: Behavior,
 }
 
 fn repeat() -> Kind {
-    Kind { call: |id| get("/repeat/", id), busy: Act::Hang(BUSY) }
+    Kind { call: |id| get("/repeat/", id), busy: Behavior::Hang(BUSY) }
 }
 
 fn stream() -> Kind {
-    Kind { call: |id| post("/stream/", id), busy: Act::SlowStream(5, BUSY / 5) }
+    Kind { call: |id| post("/stream/", id), busy: Behavior::SlowStream(5, BUSY / 5) }
 }
 
 /// A request with two stages before its engine.
 fn chain(id: &str) -> Call {
-    post("/chain/", id).with("Pieces", "1,1").with("Piece-Key", "secret")
+    post("/chain/", id).with_header("Pieces", "1,1").with_header("Piece-Key", "secret")
 }
 
 fn start_vms(site: &Site, name: &str) -> Vec<Vm> {
@@ -92,11 +94,13 @@
         let mut number = 0;
         wait_until("the VM has heard of the rates", || {
             number += 1;
-            targets[0].next(std::slice::from_ref(&kind.busy));
+            targets[0].queue_behaviors(std::slice::from_ref(&kind.busy));
             thread::scope(|scope| {
-                scope.spawn(|| answered(&(kind.call)(&format!("{name}-{index}-{number}")), vm));
+                scope.spawn(|| {
+                    send_expecting_answer(&(kind.call)(&format!("{name}-{index}-{number}")), vm)
+                });
                 thread::sleep(BUSY / 2);
-                answered(&(kind.call)(&format!("{name}-{index}-{number}-b")), vm);
+                send_expecting_answer(&(kind.call)(&format!("{name}-{index}-{number}-b")), vm);
             });
             targets.iter().all(|target| has_heard(vm, target))
         });
@@ -110,7 +114,8 @@
     let turn = (0..).take_while(|_| began.elapsed() < LOAD);
     turn.map(|number: usize| {
         let status =
-            answered(&call(&format!("{name}-{number}")), &vms[number % vms.len()]).status();
+            send_expecting_answer(&call(&format!("{name}-{number}")), &vms[number % vms.len()])
+                .status();
         thread::sleep(PAUSE);
         status
     })
@@ -130,9 +135,9 @@
     until_heard(&vms, &repeat(), &site.plain[..1], "repeat-first");
     until_heard(&vms, &stream(), &site.engines[..1], "stream-first");
     // Where both are free the faster worker is called.
-    site.pool[1].next(&vec![Act::Hang(BUSY); SLOWER_CALLS]);
+    site.pool[1].queue_behaviors(&vec![Behavior::Hang(BUSY); SLOWER_CALLS]);
     wait_until("the VM that fills the pool's calls has heard of its rate", || {
-        answered(&chain("chain-first"), &vms[0]);
+        send_expecting_answer(&chain("chain-first"), &vms[0]);
         vms.iter().any(|vm| has_heard(vm, &site.pool[0]))
     });
     thread::sleep(ON_ITS_WAY);
@@ -187,7 +192,7 @@
     assert!(site.plain[0].most_within(SPAN, since) > borne(1.0), "the end was heard");
     assert_eq!(served(&statuses), statuses.len());
     wait_until("all VMs have heard of the end", || {
-        vms.iter().all(|vm| vm.listed("targets_rates").is_empty())
+        vms.iter().all(|vm| vm.state_list("targets_rates").is_empty())
     });
 }
 
@@ -200,7 +205,7 @@
     until_heard(&vms, &repeat(), &site.plain, "first");
     thread::sleep(ON_ITS_WAY);
     let held_at: Vec<_> =
-        vms.iter().map(|vm| vm.listed("targets_rates")[0]["account_at"].clone()).collect();
+        vms.iter().map(|vm| vm.state_list("targets_rates")[0]["account_at"].clone()).collect();
     let holder = held_at.iter().position(|at| at == "this VM");
     drop(
         vms.remove(holder.unwrap_or_else(|| panic!("one of them holds the accounts: {held_at:?}"))),
@@ -229,7 +234,7 @@
     let answers: Vec<_> = (0..12)
         .map(|number| {
             let (id, began) = (format!("refused-{number}"), Instant::now());
-            let answer = answered(&get("/repeat/", &id), &vm);
+            let answer = send_expecting_answer(&get("/repeat/", &id), &vm);
             (id, answer, began.elapsed())
         })
         .collect();
@@ -254,8 +259,8 @@
 
     let starts = site.start_vm("starts-rate", "");
 
-    wait_until("a VM that starts has heard", || !starts.listed("targets_rates").is_empty());
-    assert_eq!(starts.listed("targets_rates")[0]["per_s"], 1.0);
+    wait_until("a VM that starts has heard", || !starts.state_list("targets_rates").is_empty());
+    assert_eq!(starts.state_list("targets_rates")[0]["per_s"], 1.0);
 }
 
 #[test]
@@ -268,13 +273,13 @@
 
     load(std::slice::from_ref(&vm), repeat().call, "unread");
 
-    assert_eq!(vm.listed("targets_rates")[0]["per_s"], 2.0, "the rate before holds");
+    assert_eq!(vm.state_list("targets_rates")[0]["per_s"], 2.0, "the rate before holds");
 }
 
 #[test]
 fn a_request_that_waits_for_a_permit_is_not_sent_to_a_target_that_leaves_meanwhile() {
     let site = Site::start();
-    let mut patient = usual_configuration(2);
+    let mut patient = default_configuration(2);
     // A request may wait for half a second.
     patient["routes"][0]["target_latency_ms"] = json!(2000);
     site.store.put("op/config", &patient);
@@ -285,10 +290,12 @@
     target.set_rate(Some("3"));
     until_heard(std::slice::from_ref(&vm), &repeat(), std::slice::from_ref(target), "first");
     // The first permit is used, so that the next one is a third of a second away.
-    wait_until("a permit is there", || answered(&get("/repeat/", "first"), &vm).status() == 200);
+    wait_until("a permit is there", || {
+        send_expecting_answer(&get("/repeat/", "first"), &vm).status() == 200
+    });
 
     let (status, left) = thread::scope(|scope| {
-        let waits = scope.spawn(|| answered(&get("/repeat/", "waits"), &vm).status());
+        let waits = scope.spawn(|| send_expecting_answer(&get("/repeat/", "waits"), &vm).status());
         wait_until("the request waits", || vm.state()["in_work"] == 1);
         let leaving = target.entry("plain", "hall-a", "draining");
         site.store.put(&format!("servers/{}", target.id), &leaving);
@@ -306,31 +313,31 @@
     let site = Site::start();
     site.plain.iter().for_each(|target| site.store.remove(&format!("servers/{}", target.id)));
     let rated: Vec<Runner> = (0..RATED)
-        .map(|n| Runner::start(&format!("i-rated-{n}"), Act::Answer).expect("a runner starts"))
+        .map(|n| Runner::start(&format!("i-rated-{n}"), Behavior::Answer).expect("a runner starts"))
         .collect();
     rated.iter().for_each(|target| {
         target.set_rate(Some("0.05"));
-        site.put_runner(target, "plain", "hall-a", Duration::ZERO);
+        site.register_runner(target, "plain", "hall-a", Duration::ZERO);
     });
     let first = site.start_vm("one-without-1", "");
     let mut number = 0;
     wait_until("all rates are heard", || {
         number += 1;
-        answered(&get("/repeat/", &format!("hears-{number}")), &first);
-        first.listed("targets_rates").len() == RATED
+        send_expecting_answer(&get("/repeat/", &format!("hears-{number}")), &first);
+        first.state_list("targets_rates").len() == RATED
     });
-    site.put_runner(&site.plain[0], "plain", "hall-a", Duration::ZERO);
+    site.register_runner(&site.plain[0], "plain", "hall-a", Duration::ZERO);
     let second = site.start_vm("one-without-2", "");
-    site.wait_known(&first);
-    wait_until("the other VM was told", || second.listed("targets_rates").len() == RATED);
+    site.wait_for_all_runners(&first);
+    wait_until("the other VM was told", || second.state_list("targets_rates").len() == RATED);
 
     // The one without is busy, so that the others seem the better choice.
     let status = thread::scope(|scope| {
-        site.plain[0].next(&[Act::Hang(Duration::from_secs(1))]);
-        scope.spawn(|| answered(&get("/repeat/", "busy"), &first));
+        site.plain[0].queue_behaviors(&[Behavior::Hang(Duration::from_secs(1))]);
+        scope.spawn(|| send_expecting_answer(&get("/repeat/", "busy"), &first));
         wait_until("it is busy", || site.plain[0].ran().iter().any(|id| id == "busy"));
         thread::sleep(ON_ITS_WAY);
-        answered(&get("/repeat/", "served"), &second).status()
+        send_expecting_answer(&get("/repeat/", "served"), &second).status()
     });
 
     assert_eq!(status, 200);
@@ -345,24 +352,26 @@
         thread::scope(|scope| {
             for n in 0..4 {
                 let vm = &vm;
-                scope.spawn(move || answered(&chain(&format!("hears-{n}")), vm));
+                scope.spawn(move || send_expecting_answer(&chain(&format!("hears-{n}")), vm));
             }
         });
-        vm.listed("targets_rates").len() == 2
+        vm.state_list("targets_rates").len() == 2
     });
 
     // Calls are shared, but the results of each request are given up by themselves.
     let served = thread::scope(|scope| {
         let ask = |n| {
             let vm = &vm;
-            scope.spawn(move || answered(&chain(&format!("together-{n}")), vm).status() == 200)
+            scope.spawn(move || {
+                send_expecting_answer(&chain(&format!("together-{n}")), vm).status() == 200
+            })
         };
         let asked: Vec<_> = (0..TOGETHER).map(ask).collect();
         asked.into_iter().filter_map(|one| one.join().ok()).filter(|served| *served).count()
     });
     thread::sleep(ON_ITS_WAY);
     let held: Vec<u64> =
-        vm.listed("targets_rates").iter().filter_map(|one| one["held_ms"].as_u64()).collect();
+        vm.state_list("targets_rates").iter().filter_map(|one| one["held_ms"].as_u64()).collect();
 
     assert_eq!(served, TOGETHER);
     assert_eq!(held.len(), 2);
--- a/tests/relayed_changes.rs
+++ b/tests/relayed_changes.rs
@@ -5,9 +5,9 @@
 
 use serde_json::json;
 use standins::fleet::wait_until;
-use standins::users::link::{Link, Passing};
-use standins::users::serving::{Site, Vm, usual_configuration};
-use standins::users::store::Mood;
+use standins::serving_path::faulty_link::{FaultyLink, LinkMode};
+use standins::serving_path::site::{Site, Vm, default_configuration};
+use standins::serving_path::store::StoreMode;
 
 /// VMs of a hall: with both halls more than are linked to all others.
 const EACH: usize = 6;
@@ -18,7 +18,7 @@
 struct Member {
     vm: Vm,
     /// Its way to the store.
-    link: Link,
+    link: FaultyLink,
     hall: &'static str,
 }
 
@@ -34,13 +34,13 @@
 
 fn start_fleet(site: &Site, name: &str) -> Vec<Member> {
     let start = |(number, hall): (usize, &'static str)| {
-        let link = Link::start(site.store.address).expect("a link");
+        let link = FaultyLink::start(site.store.address).expect("a link");
         let vm = Vm::start(&format!("{name}-{hall}-{number}"), hall, link.address, "");
         Member { vm, link, hall }
     };
     let halls = HALLS.into_iter().flat_map(|hall| (0..EACH).map(move |number| (number, hall)));
     let fleet: Vec<Member> = halls.map(start).collect();
-    fleet.iter().for_each(|member| site.wait_known(&member.vm));
+    fleet.iter().for_each(|member| site.wait_for_all_runners(&member.vm));
     fleet
 }
 
@@ -73,7 +73,7 @@
     let fleet = start_fleet(&site, "relay-few");
     wait_for_two_a_hall(&site, &fleet);
 
-    site.store.put("op/config", &usual_configuration(2));
+    site.store.put("op/config", &default_configuration(2));
 
     wait_for_version(&fleet, 2);
 }
@@ -85,7 +85,7 @@
     wait_for_two_a_hall(&site, &fleet);
 
     fleet.retain(|member| !member.watches());
-    site.store.put("op/config", &usual_configuration(2));
+    site.store.put("op/config", &default_configuration(2));
 
     wait_for_version(&fleet, 2);
     wait_for_two_a_hall(&site, &fleet);
@@ -97,8 +97,8 @@
     let fleet = start_fleet(&site, "relay-refused");
     wait_for_two_a_hall(&site, &fleet);
 
-    fleet.iter().filter(|member| member.watches()).for_each(|m| m.link.set(Passing::None));
-    site.store.put("op/config", &usual_configuration(2));
+    fleet.iter().filter(|member| member.watches()).for_each(|m| m.link.set(LinkMode::Blackhole));
+    site.store.put("op/config", &default_configuration(2));
 
     wait_for_version(&fleet, 2);
 }
@@ -108,13 +108,13 @@
     let site = Site::start();
     let fleet = start_fleet(&site, "relay-outage");
     wait_for_two_a_hall(&site, &fleet);
-    site.store.set_mood(Mood::Busy);
+    site.store.set_mode(StoreMode::Unavailable);
     wait_until("all have lost the store", || {
         fleet.iter().all(|member| member.vm.state()["store_lost"] == json!(true))
     });
 
-    site.store.set_mood(Mood::Well);
-    site.store.put("op/config", &usual_configuration(2));
+    site.store.set_mode(StoreMode::Normal);
+    site.store.put("op/config", &default_configuration(2));
 
     wait_for_version(&fleet, 2);
     wait_for_two_a_hall(&site, &fleet);
@@ -125,11 +125,11 @@
     let site = Site::start();
     let fleet = start_fleet(&site, "relay-forgotten");
     wait_for_two_a_hall(&site, &fleet);
-    site.store.set_mood(Mood::Silent);
-    site.store.put("op/config", &usual_configuration(2));
-    site.store.forget_history();
+    site.store.set_mode(StoreMode::Unresponsive);
+    site.store.put("op/config", &default_configuration(2));
+    site.store.compact_history();
 
-    site.store.set_mood(Mood::Well);
+    site.store.set_mode(StoreMode::Normal);
 
     wait_for_version(&fleet, 2);
 }
--- a/tests/scenes.rs
+++ b/tests/scenes.rs
@@ -1,6 +1,6 @@
 //! Scenes drawn from seeds, played with real processes; the soak plays hundreds of them by hand.
 
-use standins::users::scenes::{ResultScene, TurnScene};
+use standins::serving_path::scenarios::{QueuedCallScenario, ResultReleaseScenario};
 
 /// Seeds of calls that wait for their turn.
 const TURN_SEEDS: std::ops::Range<u64> = 0..8;
@@ -11,7 +11,7 @@
 #[test]
 fn inputs_are_kept_while_a_call_waits_for_its_turn_at_a_pool_at_work() {
     for seed in TURN_SEEDS {
-        let scene = TurnScene::draw(seed);
+        let scene = QueuedCallScenario::draw(seed);
 
         let calls = scene.calls(&format!("turn-{seed}"));
 
@@ -24,7 +24,7 @@
 #[test]
 fn results_are_given_up_once_though_a_vm_fails_in_fleets_of_any_size() {
     for seed in RESULT_SEEDS {
-        let scene = ResultScene::draw(seed);
+        let scene = ResultReleaseScenario::draw(seed);
 
         let told = scene.told(&format!("result-{seed}"));
 
