--- a/tests/serving.rs
+++ b/tests/serving.rs
@@ -9,29 +9,30 @@
 
 use serde_json::json;
 use standins::fleet::wait_until;
-use standins::users::Message;
-use standins::users::callers::Call;
-use standins::users::runners::{Act, Runner};
-use standins::users::serving::{
-    A_WHILE, HOST, Site, Vm, answered, events, get, post, usual_configuration,
+use standins::serving_path::HttpMessage;
+use standins::serving_path::callers::Call;
+use standins::serving_path::runners::{Behavior, Runner};
+use standins::serving_path::site::{
+    HOST, SETTLE_TIME, Site, Vm, default_configuration, event_ids, get, post, send_expecting_answer,
 };
-use standins::users::store::Mood;
+use standins::serving_path::store::StoreMode;
 
 #[test]
 fn answers_are_whole_and_calls_carry_what_they_should() {
     let site = Site::start();
     let vm = site.start_vm("whole", "");
 
-    let call = post("/once/x?y=z", "r-1").with("X-Own", "kept").with("Hold", "smuggled");
-    let answer = answered(&call, &vm);
+    let call =
+        post("/once/x?y=z", "r-1").with_header("X-Own", "kept").with_header("Hold", "smuggled");
+    let answer = send_expecting_answer(&call, &vm);
 
     assert_eq!(answer.status(), 200);
-    assert!(answer.whole && answer.text().ends_with("answers r-1"), "{answer:?}");
+    assert!(answer.is_complete && answer.text().ends_with("answers r-1"), "{answer:?}");
     assert!(answer.header("response-signature").starts_with("sig-i-plain"));
     assert_eq!(site.runs("r-1"), 1);
-    let seen: Vec<Message> = site.plain.iter().flat_map(|runner| runner.seen()).collect();
+    let seen: Vec<HttpMessage> = site.plain.iter().flat_map(|runner| runner.messages()).collect();
     assert_eq!(seen.len(), 1);
-    assert_eq!(seen[0].first, "POST /once/x?y=z HTTP/1.1");
+    assert_eq!(seen[0].start_line, "POST /once/x?y=z HTTP/1.1");
     assert_eq!(seen[0].body, b"a body");
     assert_eq!(seen[0].header("x-own"), "kept");
     assert_eq!(seen[0].header("hold"), "");
@@ -44,17 +45,17 @@
     let site = Site::start();
     let vm = site.start_vm("told", "");
 
-    assert_eq!(answered(&get("/nowhere/", "r-1"), &vm).status(), 404);
-    assert_eq!(answered(&get("/keyed/", "r-2"), &vm).status(), 401);
-    let wrong = get("/keyed/", "r-3").with("Authorization", "Bearer key-9");
-    assert_eq!(answered(&wrong, &vm).status(), 401);
+    assert_eq!(send_expecting_answer(&get("/nowhere/", "r-1"), &vm).status(), 404);
+    assert_eq!(send_expecting_answer(&get("/keyed/", "r-2"), &vm).status(), 401);
+    let wrong = get("/keyed/", "r-3").with_header("Authorization", "Bearer key-9");
+    assert_eq!(send_expecting_answer(&wrong, &vm).status(), 401);
     let large = Call::new("POST", HOST, "/once/", "r-4").body(&vec![b'x'; 70_000]);
-    assert_eq!(answered(&large, &vm).status(), 413);
+    assert_eq!(send_expecting_answer(&large, &vm).status(), 413);
     let no_id = Call::new("GET", HOST, "/repeat/", "not an id");
-    assert_eq!(answered(&no_id, &vm).status(), 400);
-    let known = get("/keyed/", "r-5").with("Authorization", "Bearer key-1");
-    assert_eq!(answered(&known, &vm).status(), 200);
-    let seen: Vec<Message> = site.plain.iter().flat_map(|runner| runner.seen()).collect();
+    assert_eq!(send_expecting_answer(&no_id, &vm).status(), 400);
+    let known = get("/keyed/", "r-5").with_header("Authorization", "Bearer key-1");
+    assert_eq!(send_expecting_answer(&known, &vm).status(), 200);
+    let seen: Vec<HttpMessage> = site.plain.iter().flat_map(|runner| runner.messages()).collect();
     assert_eq!(seen.len(), 1);
     assert_eq!(seen[0].header("tenant"), "quipu");
     assert_eq!(seen[0].header("authorization"), "");
@@ -63,32 +64,39 @@
 #[test]
 fn a_vm_that_knows_no_configuration_says_so() {
     let site = Site::start();
-    site.store.set_mood(Mood::Silent);
+    site.store.set_mode(StoreMode::Unresponsive);
     let vm = Vm::start("unknowing", "hall-a", site.store.address, "");
     wait_until("it listens", || get("/repeat/", "r-1").send(vm.callers).is_some());
 
-    let answer = answered(&get("/nowhere/", "r-2"), &vm);
+    let answer = send_expecting_answer(&get("/nowhere/", "r-2"), &vm);
 
     assert_eq!(answer.status(), 503);
     assert!(!vm.is_ready());
-    site.store.set_mood(Mood::Well);
-    site.wait_known(&vm);
-    assert_eq!(answered(&get("/repeat/", "r-3"), &vm).status(), 200);
+    site.store.set_mode(StoreMode::Normal);
+    site.wait_for_all_runners(&vm);
+    assert_eq!(send_expecting_answer(&get("/repeat/", "r-3"), &vm).status(), 200);
 }
 
 #[test]
 fn what_may_not_be_repeated_runs_once_whatever_comes_back() {
     let site = Site::start();
     let vm = site.start_vm("once", "");
-    let acts =
-        [Act::Lose, Act::CutBody, Act::Cross, Act::Garbage, Act::Unsigned, Act::Encoded, Act::Fail];
+    let acts = [
+        Behavior::Lose,
+        Behavior::CutBody,
+        Behavior::Cross,
+        Behavior::Garbage,
+        Behavior::Unsigned,
+        Behavior::Encoded,
+        Behavior::Fail,
+    ];
 
     for (number, act) in acts.iter().enumerate() {
-        Site::next(&site.plain, act);
+        Site::queue_behavior(&site.plain, act);
         let id = format!("once-{number}");
-        let answer = answered(&post("/once/", &id), &vm);
+        let answer = send_expecting_answer(&post("/once/", &id), &vm);
 
-        let expected = if *act == Act::Fail { 500 } else { 502 };
+        let expected = if *act == Behavior::Fail { 500 } else { 502 };
         assert_eq!(answer.status(), expected, "{act:?}");
         assert_eq!(site.runs(&id), 1, "{act:?}");
         // The runner that was not asked still has its act to do.
@@ -100,17 +108,17 @@
 fn what_did_not_run_is_tried_elsewhere_or_refused_with_a_time_to_come_back() {
     let site = Site::start();
     let vm = site.start_vm("declined", "");
-    Site::next(&site.plain, &Act::Decline);
+    Site::queue_behavior(&site.plain, &Behavior::Decline);
 
-    let answer = answered(&post("/once/", "r-1"), &vm);
+    let answer = send_expecting_answer(&post("/once/", "r-1"), &vm);
 
     assert_eq!(answer.status(), 503, "both declined");
     let come_back: f64 = answer.header("retry-after").parse().expect("seconds");
     assert!(come_back > 0.0);
     assert_eq!(site.runs("r-1"), 0);
-    site.plain[0].next(&[Act::Decline]);
-    site.plain[1].next(&[Act::Answer]);
-    assert_eq!(answered(&post("/once/", "r-2"), &vm).status(), 200);
+    site.plain[0].queue_behaviors(&[Behavior::Decline]);
+    site.plain[1].queue_behaviors(&[Behavior::Answer]);
+    assert_eq!(send_expecting_answer(&post("/once/", "r-2"), &vm).status(), 200);
     assert_eq!(site.runs("r-2"), 1);
 }
 
@@ -118,18 +126,27 @@
 fn what_may_be_repeated_is_served_though_answers_are_spoiled() {
     let site = Site::start();
     let vm = site.start_vm("repeat", "repeats: {slack: 100}\n");
-    for (number, act) in
-        [Act::Lose, Act::CutBody, Act::Cross, Act::Garbage, Act::Unsigned, Act::Fail]
-            .into_iter()
-            .enumerate()
+    for (number, act) in [
+        Behavior::Lose,
+        Behavior::CutBody,
+        Behavior::Cross,
+        Behavior::Garbage,
+        Behavior::Unsigned,
+        Behavior::Fail,
+    ]
+    .into_iter()
+    .enumerate()
     {
-        site.plain[number % 2].next(std::slice::from_ref(&act));
-        site.plain[1 - number % 2].next(&[Act::Answer]);
+        site.plain[number % 2].queue_behaviors(std::slice::from_ref(&act));
+        site.plain[1 - number % 2].queue_behaviors(&[Behavior::Answer]);
         let id = format!("repeat-{number}");
-        let answer = answered(&get("/repeat/", &id), &vm);
+        let answer = send_expecting_answer(&get("/repeat/", &id), &vm);
 
         assert_eq!(answer.status(), 200, "{act:?}");
-        assert!(answer.whole && answer.text().ends_with(&format!("answers {id}")), "{answer:?}");
+        assert!(
+            answer.is_complete && answer.text().ends_with(&format!("answers {id}")),
+            "{answer:?}"
+        );
         site.plain.iter().for_each(|runner| runner.clear_acts());
     }
 }
@@ -140,10 +157,10 @@
     let vm = site.start_vm("extra", "");
     for number in 0..30 {
         if number % 3 == 0 {
-            Site::next(&site.plain, &Act::Extra);
+            Site::queue_behavior(&site.plain, &Behavior::Extra);
         }
         let id = format!("extra-{number}");
-        let answer = answered(&post("/once/", &id), &vm);
+        let answer = send_expecting_answer(&post("/once/", &id), &vm);
 
         assert_eq!(answer.status(), 200);
         assert!(answer.text().ends_with(&format!("answers {id}")), "{answer:?}");
@@ -161,9 +178,9 @@
         site.store.remove(&format!("servers/{}", runner.id));
         site.store.put(&format!("servers/old-{}", runner.id), &old);
     }
-    thread::sleep(A_WHILE);
+    thread::sleep(SETTLE_TIME);
 
-    let answer = answered(&post("/once/", "r-1"), &vm);
+    let answer = send_expecting_answer(&post("/once/", "r-1"), &vm);
 
     assert_eq!(answer.status(), 503);
     assert_eq!(site.runs("r-1"), 0);
@@ -172,7 +189,7 @@
 #[test]
 fn all_vms_together_keep_no_more_at_rest_than_a_target_takes() {
     let site = Site::start();
-    let mut few = usual_configuration(2);
+    let mut few = default_configuration(2);
     let services = few["services"].as_array_mut().expect("services");
     services.iter_mut().for_each(|service| service["connection_limit"] = json!(1));
     let vms = [site.start_vm("rests-1", ""), site.start_vm("rests-2", "")];
@@ -180,17 +197,17 @@
         vms.iter().all(|vm| vm.state()["peers"][0]["linked"] == json!(true))
     });
     let open = || site.plain.iter().map(Runner::open_connections).sum::<u64>();
-    answered(&get("/repeat/", "r-1"), &vms[0]);
+    send_expecting_answer(&get("/repeat/", "r-1"), &vms[0]);
     let kept = open();
 
     site.store.put("op/config", &few);
     wait_until("it is in force", || vms.iter().all(|vm| vm.state()["configuration"] == json!(2)));
     for (number, vm) in vms.iter().cycle().take(8).enumerate() {
-        answered(&get("/repeat/", &format!("r-2{number}")), vm);
+        send_expecting_answer(&get("/repeat/", &format!("r-2{number}")), vm);
     }
 
     assert_eq!(kept, 1, "a connection is kept where the target takes 50");
-    thread::sleep(A_WHILE);
+    thread::sleep(SETTLE_TIME);
     assert_eq!(open(), 0, "none is at rest where it takes one from two VMs");
 }
 
@@ -198,23 +215,23 @@
 fn unframed_answers_are_passed_on_whole() {
     let site = Site::start();
     let vm = site.start_vm("unframed", "");
-    Site::next(&site.plain, &Act::Unframed);
+    Site::queue_behavior(&site.plain, &Behavior::Unframed);
 
-    let answer = answered(&post("/once/", "r-1"), &vm);
+    let answer = send_expecting_answer(&post("/once/", "r-1"), &vm);
 
     assert_eq!(answer.status(), 200);
-    assert!(answer.whole && answer.text().ends_with("answers r-1"));
+    assert!(answer.is_complete && answer.text().ends_with("answers r-1"));
 }
 
 #[test]
 fn an_answer_comes_by_the_end_of_the_time() {
     let site = Site::start();
     let vm = site.start_vm("time", "");
-    Site::next(&site.plain, &Act::Hang(Duration::from_secs(5)));
+    Site::queue_behavior(&site.plain, &Behavior::Hang(Duration::from_secs(5)));
     let began = Instant::now();
 
-    let call = Call::new("POST", HOST, "/once/", "r-1").with("Deadline-Milliseconds", "600");
-    let answer = answered(&call, &vm);
+    let call = Call::new("POST", HOST, "/once/", "r-1").with_header("Deadline-Milliseconds", "600");
+    let answer = send_expecting_answer(&call, &vm);
 
     assert_eq!(answer.status(), 504, "it may have run");
     assert!(began.elapsed() < Duration::from_millis(1100), "{:?}", began.elapsed());
@@ -224,19 +241,21 @@
 fn configurations_come_into_force_and_a_bad_one_is_kept_out() {
     let site = Site::start();
     let vm = site.start_vm("config", "");
-    let mut next = usual_configuration(5);
+    let mut next = default_configuration(5);
     next["routes"][0]["path_prefix"] = json!("/moved/");
     next["tenants"] = json!([{"name": "quipu", "api_keys": ["key-2"]}]);
 
     site.store.put("op/config", &next);
-    wait_until("the route has moved", || answered(&get("/moved/", "r-1"), &vm).status() == 200);
+    wait_until("the route has moved", || {
+        send_expecting_answer(&get("/moved/", "r-1"), &vm).status() == 200
+    });
     site.store.put("op/config", &json!({"version": 6, "routes": "none"}));
-    thread::sleep(A_WHILE);
+    thread::sleep(SETTLE_TIME);
 
-    assert_eq!(answered(&get("/moved/", "r-2"), &vm).status(), 200);
-    assert_eq!(answered(&get("/repeat/", "r-3"), &vm).status(), 404);
-    let old = get("/keyed/", "r-4").with("Authorization", "Bearer key-1");
-    assert_eq!(answered(&old, &vm).status(), 401);
+    assert_eq!(send_expecting_answer(&get("/moved/", "r-2"), &vm).status(), 200);
+    assert_eq!(send_expecting_answer(&get("/repeat/", "r-3"), &vm).status(), 404);
+    let old = get("/keyed/", "r-4").with_header("Authorization", "Bearer key-1");
+    assert_eq!(send_expecting_answer(&old, &vm).status(), 401);
     assert_eq!(vm.state()["configuration"], json!(5));
     wait_until("it is told", || vm.log().contains("configuration kept out"));
 }
@@ -248,20 +267,20 @@
     // This VM reaches the store over a stand-in of its own that goes silent.
     let far = site.start_vm("far", "");
     wait_until("they are linked", || far.state()["peers"][0]["linked"] == json!(true));
-    let newer = usual_configuration(9);
+    let newer = default_configuration(9);
     site.store.put("op/config", &newer);
     wait_until("both have it", || {
         [&near, &far].iter().all(|vm| vm.state()["configuration"] == json!(9))
     });
-    site.store.set_mood(Mood::Silent);
+    site.store.set_mode(StoreMode::Unresponsive);
     let seed = format!("seeds: [{}]\n", near.peers());
 
     let started = Vm::start("started", "hall-a", site.store.address, &seed);
 
     started.wait_ready();
     assert_eq!(started.state()["configuration"], json!(9));
-    assert_eq!(answered(&get("/repeat/", "r-1"), &started).status(), 200);
-    site.store.set_mood(Mood::Well);
+    assert_eq!(send_expecting_answer(&get("/repeat/", "r-1"), &started).status(), 200);
+    site.store.set_mode(StoreMode::Normal);
 }
 
 #[test]
@@ -270,23 +289,26 @@
     let vm = site.start_vm("leaving", "");
     let gone = &site.plain[0];
     site.store.put(&format!("servers/{}", gone.id), &gone.entry("plain", "hall-a", "draining"));
-    thread::sleep(A_WHILE);
+    thread::sleep(SETTLE_TIME);
     for number in 0..10 {
-        assert_eq!(answered(&get("/repeat/", &format!("r-{number}")), &vm).status(), 200);
+        assert_eq!(
+            send_expecting_answer(&get("/repeat/", &format!("r-{number}")), &vm).status(),
+            200
+        );
     }
     assert_eq!(gone.ran().len(), 0);
 
-    site.store.set_mood(Mood::Busy);
+    site.store.set_mode(StoreMode::Unavailable);
     wait_until("the VM has lost the store", || vm.state()["store_lost"] == json!(true));
     let lapsed = &site.plain[1];
     site.store.remove(&format!("servers/{}", lapsed.id));
-    site.store.set_mood(Mood::Well);
+    site.store.set_mode(StoreMode::Normal);
     wait_until("the VM has the store again", || vm.state()["store_lost"] == json!(false));
-    thread::sleep(A_WHILE);
-    assert_eq!(answered(&get("/repeat/", "kept"), &vm).status(), 200);
+    thread::sleep(SETTLE_TIME);
+    assert_eq!(send_expecting_answer(&get("/repeat/", "kept"), &vm).status(), 200);
 
     wait_until("it is taken as gone in the end", || {
-        answered(&get("/repeat/", "late"), &vm).status() == 503
+        send_expecting_answer(&get("/repeat/", "late"), &vm).status() == 503
     });
 }
 
@@ -295,15 +317,15 @@
     let site = Site::start();
     let vm = site.start_vm("seldom", "");
     wait_until("its own entry stands", || !site.store.keys("saddlerail/vms/").is_empty());
-    thread::sleep(A_WHILE);
+    thread::sleep(SETTLE_TIME);
     let before = site.store.calls();
     thread::sleep(Duration::from_secs(7));
     let asked = site.store.calls() - before;
 
-    site.store.set_mood(Mood::Silent);
+    site.store.set_mode(StoreMode::Unresponsive);
     wait_until("the VM has lost the store", || vm.log().contains("store lost"));
-    site.store.put("op/config", &usual_configuration(3));
-    site.store.set_mood(Mood::Well);
+    site.store.put("op/config", &default_configuration(3));
+    site.store.set_mode(StoreMode::Normal);
 
     assert!(asked <= 4, "{asked} calls in 7 s: only its lease is renewed, every 1.9 s");
     assert!(vm.log().contains("call=renew"), "the waiting watch does not tell");
@@ -314,13 +336,13 @@
 fn a_forgotten_history_loses_no_change() {
     let site = Site::start();
     let vm = site.start_vm("history", "");
-    site.store.set_mood(Mood::Busy);
+    site.store.set_mode(StoreMode::Unavailable);
     wait_until("the VM has lost the store", || vm.state()["store_lost"] == json!(true));
-    site.store.put("op/config", &usual_configuration(3));
-    site.store.put("op/config", &usual_configuration(4));
-    site.store.forget_history();
+    site.store.put("op/config", &default_configuration(3));
+    site.store.put("op/config", &default_configuration(4));
+    site.store.compact_history();
 
-    site.store.set_mood(Mood::Well);
+    site.store.set_mode(StoreMode::Normal);
 
     wait_until("the newest is in force", || vm.state()["configuration"] == json!(4));
 }
@@ -332,19 +354,19 @@
     let other = Vm::start("silent", "hall-b", site.store.address, "");
     other.wait_ready();
     wait_until("they are linked", || vm.state()["peers"][0]["linked"] == json!(true));
-    let far = Runner::start("i-far", Act::Answer).expect("a runner starts");
+    let far = Runner::start("i-far", Behavior::Answer).expect("a runner starts");
     site.store.put("servers/i-far", &far.entry("plain", "hall-b", "ready"));
     wait_until("it is known", || vm.state()["targets"] == json!(7));
 
     other.signal("-STOP");
-    thread::sleep(A_WHILE * 2);
+    thread::sleep(SETTLE_TIME * 2);
     let with_a_target = vm.state()["halls_out_of_reach"].clone();
     let mut closed = far.entry("plain", "hall-b", "ready");
     closed["address"] = json!(closed_address());
     site.store.put("servers/i-far", &closed);
     wait_until("it is out of reach", || vm.state()["halls_out_of_reach"] == json!(["hall-b"]));
     let answers: Vec<u16> = (0..8)
-        .map(|number| answered(&get("/repeat/", &format!("r-{number}")), &vm).status())
+        .map(|number| send_expecting_answer(&get("/repeat/", &format!("r-{number}")), &vm).status())
         .collect();
     other.signal("-CONT");
 
@@ -367,20 +389,20 @@
     let site = Site::start();
     let mut vm = site.start_vm("stop", "stop: {notice_ms: 300, grace_s: 4}\n");
     let address = vm.callers;
-    Site::next(&site.engines, &Act::SlowStream(50, Duration::from_millis(20)));
+    Site::queue_behavior(&site.engines, &Behavior::SlowStream(50, Duration::from_millis(20)));
     let stream = thread::spawn(move || post("/stream/", "s-1").send(address));
     wait_until("the stream runs", || site.runs("s-1") == 1);
 
     vm.signal("-TERM");
     wait_until("it is not ready", || !vm.is_ready());
-    let meanwhile = answered(&get("/repeat/", "r-1"), &vm);
+    let meanwhile = send_expecting_answer(&get("/repeat/", "r-1"), &vm);
 
     assert_eq!(meanwhile.status(), 200, "until the balancer has heard");
     assert_eq!(meanwhile.header("connection"), "close");
     let stream = stream.join().expect("no panic").expect("an answer");
-    assert!(stream.whole);
-    assert_eq!(events(&stream).len(), 50);
-    assert_eq!(vm.wait_end(), Some(0));
+    assert!(stream.is_complete);
+    assert_eq!(event_ids(&stream).len(), 50);
+    assert_eq!(vm.wait_exit(), Some(0));
 }
 
 #[test]
@@ -391,7 +413,7 @@
     vm.signal("-HUP");
 
     wait_until("it is told", || vm.log().contains("settings read again"));
-    assert_eq!(answered(&get("/repeat/", "r-1"), &vm).status(), 200);
+    assert_eq!(send_expecting_answer(&get("/repeat/", "r-1"), &vm).status(), 200);
 }
 
 #[test]
@@ -402,16 +424,16 @@
     site.store.put("servers/broken", &json!({"service": 7}));
 
     wait_until("it is told", || vm.log().contains("target's entry left out"));
-    assert_eq!(answered(&get("/repeat/", "r-1"), &vm).status(), 200);
+    assert_eq!(send_expecting_answer(&get("/repeat/", "r-1"), &vm).status(), 200);
 }
 
 #[test]
 fn a_request_can_be_followed_from_its_id_and_counted() {
     let site = Site::start();
     let vm = site.start_vm("told-apart", "");
-    Site::next(&site.plain, &Act::Lose);
+    Site::queue_behavior(&site.plain, &Behavior::Lose);
 
-    answered(&post("/once/", "lost-1"), &vm);
+    send_expecting_answer(&post("/once/", "lost-1"), &vm);
 
     let lines = |what: &str| {
         let log = vm.log();
@@ -419,7 +441,7 @@
     };
     wait_until("the try is told", || lines("msg=try") && lines("missed=\"Lost"));
     wait_until("the end is told", || lines("msg=\"request ended\"") && lines("outcome=unknown"));
-    let page = vm.page("/metrics");
+    let page = vm.operations_page("/metrics");
     assert!(page.contains("saddlerail_requests_total"), "{page}");
     assert!(page.contains("outcome=\"unknown\""), "{page}");
 }
--- a/tests/serving_logs.rs
+++ b/tests/serving_logs.rs
@@ -7,7 +7,7 @@
 use std::io::{BufRead, BufReader};
 use std::time::{Duration, Instant};
 
-use standins::users::serving::{Site, Vm, answered, get};
+use standins::serving_path::site::{Site, Vm, get, send_expecting_answer};
 
 /// Requests that write several times what a pipe and the lines kept in memory hold.
 const FLOOD: u32 = 2500;
@@ -19,12 +19,13 @@
 fn a_log_that_nobody_reads_holds_nothing_up_and_what_is_dropped_is_counted() {
     let site = Site::start();
     let (vm, out) = Vm::start_piped("flood", site.store.address);
-    site.wait_known(&vm);
+    site.wait_for_all_runners(&vm);
 
     let slowest = (0..FLOOD)
         .map(|number| {
             let began = Instant::now();
-            let status = answered(&get("/repeat/", &format!("r-{number}")), &vm).status();
+            let status =
+                send_expecting_answer(&get("/repeat/", &format!("r-{number}")), &vm).status();
             assert_eq!(status, 200, "request {number}");
             began.elapsed()
         })
@@ -36,6 +37,6 @@
     let dropped = dropped.expect("what was dropped is told");
     let count = dropped.rsplit_once("lines=").and_then(|(_, count)| count.parse::<u64>().ok());
     assert!(count.is_some_and(|count| count > 0), "{dropped}");
-    answered(&get("/repeat/", "later"), &vm);
+    send_expecting_answer(&get("/repeat/", "later"), &vm);
     assert!(lines.any(|line| line.contains("request=later")), "lines are written again");
 }
--- a/tests/serving_stops.rs
+++ b/tests/serving_stops.rs
@@ -9,10 +9,10 @@
 
 use serde_json::json;
 use standins::fleet::wait_until;
-use standins::users::callers::Call;
-use standins::users::runners::{Act, Runner};
-use standins::users::serving::{HOST, Site, Vm, usual_configuration};
-use standins::users::{Message, Wire};
+use standins::serving_path::callers::Call;
+use standins::serving_path::runners::{Behavior, Runner};
+use standins::serving_path::site::{HOST, Site, Vm, default_configuration};
+use standins::serving_path::{HttpConnection, HttpMessage};
 
 /// Times of a stop: the grace is shorter than the time that requests have.
 const STOP: &str = "stop: {notice_ms: 1000, grace_s: 4}\n";
@@ -29,12 +29,12 @@
 /// When the signal comes after the first request.
 const SIGNAL_AFTER: Duration = Duration::from_millis(700);
 /// Longer than a stop.
-const SILENT: Act = Act::Hang(Duration::from_secs(15));
+const SILENT: Behavior = Behavior::Hang(Duration::from_secs(15));
 
 /// A site whose requests have [`LONG_MS`] and may wait for most of it.
 fn long_site() -> Site {
     let site = Site::start();
-    let mut cfg = usual_configuration(2);
+    let mut cfg = default_configuration(2);
     for route in cfg["routes"].as_array_mut().expect("routes") {
         route["timeout_ms"] = json!(LONG_MS);
         route["target_latency_ms"] = json!(2500);
@@ -51,13 +51,17 @@
 
 fn long_call(path: &str, id: &str) -> Call {
     let call = Call::new("POST", HOST, path, id)
-        .with("Deadline-Milliseconds", &LONG_MS.to_string())
+        .with_header("Deadline-Milliseconds", &LONG_MS.to_string())
         .body(b"a body");
-    if path == "/chain/" { call.with("Pieces", "1,2").with("Piece-Key", "k") } else { call }
+    if path == "/chain/" {
+        call.with_header("Pieces", "1,2").with_header("Piece-Key", "k")
+    } else {
+        call
+    }
 }
 
 /// Sends requests one after the other, without waiting for answers, and stops the VM among them; gives the answers.
-fn ask_and_stop(vm: &mut Vm, path: &str) -> Vec<Option<Message>> {
+fn ask_and_stop(vm: &mut Vm, path: &str) -> Vec<Option<HttpMessage>> {
     let address = vm.callers;
     thread::scope(|scope| {
         let asked: Vec<_> = (0..REQUESTS)
@@ -71,19 +75,19 @@
         thread::sleep(SIGNAL_AFTER);
         let signalled = Instant::now();
         vm.signal("-TERM");
-        assert_eq!(vm.wait_end(), Some(0));
+        assert_eq!(vm.wait_exit(), Some(0));
         assert!(signalled.elapsed() < GRACE, "{:?}", signalled.elapsed());
         asked.into_iter().map(|one| one.join().expect("no panic")).collect()
     })
 }
 
-fn statuses(answers: &[Option<Message>]) -> Vec<u16> {
-    answers.iter().map(|answer| answer.as_ref().map_or(0, Message::status)).collect()
+fn statuses(answers: &[Option<HttpMessage>]) -> Vec<u16> {
+    answers.iter().map(|answer| answer.as_ref().map_or(0, HttpMessage::status)).collect()
 }
 
 /// All of a list of runners do so from now on.
-fn always(runners: &[Runner], act: &Act) {
-    runners.iter().for_each(|runner| runner.next(&vec![act.clone(); 1000]));
+fn always(runners: &[Runner], act: &Behavior) {
+    runners.iter().for_each(|runner| runner.queue_behaviors(&vec![act.clone(); 1000]));
 }
 
 /// Guards against requests that a stopping VM closes without an answer (LOST).
@@ -92,7 +96,7 @@
     type Case = (&'static str, &'static str, fn(&Site), u16);
     let cases: [Case; 6] = [
         ("workers-silent", "/chain/", |site| always(&site.pool, &SILENT), 503),
-        ("workers-full", "/chain/", |site| always(&site.pool, &Act::Decline), 503),
+        ("workers-full", "/chain/", |site| always(&site.pool, &Behavior::Decline), 503),
         ("no-worker", "/chain/", |site| remove(site, &site.pool), 503),
         ("engines-silent", "/stream/", |site| always(&site.engines, &SILENT), 502),
         ("resumable-engines-silent", "/resumed/", |site| always(&site.engines, &SILENT), 502),
@@ -110,7 +114,10 @@
                 let statuses = statuses(&answers);
                 let is_told = |status: &u16| [200, unserved, 503].contains(status);
                 assert!(statuses.iter().all(is_told), "{name}: {statuses:?}");
-                assert!(answers.iter().flatten().all(|answer| answer.whole), "{name}: {answers:?}");
+                assert!(
+                    answers.iter().flatten().all(|answer| answer.is_complete),
+                    "{name}: {answers:?}"
+                );
                 for answer in answers.iter().flatten().filter(|answer| answer.status() == 503) {
                     assert!(!answer.header("retry-after").is_empty(), "{name}: {answer:?}");
                 }
@@ -138,8 +145,8 @@
 fn a_request_that_can_not_end_before_the_process_is_handed_back_at_once() {
     let site = long_site();
     let mut vm = start_vm(&site, "stop-known");
-    let slow = Act::SlowStream(30, Duration::from_millis(100));
-    site.engines.iter().for_each(|engine| engine.next(&vec![slow.clone(); 8]));
+    let slow = Behavior::SlowStream(30, Duration::from_millis(100));
+    site.engines.iter().for_each(|engine| engine.queue_behaviors(&vec![slow.clone(); 8]));
     let address = vm.callers;
     let ask = move |path, id: &str| {
         let call = long_call(path, id);
@@ -149,7 +156,7 @@
         })
     };
     let learned: Vec<_> = (0..8).map(|number| ask("/chain/", &format!("l-{number}"))).collect();
-    assert!(learned.into_iter().all(|one| one.join().expect("no panic").0.whole));
+    assert!(learned.into_iter().all(|one| one.join().expect("no panic").0.is_complete));
 
     always(&site.pool, &SILENT);
     let made_before = calls(&site);
@@ -165,7 +172,7 @@
     assert!(took < Duration::from_millis(300), "{took:?}");
     assert!(held < Duration::from_secs(2), "{held:?}");
     assert_eq!(site.runs("before") + site.runs("during"), 0);
-    assert_eq!(vm.wait_end(), Some(0));
+    assert_eq!(vm.wait_exit(), Some(0));
 }
 
 /// Guards against callers who are sent elsewhere at once where no other VM serves, or held off where one does.
@@ -188,7 +195,7 @@
             if has_peer { come_back < 0.1 } else { come_back > 1.0 },
             "{has_peer}: {come_back}"
         );
-        assert_eq!(vm.wait_end(), Some(0));
+        assert_eq!(vm.wait_exit(), Some(0));
         drop(peer);
     }
 }
@@ -210,7 +217,7 @@
     }
 
     assert_eq!(asked.join().expect("no panic").map(|answer| answer.status()), Some(502));
-    assert_eq!(vm.wait_end(), Some(0));
+    assert_eq!(vm.wait_exit(), Some(0));
     assert!(signalled.elapsed() < GRACE, "{:?}", signalled.elapsed());
 }
 
@@ -231,7 +238,7 @@
     vm.signal("-CONT");
 
     assert_eq!(asked.join().expect("no panic").map(|answer| answer.status()), Some(502));
-    assert_eq!(vm.wait_end(), Some(0));
+    assert_eq!(vm.wait_exit(), Some(0));
 }
 
 /// Guards against answers that a stopping VM has begun to send and cuts for a caller that reads slowly.
@@ -240,7 +247,7 @@
     const BYTES: usize = 48 << 20;
     let site = long_site();
     let mut vm = start_vm(&site, "stop-slow-reader");
-    always(&site.plain, &Act::Large(BYTES));
+    always(&site.plain, &Behavior::Large(BYTES));
     let (address, is_answered) = (vm.callers, || vm.log().contains("outcome=whole"));
     let read_late = || {
         wait_until("the VM has answered", is_answered);
@@ -251,9 +258,9 @@
     let answer = long_call("/once/", "r-1").send_and_read_after(address, read_late);
 
     let answer = answer.expect("a head");
-    assert!(answer.whole, "cut");
+    assert!(answer.is_complete, "cut");
     assert_eq!(answer.body.len(), BYTES);
-    assert_eq!(vm.wait_end(), Some(0));
+    assert_eq!(vm.wait_exit(), Some(0));
 }
 
 /// Guards against stops that last as long as the grace for connections on which nothing is under way.
@@ -262,13 +269,13 @@
     let site = long_site();
     let mut vm = start_vm(&site, "stop-rest");
     let _unused = TcpStream::connect(vm.callers).expect("a connection");
-    let mut kept = Wire::new(TcpStream::connect(vm.callers).expect("a connection"));
+    let mut kept = HttpConnection::new(TcpStream::connect(vm.callers).expect("a connection"));
     let answer = long_call("/repeat/", "r-1").send_on(&mut kept).expect("an answer");
-    assert!(answer.whole);
+    assert!(answer.is_complete);
 
     let signalled = Instant::now();
     vm.signal("-TERM");
 
-    assert_eq!(vm.wait_end(), Some(0));
+    assert_eq!(vm.wait_exit(), Some(0));
     assert!(signalled.elapsed() < GRACE.mul_f64(0.75), "{:?}", signalled.elapsed());
 }
--- a/tests/serving_streams.rs
+++ b/tests/serving_streams.rs
@@ -10,23 +10,25 @@
 
 use serde_json::json;
 use standins::fleet::wait_until;
-use standins::users::Message;
-use standins::users::runners::{Act, Runner};
-use standins::users::serving::{Site, Vm, answered, events, post, usual_configuration};
+use standins::serving_path::HttpMessage;
+use standins::serving_path::runners::{Behavior, Runner};
+use standins::serving_path::site::{
+    Site, Vm, default_configuration, event_ids, post, send_expecting_answer,
+};
 
 #[test]
 fn streams_are_passed_on_and_a_cut_one_is_seen_as_cut() {
     let site = Site::start();
     let vm = site.start_vm("streams", "");
 
-    let whole = answered(&post("/stream/", "s-1"), &vm);
-    Site::next(&site.engines, &Act::BreakStream(3));
-    let cut = answered(&post("/stream/", "s-2"), &vm);
+    let whole = send_expecting_answer(&post("/stream/", "s-1"), &vm);
+    Site::queue_behavior(&site.engines, &Behavior::BreakStream(3));
+    let cut = send_expecting_answer(&post("/stream/", "s-2"), &vm);
 
-    assert!(whole.whole);
-    assert_eq!(events(&whole), [1, 2, 3, 4, 5]);
-    assert!(!cut.whole, "{cut:?}");
-    assert_eq!(events(&cut), [1, 2, 3], "no part of an event is passed on");
+    assert!(whole.is_complete);
+    assert_eq!(event_ids(&whole), [1, 2, 3, 4, 5]);
+    assert!(!cut.is_complete, "{cut:?}");
+    assert_eq!(event_ids(&cut), [1, 2, 3], "no part of an event is passed on");
     assert_eq!(site.runs("s-2"), 1);
 }
 
@@ -34,24 +36,24 @@
 fn a_stream_that_may_be_resumed_loses_and_doubles_nothing() {
     let site = Site::start();
     let vm = site.start_vm("resumed", "");
-    site.engines[0].next(&[Act::BreakStream(3)]);
-    site.engines[1].next(&[Act::BreakStream(3)]);
+    site.engines[0].queue_behaviors(&[Behavior::BreakStream(3)]);
+    site.engines[1].queue_behaviors(&[Behavior::BreakStream(3)]);
 
-    let answer = answered(&post("/resumed/", "s-1"), &vm);
+    let answer = send_expecting_answer(&post("/resumed/", "s-1"), &vm);
 
     // The second engine breaks off at once, since it goes on after the third event.
-    assert_eq!(events(&answer), [1, 2, 3]);
-    assert!(!answer.whole, "two tries are allowed");
+    assert_eq!(event_ids(&answer), [1, 2, 3]);
+    assert!(!answer.is_complete, "two tries are allowed");
     let one_breaks = || {
-        site.engines[0].next(&[Act::BreakStream(3)]);
-        site.engines[1].next(&[Act::Stream(5)]);
+        site.engines[0].queue_behaviors(&[Behavior::BreakStream(3)]);
+        site.engines[1].queue_behaviors(&[Behavior::Stream(5)]);
     };
     one_breaks();
     let mut seen = Vec::new();
     for number in 0..2 {
-        let answer = answered(&post("/resumed/", &format!("s-1{number}")), &vm);
-        assert!(answer.whole, "{answer:?}");
-        assert_eq!(events(&answer), [1, 2, 3, 4, 5]);
+        let answer = send_expecting_answer(&post("/resumed/", &format!("s-1{number}")), &vm);
+        assert!(answer.is_complete, "{answer:?}");
+        assert_eq!(event_ids(&answer), [1, 2, 3, 4, 5]);
         seen.push(site.runs(&format!("s-1{number}")));
     }
     assert!(seen.contains(&2), "one of them was taken up elsewhere: {seen:?}");
@@ -63,13 +65,14 @@
     let vm = site.start_vm("again", "");
     for (number, engine) in site.engines.iter().enumerate() {
         site.engines.iter().for_each(|other| other.clear_acts());
-        engine.next(&[Act::BreakStream(3), Act::BreakStream(3)]);
-        site.engines[1 - number].next(&[Act::StreamFromFirst(5), Act::StreamFromFirst(5)]);
+        engine.queue_behaviors(&[Behavior::BreakStream(3), Behavior::BreakStream(3)]);
+        site.engines[1 - number]
+            .queue_behaviors(&[Behavior::StreamFromFirst(5), Behavior::StreamFromFirst(5)]);
 
-        let answer = answered(&post("/resumed/", &format!("s-{number}")), &vm);
+        let answer = send_expecting_answer(&post("/resumed/", &format!("s-{number}")), &vm);
 
-        assert!(answer.whole, "{answer:?}");
-        assert_eq!(events(&answer), [1, 2, 3, 4, 5]);
+        assert!(answer.is_complete, "{answer:?}");
+        assert_eq!(event_ids(&answer), [1, 2, 3, 4, 5]);
     }
 }
 
@@ -77,11 +80,11 @@
 fn a_caller_that_leaves_ends_the_work() {
     let site = Site::start();
     let vm = site.start_vm("leaves", "");
-    Site::next(&site.engines, &Act::SlowStream(500, Duration::from_millis(20)));
+    Site::queue_behavior(&site.engines, &Behavior::SlowStream(500, Duration::from_millis(20)));
 
-    post("/stream/", "s-1").send_and_leave(vm.callers, Duration::from_millis(300));
+    post("/stream/", "s-1").send_and_disconnect(vm.callers, Duration::from_millis(300));
 
-    let cut_off = || site.engines.iter().map(|engine| engine.cut_off()).sum::<u64>();
+    let cut_off = || site.engines.iter().map(|engine| engine.aborted_streams()).sum::<u64>();
     let left = Instant::now();
     wait_until("the engine's reader is gone", || cut_off() == 1);
     assert!(left.elapsed() < Duration::from_millis(500));
@@ -92,21 +95,21 @@
     let site = Site::start();
     let vm = site.start_vm("stages", "");
 
-    let call = post("/chain/", "c-1").with("Pieces", "2,3").with("Piece-Key", "k");
-    let answer = answered(&call, &vm);
+    let call = post("/chain/", "c-1").with_header("Pieces", "2,3").with_header("Piece-Key", "k");
+    let answer = send_expecting_answer(&call, &vm);
 
-    assert!(answer.whole);
-    assert_eq!(events(&answer), [1, 2, 3, 4, 5]);
+    assert!(answer.is_complete);
+    assert_eq!(event_ids(&answer), [1, 2, 3, 4, 5]);
     let mut pieces: Vec<_> = site.pool.iter().flat_map(|runner| runner.pieces()).collect();
     pieces.sort();
     let of = |stage, piece| ("c-1".to_owned(), stage, piece);
     assert_eq!(pieces, [of(0, 0), of(0, 1), of(1, 0), of(1, 1), of(1, 2)]);
-    let engine = site.engines.iter().flat_map(|engine| engine.seen()).next().expect("a run");
+    let engine = site.engines.iter().flat_map(|engine| engine.messages()).next().expect("a run");
     assert_eq!(engine.header("inputs").split(',').count(), 3);
-    let second: Vec<Message> = site
+    let second: Vec<HttpMessage> = site
         .pool
         .iter()
-        .flat_map(|runner| runner.seen())
+        .flat_map(|runner| runner.messages())
         .filter(|call| call.text().contains("inputs"))
         .collect();
     assert!(second.iter().all(|call| !call.text().contains("private_key")));
@@ -122,21 +125,21 @@
         vms.iter().all(|vm| vm.state()["peers"][0]["linked"] == json!(true))
     });
 
-    let answers: Vec<Message> = thread::scope(|scope| {
+    let answers: Vec<HttpMessage> = thread::scope(|scope| {
         let asked: Vec<_> = (0..12)
             .map(|number| {
                 let vm = &vms[number % 2];
                 let call = post("/chain/", &format!("c-{number}"));
-                let call = call.with("Pieces", "1,2").with("Piece-Key", "k");
-                scope.spawn(move || answered(&call, vm))
+                let call = call.with_header("Pieces", "1,2").with_header("Piece-Key", "k");
+                scope.spawn(move || send_expecting_answer(&call, vm))
             })
             .collect();
         asked.into_iter().map(|asked| asked.join().expect("no panic")).collect()
     });
 
-    assert!(answers.iter().all(|answer| answer.whole && events(answer).len() == 5));
+    assert!(answers.iter().all(|answer| answer.is_complete && event_ids(answer).len() == 5));
     let pieces: usize = site.pool.iter().map(|runner| runner.pieces().len()).sum();
-    let calls: usize = site.pool.iter().map(|runner| runner.seen().len()).sum();
+    let calls: usize = site.pool.iter().map(|runner| runner.messages().len()).sum();
     assert_eq!(pieces, 36);
     assert!(calls < 24, "{calls} calls for 24 stages");
 }
@@ -145,14 +148,15 @@
 fn a_lost_call_and_a_result_that_is_gone_are_made_up_for() {
     let site = Site::start();
     let vm = site.start_vm("gone", "");
-    let call = |id: &str| post("/chain/", id).with("Pieces", "1,1").with("Piece-Key", "k");
+    let call =
+        |id: &str| post("/chain/", id).with_header("Pieces", "1,1").with_header("Piece-Key", "k");
 
-    Site::next(&site.pool, &Act::Lose);
-    let lost = answered(&call("c-1"), &vm);
-    Site::next(&site.engines, &Act::InputGone);
-    let gone = answered(&call("c-2"), &vm);
+    Site::queue_behavior(&site.pool, &Behavior::Lose);
+    let lost = send_expecting_answer(&call("c-1"), &vm);
+    Site::queue_behavior(&site.engines, &Behavior::InputGone);
+    let gone = send_expecting_answer(&call("c-2"), &vm);
 
-    assert!(lost.whole && events(&lost).len() == 5, "{lost:?}");
+    assert!(lost.is_complete && event_ids(&lost).len() == 5, "{lost:?}");
     assert_eq!(gone.status(), 503, "both engines could not fetch the input: {gone:?}");
     assert_eq!(site.runs("c-2"), 0);
 }
@@ -162,13 +166,13 @@
     let site = Site::start();
     site.store.remove("servers/i-pool-2");
     let vm = site.start_vm("all-gone", "");
-    site.pool[0].next(&[Act::Answer, Act::InputGone]);
+    site.pool[0].queue_behaviors(&[Behavior::Answer, Behavior::InputGone]);
 
-    let call = post("/chain/", "c-1").with("Pieces", "1,6").with("Piece-Key", "k");
-    let answer = answered(&call, &vm);
+    let call = post("/chain/", "c-1").with_header("Pieces", "1,6").with_header("Piece-Key", "k");
+    let answer = send_expecting_answer(&call, &vm);
 
-    assert!(answer.whole && events(&answer).len() == 5, "{answer:?}");
-    assert_eq!(site.pool[0].seen().len(), 4, "each stage is called twice");
+    assert!(answer.is_complete && event_ids(&answer).len() == 5, "{answer:?}");
+    assert_eq!(site.pool[0].messages().len(), 4, "each stage is called twice");
 }
 
 /// Which of two VMs fills the pool's calls, once they are linked.
@@ -185,16 +189,18 @@
     let mut vms = vec![site.start_vm("dies-1", ""), site.start_vm("dies-2", "")];
     let owner = owner_of_the_pool(&vms);
     let asker = 1 - owner;
-    site.pool.iter().for_each(|runner| runner.next(&[Act::Hang(Duration::from_millis(400))]));
+    site.pool
+        .iter()
+        .for_each(|runner| runner.queue_behaviors(&[Behavior::Hang(Duration::from_millis(400))]));
     let address = vms[asker].callers;
-    let call = post("/chain/", "c-1").with("Pieces", "1,1").with("Piece-Key", "k");
+    let call = post("/chain/", "c-1").with_header("Pieces", "1,1").with_header("Piece-Key", "k");
     let asked = thread::spawn(move || call.send(address));
-    wait_until("the piece is at work", || site.pool.iter().any(|r| !r.seen().is_empty()));
+    wait_until("the piece is at work", || site.pool.iter().any(|r| !r.messages().is_empty()));
 
     drop(vms.remove(owner));
 
     let answer = asked.join().expect("no panic").expect("an answer");
-    assert!(answer.whole && events(&answer).len() == 5, "{answer:?}");
+    assert!(answer.is_complete && event_ids(&answer).len() == 5, "{answer:?}");
 }
 
 /// Guards against a result that two VMs give up, or none, when the one that had it made is killed.
@@ -204,10 +210,10 @@
     let mut vms = vec![site.start_vm("gone-1", ""), site.start_vm("gone-2", "")];
     let owner = owner_of_the_pool(&vms);
     let address = vms[1 - owner].callers;
-    Site::next(&site.engines, &Act::Hang(Duration::from_millis(900)));
-    let call = post("/chain/", "c-1").with("Pieces", "1,2").with("Piece-Key", "k");
+    Site::queue_behavior(&site.engines, &Behavior::Hang(Duration::from_millis(900)));
+    let call = post("/chain/", "c-1").with_header("Pieces", "1,2").with_header("Piece-Key", "k");
     let asked = thread::spawn(move || call.send(address));
-    wait_until("the engine is asked", || site.engines.iter().any(|e| !e.seen().is_empty()));
+    wait_until("the engine is asked", || site.engines.iter().any(|e| !e.messages().is_empty()));
 
     drop(vms.remove(owner));
 
@@ -221,14 +227,14 @@
 #[test]
 fn results_are_given_up_before_the_first_event_where_room_is_scarce() {
     let site = Site::start();
-    let mut scarce = usual_configuration(2);
+    let mut scarce = default_configuration(2);
     // Three results take 0.9 of the 1 MB that a worker has.
     scarce["routes"][4]["stages"][1]["bytes"] = json!(300_000);
     site.store.put("op/config", &scarce);
     let vm = site.start_vm("scarce", "");
     wait_until("it is in force", || vm.state()["configuration"] == json!(2));
-    Site::next(&site.engines, &Act::Hang(Duration::from_millis(1500)));
-    let call = post("/chain/", "c-1").with("Pieces", "1,3").with("Piece-Key", "k");
+    Site::queue_behavior(&site.engines, &Behavior::Hang(Duration::from_millis(1500)));
+    let call = post("/chain/", "c-1").with_header("Pieces", "1,3").with_header("Piece-Key", "k");
     let address = vm.callers;
 
     let asked = thread::spawn(move || call.send(address));
@@ -242,17 +248,19 @@
 #[test]
 fn a_target_that_was_replaced_costs_no_try() {
     let site = Site::start();
-    let mut one_try = usual_configuration(2);
+    let mut one_try = default_configuration(2);
     one_try["routes"][4]["max_attempts"] = json!(1);
     site.store.put("op/config", &one_try);
     let vm = site.start_vm("replaced", "");
     wait_until("it is in force", || vm.state()["configuration"] == json!(2));
-    let chain = |id: &str| post("/chain/", id).with("Pieces", "2,1").with("Piece-Key", "secret");
+    let chain = |id: &str| {
+        post("/chain/", id).with_header("Pieces", "2,1").with_header("Piece-Key", "secret")
+    };
 
     for (number, replaced) in [0, 1, 0, 1].into_iter().enumerate() {
-        site.engines[replaced].next(&[Act::Misdirected]);
+        site.engines[replaced].queue_behaviors(&[Behavior::Misdirected]);
         let id = format!("c-{number}");
-        let answer = answered(&chain(&id), &vm);
+        let answer = send_expecting_answer(&chain(&id), &vm);
 
         assert_eq!((answer.status(), site.runs(&id)), (200, 1), "{answer:?}");
         site.engines.iter().for_each(|engine| engine.clear_acts());
@@ -260,14 +268,14 @@
         let mut entry = site.engines[replaced].entry("engine", "hall-a", "ready");
         entry["sequence"] = json!(number + 2);
         site.store.put(&format!("servers/{}", site.engines[replaced].id), &entry);
-        site.wait_known(&vm);
+        site.wait_for_all_runners(&vm);
     }
 }
 
 #[test]
 fn a_request_that_may_have_run_is_not_told_otherwise_since_its_stages_fail_later() {
     let site = Site::start();
-    let mut config = usual_configuration(2);
+    let mut config = default_configuration(2);
     let mut routes = config["routes"].as_array_mut().expect("routes").iter_mut();
     let chain = routes.find(|route| route["name"] == "chain").expect("the chain");
     chain["stream_resumption"] = json!(true);
@@ -276,15 +284,17 @@
     let vm = site.start_vm("may-have-run", "");
     wait_until("the configuration is in force", || vm.state()["configuration"] == json!(2));
     // One engine runs it and is lost, the other one misses an input, and no worker makes it again.
-    site.engines[0].next(&[Act::Lose]);
-    site.engines[1].next(&[Act::InputGone]);
-    site.pool[0].next(&[Act::Answer]);
-    site.pool.iter().for_each(|worker| worker.next(&vec![Act::InputGone; 8]));
+    site.engines[0].queue_behaviors(&[Behavior::Lose]);
+    site.engines[1].queue_behaviors(&[Behavior::InputGone]);
+    site.pool[0].queue_behaviors(&[Behavior::Answer]);
+    site.pool.iter().for_each(|worker| worker.queue_behaviors(&vec![Behavior::InputGone; 8]));
 
-    let call = post("/chain/", "may-have-run").with("Pieces", "1,0").with("Piece-Key", "secret");
-    let answer = answered(&call, &vm);
+    let call = post("/chain/", "may-have-run")
+        .with_header("Pieces", "1,0")
+        .with_header("Piece-Key", "secret");
+    let answer = send_expecting_answer(&call, &vm);
 
     assert_eq!(site.runs("may-have-run"), 1);
-    assert_eq!(site.engines[1].seen().len(), 1, "the second try missed an input");
+    assert_eq!(site.engines[1].messages().len(), 1, "the second try missed an input");
     assert_eq!(answer.status(), 502, "it may have run");
 }
--- a/tests/silent_watches.rs
+++ b/tests/silent_watches.rs
@@ -7,8 +7,8 @@
 
 use serde_json::json;
 use standins::fleet::wait_until;
-use standins::users::link::Link;
-use standins::users::serving::{Site, Vm, answered, get};
+use standins::serving_path::faulty_link::FaultyLink;
+use standins::serving_path::site::{Site, Vm, get, send_expecting_answer};
 
 /// Time after which the platform bears no request at a target that leaves.
 const LEAVING_BORNE: Duration = Duration::from_secs(2);
@@ -21,14 +21,14 @@
 #[test]
 fn a_vm_whose_watch_is_silent_hears_of_leaving_targets_from_its_peers() {
     let site = Site::start();
-    let link = Link::start(site.store.address).expect("a link");
+    let link = FaultyLink::start(site.store.address).expect("a link");
     let vm = Vm::start("silent-watch", "hall-a", link.address, "");
-    site.wait_known(&vm);
+    site.wait_for_all_runners(&vm);
     let peer = site.start_vm("silent-watch-peer", "");
     wait_until("they are linked", || vm.linked_peers() == 1 && peer.linked_peers() == 1);
     std::thread::sleep(Duration::from_secs(1));
 
-    link.silence_waiting();
+    link.blackhole_waiting();
     let leaving = &site.plain[0];
     let mut entry = leaving.entry("plain", "hall-a", "draining");
     entry["sequence"] = json!(2);
@@ -37,7 +37,10 @@
     let told = Instant::now();
     std::thread::sleep(LEAVING_BORNE);
     for number in 0..20 {
-        assert_eq!(answered(&get("/repeat/", &format!("r-{number}")), &vm).status(), 200);
+        assert_eq!(
+            send_expecting_answer(&get("/repeat/", &format!("r-{number}")), &vm).status(),
+            200
+        );
     }
 
     assert_eq!(leaving.received_after(told + LEAVING_BORNE), 0, "it leaves");
--- a/tests/soak.rs
+++ b/tests/soak.rs
@@ -2,8 +2,8 @@
 
 use std::time::Duration;
 
-use standins::users::soak::{self, Size};
-use standins::users::stop_soak;
+use standins::serving_path::soak::{self, Size};
+use standins::serving_path::stop_soak;
 
 /// Seeds that are played.
 /// In 503 six runners ended under one request, before VMs told each other of an end at once.
@@ -22,8 +22,8 @@
     for seed in SEEDS {
         let report = soak::run(seed, TIME, Size::default());
 
-        assert_eq!(report.broken, Vec::<String>::new(), "seed {seed}");
-        assert!(report.whole > 20 && report.faults > 5, "seed {seed}: {report:?}");
+        assert_eq!(report.violations, Vec::<String>::new(), "seed {seed}");
+        assert!(report.complete > 20 && report.faults > 5, "seed {seed}: {report:?}");
     }
 }
 
@@ -34,7 +34,7 @@
 
         let report = stop_soak::run(seed, TIME, size);
 
-        assert_eq!(report.broken, Vec::<String>::new(), "seed {seed}");
-        assert!(report.whole > 20 && report.restarts > 3, "seed {seed}: {report:?}");
+        assert_eq!(report.violations, Vec::<String>::new(), "seed {seed}");
+        assert!(report.complete > 20 && report.restarts > 3, "seed {seed}: {report:?}");
     }
 }
--- a/tests/stops.rs
+++ b/tests/stops.rs
@@ -11,7 +11,9 @@
 use std::time::{Duration, Instant};
 
 use serde_json::json;
-use support::{Ask, EndsLoad, Fleet, Reply, agent, ask, usual_fleet, wait_until};
+use support::{
+    CallerRequest, EndsLoad, Fleet, Reply, agent, caller_request, usual_fleet, wait_until,
+};
 
 /// A balancer: asks each VM for its readiness and sends a request to one that is ready; a
 /// connection that is refused goes to the next.
@@ -38,7 +40,7 @@
         }
     }
 
-    fn send(&self, callers: &[std::net::SocketAddr], ask: &Ask<'_>) -> Option<Reply> {
+    fn send(&self, callers: &[std::net::SocketAddr], ask: &CallerRequest<'_>) -> Option<Reply> {
         for _ in 0..100 {
             let index = self.turn.fetch_add(1, Ordering::Relaxed) % callers.len();
             if !self.ready[index].load(Ordering::Relaxed) {
@@ -82,7 +84,7 @@
             scope.spawn(move || {
                 while !over.load(Ordering::Relaxed) {
                     let streamed = number % 2 == 0;
-                    let ask = ask("check", 10_000);
+                    let ask = caller_request("check", 10_000);
                     let ask =
                         if streamed { ask.header("accept", "text/event-stream") } else { ask };
                     let reply = balancer.send(callers, &ask).expect("cut, or no VM");
@@ -141,8 +143,8 @@
     }
     let to = fleet.vms[0].callers;
     let began = Instant::now();
-    let repeatable = thread::spawn(move || ask("hold", 20_000).repeatable().send(to));
-    let once = thread::spawn(move || ask("hold", 20_000).send(to));
+    let repeatable = thread::spawn(move || caller_request("hold", 20_000).repeatable().send(to));
+    let once = thread::spawn(move || caller_request("hold", 20_000).send(to));
     wait_until("both calls run", || fleet.records().len() == 2);
 
     fleet.stop(0);
--- a/tests/strangers.rs
+++ b/tests/strangers.rs
@@ -7,7 +7,7 @@
 
 use serde_json::json;
 use standins::fleet::wait_until;
-use standins::users::serving::{A_WHILE, Site, answered, get};
+use standins::serving_path::site::{SETTLE_TIME, Site, get, send_expecting_answer};
 
 #[test]
 fn what_others_write_names_no_target_and_the_rest_holds() {
@@ -15,7 +15,7 @@
     let vm = site.start_vm("strangers", "");
     let served = |name: &str| {
         let ids = (0..10).map(|number| format!("{name}-{number}"));
-        ids.map(|id| answered(&get("/repeat/", &id), &vm).status()).collect::<Vec<_>>()
+        ids.map(|id| send_expecting_answer(&get("/repeat/", &id), &vm).status()).collect::<Vec<_>>()
     };
     let (one, other) = (&site.plain[0], &site.plain[1]);
     let sound = |born: u64| {
@@ -30,7 +30,7 @@
     site.store.put("servers/zz", &json!({"service": "plain", "address": 5}));
     site.store.put("servers/strange", &json!({"state": "asleep", "service": "plain"}));
     let beside = served("beside");
-    let later_vm = site.start_vm_among("strangers-later", known);
+    let later_vm = site.start_vm_expecting("strangers-later", known);
 
     site.store.put(&key, &json!({"bytes": "of somebody else"}));
     wait_until("the target is gone", || vm.targets() == known - 1);
@@ -46,7 +46,7 @@
         vm.log().contains("target's entry of an earlier lifetime")
     });
     site.store.put(&format!("servers/{}", other.id), &other.entry("plain", "hall-a", "draining"));
-    std::thread::sleep(A_WHILE);
+    std::thread::sleep(SETTLE_TIME);
     let since = Instant::now();
     let after = served("after");
 
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -7,8 +7,8 @@
 
 use std::sync::atomic::{AtomicBool, Ordering};
 
-pub use standins::callers::{Ask, Reply, ask};
-pub use standins::fleet::{Fleet, LONG, Pool, agent, get_json, put_json, wait_until};
+pub use standins::callers::{CallerRequest, Reply, caller_request};
+pub use standins::fleet::{Fleet, MAX_WAIT, Pool, agent, get_json, put_json, wait_until};
 
 /// Ends a test's background threads when dropped, also when the test fails before its end.
 pub struct EndsLoad<'a>(pub &'a AtomicBool);
@@ -54,7 +54,7 @@
         let hall = if index % 2 == 0 { "hall-a" } else { "hall-b" };
         fleet.start_vm(hall, "limits: {notice_ms: 200}\n");
     }
-    fleet.list_vms(&[]);
-    fleet.wait_acquainted();
+    fleet.publish_vm_list(&[]);
+    fleet.wait_for_peer_discovery();
     fleet
 }
--- a/tests/turns.rs
+++ b/tests/turns.rs
@@ -8,9 +8,9 @@
 
 use serde_json::json;
 use standins::fleet::wait_until;
-use standins::users::Message;
-use standins::users::runners::{Act, Runner};
-use standins::users::serving::{Site, Vm, post, usual_configuration};
+use standins::serving_path::HttpMessage;
+use standins::serving_path::runners::{Behavior, Runner};
+use standins::serving_path::site::{Site, Vm, default_configuration, post};
 
 /// How long the second stage is at work: less than its owner is patient for.
 const AT_WORK: Duration = Duration::from_millis(250);
@@ -18,7 +18,7 @@
 /// One VM before a worker whose room is scarce once the first stage's results lie there.
 fn start(name: &str) -> (Site, Vm) {
     let site = Site::start();
-    let mut scarce = usual_configuration(2);
+    let mut scarce = default_configuration(2);
     scarce["routes"][4]["stages"][0]["bytes"] = json!(100_000);
     site.store.put("op/config", &scarce);
     site.store.remove("servers/i-pool-2");
@@ -27,13 +27,13 @@
     (site, vm)
 }
 
-fn ask_for(vm: &Vm, pieces: &str) -> JoinHandle<Option<Message>> {
+fn ask_for(vm: &Vm, pieces: &str) -> JoinHandle<Option<HttpMessage>> {
     let address = vm.callers;
-    let call = post("/chain/", "c-1").with("Pieces", pieces).with("Piece-Key", "k");
+    let call = post("/chain/", "c-1").with_header("Pieces", pieces).with_header("Piece-Key", "k");
     thread::spawn(move || call.send(address))
 }
 
-fn ask(vm: &Vm) -> JoinHandle<Option<Message>> {
+fn ask(vm: &Vm) -> JoinHandle<Option<HttpMessage>> {
     ask_for(vm, "6,1")
 }
 
@@ -49,7 +49,7 @@
 fn inputs_are_given_up_once_the_worker_says_that_their_call_is_at_work() {
     let (site, vm) = start("at-work");
     let worker = &site.pool[0];
-    worker.next(&[Act::Answer, Act::Hang(AT_WORK)]);
+    worker.queue_behaviors(&[Behavior::Answer, Behavior::Hang(AT_WORK)]);
 
     let asked = ask(&vm);
 
@@ -63,15 +63,15 @@
 fn inputs_are_kept_where_the_worker_does_not_say() {
     let (site, vm) = start("says-nothing");
     let worker = &site.pool[0];
-    worker.set_reports(false);
-    worker.next(&[Act::Answer, Act::Hang(AT_WORK)]);
+    worker.set_reporting(false);
+    worker.queue_behaviors(&[Behavior::Answer, Behavior::Hang(AT_WORK)]);
 
     let asked = ask(&vm);
 
     assert_eq!(given_up_before_its_end(worker), 0, "it may wait for its turn");
     let answer = asked.join().expect("no panic").expect("an answer");
     assert_eq!(answer.status(), 200, "{answer:?}");
-    assert_eq!(worker.seen().len(), 2, "each stage is called once");
+    assert_eq!(worker.messages().len(), 2, "each stage is called once");
 }
 
 /// Guards against pieces that are made again though they are done, since another one of their stage found no room and its
@@ -80,7 +80,7 @@
 fn pieces_that_are_done_are_kept_though_an_input_of_another_is_gone() {
     let (site, vm) = start("done-kept");
     let worker = &site.pool[0];
-    worker.next(&[Act::Answer, Act::NoRoomForLast(AT_WORK)]);
+    worker.queue_behaviors(&[Behavior::Answer, Behavior::NoRoomForLast(AT_WORK)]);
 
     let asked = ask_for(&vm, "6,3");
 
