--- a/components/caller_request/src/lib.rs
+++ b/components/caller_request/src/lib.rs
@@ -143,7 +143,7 @@
         [CUSTOMER, DEADLINE, PRIORITY, REPEATABLE, RETURNING, PROMPT_PREFIX, REQUEST_ID_HEADER];
     let mut names = headers.keys().map(http::HeaderName::as_str);
     match names.find(|name| name.starts_with(HEADER_PREFIX) && !known.contains(name)) {
-        Some(name) => Err(bad_header(name, "unknown header of this system")),
+        Some(name) => Err(bad_header(name, "not known")),
         None => Ok(()),
     }
 }
--- a/components/store_client/src/claims.rs
+++ b/components/store_client/src/claims.rs
@@ -61,7 +61,7 @@
         WriteOutcome::Conflict { .. } | WriteOutcome::Unknown(_) => match read_claim(store, id)? {
             Some(found) if found == own_claim => Ok(Ok(own_claim)),
             Some(found) => Ok(Err(found)),
-            None => Err(Error::StoreUnavailable("the claim was not created".to_owned())),
+            None => Err(Error::StoreUnavailable("the claim was not made".to_owned())),
         },
     }
 }
--- a/components/store_client/src/store.rs
+++ b/components/store_client/src/store.rs
@@ -142,7 +142,7 @@
         match response.status().as_u16() {
             200 => response.body_mut().read_to_vec().map(Some).map_err(unavailable),
             409 => Ok(None),
-            other => Err(Error::StoreUnavailable(format!("unexpected HTTP status {other}"))),
+            other => Err(Error::StoreUnavailable(format!("answered {other}"))),
         }
     }
 
@@ -185,7 +185,7 @@
             Ok(Some(Entry { value, version }))
         }
         404 => Ok(None),
-        other => Err(Error::StoreUnavailable(format!("unexpected HTTP status {other}"))),
+        other => Err(Error::StoreUnavailable(format!("answered {other}"))),
     }
 }
 
@@ -194,8 +194,8 @@
         Ok(response) => match response.status().as_u16() {
             200 => WriteOutcome::Done { version: version_in(&response) },
             409 => WriteOutcome::Conflict { found: version_in(&response) },
-            503 => WriteOutcome::Refused("HTTP status 503".to_owned()),
-            other => WriteOutcome::Unknown(format!("unexpected HTTP status {other}")),
+            503 => WriteOutcome::Refused("answered 503".to_owned()),
+            other => WriteOutcome::Unknown(format!("answered {other}")),
         },
         Err(e @ (ureq::Error::ConnectionFailed | ureq::Error::Timeout(ureq::Timeout::Connect))) => {
             WriteOutcome::Refused(e.to_string())
--- a/components/target_calls/src/call.rs
+++ b/components/target_calls/src/call.rs
@@ -153,9 +153,7 @@
         let result = if is_stream {
             Ok(TokenStream::new(rx.into_body(), req.attempt.clone(), req.last_token))
         } else {
-            Err(CallFailure::MayHaveRun(
-                "expected a stream, the answer has another content type".to_owned(),
-            ))
+            Err(CallFailure::MayHaveRun("answered with something that is no stream".to_owned()))
         };
         CallOutcome { result, status }
     }
@@ -226,16 +224,12 @@
 fn check_head(rx: &Response<Body>, attempt: &AttemptId) -> Result<(), CallFailure> {
     let answered = header(rx, ATTEMPT_HEADER).unwrap_or("none");
     if answered != attempt.as_str() {
-        return Err(CallFailure::Crossed(format!(
-            "expected an answer to attempt {attempt}, its head names {answered}"
-        )));
+        return Err(CallFailure::Crossed(format!("the answer names attempt {answered}")));
     }
     match rx.status().as_u16() {
         200 => Ok(()),
-        status @ (429 | 503) => {
-            Err(CallFailure::Declined(format!("declined with status {status}")))
-        }
-        status => Err(CallFailure::MayHaveRun(format!("unexpected status {status}"))),
+        status @ (429 | 503) => Err(CallFailure::Declined(format!("answered {status}"))),
+        status => Err(CallFailure::MayHaveRun(format!("answered {status}"))),
     }
 }
 
@@ -247,14 +241,11 @@
         .with_config()
         .limit(MAX_ANSWER_BYTES)
         .read_to_vec()
-        .map_err(|e| may_have_run(format!("reading the answer failed: {e}")))?;
+        .map_err(|e| may_have_run(format!("the answer was cut: {e}")))?;
     let body: AnswerBody = serde_json::from_slice(&bytes)
-        .map_err(|e| may_have_run(format!("the answer can't be parsed: {e}")))?;
+        .map_err(|e| may_have_run(format!("the answer can't be read: {e}")))?;
     if body.attempt != attempt.as_str() {
-        return Err(CallFailure::Crossed(format!(
-            "expected attempt {attempt}, the answer's body names {}",
-            body.attempt
-        )));
+        return Err(CallFailure::Crossed(format!("the answer names attempt {}", body.attempt)));
     }
     Ok(PlainAnswer { output: body.output.get().as_bytes().to_vec(), cost: body.cost })
 }
--- a/components/target_calls/src/stream.rs
+++ b/components/target_calls/src/stream.rs
@@ -74,23 +74,20 @@
         let event = self.read_event()?;
         if event.kind == "end" {
             let end: StreamEnd = serde_json::from_str(&event.data)
-                .map_err(|e| broken(format!("the stream's end can't be parsed: {e}")))?;
+                .map_err(|e| broken(format!("the stream's end can't be read: {e}")))?;
             if end.tokens != self.last {
-                return Err(broken(format!(
-                    "received {} tokens, the stream's end names {}",
-                    self.last, end.tokens
-                )));
+                return Err(broken(format!("{} tokens came of {}", self.last, end.tokens)));
             }
             return Ok(StreamEvent::End(end));
         }
         let data: TokenData = serde_json::from_str(&event.data)
-            .map_err(|e| broken(format!("a token can't be parsed: {e}")))?;
+            .map_err(|e| broken(format!("a token can't be read: {e}")))?;
         if data.attempt != self.attempt.as_str() {
             let problem = format!("a token names attempt {}", data.attempt);
             return Err(CallFailure::Crossed(problem));
         }
         if event.id != Some(self.last + 1) {
-            return Err(broken(format!("token id {:?} follows token {}", event.id, self.last)));
+            return Err(broken(format!("token {:?} came after {}", event.id, self.last)));
         }
         self.last += 1;
         Ok(StreamEvent::Token(self.last, data.token))
@@ -103,11 +100,10 @@
         loop {
             line.clear();
             let read = (&mut self.lines).take(MAX_LINE_BYTES).read_line(&mut line);
-            let count = read
-                .map_err(|e| CallFailure::MayHaveRun(format!("reading the stream failed: {e}")))?;
+            let count =
+                read.map_err(|e| CallFailure::MayHaveRun(format!("the stream broke: {e}")))?;
             if count == 0 || !line.ends_with('\n') {
-                let problem =
-                    "the stream ended before its end event, or a line is too long".to_owned();
+                let problem = "the stream was cut before its end".to_owned();
                 return Err(CallFailure::MayHaveRun(problem));
             }
             let text = line.trim_end_matches(['\r', '\n']);
--- a/daemon/src/callers.rs
+++ b/daemon/src/callers.rs
@@ -68,7 +68,7 @@
         .map_err(|e| with_id(Refusal::not_run(Reason::BadRequest, format!("body: {e}"))))?;
 
     let permit = Arc::clone(&server.permits).try_acquire_owned().map_err(|_| {
-        let detail = format!("{} requests are already in progress, the limit", limits.requests);
+        let detail = format!("{} requests are in work", limits.requests);
         let refusal =
             Refusal::not_run(Reason::QueueFull, detail).with_retry_after(FULL_RETRY_AFTER);
         with_id(refusal_before_claim(&parsed, refusal))
@@ -91,7 +91,7 @@
 ///
 /// Its outcome is unknown unless the request may be repeated.
 fn shutdown_refusal(repeatable: bool) -> Refusal {
-    let detail = "the request did not finish before the shutdown deadline";
+    let detail = "the time to finish was over";
     if repeatable {
         Refusal::failed(Reason::Stopping, detail)
     } else {
@@ -105,11 +105,7 @@
         BodyError::TooLarge => {
             Refusal::not_run(Reason::BodyTooLarge, format!("the limit is {limit} bytes"))
         }
-        BodyError::TooSlow => {
-            Refusal::not_run(Reason::BadRequest, "the body did not arrive within the time limit")
-        }
-        BodyError::Broken => {
-            Refusal::not_run(Reason::BadRequest, "the body could not be read to its end")
-        }
+        BodyError::TooSlow => Refusal::not_run(Reason::BadRequest, "the body came too slowly"),
+        BodyError::Broken => Refusal::not_run(Reason::BadRequest, "the body was cut"),
     }
 }
--- a/daemon/src/claims.rs
+++ b/daemon/src/claims.rs
@@ -37,7 +37,7 @@
     match claimed {
         Ok(Ok(own_claim)) => Ok(Some(own_claim)),
         Ok(Err(existing)) if existing.state == ClaimState::Refused => {
-            let detail = "an earlier submission was refused; this id will never run";
+            let detail = "an earlier submission was refused; it never will run under this id";
             Err(Refusal::not_run(Reason::IdTaken, detail))
         }
         Ok(Err(existing)) => {
--- a/daemon/src/peer_links.rs
+++ b/daemon/src/peer_links.rs
@@ -168,7 +168,7 @@
     let timed = tokio::time::timeout(EXCHANGE_TIMEOUT, client.exchange(hello)).await;
     let result = match timed {
         Ok(result) => result.map(Response::into_inner),
-        Err(_) => Err(Status::deadline_exceeded("no answer within the exchange timeout")),
+        Err(_) => Err(Status::deadline_exceeded("no answer in time")),
     };
     (address, result)
 }
--- a/daemon/src/pipeline.rs
+++ b/daemon/src/pipeline.rs
@@ -218,11 +218,7 @@
         let last = service.stages.len().saturating_sub(1);
         for (index, stage) in service.stages.iter().enumerate() {
             if !port.is_open() {
-                return Err(self.refusal(
-                    Reason::CallerGone,
-                    "the caller disconnected before the next stage",
-                    None,
-                ));
+                return Err(self.refusal(Reason::CallerGone, "before the next stage", None));
             }
             let to_caller = index == last && self.req.wants_stream;
             let answer = if stage.streams {
@@ -233,11 +229,7 @@
             input = answer.output;
         }
         if Instant::now() > self.req.deadline {
-            return Err(self.refusal(
-                Reason::DeadlinePassed,
-                "the deadline passed after the last stage",
-                None,
-            ));
+            return Err(self.refusal(Reason::DeadlinePassed, "after the last stage", None));
         }
         Ok((!port.has_begun()).then(|| serde_json::from_slice(&input).unwrap_or_default()))
     }
@@ -331,11 +323,11 @@
         started: Instant,
     ) -> Refusal {
         self.shared.target_client.cancel(granted.grant.address, &granted.attempt);
-        let gone = CallFailure::MayHaveRun("the caller disconnected".to_owned());
+        let gone = CallFailure::MayHaveRun("the caller is gone".to_owned());
         self.report_abandoned_call(stage, granted, started, &gone);
         self.record_run(stage, granted, None);
         self.may_have_run = true;
-        self.refusal(Reason::CallerGone, "the caller disconnected during a stream", None)
+        self.refusal(Reason::CallerGone, "during a stream", None)
     }
 
     /// The slot request for a stage, without the targets already tried.
@@ -488,7 +480,7 @@
                 let tries = u32::try_from(tried.len()).unwrap_or(u32::MAX);
                 let allowed = self.shared.dispatcher.ask(|reply| Message::MayRetry(tries, reply));
                 if !matches!(allowed, Ok(true)) {
-                    let detail = format!("{problem}; no further attempt is allowed now");
+                    let detail = format!("{problem}; no further try is allowed now");
                     return Err(self.refusal(
                         Reason::TargetFailed,
                         &detail,
@@ -532,17 +524,15 @@
     /// The caller's refusal for a slot that was refused.
     fn slot_refusal(&self, refused: SlotRefusal) -> Refusal {
         let (reason, detail, wait) = match refused {
-            SlotRefusal::TooLate { retry_after } => (
-                Reason::TooLate,
-                "the remaining stages need more time than remains until the deadline",
-                retry_after,
-            ),
+            SlotRefusal::TooLate { retry_after } => {
+                (Reason::TooLate, "the stages left need more time than is left", retry_after)
+            }
             SlotRefusal::QueueFull { retry_after } => {
-                (Reason::QueueFull, "the queue for the stage's targets is full", retry_after)
+                (Reason::QueueFull, "too many wait for the stage's targets", retry_after)
             }
             SlotRefusal::NoTarget { retry_after } => (
                 Reason::NoTarget,
-                "every target that the selectors allow was already tried or is unavailable",
+                "every target that the selectors allow was tried or is out",
                 retry_after,
             ),
         };
--- a/daemon/src/requests.rs
+++ b/daemon/src/requests.rs
@@ -21,8 +21,7 @@
     /// Checks service and customer against the configuration in force and opens a journal record.
     pub(crate) fn begin_request(&mut self, req: BeginRequest) -> Result<BegunRequest, Refusal> {
         let Some(configuration) = self.history.current().cloned() else {
-            let refusal =
-                Refusal::not_run(Reason::NoConfiguration, "no configuration has been received yet");
+            let refusal = Refusal::not_run(Reason::NoConfiguration, "no revision is known yet");
             return Err(refusal.with_retry_after(NO_CONFIGURATION_RETRY_AFTER));
         };
         let Some(service) = configuration.catalogue.services.get(&req.service) else {
--- a/gateway/src/http_endpoints.rs
+++ b/gateway/src/http_endpoints.rs
@@ -74,13 +74,13 @@
     let Some(digest) = path.strip_prefix(RELEASE).and_then(RequestDigest::parse) else {
         return (
             StatusCode::BAD_REQUEST,
-            "expected a request digest of 32 hexadecimal digits\n".to_owned(),
+            "expected a content of 32 hexadecimal digits\n".to_owned(),
         );
     };
     if stored_refusals::release(app, digest) {
         (StatusCode::OK, "released\n".to_owned())
     } else {
-        (StatusCode::NOT_FOUND, "no crashes are recorded for this request\n".to_owned())
+        (StatusCode::NOT_FOUND, "nothing is known of it\n".to_owned())
     }
 }
 
