--- a/components/batching/src/filling.rs
+++ b/components/batching/src/filling.rs
@@ -11,8 +11,8 @@
 /// Fraction of a call's time that a piece waits for a worker in the hall of its inputs.
 const PREFERRED_HALL_WAIT: f64 = 0.8;
 /// Slack added to a piece for each step of lower urgency, so that long chains of high value precede
-/// short ones of low value. It decides only among pieces that can still be in time. Compared with 150
-/// ms, 400 ms improved a loaded day by 0.009 and 0.015 (means of 15 days each on two deployments).
+/// short ones of low value. It decides only among pieces that can still be in time. A smaller step lets
+/// more pieces of low urgency with an early due time precede urgent ones.
 const URGENCY_STEP: Duration = Duration::from_millis(400);
 /// A call that takes longer than this multiple of the expected time, plus [`TIMEOUT_MARGIN`], is given
 /// up and its pieces are requeued.
@@ -107,8 +107,8 @@
     }
 
     /// Sorts pieces that can still be in time first, by effective due time; late ones follow. Whether a
-    /// piece is late depends on its own due time: with the effective one, less urgent pieces that were
-    /// late displaced others that were not (0.036 of a loaded day).
+    /// piece is late depends on its own due time: with the effective one, less urgent pieces that are
+    /// already late would displace others that are not.
     fn sort_waiting(&mut self, now: Instant) {
         if self.order == Order::Arrival {
             return;
--- a/components/batching/src/pool.rs
+++ b/components/batching/src/pool.rs
@@ -222,8 +222,8 @@
     }
 
     /// Releases results; returns the handles to report to each worker. Their room counts as used until
-    /// [`Pool::finish_release`] records that the worker was told: a call that arrives before that
-    /// message would find no room.
+    /// [`Pool::finish_release`] records that the worker was notified: a call that arrives before
+    /// that message would find no room.
     pub fn release(&mut self, handles: Vec<String>) -> Vec<PendingRelease> {
         let mut by_worker: HashMap<WorkerKey, (Vec<String>, u64)> = HashMap::new();
         for handle in handles {
@@ -239,7 +239,7 @@
         by_worker.into_iter().filter_map(told).collect()
     }
 
-    /// Records whether a worker was told of a release. If it may not have been, the results count as
+    /// Records whether a worker received a release. If it may not have, the results count as
     /// using room until they expire.
     pub fn finish_release(&mut self, told: &PendingRelease, heard: bool, now: Instant) {
         let Some(key) = self.by_id.get(&told.target.id).copied() else { return };
--- a/components/eligibility/src/rates.rs
+++ b/components/eligibility/src/rates.rs
@@ -13,8 +13,8 @@
 use crate::Lifetime;
 use crate::change_log::{ChangeCursor, ChangeLog};
 
-/// Time for which the observations of a lifetime are kept after its last answer. It is longer than targets were seen
-/// to need a limit, and longer than a target goes without a request because of its limit.
+/// Time for which the observations of a lifetime are kept after its last answer. It must exceed the time for
+/// which targets need a limit, and the time that a target goes without a request because of its limit.
 const RATE_TTL: Duration = Duration::from_secs(600);
 /// Most changes that are kept for peers; the oldest are dropped. One for each target of the largest fleet.
 const MAX_CHANGES: usize = 1024;
--- a/components/fleet/src/lib.rs
+++ b/components/fleet/src/lib.rs
@@ -27,7 +27,7 @@
 pub const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(200);
 /// A peer that sent nothing for this long gets no work. Several heartbeats in a row may be late.
 pub const PEER_TIMEOUT: Duration = Duration::from_millis(1000);
-/// A peer counts towards the size of the fleet for this long after it was last heard, since it may have
+/// A peer counts towards the size of the fleet for this long after its last message, since it may have
 /// spent its share of a limit that the fleet divides among its VMs.
 const PEER_RETENTION: Duration = Duration::from_secs(20);
 /// In a fleet of at most this many VMs, each VM links to all others and watches the store itself.
@@ -39,8 +39,7 @@
 /// than itself: time for one dial and one retry.
 ///
 /// Without the wait, 72 of 295 VMs that had lost power together filled calls of the same 42 workers for
-/// two seconds. On fleets of 6 to 18 VMs the wait makes no difference; its effect on larger
-/// ones is unknown.
+/// two seconds. On fleets of 6 to 18 VMs the wait makes no difference.
 pub const SETTLE_TIME: Duration = Duration::from_millis(1200);
 
 /// Data halls that can't be reached from this VM.
@@ -53,7 +52,7 @@
     own_entry: VmEntry,
     /// Incarnation of this VM's process, which tells it from earlier processes of the same VM.
     pub incarnation: u64,
-    /// VMs that were heard from over a link, until they were silent for `PEER_RETENTION`.
+    /// VMs that sent a message over a link, until they were silent for `PEER_RETENTION`.
     pub peers: HashMap<VmName, PeerVm>,
     /// VMs that the store lists, without this one.
     listed: HashMap<VmName, VmEntry>,
@@ -112,7 +111,7 @@
         self.ranking.clear();
     }
 
-    /// Records that a peer was heard; `linked` says whether this VM has a link to it that it dialled itself.
+    /// Records that a message of a peer arrived; `linked` says whether this VM has a link to it that it dialled itself.
     pub fn record_heard(&mut self, vm: &VmName, linked: bool, now: Instant) {
         let peer = self.peers.entry(vm.clone()).or_insert_with(|| PeerVm::new(now));
         peer.heard = now;
@@ -163,7 +162,7 @@
         !self.is_full_mesh() || self.peers.values().any(serves)
     }
 
-    /// Number of VMs that are listed or were heard within `PEER_RETENTION`, including this one.
+    /// Number of VMs that are listed or sent a message within `PEER_RETENTION`, including this one.
     pub fn size(&self) -> usize {
         let unlisted = self.peers.keys().filter(|vm| !self.listed.contains_key(*vm)).count();
         self.listed.len() + unlisted + 1
@@ -207,7 +206,7 @@
         entry.is_some_and(|entry| self.unreachable_halls.contains(&entry.hall))
     }
 
-    /// Other halls with VMs that were heard within `PEER_RETENTION`, but none within `HALL_TIMEOUT`.
+    /// Other halls with VMs that sent a message within `PEER_RETENTION`, but none within `HALL_TIMEOUT`.
     pub fn silent_halls(&self, now: Instant) -> BTreeSet<HallName> {
         let heard: Vec<(&HallName, bool)> = self
             .peers
--- a/components/fleet/src/ownership.rs
+++ b/components/fleet/src/ownership.rs
@@ -241,7 +241,7 @@
         self.may_take_work_soon(vm) && (is_recent(Some(self.unsettled_since), now) || may_succeed)
     }
 
-    /// Whether a VM may take work soon: it is known only from the store, it was heard but has no link that this VM
+    /// Whether a VM may take work soon: it is known only from the store, it sent messages but has no link that this VM
     /// dialled, or it has no configuration yet. Lost, stopping and unreachable VMs are excluded.
     /// Failed dials are ignored, since they say little while all VMs start.
     fn may_take_work_soon(&self, vm: &VmName) -> bool {
@@ -255,7 +255,7 @@
         self.peers.get(vm).is_some_and(|peer| peer.draining)
     }
 
-    /// Whether a VM is known to be silent: its last dial failed, its link was lost and it was not heard since, or its
+    /// Whether a VM is known to be silent: its last dial failed, its link was lost and no message arrived since, or its
     /// hall is unreachable. A VM whose link this one closed itself is not known to be silent.
     pub(crate) fn is_silent(&self, vm: &VmName) -> bool {
         let failed = |address| self.failed_dials.contains(address);
--- a/components/fleet/src/peer.rs
+++ b/components/fleet/src/peer.rs
@@ -58,16 +58,16 @@
     }
 }
 
-/// State of a peer that was heard.
+/// State of a peer that sent at least one message.
 #[derive(Debug)]
 pub struct PeerVm {
     /// Incarnation of its process.
     pub incarnation: u64,
     /// The entry that it sent of itself.
     pub entry: Option<VmEntry>,
-    /// When it was last heard.
+    /// When its last message arrived.
     pub heard: Instant,
-    /// Whether the link to it was lost since it was last heard, so that its process may have ended.
+    /// Whether the link to it was lost since its last message, so that its process may have ended.
     pub lost: bool,
     /// Whether a link that this VM dialled is open.
     pub linked: bool,
@@ -86,7 +86,7 @@
 }
 
 impl PeerVm {
-    /// A peer of which nothing is known except when it was heard.
+    /// A peer of which nothing is known except when its last message arrived.
     pub fn new(heard: Instant) -> Self {
         PeerVm {
             incarnation: 0,
@@ -114,7 +114,7 @@
         }
     }
 
-    /// Whether it was heard within [`PEER_TIMEOUT`] and its link was not lost since.
+    /// Whether it sent a message within [`PEER_TIMEOUT`] and its link was not lost since.
     pub fn is_fresh(&self, now: Instant) -> bool {
         !self.lost && now.saturating_duration_since(self.heard) <= PEER_TIMEOUT
     }
--- a/components/routing/src/api.rs
+++ b/components/routing/src/api.rs
@@ -23,7 +23,7 @@
     pub customer: &'a CustomerName,
     /// Priority class of the request.
     pub priority: Priority,
-    /// Whether the request was refused before and returns at the time told.
+    /// Whether the request was refused before and returns at the announced time.
     pub returning: bool,
     /// Deadline of the whole request.
     pub deadline: Instant,
--- a/components/routing/src/lane.rs
+++ b/components/routing/src/lane.rs
@@ -43,7 +43,7 @@
     /// Virtual time: the start tag of the customer served last.
     virtual_time: f64,
     pub(crate) usage: Usage,
-    /// Share of the refused requests that return at the time told.
+    /// Share of the refused requests that return at the announced time.
     return_rate: f64,
 }
 
--- a/components/routing/src/queue.rs
+++ b/components/routing/src/queue.rs
@@ -11,7 +11,7 @@
 
 /// Time after its scheduled return at which a refused request is no longer expected.
 const RETURN_GRACE: Duration = Duration::from_millis(500);
-/// Maximum number of scheduled returns kept. Further refused requests are told the time of the last
+/// Maximum number of scheduled returns kept. Further refused requests get the time of the last
 /// one plus one gap.
 const MAX_SCHEDULED_RETURNS: usize = 4096;
 
@@ -23,7 +23,7 @@
     pub(crate) priority: Priority,
     /// Latest time at which the stage can start and still meet the deadline.
     pub(crate) start_by: Instant,
-    /// Whether the request returns after a refusal, at the time told; such requests go before the
+    /// Whether the request returns after a refusal, at the announced time; such requests go before the
     /// customer's others.
     pub(crate) returning: bool,
     pub(crate) exclude: Vec<TargetKey>,
@@ -45,7 +45,7 @@
 #[derive(Debug, Default)]
 pub(crate) struct CustomerQueue {
     waiting: BTreeMap<Order, Waiting>,
-    /// Return times told to refused requests, in ascending order.
+    /// Return times announced to refused requests, in ascending order.
     scheduled_returns: VecDeque<Instant>,
 }
 
--- a/components/selection/src/cost.rs
+++ b/components/selection/src/cost.rs
@@ -11,8 +11,8 @@
 /// Cost of a call to another hall, as a fraction of a slot in use.
 const OTHER_HALL: f64 = 0.25;
 /// Prompt tokens that cost as much as one request in progress. Such a request slows each step of the engine by a
-/// few hundredths, which over an answer is the time to process so many tokens. With 40, nearly idle engines
-/// process a tenth less of shared prefixes again, but a deployment of busy ones loses 0.015 of its loaded days.
+/// few hundredths, which over an answer is the time to process so many tokens. With a lower value, nearly
+/// idle engines process fewer shared prefixes again, but a deployment of busy ones performs worse.
 const TOKENS_PER_REQUEST: f64 = 120.0;
 /// Weight of a token that the target still has to process for other calls, relative to one of this call. It costs
 /// waiting time, but no repeated work.
--- a/daemon/src/dispatcher_messages.rs
+++ b/daemon/src/dispatcher_messages.rs
@@ -29,7 +29,7 @@
     pub(crate) incarnation: Incarnation,
     pub(crate) log: Logger,
     pub(crate) metrics: Arc<Metrics>,
-    /// Wakes the peer links when there is news to send at once.
+    /// Wakes the peer links when there are changes to send at once.
     pub(crate) news: Arc<Notify>,
 }
 
--- a/daemon/src/fleet.rs
+++ b/daemon/src/fleet.rs
@@ -19,7 +19,7 @@
 const PLATFORM_READERS: usize = 2;
 /// Partners of a round in the VM's own hall.
 const LOCAL_PARTNERS: usize = 2;
-/// Additional partners of a round while no other VM was heard of recently; taken from the seeds and
+/// Additional partners of a round while no other VM sent state recently; taken from the seeds and
 /// the VM list.
 const BOOTSTRAP_PARTNERS: usize = 3;
 /// Partners of a round in other halls.
@@ -105,8 +105,8 @@
         }
     }
 
-    /// A random VM of the VM list that was not heard of recently: of the own hall, or of any hall
-    /// while no VM of another hall is heard of, so that halls reconnect after a network partition.
+    /// A random VM of the VM list without recent state: of the own hall, or of any hall while
+    /// no VM of another hall has recent state, so that halls reconnect after a network partition.
     fn pick_unheard_peer(&self, now: Instant) -> Option<SocketAddr> {
         let own_hall = &self.setup.cfg.hall;
         let interval = self.round_pacer.interval();
@@ -142,7 +142,7 @@
         self.router.set_leaving(|name| leaving.contains(name));
     }
 
-    /// The VMs that share the targets: this one and all heard of recently that are not draining.
+    /// The VMs that share the targets: this one and all with recent state that are not draining.
     fn sharers(&self, now: Instant) -> Vec<Sharer> {
         let of = |vm: &VmName, hall: &HallName| Sharer { vm: vm.clone(), hall: hall.clone() };
         let not_draining =
--- a/daemon/src/peer_links.rs
+++ b/daemon/src/peer_links.rs
@@ -34,7 +34,7 @@
 /// Bytes on the wire per message in addition to its encoded length, on an established connection: 61
 /// for HTTP/2 and 124 for TCP/IP segments. `docs/CAPACITY.md` describes how to measure it.
 const FRAMING_BYTES: u64 = 185;
-/// Shortest time between two rounds, even if there is news to send at once.
+/// Shortest time between two rounds, even if there are changes to send at once.
 const MIN_ROUND_GAP: Duration = Duration::from_millis(20);
 /// Largest catalogue message, in bytes.
 const MAX_MESSAGE_BYTES: usize = 8 << 20;
@@ -58,7 +58,7 @@
     }
 }
 
-/// Runs rounds until the process ends: at the interval that the dispatcher sets, or at once on news.
+/// Runs rounds until the process ends: at the interval that the dispatcher sets, or at once when there is a change to send.
 pub(crate) async fn hold_rounds(links: PeerLinks) {
     let mut clients = PeerClients::default();
     while let Ok(round) = links.dispatcher.ask_async(Message::StartRound).await {
--- a/gateway/src/app.rs
+++ b/gateway/src/app.rs
@@ -47,7 +47,7 @@
     pub(crate) planned_pool_checks: RefCell<HashMap<ServiceName, tokio::time::Instant>>,
     /// Peer addresses to which links should exist.
     pub(crate) wanted_links: RefCell<BTreeSet<SocketAddr>>,
-    /// Link addresses of peers first heard since the last dial round, with the incarnation of their
+    /// Link addresses of peers whose first message arrived since the last dial round, with the incarnation of their
     /// process. They are dialled at once: VMs that start together would otherwise disagree on pool
     /// owners for about 1.5 s.
     pub(crate) new_peer_addresses: RefCell<BTreeMap<SocketAddr, u64>>,
--- a/gateway/src/hall_reachability.rs
+++ b/gateway/src/hall_reachability.rs
@@ -1,6 +1,6 @@
 //! Detects data halls that this VM can't reach. If heartbeats from all VMs of a hall stop, a few of its
 //! targets are probed over TCP. If none accepts a connection, the hall counts as unreachable and receives
-//! no work until a probe succeeds or its VMs are heard again. Without this, every VM would have to see each
+//! no work until a probe succeeds or heartbeats of its VMs arrive again. Without this, every VM would have to see each
 //! of the hall's targets fail separately.
 
 use std::collections::BTreeMap;
--- a/gateway/src/held_results.rs
+++ b/gateway/src/held_results.rs
@@ -79,9 +79,9 @@
 enum ReleaseState {
     /// The worker has not confirmed yet.
     Sending,
-    /// The worker has confirmed; the origin has not been told.
+    /// The worker has confirmed; the origin has not been notified.
     Confirmed,
-    /// The origin was told on the open link and has not confirmed.
+    /// The origin was notified on the open link and has not confirmed.
     Reported,
 }
 
@@ -169,7 +169,7 @@
         }
     }
 
-    /// Records the outcome: the origin is to be told of results whose release the worker confirmed.
+    /// Records the outcome: the origin is to be notified of results whose release the worker confirmed.
     pub(crate) fn record_release_outcome(&self, handles: &[String], is_confirmed: bool) {
         let mut released = self.released.borrow_mut();
         for handle in handles {
--- a/gateway/src/shared.rs
+++ b/gateway/src/shared.rs
@@ -79,7 +79,7 @@
     pub(crate) token_buckets: TokenBuckets,
     /// Owner of the token buckets of each service at the last check.
     pub(crate) token_bucket_owners: BTreeMap<ServiceName, Owner>,
-    /// Notified when there is news to send to peers at once.
+    /// Notified when there are changes to send to peers at once.
     pub(crate) peer_update_pending: watch::Sender<()>,
     /// Halls whose targets are restricted: evacuated or unreachable.
     pub(crate) halls: Halls,
@@ -100,7 +100,7 @@
     pub(crate) admission: Admission,
     /// Requests that crash targets.
     pub(crate) quarantine: Quarantine,
-    /// Notified when a target crash caused by a request becomes known; peers are told at once.
+    /// Notified when a target crash caused by a request becomes known; peers are notified at once.
     pub(crate) crashes_changed: watch::Sender<()>,
     /// Targets whose store entries expired around a store outage, and when they count as gone.
     pub(crate) lapsed: HashMap<TargetName, Instant>,
@@ -109,7 +109,7 @@
 }
 
 impl Shared {
-    /// Initial state, before anything was read from the store or heard from peers.
+    /// Initial state, before anything was read from the store or received from peers.
     pub(crate) fn new(
         cfg: &Settings,
         adapter: Adapter,
