--- a/src/cli.rs
+++ b/src/cli.rs
@@ -1,4 +1,4 @@
-//! Arguments and exit codes; `docs/operators/tool.md` documents both.
+//! Command-line arguments and exit codes, both documented in `docs/operators/tool.md`.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -8,22 +8,22 @@
 use clap::{Arg, ArgAction, ArgMatches, Command, value_parser};
 use errors::Error;
 
-/// Something failed that is no case below.
+/// Any failure without an exit code of its own.
 const FAILED: u8 = 1;
-/// The input can't be taken.
+/// The input is invalid.
 const BAD_INPUT: u8 = 2;
-/// Another change was accepted first.
+/// The change was refused because another one was accepted first.
 const REFUSED: u8 = 3;
 /// It is not known whether the change was accepted.
 const UNKNOWN: u8 = 4;
-/// Not in force everywhere within the time given.
+/// The revision was not in force on every VM before the timeout.
 const TIMED_OUT: u8 = 5;
-/// The platform or a daemon can't be reached.
+/// The platform or a daemon is unreachable.
 const UNREACHABLE: u8 = 6;
-/// `diff` and `apply --dry-run` found something that would change.
+/// `diff` or `apply --dry-run` found changes.
 pub(crate) const DIFFERS: u8 = 10;
 
-/// The exit code that goes with an error.
+/// Exit code for an error.
 pub(crate) fn exit_code_of(e: &Error) -> ExitCode {
     ExitCode::from(match e {
         Error::BadInput { .. } => BAD_INPUT,
@@ -35,16 +35,16 @@
     })
 }
 
-/// How lists and dumps are printed.
+/// Output format of lists and dumps.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Output {
-    /// For people.
+    /// Human-readable text.
     Text,
-    /// For programs.
+    /// JSON for programs.
     Json,
 }
 
-/// The chosen output.
+/// Output format selected with `--output`; text unless JSON is given.
 pub(crate) fn output_of(args: &ArgMatches) -> Output {
     match args.get_one::<String>("output").map(String::as_str) {
         Some("json") => Output::Json,
@@ -52,15 +52,18 @@
     }
 }
 
-/// The whole command line.
+/// Builds the command-line parser.
 pub(crate) fn command() -> Command {
     Command::new("saddlerail")
         .version(env!("CARGO_PKG_VERSION"))
-        .about("Steers and inspects a saddlerail fleet")
+        .about("Configures and inspects a saddlerail fleet")
         .subcommand_required(true)
         .arg_required_else_help(true)
-        .arg(address("platform", "SADDLERAIL_PLATFORM", "The platform's store").global(true))
-        .arg(address("vm", "SADDLERAIL_VM", "A daemon's operations page").global(true))
+        .arg(
+            address("platform", "SADDLERAIL_PLATFORM", "Address of the platform's store")
+                .global(true),
+        )
+        .arg(address("vm", "SADDLERAIL_VM", "Operations address of a daemon").global(true))
         .arg(
             Arg::new("output")
                 .long("output")
@@ -68,7 +71,7 @@
                 .value_parser(["text", "json"])
                 .default_value("text")
                 .global(true)
-                .help("Format of what is printed"),
+                .help("Output format"),
         )
         .subcommands([apply(), diff(), list(), show(), remove(), label()])
         .subcommands([history(), rollback(), settle(), wait(), state(), explain(), completions()])
@@ -92,14 +95,14 @@
         .action(ArgAction::Append)
         .required(true)
         .value_parser(value_parser!(PathBuf))
-        .help("YAML file with objects; may be given several times")
+        .help("YAML file with objects; may be repeated")
 }
 
 fn wait_flag() -> Arg {
     Arg::new("wait")
         .long("wait")
         .action(ArgAction::SetTrue)
-        .help("Return once the change is in force on every VM")
+        .help("Wait until the change is in force on every VM")
 }
 
 fn timeout() -> Arg {
@@ -108,7 +111,7 @@
         .value_name("MS")
         .default_value("5000")
         .value_parser(value_parser!(u64))
-        .help("Longest wait for a change to be in force")
+        .help("Timeout in milliseconds for a change to be in force")
 }
 
 fn object(name: &'static str) -> Arg {
@@ -116,18 +119,18 @@
         .value_name("KIND/NAME")
         .required(true)
         .value_parser(value_parser!(ObjectKey))
-        .help("Object, such as target/enc-1")
+        .help("Object key, such as target/enc-1")
 }
 
 fn apply() -> Command {
     Command::new("apply")
-        .about("Add or change objects; all of them or none")
+        .about("Add or change objects atomically")
         .args([files(), wait_flag(), timeout()])
         .arg(
             Arg::new("dry-run")
                 .long("dry-run")
                 .action(ArgAction::SetTrue)
-                .help("Check and show what would change, but change nothing"),
+                .help("Validate and show what would change, without changing anything"),
         )
 }
 
@@ -155,7 +158,7 @@
 
 fn remove() -> Command {
     Command::new("remove")
-        .about("Remove objects; all of them or none")
+        .about("Remove objects atomically")
         .arg(object("object").num_args(1..))
         .args([wait_flag(), timeout()])
 }
@@ -169,7 +172,7 @@
                 .value_name("KEY=VALUE or KEY-")
                 .required(true)
                 .num_args(1..)
-                .help("Labels to set, or to remove with a dash at the end"),
+                .help("Labels to set (KEY=VALUE) or to remove (KEY-)"),
         )
         .args([wait_flag(), timeout()])
 }
@@ -180,7 +183,7 @@
 
 fn rollback() -> Command {
     Command::new("rollback")
-        .about("Make an earlier revision's content the newest revision")
+        .about("Publish the content of an earlier revision as a new revision")
         .arg(
             Arg::new("to")
                 .long("to")
@@ -193,18 +196,18 @@
 
 fn settle() -> Command {
     Command::new("settle")
-        .about("Tell whether a change whose answer was lost was accepted")
+        .about("Show whether a change whose response was lost was accepted")
         .arg(Arg::new("change").value_name("CHANGE-ID").required(true))
 }
 
 fn wait() -> Command {
     Command::new("wait")
-        .about("Wait until a revision is in force on every VM; name those that miss it")
+        .about("Wait until a revision is in force on every VM; list the VMs without it on timeout")
         .arg(
             Arg::new("revision")
                 .long("revision")
                 .value_parser(value_parser!(u64))
-                .help("Revision; the accepted one if not given"),
+                .help("Revision to wait for; by default the latest accepted one"),
         )
         .arg(timeout())
 }
@@ -215,7 +218,7 @@
 
 fn explain() -> Command {
     Command::new("explain")
-        .about("Tell which targets each stage of a request tried, why, and how it ended")
+        .about("Show which targets each stage of a request tried, why, and the outcome")
         .arg(Arg::new("request").value_name("REQUEST-ID").required(true))
 }
 
@@ -230,9 +233,9 @@
 
 fn trace() -> Command {
     Command::new("trace")
-        .about("Tell from VMs' log files what became of a request or a target")
+        .about("Print the log lines of a request or a target, sorted by time")
         .arg(Arg::new("request").value_name("REQUEST-ID").required(true).help(
-            "Id of an attempt, the content that all attempts at a request have alike, or a \
+            "Id of an attempt, the content hash shared by all attempts at a request, or a \
                      target's id",
         ))
         .arg(logs())
@@ -240,14 +243,14 @@
 
 fn report() -> Command {
     Command::new("report")
-        .about("Draw from VMs' log files how requests ended, stages waited and calls were filled")
+        .about("Chart request outcomes, stage times and pool calls from the VMs' log files")
         .arg(logs())
         .arg(
             Arg::new("page")
                 .long("page")
                 .value_name("FILE")
                 .value_parser(value_parser!(PathBuf))
-                .help("HTML page to write; without it the figures are printed"),
+                .help("HTML page to write; without it the figures go to standard output"),
         )
         .arg(
             Arg::new("seconds")
@@ -255,31 +258,31 @@
                 .value_name("N")
                 .default_value("1")
                 .value_parser(value_parser!(u32).range(1..=3600))
-                .help("Seconds that one point of a line stands for"),
+                .help("Length in seconds of the interval that one point covers"),
         )
 }
 
 fn check() -> Command {
     Command::new("check")
-        .about("Read a configuration of the users' platform and tell what it becomes")
+        .about("Validate a configuration of the users' platform and show how it is interpreted")
         .arg(
             Arg::new("file")
                 .value_name("FILE")
                 .required(true)
                 .value_parser(value_parser!(PathBuf))
-                .help("The configuration, as it stands in the platform's store"),
+                .help("The configuration, in the format of the platform's store"),
         )
         .arg(
             Arg::new("against")
                 .long("against")
                 .value_name("OLDER")
                 .value_parser(value_parser!(PathBuf))
-                .help("Tell only what changes from this configuration"),
+                .help("Show only the changes from this configuration"),
         )
 }
 
 fn completions() -> Command {
     Command::new("completions")
-        .about("Print a completion script")
+        .about("Print a shell completion script")
         .arg(Arg::new("shell").required(true).value_parser(value_parser!(clap_complete::Shell)))
 }
--- a/src/cmd/check.rs
+++ b/src/cmd/check.rs
@@ -1,5 +1,5 @@
-//! `saddlerail check`: read a configuration of the users' platform and tell what it becomes, or what
-//! it changes against another.
+//! `saddlerail check`: validates a configuration of the users' platform and shows how it is
+//! interpreted, or what it changes compared with another one.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::path::{Path, PathBuf};
@@ -14,8 +14,8 @@
 
 pub(crate) fn run(args: &ArgMatches) -> Result<()> {
     let path = args.get_one::<PathBuf>("file").cloned().unwrap_or_default();
-    let intent = read(&path)?;
-    let older = args.get_one::<PathBuf>("against").map(|path| read(path)).transpose()?;
+    let intent = read_intent(&path)?;
+    let older = args.get_one::<PathBuf>("against").map(|path| read_intent(path)).transpose()?;
     match (older, output_of(args)) {
         (None, Output::Json) => out!("{}", as_json(&intent)),
         (None, Output::Text) => print_text(&intent),
@@ -24,20 +24,22 @@
     Ok(())
 }
 
-fn read(path: &Path) -> Result<Intent> {
+fn read_intent(path: &Path) -> Result<Intent> {
     let text = logs::read_bytes(path)?;
     let intent = users_platform::adapter().intents.intent;
     intent(&text).map_err(|e| e.with_outer_place(&path.display().to_string()))
 }
 
-/// A part of a configuration that one version has otherwise than another.
+/// A part of the configuration that differs between two versions.
 struct Difference {
     place: String,
+    /// Description in the older version; `None` if the part was added.
     before: Option<String>,
+    /// Description in the newer version; `None` if the part was removed.
     after: Option<String>,
 }
 
-/// What changes from one configuration to another, by place.
+/// Differences between two configurations, sorted_entries by place.
 fn changes(older: &Intent, newer: &Intent) -> Vec<Difference> {
     let (before, after) = (parts(older), parts(newer));
     let places: BTreeSet<&String> = before.keys().chain(after.keys()).collect();
@@ -49,7 +51,8 @@
     places.into_iter().map(difference).filter(|d| d.before != d.after).collect()
 }
 
-/// What a configuration says, by place; customers' keys are told by their number only.
+/// Descriptions of all parts of a configuration, by place. Customers' API keys are counted but
+/// not shown.
 fn parts(intent: &Intent) -> BTreeMap<String, String> {
     let entries = intent.entries();
     let mut parts: BTreeMap<String, String> = entries
@@ -81,24 +84,26 @@
         Output::Text if changes.is_empty() => messages::nothing_changes(),
         Output::Text => {
             for Difference { place, before, after } in changes {
-                let told = |sign: &str, text: &Option<String>| {
+                let print_part = |sign: &str, text: &Option<String>| {
                     if let Some(text) = text {
                         out!("{sign} {place}: {text}");
                     }
                 };
-                told("-", before);
-                told("+", after);
+                print_part("-", before);
+                print_part("+", after);
             }
         }
     }
 }
 
-fn sorted(intent: &Intent) -> Vec<&Entry> {
+/// Entries sorted_entries by host and path prefix.
+fn sorted_entries(intent: &Intent) -> Vec<&Entry> {
     let mut entries: Vec<&Entry> = intent.entries().map(AsRef::as_ref).collect();
     entries.sort_by(|a, b| (&a.host, &a.path_prefix).cmp(&(&b.host, &b.path_prefix)));
     entries
 }
 
+/// Whether an entry streams, and whether its requests may run more than once.
 fn kind(entry: &Entry) -> &'static str {
     match (entry.streams, entry.repeatable) {
         (true, true) => "stream, may be resumed",
@@ -111,7 +116,7 @@
 fn print_text(intent: &Intent) {
     let keys = intent.customers.as_ref().map_or(0, |customers| customers.len());
     out!("version {}, {} services, {keys} keys", intent.version, intent.services.len());
-    for entry in sorted(intent) {
+    for entry in sorted_entries(intent) {
         out!("{}{}: {}", entry.host, entry.path_prefix, entry_text(entry));
     }
 }
@@ -147,6 +152,6 @@
             "stages": entry.stages.iter().map(|s| s.pool.as_str()).collect::<Vec<_>>(),
         })
     };
-    let entries: Vec<Value> = sorted(intent).into_iter().map(entry).collect();
+    let entries: Vec<Value> = sorted_entries(intent).into_iter().map(entry).collect();
     json!({ "version": intent.version, "entries": entries })
 }
--- a/src/cmd/completions.rs
+++ b/src/cmd/completions.rs
@@ -1,4 +1,4 @@
-//! `saddlerail completions`: print a completion script.
+//! `saddlerail completions`: prints a shell completion script.
 
 use clap::ArgMatches;
 use clap_complete::{Shell, generate};
--- a/src/cmd/diff.rs
+++ b/src/cmd/diff.rs
@@ -1,4 +1,4 @@
-//! `saddlerail diff`: show what applying files would change.
+//! `saddlerail diff`: shows what applying files would change.
 
 use std::process::ExitCode;
 
@@ -8,19 +8,19 @@
 use serde_json::json;
 
 use crate::cli::{DIFFERS, Output, output_of};
-use crate::context::{accepted, documents, store};
+use crate::context::{read_accepted, read_documents, store};
 use crate::messages;
 
 pub(crate) fn run(args: &ArgMatches) -> Result<ExitCode> {
-    let documents = documents(args)?;
-    let before = accepted(&store(args)?)?.catalogue;
+    let documents = read_documents(args)?;
+    let before = read_accepted(&store(args)?)?.catalogue;
     let mut after = before.clone();
     documents.into_iter().for_each(|document| after.put(document));
-    Ok(report(args, &diff(&before, &after)))
+    Ok(print_changes(args, &diff(&before, &after)))
 }
 
-/// Prints the changes; the exit code tells whether there are any.
-pub(crate) fn report(args: &ArgMatches, changes: &[Change]) -> ExitCode {
+/// Prints the changes and returns `DIFFERS` as the exit code if there are any.
+pub(crate) fn print_changes(args: &ArgMatches, changes: &[Change]) -> ExitCode {
     match output_of(args) {
         Output::Json => out!("{}", json!(changes)),
         Output::Text if changes.is_empty() => messages::nothing_changes(),
--- a/src/cmd/history.rs
+++ b/src/cmd/history.rs
@@ -1,4 +1,4 @@
-//! `saddlerail history`: list the latest accepted changes.
+//! `saddlerail history`: lists the latest accepted changes.
 
 use clap::ArgMatches;
 use errors::Result;
--- a/src/cmd/label.rs
+++ b/src/cmd/label.rs
@@ -1,14 +1,14 @@
-//! `saddlerail label`: set or remove labels of one object.
+//! `saddlerail label`: sets or removes labels of one object.
 
 use catalogue::{Document, Labels, ObjectKey};
 use clap::ArgMatches;
 use errors::{Error, Result};
 
-use crate::context::{accepted, change, store};
+use crate::context::{publish_change, read_accepted, store};
 
 pub(crate) fn run(args: &ArgMatches) -> Result<()> {
     let store = store(args)?;
-    let before = accepted(&store)?;
+    let before = read_accepted(&store)?;
     let Some(key) = args.get_one::<ObjectKey>("object") else {
         return Ok(());
     };
@@ -26,18 +26,20 @@
     }
     let mut after = before.catalogue.clone();
     after.put(document);
-    change(args, &store, &before, &after)
+    publish_change(args, &store, &before, &after)
 }
 
+/// Applies one argument: `KEY=VALUE` sets a label, `KEY-` removes it.
 fn set_label(labels: &mut Labels, text: &str) -> Result<()> {
     if let Some((key, value)) = text.split_once('=') {
         labels.insert(key.to_owned(), value.to_owned());
         return Ok(());
     }
-    let problem = || Error::bad_input(text, "expected KEY=VALUE, or KEY- to remove it");
+    let problem =
+        || Error::bad_input(text, "expected KEY=VALUE to set a label or KEY- to remove it");
     let key = text.strip_suffix('-').ok_or_else(problem)?;
     match labels.remove(key) {
         Some(_) => Ok(()),
-        None => Err(Error::bad_input(text, "there is no such label")),
+        None => Err(Error::bad_input(text, "the object has no such label")),
     }
 }
--- a/src/cmd/list.rs
+++ b/src/cmd/list.rs
@@ -1,4 +1,4 @@
-//! `saddlerail list`: list objects of one kind.
+//! `saddlerail list`: lists the objects of one kind.
 
 use catalogue::{Document, Labels};
 use clap::ArgMatches;
@@ -6,12 +6,12 @@
 use serde_json::json;
 
 use crate::cli::{Output, output_of};
-use crate::context::{accepted, store};
+use crate::context::{read_accepted, store};
 
 pub(crate) fn run(args: &ArgMatches) -> Result<()> {
     let kind = args.get_one::<String>("kind").cloned().unwrap_or_default();
     let wanted = wanted_labels(args)?;
-    let accepted = accepted(&store(args)?)?;
+    let accepted = read_accepted(&store(args)?)?;
     let documents: Vec<Document> = accepted
         .catalogue
         .documents()
@@ -25,6 +25,7 @@
     Ok(())
 }
 
+/// Labels given with `--label`, which an object must all have to be listed.
 fn wanted_labels(args: &ArgMatches) -> Result<Labels> {
     let texts = args.get_many::<String>("label").into_iter().flatten();
     texts
@@ -43,6 +44,7 @@
     }
 }
 
+/// One line of the text output.
 fn line(document: &Document) -> String {
     let labels: Vec<String> = labels_of(document).iter().map(|(k, v)| format!("{k}={v}")).collect();
     let labels = labels.join(",");
--- a/src/cmd/mod.rs
+++ b/src/cmd/mod.rs
@@ -1,4 +1,4 @@
-//! One file for each subcommand.
+//! The subcommands, one module each.
 
 mod apply;
 mod check;
@@ -22,7 +22,7 @@
 use clap::ArgMatches;
 use errors::Result;
 
-/// Runs the chosen subcommand.
+/// Runs the subcommand selected on the command line.
 pub(crate) fn run(matches: &ArgMatches) -> Result<ExitCode> {
     let Some((name, args)) = matches.subcommand() else {
         return Ok(ExitCode::FAILURE);
--- a/src/cmd/remove.rs
+++ b/src/cmd/remove.rs
@@ -1,19 +1,19 @@
-//! `saddlerail remove`: remove objects.
+//! `saddlerail remove`: removes objects.
 
 use catalogue::ObjectKey;
 use clap::ArgMatches;
 use errors::{Error, Result};
 
-use crate::context::{accepted, change, store};
+use crate::context::{publish_change, read_accepted, store};
 
 pub(crate) fn run(args: &ArgMatches) -> Result<()> {
     let store = store(args)?;
-    let before = accepted(&store)?;
+    let before = read_accepted(&store)?;
     let mut after = before.catalogue.clone();
     for key in args.get_many::<ObjectKey>("object").into_iter().flatten() {
         if !after.remove(key) {
             return Err(Error::bad_input(key.to_string(), "no such object"));
         }
     }
-    change(args, &store, &before, &after)
+    publish_change(args, &store, &before, &after)
 }
--- a/src/cmd/report.rs
+++ b/src/cmd/report.rs
@@ -1,6 +1,6 @@
-//! `saddlerail report`: draw from VMs' log files how requests ended, how long stages took against what was
-//! expected, how well pools' calls were filled, who filled them, what took their room, and who was refused on
-//! arrival, over time.
+//! `saddlerail report`: charts over time from the VMs' log files. They show request outcomes,
+//! refusals on arrival, stage times, delays against the forecast, the size and wait of pool
+//! calls, the VMs that made them, and the use of the pools' memory.
 
 use std::collections::HashMap;
 use std::fs;
@@ -10,7 +10,7 @@
 use errors::{Error, Result};
 use serde_json::{Map, Value, json};
 
-use crate::charts::{Chart, draw, mean, ninety};
+use crate::charts::{Chart, draw, mean, percentile_90};
 use crate::cli::{Output, output_of};
 use crate::{logs, pool_charts};
 
@@ -18,12 +18,12 @@
     let seconds = args.get_one::<u32>("seconds").copied().unwrap_or(1);
     let mut events = Vec::new();
     for path in args.get_many::<PathBuf>("logs").into_iter().flatten() {
-        events.extend(logs::read(path)?.lines().map(logs::pairs));
+        events.extend(logs::read_text(path)?.lines().map(logs::parse_line));
     }
-    let mut charts = charts(&events, f64::from(seconds));
-    charts.extend(pool_charts::of(&events, f64::from(seconds)));
+    let mut charts = request_charts(&events, f64::from(seconds));
+    charts.extend(pool_charts::pool_charts(&events, f64::from(seconds)));
     if charts.iter().all(|chart| chart.lines.is_empty()) {
-        return Err(Error::bad_input("logs", "no line tells of a request or a pool's call"));
+        return Err(Error::bad_input("logs", "no line tells of a request or a pool call"));
     }
     match (args.get_one::<PathBuf>("page"), output_of(args)) {
         (Some(page), _) => write_page(page, &charts, seconds)?,
@@ -33,37 +33,46 @@
     Ok(())
 }
 
-/// The charts of all events, with intervals of so many seconds from the first event on.
-fn charts(events: &[Map<String, Value>], seconds: f64) -> Vec<Chart> {
+/// Builds the charts of requests, stages and pool calls; intervals of `seconds` are counted from
+/// the first event.
+fn request_charts(events: &[Map<String, Value>], seconds: f64) -> Vec<Chart> {
     let first = logs::first_time(events);
     let mut expected = HashMap::new();
     let mut ended = Chart::new("Requests by outcome", "requests", |values| values.len() as f64);
     let mut refused =
         Chart::new("Not admitted, by entry", "requests", |values| values.len() as f64);
-    let mut stages = Chart::new("Time of all stages, by entry", "ms, 90 in 100", ninety);
-    let mut beyond =
-        Chart::new("Begun later than expected on admission, by entry", "ms, 90 in 100", ninety);
-    let mut waits = Chart::new("Longest wait of a call's pieces, by pool", "ms, 90 in 100", ninety);
+    let mut stages =
+        Chart::new("Time of all stages, by entry", "ms, 90th percentile", percentile_90);
+    let mut start_delays = Chart::new(
+        "Begun later than expected on admission, by entry",
+        "ms, 90th percentile",
+        percentile_90,
+    );
+    let mut waits = Chart::new(
+        "Longest wait of a call's pieces, by pool",
+        "ms, 90th percentile",
+        percentile_90,
+    );
     let mut fill = Chart::new("Pieces in a call, by pool", "pieces, mean", mean);
     for pairs in events {
         let Some(time) = logs::number(pairs, "time") else { continue };
-        let at = ((time - first) / seconds) as u64;
+        let interval = ((time - first) / seconds) as u64;
         let text = |key| logs::text(pairs, key).unwrap_or("-");
         let add = |chart: &mut Chart, name: &str, key: &str| {
             if let Some(value) = logs::number(pairs, key) {
-                chart.add(name, at, value);
+                chart.add(name, interval, value);
             }
         };
         match text("msg") {
             "admitted" => {
                 expected.insert(text("request"), logs::number(pairs, "expected_ms"));
             }
-            // A stream that has begun is told again at its end.
+            // A stream is logged again at its end, so its begin does not count as an outcome.
             "request ended" if text("outcome") == "stream begun" => {
                 let forecast = expected.remove(text("request")).flatten();
                 let took = logs::number(pairs, "took_ms");
                 if let (Some(forecast), Some(took)) = (forecast, took) {
-                    beyond.add(text("entry"), at, took - forecast);
+                    start_delays.add(text("entry"), interval, took - forecast);
                 }
             }
             "request ended" | "stream ended" => add(&mut ended, text("outcome"), "took_ms"),
@@ -76,15 +85,16 @@
             _ => {}
         }
     }
-    vec![ended, refused, stages, waits, fill, beyond]
+    vec![ended, refused, stages, waits, fill, start_delays]
 }
 
+/// Prints one aggregate over the whole run for each series.
 fn print_text(charts: &[Chart]) {
     for chart in charts.iter().filter(|chart| !chart.lines.is_empty()) {
         out!("{} ({})", chart.title, chart.unit);
         for (name, line) in &chart.lines {
             let all: Vec<f64> = line.values().flatten().copied().collect();
-            out!("  {name:<24} {:>10.1} in all {} lines", (chart.point)(&all), all.len());
+            out!("  {name:<24} {:>10.1} in all {} lines", (chart.aggregate)(&all), all.len());
         }
     }
 }
--- a/src/cmd/settle.rs
+++ b/src/cmd/settle.rs
@@ -1,4 +1,4 @@
-//! `saddlerail settle`: tell whether a change whose answer was lost was accepted.
+//! `saddlerail settle`: shows whether a change whose response was lost was accepted.
 
 use clap::ArgMatches;
 use errors::Result;
--- a/src/cmd/show.rs
+++ b/src/cmd/show.rs
@@ -1,4 +1,4 @@
-//! `saddlerail show`: print one object.
+//! `saddlerail show`: prints one object.
 
 use catalogue::ObjectKey;
 use clap::ArgMatches;
@@ -6,10 +6,10 @@
 use serde_json::json;
 
 use crate::cli::{Output, output_of};
-use crate::context::{accepted, store};
+use crate::context::{read_accepted, store};
 
 pub(crate) fn run(args: &ArgMatches) -> Result<()> {
-    let accepted = accepted(&store(args)?)?;
+    let accepted = read_accepted(&store(args)?)?;
     let Some(key) = args.get_one::<ObjectKey>("object") else {
         return Ok(());
     };
--- a/src/cmd/trace.rs
+++ b/src/cmd/trace.rs
@@ -1,4 +1,5 @@
-//! `saddlerail trace`: tell from VMs' log files what became of a request, of all attempts at one, or of a target.
+//! `saddlerail trace`: prints the log lines of an attempt, of all attempts at a request, or of a
+//! target, merged from the VMs' log files and sorted by time.
 
 use std::path::PathBuf;
 
@@ -9,12 +10,13 @@
 use crate::cli::{Output, output_of};
 use crate::logs;
 
-/// Keys by which a line names what is traced: the id of an attempt at a request, what all attempts at it have
-/// alike, or a target's id.
-const NAMED_BY: [&str; 3] = ["request", "content", "target"];
+/// Log keys that are compared with the traced id: the id of an attempt, the content hash shared
+/// by all attempts at a request, and a target's id.
+const ID_KEYS: [&str; 3] = ["request", "content", "target"];
 
-/// A log line that names what is traced.
+/// A log line that contains the traced id.
 struct Line {
+    /// Time of the event, in seconds.
     time: f64,
     text: String,
     pairs: Map<String, Value>,
@@ -25,7 +27,7 @@
     ids::RequestId::new(&id)?;
     let mut lines = Vec::new();
     for path in args.get_many::<PathBuf>("logs").into_iter().flatten() {
-        lines.extend(logs::read(path)?.lines().filter_map(|line| of(line, &id)));
+        lines.extend(logs::read_text(path)?.lines().filter_map(|line| matching_line(line, &id)));
     }
     if lines.is_empty() {
         return Err(Error::bad_input(id, "no line of these logs names this request or target"));
@@ -41,17 +43,18 @@
     Ok(())
 }
 
-/// The line, if it names what is traced.
-fn of(line: &str, id: &str) -> Option<Line> {
+/// Parses a line; `None` unless the value of one of `ID_KEYS` is the traced id.
+fn matching_line(line: &str, id: &str) -> Option<Line> {
     if !line.contains(id) {
         return None;
     }
-    let pairs = logs::pairs(line);
-    let names_it = NAMED_BY.iter().any(|key| pairs.get(*key).and_then(Value::as_str) == Some(id));
+    let pairs = logs::parse_line(line);
+    let has_id = ID_KEYS.iter().any(|key| pairs.get(*key).and_then(Value::as_str) == Some(id));
     let time = logs::number(&pairs, "time").unwrap_or_default();
-    names_it.then(|| Line { time, text: line.to_owned(), pairs })
+    has_id.then(|| Line { time, text: line.to_owned(), pairs })
 }
 
+/// Prints each line with its time since the first one, in milliseconds, and its VM.
 fn print_text(lines: &[Line]) {
     let first = lines.first().map_or(0.0, |line| line.time);
     for line in lines {
--- a/src/cmd/wait.rs
+++ b/src/cmd/wait.rs
@@ -1,4 +1,4 @@
-//! `saddlerail wait`: wait until a revision is in force on every VM.
+//! `saddlerail wait`: waits until a revision is in force on every VM.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -10,12 +10,12 @@
 use ids::Revision;
 use store_client::{Store, VmState, read_head};
 
-use crate::context::{page, store, wait_for};
-use crate::fleet::known_vms;
+use crate::context::{fetch_json, store, wait_for};
+use crate::fleet::discover_vms;
 use crate::messages;
 
-/// Time between two looks at the fleet.
-const LOOK: Duration = Duration::from_millis(50);
+/// Time between two polls of the fleet.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 pub(crate) fn run(args: &ArgMatches) -> Result<()> {
     let store = store(args)?;
@@ -26,8 +26,11 @@
     wait_for(args, &store, revision)
 }
 
-/// Waits until every VM that the platform lists or that daemons have heard of says that
-/// `revision`, or a later one, is in force.
+/// Waits until every VM that the platform lists or the daemons know reports `revision` or a
+/// later one.
+///
+/// # Errors
+/// `TimedOut` after `timeout`; the VMs without the revision are printed first.
 pub(crate) fn wait_everywhere(
     store: &Store,
     vm: SocketAddr,
@@ -36,7 +39,7 @@
 ) -> Result<()> {
     let began = Instant::now();
     loop {
-        let missing = missing(store, vm, revision)?;
+        let missing = check_vms(store, vm, revision)?;
         if let Ok(vms) = missing {
             messages::in_force(revision, vms, began.elapsed());
             return Ok(());
@@ -48,37 +51,38 @@
             let what = format!("revision {revision} in force everywhere");
             return Err(Error::TimedOut { what, waited: timeout });
         }
-        thread::sleep(LOOK);
+        thread::sleep(POLL_INTERVAL);
     }
 }
 
-/// The number of VMs that have the revision, or those that miss it with what is known of each.
-fn missing(
+/// Number of VMs if all have the revision; otherwise each VM without it, and why.
+fn check_vms(
     store: &Store,
     vm: SocketAddr,
     revision: Revision,
 ) -> Result<std::result::Result<usize, BTreeMap<String, String>>> {
-    let known = known_vms(vm)?.into_iter().map(|(name, address)| (name, Some(address)));
-    let mut pages: BTreeMap<String, Option<SocketAddr>> = known.collect();
-    // The list may be out; what the daemons know must do then.
+    let known = discover_vms(vm)?.into_iter().map(|(name, address)| (name, Some(address)));
+    let mut addresses: BTreeMap<String, Option<SocketAddr>> = known.collect();
+    // The platform's list may be unavailable; the VMs known to the daemons are used then.
     for listed in store.vms().unwrap_or_default() {
         if listed.entry && listed.state == VmState::Live {
-            pages.entry(listed.name).or_insert(None);
+            addresses.entry(listed.name).or_insert(None);
         }
     }
-    let count = pages.len();
-    let missing: BTreeMap<String, String> = pages
+    let count = addresses.len();
+    let missing: BTreeMap<String, String> = addresses
         .into_iter()
         .filter_map(|(name, address)| why_missing(address, revision).map(|why| (name, why)))
         .collect();
     Ok(if missing.is_empty() { Ok(count) } else { Err(missing) })
 }
 
+/// Why a VM is not known to have the revision; `None` if it has it.
 fn why_missing(address: Option<SocketAddr>, revision: Revision) -> Option<String> {
     let Some(address) = address else {
-        return Some("listed by the platform, but not heard of by the daemons asked".to_owned());
+        return Some("listed by the platform but unknown to the queried daemons".to_owned());
     };
-    match page(address, "/revision") {
+    match fetch_json(address, "/revision") {
         Ok(found) => {
             let found = found.as_u64().unwrap_or(0);
             (found < revision.0).then(|| format!("has revision {found}"))
--- a/src/context.rs
+++ b/src/context.rs
@@ -1,4 +1,5 @@
-//! What the subcommands share: the platform, daemons, and how a change is made.
+//! Helpers shared by the subcommands: access to the store and to daemons, and publishing a
+//! change.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -14,10 +15,10 @@
 use crate::cmd::wait::wait_everywhere;
 use crate::messages;
 
-/// Longest wait for a daemon's page.
-const PAGE_WAIT: Duration = Duration::from_secs(2);
+/// Timeout of a request to a daemon.
+const PAGE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// The platform's store.
+/// Client of the platform's store at `--platform`.
 pub(crate) fn store(args: &ArgMatches) -> Result<Store> {
     let address = args.get_one::<SocketAddr>("platform");
     let missing = || {
@@ -29,8 +30,8 @@
     address.map(|a| Store::new(*a)).ok_or_else(missing)
 }
 
-/// Operations page of the daemon to ask.
-pub(crate) fn vm(args: &ArgMatches) -> Result<SocketAddr> {
+/// Operations address of the daemon at `--vm`.
+pub(crate) fn operations_address(args: &ArgMatches) -> Result<SocketAddr> {
     let missing = || {
         Error::bad_input(
             "--vm",
@@ -40,34 +41,41 @@
     args.get_one::<SocketAddr>("vm").copied().ok_or_else(missing)
 }
 
-/// A page of a daemon as JSON.
-pub(crate) fn page(address: SocketAddr, path: &str) -> Result<Value> {
+/// Fetches a path of a daemon's operations server and parses it as JSON.
+///
+/// # Errors
+/// `Unreachable` if the daemon does not answer in time or the answer is not JSON.
+pub(crate) fn fetch_json(address: SocketAddr, path: &str) -> Result<Value> {
     let what = || format!("the daemon at {address}");
     let unreachable = |e: ureq::Error| Error::Unreachable { what: what(), problem: e.to_string() };
     let call = ureq::get(format!("http://{address}{path}"));
-    let call = call.config().timeout_global(Some(PAGE_WAIT)).build();
+    let call = call.config().timeout_global(Some(PAGE_TIMEOUT)).build();
     let text =
         call.call().map_err(unreachable)?.body_mut().read_to_string().map_err(unreachable)?;
     serde_json::from_str(&text)
         .map_err(|e| Error::Unreachable { what: what(), problem: e.to_string() })
 }
 
-/// The accepted configuration as read at one moment.
+/// Snapshot of the accepted configuration.
 pub(crate) struct Accepted {
     pub(crate) head: Head,
+    /// Version of the head in the store; a change is published only if it is still the same.
     pub(crate) version: u64,
     pub(crate) catalogue: Catalogue,
 }
 
-/// Reads the accepted configuration.
-pub(crate) fn accepted(store: &Store) -> Result<Accepted> {
+/// Reads the accepted configuration from the store.
+pub(crate) fn read_accepted(store: &Store) -> Result<Accepted> {
     let (head, version) = read_head(store)?;
     let catalogue = read_catalogue(store, &head)?;
     Ok(Accepted { head, version, catalogue })
 }
 
-/// Reads the objects of the files named on the command line.
-pub(crate) fn documents(args: &ArgMatches) -> Result<Vec<Document>> {
+/// Reads the objects from the files given with `--file`.
+///
+/// # Errors
+/// `BadInput` if a file is invalid or an object occurs more than once.
+pub(crate) fn read_documents(args: &ArgMatches) -> Result<Vec<Document>> {
     let mut documents = Vec::new();
     for path in args.get_many::<PathBuf>("file").into_iter().flatten() {
         let shown = path.display().to_string();
@@ -77,13 +85,15 @@
     }
     let mut seen = std::collections::BTreeSet::new();
     match documents.iter().map(Document::key).find(|key| !seen.insert(key.clone())) {
-        Some(key) => Err(Error::bad_input(key.to_string(), "stands twice in the files")),
+        Some(key) => {
+            Err(Error::bad_input(key.to_string(), "is defined more than once in the files"))
+        }
         None => Ok(documents),
     }
 }
 
-/// Checks and makes a change, and waits for it if asked to.
-pub(crate) fn change(
+/// Validates and publishes a change, then waits for it if `--wait` is given.
+pub(crate) fn publish_change(
     args: &ArgMatches,
     store: &Store,
     before: &Accepted,
@@ -103,8 +113,8 @@
     if args.get_flag("wait") { wait_for(args, store, revision) } else { Ok(()) }
 }
 
-/// Waits for a revision as the command line says.
+/// Waits until a revision is in force on every VM, or for `--timeout-ms`.
 pub(crate) fn wait_for(args: &ArgMatches, store: &Store, revision: Revision) -> Result<()> {
     let millis = args.get_one::<u64>("timeout-ms").copied().unwrap_or_default();
-    wait_everywhere(store, vm(args)?, revision, Duration::from_millis(millis))
+    wait_everywhere(store, operations_address(args)?, revision, Duration::from_millis(millis))
 }
--- a/src/fleet.rs
+++ b/src/fleet.rs
@@ -1,4 +1,4 @@
-//! Finding every VM of the fleet from one of them.
+//! Discovery of all VMs of the fleet, starting from one of them.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -6,33 +6,35 @@
 use errors::Result;
 use serde_json::Value;
 
-use crate::context::page;
+use crate::context::fetch_json;
 
-/// Operations pages of all VMs that are fresh and stay, by name.
+/// Operations addresses, by VM name, of the first VM and of all VMs with a current heartbeat
+/// that are not draining.
 ///
-/// A VM knows its whole hall and only some VMs of others, so one VM of each hall is asked.
+/// A VM lists all VMs of its own hall but only some of other halls, so one VM of each hall is
+/// queried.
 ///
 /// # Errors
-/// `Unreachable` if the first VM does not answer; others that don't are passed over.
-pub(crate) fn known_vms(first: SocketAddr) -> Result<BTreeMap<String, SocketAddr>> {
-    let view = page(first, "/vms")?;
+/// `Unreachable` if the first VM does not answer; other VMs that do not answer are skipped.
+pub(crate) fn discover_vms(first: SocketAddr) -> Result<BTreeMap<String, SocketAddr>> {
+    let view = fetch_json(first, "/vms")?;
     let mut known = BTreeMap::from([(text(&view["vm"]), first)]);
-    let mut asked_halls = BTreeSet::from([text(&view["hall"])]);
-    let mut to_ask = neighbours(&view);
-    while let Some((name, hall, address)) = to_ask.pop() {
+    let mut queried_halls = BTreeSet::from([text(&view["hall"])]);
+    let mut pending = staying_vms(&view);
+    while let Some((name, hall, address)) = pending.pop() {
         known.entry(name).or_insert(address);
-        if !asked_halls.contains(&hall)
-            && let Ok(view) = page(address, "/vms")
+        if !queried_halls.contains(&hall)
+            && let Ok(view) = fetch_json(address, "/vms")
         {
-            asked_halls.insert(hall);
-            to_ask.extend(neighbours(&view));
+            queried_halls.insert(hall);
+            pending.extend(staying_vms(&view));
         }
     }
     Ok(known)
 }
 
-/// Name, hall and operations page of the VMs in one VM's view.
-fn neighbours(view: &Value) -> Vec<(String, String, SocketAddr)> {
+/// Name, hall and operations address of the VMs in one VM's view that are fresh and not draining.
+fn staying_vms(view: &Value) -> Vec<(String, String, SocketAddr)> {
     let vms = view["vms"].as_array().into_iter().flatten();
     let staying = vms.filter(|vm| vm["age"] == "fresh" && vm["draining"] == false);
     staying
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,9 +1,10 @@
-//! `saddlerail`, the operators' command-line tool.
+//! `saddlerail`, the operators' command-line tool: changes and inspects the configuration, and
+//! analyses the VMs' log files.
 
-/// Prints a line; a reader that has closed the pipe has what it wanted.
+/// Prints a line to standard output; a closed pipe ends the process without an error.
 macro_rules! out {
     ($($arg:tt)*) => {
-        $crate::messages::line(format_args!($($arg)*))
+        $crate::messages::print_line(format_args!($($arg)*))
     };
 }
 
@@ -23,7 +24,7 @@
     match cmd::run(&matches) {
         Ok(code) => code,
         Err(e) => {
-            messages::failed(&e);
+            messages::print_error(&e);
             cli::exit_code_of(&e)
         }
     }
--- a/src/pool_charts.rs
+++ b/src/pool_charts.rs
@@ -1,4 +1,5 @@
-//! Charts of pools: what took their workers' room, which VMs filled their calls, and what was not made.
+//! Charts of pools: what the workers' memory is used for, which VMs call the workers, and why
+//! pieces were not computed.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -7,8 +8,8 @@
 use crate::charts::{Chart, mean};
 use crate::logs;
 
-/// What takes room, by the key of its kilobytes.
-const ROOM: [(&str, &str); 7] = [
+/// Uses of a pool's memory: log key of the size in kilobytes, and name of the series.
+const MEMORY_USES: [(&str, &str); 7] = [
     ("at_work_kb", "being made"),
     ("incomplete_kb", "of submissions that lack others"),
     ("kept_kb", "waiting to be used"),
@@ -17,26 +18,26 @@
     ("telling_kb", "being given up"),
     ("foreign_kb", "of other VMs"),
 ];
-/// Why a piece was not made, by the key of its count.
-const NOT_MADE: [(&str, &str); 4] = [
+/// Reasons for not computing a piece: log key of the count, and name of the series.
+const SKIP_CAUSES: [(&str, &str); 4] = [
     ("no_room", "no room"),
     ("input_gone", "an input is gone"),
     ("late", "late"),
     ("failed", "failed"),
 ];
-/// Hundredths of one.
+/// Percent in a whole.
 const PERCENT: f64 = 100.0;
 
-/// Who called a pool's workers within an interval.
+/// VMs that called a pool's workers within an interval.
 #[derive(Default)]
 struct Callers {
     vms: BTreeSet<String>,
-    /// The VMs that called each worker.
-    of_worker: BTreeMap<String, BTreeSet<String>>,
+    /// VMs that called each worker, by the worker's target name.
+    vms_by_worker: BTreeMap<String, BTreeSet<String>>,
 }
 
-/// The charts of all events, with intervals of so many seconds from the first event on.
-pub(crate) fn of(events: &[Map<String, Value>], seconds: f64) -> Vec<Chart> {
+/// Builds the charts from all events; intervals of `seconds` are counted from the first event.
+pub(crate) fn pool_charts(events: &[Map<String, Value>], seconds: f64) -> Vec<Chart> {
     let first = logs::first_time(events);
     let sum = |values: &[f64]| values.iter().sum();
     let mut room = Chart::new("Room of all pools, by what takes it", "% of it, mean", mean);
@@ -45,21 +46,25 @@
     let mut callers: BTreeMap<(String, u64), Callers> = BTreeMap::new();
     for pairs in events {
         let Some(time) = logs::number(pairs, "time") else { continue };
-        let at = ((time - first) / seconds) as u64;
+        let interval = ((time - first) / seconds) as u64;
         let text = |key| logs::text(pairs, key).unwrap_or("-").to_owned();
         let number = |key| logs::number(pairs, key).unwrap_or(0.0);
         match logs::text(pairs, "msg") {
             Some("pool room") => {
-                let part = PERCENT / number("total_kb").max(1.0);
-                ROOM.iter().for_each(|(key, name)| room.add(name, at, number(key) * part));
-                let all: f64 = ROOM.iter().map(|(key, _)| number(key)).sum();
-                used.add(&text("pool"), at, all * part);
+                let percent_per_kb = PERCENT / number("total_kb").max(1.0);
+                MEMORY_USES
+                    .iter()
+                    .for_each(|(key, name)| room.add(name, interval, number(key) * percent_per_kb));
+                let used_kb: f64 = MEMORY_USES.iter().map(|(key, _)| number(key)).sum();
+                used.add(&text("pool"), interval, used_kb * percent_per_kb);
             }
             Some("pool call") => {
-                NOT_MADE.iter().for_each(|(key, name)| not_made.add(name, at, number(key)));
-                let of_pool = callers.entry((text("pool"), at)).or_default();
-                of_pool.vms.insert(text("vm"));
-                of_pool.of_worker.entry(text("target")).or_default().insert(text("vm"));
+                SKIP_CAUSES
+                    .iter()
+                    .for_each(|(key, name)| not_made.add(name, interval, number(key)));
+                let pool_callers = callers.entry((text("pool"), interval)).or_default();
+                pool_callers.vms.insert(text("vm"));
+                pool_callers.vms_by_worker.entry(text("target")).or_default().insert(text("vm"));
             }
             _ => {}
         }
@@ -69,13 +74,15 @@
     charts
 }
 
+/// Charts of how many VMs call each pool, and of workers that several VMs call.
 fn caller_charts(callers: &BTreeMap<(String, u64), Callers>) -> [Chart; 2] {
     let mut vms = Chart::new("VMs that fill calls, by pool", "VMs", mean);
     let mut shared = Chart::new("Workers that two VMs or more call, by pool", "workers", mean);
-    for ((pool, at), of_pool) in callers {
-        vms.add(pool, *at, of_pool.vms.len() as f64);
-        let by_two = of_pool.of_worker.values().filter(|vms| vms.len() > 1).count();
-        shared.add(pool, *at, by_two as f64);
+    for ((pool, interval), pool_callers) in callers {
+        vms.add(pool, *interval, pool_callers.vms.len() as f64);
+        let shared_workers =
+            pool_callers.vms_by_worker.values().filter(|vms| vms.len() > 1).count();
+        shared.add(pool, *interval, shared_workers as f64);
     }
     [vms, shared]
 }
