--- a/load/src/arrivals.rs
+++ b/load/src/arrivals.rs
@@ -1,4 +1,4 @@
-//! Open-loop arrivals: when each request is meant to be sent, fixed by a seed.
+//! Open-loop arrivals: the intended send time of each request, determined by a seed.
 
 use std::time::Duration;
 
@@ -6,34 +6,39 @@
 use rand::rngs::StdRng;
 use rand_distr::{Distribution, Exp};
 
-/// One kind of requests.
+/// A kind of request, and its arrival rate.
 #[derive(Debug, Clone)]
-pub(crate) struct Kind {
+pub(crate) struct RequestKind {
+    /// Name in reports.
     pub(crate) label: &'static str,
     pub(crate) service: &'static str,
     pub(crate) customer: &'static str,
     pub(crate) deadline_ms: u64,
+    /// Whether the request may run more than once.
     pub(crate) repeatable: bool,
-    /// Tokens that the request generates; 0 for a plain service.
+    /// Tokens to generate; 0 for a service without an engine.
     pub(crate) tokens: u64,
-    /// Prompt prefixes to draw from; 0 for none.
+    /// Number of different prompt prefixes; 0 for none.
     pub(crate) prefixes: u64,
-    /// Requests a second while the phase lasts.
+    /// Requests per second during the phase.
     pub(crate) rate: f64,
-    /// First and last second of the phase; `None` means from the begin to the end.
+    /// Start and end of the phase in seconds; `None` for the whole run.
     pub(crate) phase: Option<(f64, f64)>,
 }
 
 /// One request to send.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Arrival {
+    /// Intended send time since the start of the run.
     pub(crate) at: Duration,
+    /// Index of the kind.
     pub(crate) kind: usize,
+    /// Position in the order of send times.
     pub(crate) number: u64,
 }
 
-/// Poisson arrivals of all kinds, by time.
-pub(crate) fn arrivals(kinds: &[Kind], seconds: f64, seed: u64) -> Vec<Arrival> {
+/// Generates Poisson arrivals of all kinds for `seconds`, sorted by time.
+pub(crate) fn arrivals(kinds: &[RequestKind], seconds: f64, seed: u64) -> Vec<Arrival> {
     let mut all = Vec::new();
     for (index, kind) in kinds.iter().enumerate() {
         let mut rng = StdRng::seed_from_u64(seed.wrapping_mul(1000) + index as u64);
--- a/load/src/choice.rs
+++ b/load/src/choice.rs
@@ -1,4 +1,4 @@
-//! Processor time of choosing an engine, which each request pays once a try.
+//! CPU time of selecting an engine, which is spent once per attempt at a request.
 
 use std::net::{Ipv4Addr, SocketAddr};
 use std::time::{Duration, Instant};
@@ -7,22 +7,25 @@
 use intent::Target;
 use selection::{CallSize, Policy, SelectionRequest, TargetOutcome, Targets, prefix_chain};
 
-/// Choices that are timed together.
+/// Number of selections timed together.
 const CHOICES: u64 = 2000;
-/// Engines among which is chosen: today's largest deployment, and twice the size that is expected.
-const SIZES: [u16; 3] = [24, 240, 740];
+/// Numbers of engines to select from: up to the largest deployment in use, and twice the
+/// expected size.
+const ENGINE_COUNTS: [u16; 3] = [24, 240, 740];
 
-/// Prints microseconds a choice. With one search of the prompt's home for each candidate, 200 choices
-/// among 240 engines took 1,151 us each (release build); with one for all candidates, 7 us.
+/// Prints the mean time of a selection in microseconds. It shows whether the engine that holds the
+/// prompt's prefix is looked up once per selection (7 us among 240 engines in a release build) or
+/// once per candidate (1,151 us).
 pub(crate) fn measure() -> errors::Result<()> {
-    for engines in SIZES {
-        let took = time_choices(engines)?;
+    for engines in ENGINE_COUNTS {
+        let took = mean_choice_time(engines)?;
         println!("{engines} engines: {:.1} us a choice", took.as_secs_f64() * 1e6);
     }
     Ok(())
 }
 
-fn time_choices(engines: u16) -> errors::Result<Duration> {
+/// Mean time of a selection among `engines` engines.
+fn mean_choice_time(engines: u16) -> errors::Result<Duration> {
     let service = ServiceName::new("engines")?;
     let hall = HallName::new("hall-a")?;
     let mut targets = Targets::new(Policy::Adaptive, hall.clone());
@@ -44,17 +47,17 @@
     }
     let began = Instant::now();
     for number in 0..CHOICES {
-        let size = size_of(number);
-        let wanted = SelectionRequest { service: &service, exclude: &[], size: Some(&size) };
-        if let Some(pick) = targets.pick(&wanted, began) {
+        let size = call_size(number);
+        let request = SelectionRequest { service: &service, exclude: &[], size: Some(&size) };
+        if let Some(pick) = targets.pick(&request, began) {
             targets.record_outcome(pick.key, TargetOutcome::Answered, began);
         }
     }
     Ok(began.elapsed() / u32::try_from(CHOICES).unwrap_or(u32::MAX))
 }
 
-/// A prompt of three parts, of which the first two are shared with others.
-fn size_of(number: u64) -> CallSize {
+/// Size of a call whose prompt has three parts; the first two are shared with other calls.
+fn call_size(number: u64) -> CallSize {
     let parts = [(1, 500), (number % 100, 4000), (number, 6000)];
     let chain = prefix_chain("model", parts.into_iter());
     CallSize { chain, prompt_tokens: 10_500, inputs: Vec::new(), memory_tokens: 400_000 }
--- a/load/src/client.rs
+++ b/load/src/client.rs
@@ -1,4 +1,4 @@
-//! A caller: sends one request and reads its answer to the end.
+//! HTTP client of a caller: sends a request and reads the whole answer.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -11,20 +11,20 @@
 use hyper_util::rt::TokioExecutor;
 use outcomes::Answer;
 
-/// Longest wait for an answer, beyond all deadlines.
-const PATIENCE: Duration = Duration::from_secs(90);
+/// Timeout for the head of an answer; longer than all deadlines of the benchmarks.
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(90);
 
-/// Keeps connections to the entry VMs.
+/// HTTP client that pools connections to the entry VMs and targets.
 pub(crate) type Connections = Client<HttpConnector, Full<Bytes>>;
 
-/// New connections.
+/// Creates a client without open connections.
 pub(crate) fn connections() -> Connections {
     let mut connector = HttpConnector::new();
     connector.set_nodelay(true);
     Client::builder(TokioExecutor::new()).build(connector)
 }
 
-/// A request to send.
+/// A POST request to send.
 #[derive(Debug, Clone)]
 pub(crate) struct Post {
     pub(crate) to: SocketAddr,
@@ -33,26 +33,26 @@
     pub(crate) body: String,
 }
 
-/// What came back.
+/// An HTTP answer that was read to the end.
 #[derive(Debug)]
 pub(crate) struct Reply {
     pub(crate) status: u16,
     pub(crate) body: Bytes,
-    /// When each part of the body came.
+    /// Arrival time of each part of the body.
     pub(crate) parts: Vec<Instant>,
 }
 
-/// Sends and reads to the end; `None` if no whole HTTP answer came.
+/// Sends a request and reads the answer to the end; `None` if it fails or is cut off.
 pub(crate) async fn post(connections: &Connections, post: &Post) -> Option<Reply> {
     let mut req = Request::post(format!("http://{}{}", post.to, post.path));
     for (name, value) in &post.headers {
         req = req.header(*name, value);
     }
     let req = req.body(Full::new(Bytes::from(post.body.clone()))).ok()?;
-    let sent = tokio::time::timeout(PATIENCE, connections.request(req));
-    let rx = sent.await.ok()?.ok()?;
-    let status = rx.status().as_u16();
-    let mut body = rx.into_body();
+    let sent = tokio::time::timeout(ANSWER_TIMEOUT, connections.request(req));
+    let response = sent.await.ok()?.ok()?;
+    let status = response.status().as_u16();
+    let mut body = response.into_body();
     let (mut buf, mut parts) = (Vec::new(), Vec::new());
     while let Some(frame) = body.frame().await {
         if let Ok(data) = frame.ok()?.into_data() {
@@ -64,7 +64,7 @@
 }
 
 impl Reply {
-    /// The answer in a body that is no stream.
+    /// Parses the body of a plain, not streamed, answer.
     pub(crate) fn answer(&self) -> Option<Answer> {
         serde_json::from_slice(&self.body).ok()
     }
--- a/load/src/fleet.rs
+++ b/load/src/fleet.rs
@@ -1,20 +1,23 @@
-//! Fleets for benchmarks: pools over halls, services and entry VMs.
+//! Starts fleets for the benchmarks: pools spread over halls, services and entry VMs.
 
 use standins::fleet::{Fleet, Pool};
 
-/// What to start.
+/// Layout of a fleet to start.
 pub(crate) struct Layout<'a> {
     pub(crate) halls: &'a [&'a str],
     pub(crate) pools: &'a [Pool],
-    /// Slots that the catalogue says each target of a pool has.
+    /// Slots per target that the catalogue declares, for each pool.
     pub(crate) slots: &'a [u32],
+    /// Name and share of each customer.
     pub(crate) customers: &'a [(&'a str, u32)],
+    /// Catalogue documents of the services, as YAML.
     pub(crate) services: &'a str,
+    /// Number of entry VMs.
     pub(crate) vms: usize,
     pub(crate) policy: &'a str,
 }
 
-/// Starts it and waits until all VMs know each other and the configuration is in force.
+/// Starts a fleet and waits until its VMs are ready and know each other.
 pub(crate) fn start(layout: &Layout<'_>) -> Fleet {
     let mut fleet = Fleet::start(layout.pools);
     let applied = fleet.apply(&catalogue(&fleet, layout));
@@ -30,6 +33,7 @@
     fleet
 }
 
+/// Catalogue of a fleet as YAML; the targets of a pool are assigned to the halls in turn.
 fn catalogue(fleet: &Fleet, layout: &Layout<'_>) -> String {
     let customers = layout.customers.iter();
     let mut documents: Vec<String> = customers
@@ -37,8 +41,8 @@
         .collect();
     for (pool, slots) in layout.pools.iter().zip(layout.slots) {
         let start = format!("{}-", pool.name);
-        let of_pool = fleet.targets.iter().filter(|(name, _)| name.starts_with(&start));
-        for (index, (name, address)) in of_pool.enumerate() {
+        let pool_targets = fleet.targets.iter().filter(|(name, _)| name.starts_with(&start));
+        for (index, (name, address)) in pool_targets.enumerate() {
             let hall = layout.halls[index % layout.halls.len()];
             documents.push(format!(
                 "target: {{name: {name}, hall: {hall}, address: '{address}', slots: {slots}, \
--- a/load/src/main.rs
+++ b/load/src/main.rs
@@ -1,4 +1,5 @@
-//! `saddlerail-load`, the benchmark: real daemons before stand-in targets, on one machine.
+//! `saddlerail-load`, the benchmark tool: measures real daemons in front of stand-in targets, all
+//! on one machine.
 
 mod arrivals;
 mod choice;
@@ -17,6 +18,7 @@
 
 use clap::{Arg, ArgAction, Command, value_parser};
 
+/// Builds the command-line parser.
 fn command() -> Command {
     let seed = Arg::new("seed").long("seed").default_value("1").value_parser(value_parser!(u64));
     let json = Arg::new("json").long("json").action(ArgAction::SetTrue);
@@ -30,39 +32,45 @@
         .default_value("adaptive,round-robin,first-in-order");
     let vms = Arg::new("vms").long("vms").value_delimiter(',').value_parser(value_parser!(usize));
     Command::new("saddlerail-load")
-        .about("Measures saddlerail with open-loop arrivals")
+        .about("Benchmarks of saddlerail, with open-loop arrivals")
         .subcommand_required(true)
         .subcommand(
-            Command::new("overhead").about("What an entry VM adds to a call").arg(seconds("5")),
+            Command::new("overhead")
+                .about("Latency, CPU time and memory that an entry VM adds to a call")
+                .arg(seconds("5")),
         )
-        .subcommand(Command::new("choice").about("Processor time of choosing an engine"))
+        .subcommand(Command::new("choice").about("CPU time of selecting an engine"))
         .subcommand(
             Command::new("rates")
-                .about("Ways to hold a fleet to the rate that a target names")
+                .about("Compare ways to share a target's rate limit among the VMs")
                 .arg(seed.clone()),
         )
         .subcommand(
             Command::new("scenario")
-                .about("One scenario under several policies, on the same arrivals")
+                .about("Run one scenario under several policies, with the same arrivals")
                 .args([name, policies, vms, seed, seconds("20"), json]),
         )
         .subcommand(
-            Command::new("prove").about("Random failures, then the checks of the tests").args([
-                Arg::new("minutes")
-                    .long("minutes")
-                    .default_value("1")
-                    .value_parser(value_parser!(f64)),
-                Arg::new("seed").long("seed").value_parser(value_parser!(u64)),
-            ]),
+            Command::new("prove")
+                .about("Inject random failures, then check the invariants of the tests")
+                .args([
+                    Arg::new("minutes")
+                        .long("minutes")
+                        .default_value("1")
+                        .value_parser(value_parser!(f64)),
+                    Arg::new("seed").long("seed").value_parser(value_parser!(u64)),
+                ]),
         )
         .subcommand(
-            Command::new("slopes").about("What docs/CAPACITY.md is worked out from").arg(
-                Arg::new("sizes")
-                    .long("sizes")
-                    .value_delimiter(',')
-                    .default_value(slopes::SIZES)
-                    .help("VMs and targets of each fleet, such as 62x36"),
-            ),
+            Command::new("slopes")
+                .about("Measure the figures from which docs/CAPACITY.md is calculated")
+                .arg(
+                    Arg::new("sizes")
+                        .long("sizes")
+                        .value_delimiter(',')
+                        .default_value(slopes::SIZES)
+                        .help("VMs and targets of each fleet, such as 62x36"),
+                ),
         )
 }
 
--- a/load/src/overhead.rs
+++ b/load/src/overhead.rs
@@ -1,4 +1,5 @@
-//! What an entry VM adds to a call, carries a second, adds between tokens, and holds in memory.
+//! Overhead of an entry VM: latency added to a call and between the tokens of a stream, requests
+//! per second, CPU time and memory.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -12,10 +13,13 @@
 
 use crate::client::{Connections, Post, connections, post};
 use crate::fleet::{Layout, start};
-use crate::process::{cpu, memory_mb};
+use crate::process::{cpu_time, memory_mb};
 
+/// Calls timed directly, and as many through the VM.
 const CALLS: usize = 3000;
+/// Numbers of concurrent streams.
 const STREAMS: [usize; 3] = [50, 100, 200];
+/// Numbers of callers that each send the next request when the last one is answered.
 const CLOSED_LOOPS: [usize; 3] = [8, 32, 64];
 
 const SERVICES: &str = "\
@@ -34,7 +38,8 @@
   stages: [{name: generate, select: {all: {pool: engine}}, streams: true}]
 ";
 
-pub(crate) fn fleet_of_one() -> Fleet {
+/// Starts one entry VM in front of plain targets and engines.
+pub(crate) fn single_vm_fleet() -> Fleet {
     let plain = Pool { name: "plain", count: 4, args: &["--service-ms=0", "--slots=64"] };
     let engine_args = &["--mode=engine", "--slots=256", "--service-ms=5", "--token-ms=20"];
     let engine = Pool { name: "engine", count: 2, args: engine_args };
@@ -49,7 +54,8 @@
     })
 }
 
-pub(crate) fn through_vm(to: SocketAddr, service: &str, tokens: u64) -> Post {
+/// A request to a service through an entry VM.
+pub(crate) fn vm_request(to: SocketAddr, service: &str, tokens: u64) -> Post {
     let headers = vec![
         ("saddlerail-customer", "small".to_owned()),
         ("saddlerail-deadline-ms", "60000".to_owned()),
@@ -60,7 +66,8 @@
     Post { to, path: format!("/v1/services/{service}"), headers, body }
 }
 
-fn direct(to: SocketAddr, stage: &str, tokens: u64) -> Post {
+/// The call of a stage sent to a target directly.
+fn direct_request(to: SocketAddr, stage: &str, tokens: u64) -> Post {
     let headers = vec![
         ("x-attempt-id", "direct/0.0".to_owned()),
         ("x-priority", "standard".to_owned()),
@@ -70,49 +77,50 @@
     Post { to, path: format!("/v1/stages/{stage}"), headers, body }
 }
 
-fn micros() -> Histogram<u64> {
+/// Empty histogram of durations in microseconds.
+fn micros_histogram() -> Histogram<u64> {
     Histogram::new_with_max(600_000_000, 3)
         .unwrap_or_else(|_| unreachable!("the bounds are constants"))
 }
 
-fn in_micros(duration: Duration) -> u64 {
+fn as_micros(duration: Duration) -> u64 {
     u64::try_from(duration.as_micros()).unwrap_or(u64::MAX).max(1)
 }
 
-/// Prints all figures of one daemon.
+/// Prints all figures of one daemon; each closed-loop run lasts `seconds`.
 pub(crate) fn measure(seconds: u64) {
-    let fleet = fleet_of_one();
-    let tasks = Runtime::new().unwrap_or_else(|e| panic!("no runtime: {e}"));
+    let fleet = single_vm_fleet();
+    let runtime = Runtime::new().unwrap_or_else(|e| panic!("cannot start the Tokio runtime: {e}"));
     let (vm, pid) = (fleet.vms[0].callers, fleet.pid(0));
     println!("memory at rest: {:.1} MB", memory_mb(pid));
 
     let connections = Arc::new(connections());
     let target = fleet.target("plain-1");
-    // By turns, so that both see the same machine.
-    let (straight, through) = tasks.block_on(async {
-        let (mut straight, mut through) = (micros(), micros());
+    // Alternate, so that both are measured under the same load of the machine.
+    let (direct_times, vm_times) = runtime.block_on(async {
+        let (mut direct_times, mut vm_times) = (micros_histogram(), micros_histogram());
         for _ in 0..CALLS {
-            time_one(&connections, &direct(target, "place", 0), &mut straight).await;
-            time_one(&connections, &through_vm(vm, "one", 0), &mut through).await;
+            time_call(&connections, &direct_request(target, "place", 0), &mut direct_times).await;
+            time_call(&connections, &vm_request(vm, "one", 0), &mut vm_times).await;
         }
-        (straight, through)
+        (direct_times, vm_times)
     });
-    print_times("direct call", &straight);
-    print_times("through the VM", &through);
+    print_times("direct call", &direct_times);
+    print_times("through the VM", &vm_times);
     for quantile in [0.5, 0.99] {
-        let added = through
+        let added = vm_times
             .value_at_quantile(quantile)
-            .saturating_sub(straight.value_at_quantile(quantile));
+            .saturating_sub(direct_times.value_at_quantile(quantile));
         println!("added at {quantile}: {added} us");
     }
 
     for loops in CLOSED_LOOPS {
-        let before = cpu(pid);
-        let rate = tasks.block_on(closed_loops(&connections, vm, loops, seconds));
-        let used = (cpu(pid) - before).as_secs_f64() / seconds as f64;
+        let before = cpu_time(pid);
+        let rate = runtime.block_on(closed_loops(&connections, vm, loops, seconds));
+        let used = (cpu_time(pid) - before).as_secs_f64() / seconds as f64;
         println!(
             "{loops} closed loops over four stages: {rate:.0} requests/s, {used:.2} cores, \
-             {:.0} us of a core a request, {:.1} MB",
+             {:.0} us of CPU time per request, {:.1} MB",
             1e6 * used / rate.max(1.0),
             memory_mb(pid)
         );
@@ -120,32 +128,34 @@
 
     let engines = [fleet.target("engine-1"), fleet.target("engine-2")];
     for streams in STREAMS {
-        let posts = (0..streams).map(|n| direct(engines[n % 2], "generate", 100)).collect();
-        let (straight, _) = tasks.block_on(token_gaps(&connections, posts));
-        let posts = (0..streams).map(|_| through_vm(vm, "stream", 100)).collect();
-        let before = cpu(pid);
-        let (through, tokens) = tasks.block_on(token_gaps(&connections, posts));
-        let used = (cpu(pid) - before).as_secs_f64();
-        println!("{streams} streams at once:");
-        print_times("  between tokens, direct", &straight);
-        print_times("  between tokens, through the VM", &through);
+        let posts = (0..streams).map(|n| direct_request(engines[n % 2], "generate", 100)).collect();
+        let (direct_times, _) = runtime.block_on(token_gaps(&connections, posts));
+        let posts = (0..streams).map(|_| vm_request(vm, "stream", 100)).collect();
+        let before = cpu_time(pid);
+        let (vm_times, tokens) = runtime.block_on(token_gaps(&connections, posts));
+        let used = (cpu_time(pid) - before).as_secs_f64();
+        println!("{streams} concurrent streams:");
+        print_times("  between tokens, direct", &direct_times);
+        print_times("  between tokens, through the VM", &vm_times);
         println!(
-            "  added at 0.95: {} us; {:.1} us of a core a token; memory {:.1} MB",
-            through.value_at_quantile(0.95).saturating_sub(straight.value_at_quantile(0.95)),
+            "  added at 0.95: {} us; {:.1} us of CPU time per token; memory {:.1} MB",
+            vm_times.value_at_quantile(0.95).saturating_sub(direct_times.value_at_quantile(0.95)),
             1e6 * used / tokens.max(1) as f64,
             memory_mb(pid)
         );
     }
 }
 
-async fn time_one(connections: &Connections, request: &Post, times: &mut Histogram<u64>) {
+/// Sends a request and records the time until it is answered.
+async fn time_call(connections: &Connections, request: &Post, times: &mut Histogram<u64>) {
     let began = Instant::now();
     let reply = post(connections, request).await;
-    assert!(reply.is_some_and(|r| r.status == 200), "a call failed");
-    times.saturating_record(in_micros(began.elapsed()));
+    assert!(reply.is_some_and(|r| r.status == 200), "a call was not answered with status 200");
+    times.saturating_record(as_micros(began.elapsed()));
 }
 
-/// Requests a second that so many callers get, each sending the next when answered.
+/// Throughput in requests per second of `loops` callers, each of which sends the next request
+/// when the last one is answered.
 pub(crate) async fn closed_loops(
     connections: &Arc<Connections>,
     vm: SocketAddr,
@@ -159,8 +169,11 @@
         let (connections, done) = (Arc::clone(connections), Arc::clone(&done));
         callers.spawn(async move {
             while Instant::now() < end {
-                let reply = post(&connections, &through_vm(vm, "four", 0)).await;
-                assert!(reply.is_some_and(|r| r.status == 200), "a request was not answered whole");
+                let reply = post(&connections, &vm_request(vm, "four", 0)).await;
+                assert!(
+                    reply.is_some_and(|r| r.status == 200),
+                    "a request was not answered with status 200"
+                );
                 done.fetch_add(1, Ordering::Relaxed);
             }
         });
@@ -169,24 +182,25 @@
     done.load(Ordering::Relaxed) as f64 / seconds as f64
 }
 
-/// Times between the parts of all streams, held at once, and the number of parts.
+/// Times between the parts of concurrent streams, and the number of parts.
 async fn token_gaps(connections: &Arc<Connections>, posts: Vec<Post>) -> (Histogram<u64>, u64) {
     let mut streams = JoinSet::new();
     for request in posts {
         let connections = Arc::clone(connections);
         streams.spawn(async move { post(&connections, &request).await });
     }
-    let mut gaps = micros();
+    let mut gaps = micros_histogram();
     let mut parts = 0;
     while let Some(joined) = streams.join_next().await {
         let reply = joined.ok().flatten();
-        let reply = reply.unwrap_or_else(|| panic!("a stream was cut"));
+        let reply = reply.unwrap_or_else(|| panic!("a stream was cut off"));
         parts += reply.parts.len() as u64;
-        reply.parts.windows(2).for_each(|w| gaps.saturating_record(in_micros(w[1] - w[0])));
+        reply.parts.windows(2).for_each(|w| gaps.saturating_record(as_micros(w[1] - w[0])));
     }
     (gaps, parts)
 }
 
+/// Prints the 50th, 95th and 99th percentile.
 fn print_times(what: &str, times: &Histogram<u64>) {
     println!(
         "{what}: 50 {} us, 95 {} us, 99 {} us",
--- a/load/src/prove.rs
+++ b/load/src/prove.rs
@@ -1,4 +1,5 @@
-//! Long random runs: callers, operators and failures at once, then the checks of the tests.
+//! Randomised soak test: callers, configuration changes and failures at the same time, then the
+//! same invariant checks as in the tests.
 
 use std::net::SocketAddr;
 use std::sync::Mutex;
@@ -16,6 +17,7 @@
 use crate::fleet::{Layout, start};
 
 const VMS: usize = 4;
+/// Threads that send requests, each one request after the other.
 const CALLERS: u64 = 8;
 const PLAIN_TARGETS: u16 = 6;
 
@@ -30,19 +32,28 @@
     - {name: rerank, select: {all: {pool: plain}}}
 ";
 
-/// What goes wrong next.
+/// A failure to inject, or a configuration change.
 #[derive(Debug, Clone, Copy)]
 enum Failure {
+    /// A stand-in target applies this fault to half of its calls.
     Target(&'static str),
+    /// A VM is killed and restarted.
     Kill,
+    /// A VM is suspended for a while.
     Freeze,
+    /// A VM is stopped cleanly and restarted.
     PlannedStop,
+    /// The platform is unavailable.
     Outage,
+    /// The platform answers slowly.
     SlowStore,
+    /// The platform loses some of its answers.
     LostAnswers,
+    /// The platform recovers, and an operator sets a label.
     Label,
 }
 
+/// Failures to draw from.
 const FAILURES: [Failure; 12] = [
     Failure::Target("error"),
     Failure::Target("cut"),
@@ -58,7 +69,7 @@
     Failure::Label,
 ];
 
-/// Runs for so long with this seed; says whether nothing was found.
+/// Runs for `minutes` with a seed and prints each violated invariant; true if there is none.
 pub(crate) fn prove(minutes: f64, seed: u64) -> bool {
     println!("seed {seed}, {minutes} minutes");
     let plain = Pool { name: "plain", count: PLAIN_TARGETS, args: &["--service-ms=3"] };
@@ -72,25 +83,28 @@
         policy: "adaptive",
     }));
     let callers: Vec<SocketAddr> = lock(&fleet).vms.iter().map(|vm| vm.callers).collect();
-    let pages: Vec<SocketAddr> = lock(&fleet).vms.iter().map(|vm| vm.operations).collect();
-    let over = AtomicBool::new(false);
-    let next = AtomicU64::new(0);
+    let operations_addresses: Vec<SocketAddr> =
+        lock(&fleet).vms.iter().map(|vm| vm.operations).collect();
+    let finished = AtomicBool::new(false);
+    let next_number = AtomicU64::new(0);
     let (sent, reverted) = thread::scope(|scope| {
         let senders: Vec<_> = (0..CALLERS)
             .map(|caller| {
-                let (callers, over, next) = (&callers, &over, &next);
-                scope.spawn(move || call(callers, over, next, seed ^ (caller + 1)))
+                let (callers, finished, next_number) = (&callers, &finished, &next_number);
+                scope.spawn(move || {
+                    send_requests(callers, finished, next_number, seed ^ (caller + 1))
+                })
             })
             .collect();
-        let watcher = scope.spawn(|| watch_revisions(&pages, &over));
-        fail_for(&fleet, Duration::from_secs_f64(minutes * 60.0), seed);
-        over.store(true, Ordering::Relaxed);
+        let watcher = scope.spawn(|| watch_revisions(&operations_addresses, &finished));
+        inject_failures(&fleet, Duration::from_secs_f64(minutes * 60.0), seed);
+        finished.store(true, Ordering::Relaxed);
         let sent: Vec<Submission> =
             senders.into_iter().flat_map(|s| s.join().unwrap_or_default()).collect();
         (sent, watcher.join().unwrap_or_default())
     });
-    let mut found = violations(&sent, &calls_by_request(&lock(&fleet)));
-    found.extend(reverted);
+    let mut problems = violations(&sent, &calls_by_request(&lock(&fleet)));
+    problems.extend(reverted);
     let count = |outcome: &str| {
         sent.iter().filter(|s| s.reply.as_ref().is_some_and(|r| r.outcome == outcome)).count()
     };
@@ -103,35 +117,43 @@
         count("unknown"),
         sent.iter().filter(|s| s.reply.is_none()).count()
     );
-    found.iter().for_each(|problem| println!("FOUND {problem}"));
-    println!("{} passed, {} failed", sent.len() - found.len().min(sent.len()), found.len());
-    found.is_empty()
+    problems.iter().for_each(|problem| println!("FOUND {problem}"));
+    println!("{} passed, {} failed", sent.len() - problems.len().min(sent.len()), problems.len());
+    problems.is_empty()
 }
 
+/// Locks the fleet, also after a panic in another thread.
 fn lock(fleet: &Mutex<Fleet>) -> std::sync::MutexGuard<'_, Fleet> {
     fleet.lock().unwrap_or_else(std::sync::PoisonError::into_inner)
 }
 
-/// Sends requests of all kinds until it is over; some under one id to two VMs.
-fn call(callers: &[SocketAddr], over: &AtomicBool, next: &AtomicU64, seed: u64) -> Vec<Submission> {
+/// Sends requests of all kinds until the run is finished. Some that may run at most once are sent to
+/// two VMs under one id.
+fn send_requests(
+    callers: &[SocketAddr],
+    finished: &AtomicBool,
+    next_number: &AtomicU64,
+    seed: u64,
+) -> Vec<Submission> {
     let mut rng = StdRng::seed_from_u64(seed);
     let mut sent = Vec::new();
-    while !over.load(Ordering::Relaxed) {
-        let number = next.fetch_add(1, Ordering::Relaxed);
+    while !finished.load(Ordering::Relaxed) {
+        let number = next_number.fetch_add(1, Ordering::Relaxed);
         let id = format!("prove-{number}");
         let service = if rng.random_bool(0.5) { "hold" } else { "check" };
         let repeatable = rng.random_bool(0.4);
-        let asked = ask(service, 2000).body(&json!({ "q": number }).to_string());
-        let asked = if repeatable {
-            asked.repeatable().header("saddlerail-request-id", &id)
+        let request = ask(service, 2000).body(&json!({ "q": number }).to_string());
+        let request = if repeatable {
+            request.repeatable().header("saddlerail-request-id", &id)
         } else {
-            asked.once(&id)
+            request.once(&id)
         };
         let times = if !repeatable && rng.random_bool(0.3) { 2 } else { 1 };
         let vms: Vec<SocketAddr> = callers.sample(&mut rng, times).copied().collect();
         let replies = thread::scope(|scope| {
-            let asked = &asked;
-            let sends: Vec<_> = vms.iter().map(|vm| scope.spawn(move || asked.send(*vm))).collect();
+            let request = &request;
+            let sends: Vec<_> =
+                vms.iter().map(|vm| scope.spawn(move || request.send(*vm))).collect();
             sends.into_iter().map(|s| s.join().unwrap_or_default()).collect::<Vec<_>>()
         });
         for reply in replies {
@@ -141,29 +163,33 @@
     sent
 }
 
-/// Watches every VM's revision; tells each that went back.
-fn watch_revisions(pages: &[SocketAddr], over: &AtomicBool) -> Vec<String> {
-    let mut last = vec![0; pages.len()];
-    let mut found = Vec::new();
-    while !over.load(Ordering::Relaxed) {
-        for (page, last) in pages.iter().zip(&mut last) {
-            let view = standins::fleet::get_json(*page, "/revision").and_then(|v| v.as_u64());
-            // A VM that starts has none yet.
+/// Polls every VM's revision until the run is finished and reports each decrease.
+fn watch_revisions(operations_addresses: &[SocketAddr], finished: &AtomicBool) -> Vec<String> {
+    let mut last = vec![0; operations_addresses.len()];
+    let mut problems = Vec::new();
+    while !finished.load(Ordering::Relaxed) {
+        for (address, last) in operations_addresses.iter().zip(&mut last) {
+            let view = standins::fleet::get_json(*address, "/revision").and_then(|v| v.as_u64());
+            // A VM that is starting has no revision yet.
             let Some(revision) = view.filter(|revision| *revision > 0) else { continue };
             if revision < *last {
-                found.push(format!("the VM at {page} went back from {last} to {revision}"));
+                problems.push(format!(
+                    "the VM at {address} went back from revision {last} to {revision}"
+                ));
             }
             *last = revision;
         }
         thread::sleep(Duration::from_millis(20));
     }
-    found
+    problems
 }
 
-fn fail_for(fleet: &Mutex<Fleet>, time: Duration, seed: u64) {
+/// Injects random failures, one after the other, for `duration`; then ends them and waits for all
+/// VMs to be ready.
+fn inject_failures(fleet: &Mutex<Fleet>, duration: Duration, seed: u64) {
     let mut rng = StdRng::seed_from_u64(seed);
     let begin = Instant::now();
-    while begin.elapsed() < time {
+    while begin.elapsed() < duration {
         let failure = *FAILURES.choose(&mut rng).unwrap_or(&Failure::Kill);
         let vm = rng.random_range(0..VMS);
         let target = format!("plain-{}", rng.random_range(1..=PLAIN_TARGETS));
@@ -172,7 +198,7 @@
             "{:>7.1} s {failure:?} VM {vm} {target} {millis} ms",
             begin.elapsed().as_secs_f64()
         );
-        fail(&mut lock(fleet), failure, vm, &target, Duration::from_millis(millis));
+        inject_failure(&mut lock(fleet), failure, vm, &target, Duration::from_millis(millis));
         thread::sleep(Duration::from_millis(rng.random_range(0..800)));
     }
     let fleet = lock(fleet);
@@ -183,24 +209,32 @@
     (0..VMS).for_each(|vm| fleet.wait_ready(vm));
 }
 
-fn fail(fleet: &mut Fleet, failure: Failure, vm: usize, target: &str, time: Duration) {
+/// Injects one failure. A failure of the platform lasts until the next one of the platform or the
+/// next `Label`, and a hang of a target until the next `Target` failure of the same target.
+fn inject_failure(
+    fleet: &mut Fleet,
+    failure: Failure,
+    vm: usize,
+    target: &str,
+    duration: Duration,
+) {
     match failure {
         Failure::Target(fault) => {
             let switches = json!({ "fault": fault, "fault_percent": 50, "service_ms": 3 });
             fleet.set_faults(target, &switches);
-            thread::sleep(time);
+            thread::sleep(duration);
             if fault != "hang" {
                 fleet.set_faults(target, &json!({ "service_ms": 3 }));
             }
         }
         Failure::Kill => {
             fleet.kill(vm);
-            thread::sleep(time);
+            thread::sleep(duration);
             fleet.restart(vm);
         }
         Failure::Freeze => {
             fleet.signal(vm, "STOP");
-            thread::sleep(time);
+            thread::sleep(duration);
             fleet.signal(vm, "CONT");
         }
         Failure::PlannedStop => {
@@ -212,8 +246,8 @@
         Failure::LostAnswers => fleet.set_platform(&json!({ "lose_answers": 3 })),
         Failure::Label => {
             fleet.set_platform(&json!({}));
-            let label = format!("round=r{}", time.as_millis());
-            // It may be refused or unknown while other failures last.
+            let label = format!("round=r{}", duration.as_millis());
+            // The change may be refused, or its outcome unknown, while other failures last.
             fleet.tool(&["label", &format!("target/{target}"), &label]);
         }
     }
--- a/load/src/rates.rs
+++ b/load/src/rates.rs
@@ -1,5 +1,6 @@
-//! Ways to hold a fleet to the rate that a target names: what the target gets in the worst four seconds, and how much
-//! of the rate is used. Decisions only, in a time of their own.
+//! Simulation of ways to share a target's rate limit among the VMs of a fleet: how many requests
+//! the target receives in the worst four seconds, and how much of the rate is used. Only the
+//! decisions are simulated, on a virtual clock; nothing is sent.
 
 use std::time::{Duration, Instant};
 
@@ -9,67 +10,74 @@
 use rand::{RngExt, SeedableRng};
 use rand_distr::{Distribution, Exp};
 
-/// VMs of a fleet: today's small ones, larger ones, and the size that is expected.
+/// Numbers of VMs: small fleets as in use, larger ones, and the expected size.
 const VMS: [usize; 5] = [3, 12, 60, 295, 370];
-/// Requests a second that the target takes.
+/// Rate limits of the target, in requests per second.
 const RATES: [f64; 4] = [0.5, 1.0, 5.0, 50.0];
-/// Requests that come for each one that the target takes.
-const PRESSURE: f64 = 2.0;
-/// For how long they come.
-const LOAD: Duration = Duration::from_secs(120);
-/// The span in which the rule counts.
-const SPAN: Duration = Duration::from_secs(4);
+/// Offered load as a multiple of the rate limit.
+const OVERLOAD_FACTOR: f64 = 2.0;
+/// Duration of the load.
+const LOAD_DURATION: Duration = Duration::from_secs(120);
+/// Window over which the limit on requests at the target is checked.
+const RATE_WINDOW: Duration = Duration::from_secs(4);
 
-/// How a fleet shares the rate.
+/// How the VMs of a fleet share the rate.
 #[derive(Debug, Clone, Copy)]
-enum Way {
-    /// Each VM has the same part.
+enum SharingScheme {
+    /// Every VM has an equal share.
     Even,
-    /// As many VMs as the target takes requests a second, found by hashing, have the same part.
+    /// As many VMs as the target accepts requests per second, selected by hashing, have equal
+    /// shares; the others send nothing.
     Few,
-    /// One VM holds the account, and the others ask it.
+    /// One VM holds the token bucket, and the others request tokens from it.
     Account,
 }
 
-/// Where requests come in.
+/// VMs at which requests arrive.
 #[derive(Debug, Clone, Copy)]
-enum Entry {
+enum EntryPoint {
+    /// All VMs with equal probability.
     AllVms,
-    /// One that is not among the first by hashing, unless there are no others.
+    /// One VM, which has no share under `Few` unless every VM has one.
     OneVm,
 }
 
-/// A part of the rate.
-struct Part {
+/// Token bucket of capacity 1 for a share of the rate.
+struct RateShare {
+    /// Refill rate in tokens per second.
     per_s: f64,
-    permits: f64,
+    tokens: f64,
+    /// Time of the last refill.
     at: Duration,
 }
 
-impl Part {
-    fn take(&mut self, at: Duration) -> bool {
+impl RateShare {
+    /// Takes a token if there is one.
+    fn try_take(&mut self, at: Duration) -> bool {
         let time = (at - self.at).as_secs_f64();
-        self.permits = (self.permits + self.per_s * time).min(1.0);
+        self.tokens = (self.tokens + self.per_s * time).min(1.0);
         self.at = at;
-        let takes = self.permits >= 1.0;
-        self.permits -= f64::from(u8::from(takes));
-        takes
+        let granted = self.tokens >= 1.0;
+        self.tokens -= f64::from(u8::from(granted));
+        granted
     }
 }
 
-/// Prints a table of all ways, sizes and rates.
+/// Prints a line for each scheme, entry point, number of VMs and rate.
 pub(crate) fn measure(seed: u64) -> errors::Result<()> {
-    println!("way, requests come in at, VMs, rate a second: worst 4 s of those borne, part used");
-    for way in [Way::Even, Way::Few, Way::Account] {
-        for entry in [Entry::AllVms, Entry::OneVm] {
+    println!(
+        "sharing scheme, requests arrive at, VMs, requests/s: most in 4 s of those allowed, fraction of the rate used"
+    );
+    for scheme in [SharingScheme::Even, SharingScheme::Few, SharingScheme::Account] {
+        for entry in [EntryPoint::AllVms, EntryPoint::OneVm] {
             for vms in VMS {
                 for per_s in RATES {
-                    let sent = play(way, entry, vms, per_s, seed)?;
-                    let borne = 1.5 * per_s * SPAN.as_secs_f64() + 5.0;
-                    let used = sent.len() as f64 / (per_s * LOAD.as_secs_f64());
+                    let sent = simulate(scheme, entry, vms, per_s, seed)?;
+                    let allowed = 1.5 * per_s * RATE_WINDOW.as_secs_f64() + 5.0;
+                    let used = sent.len() as f64 / (per_s * LOAD_DURATION.as_secs_f64());
                     println!(
-                        "{way:?}, {entry:?}, {vms}, {per_s}: {} of {borne}, {used:.2}",
-                        most_within_span(&sent)
+                        "{scheme:?}, {entry:?}, {vms}, {per_s}: {} of {allowed}, {used:.2}",
+                        max_in_window(&sent)
                     );
                 }
             }
@@ -78,48 +86,51 @@
     Ok(())
 }
 
-fn play(
-    way: Way,
-    entry: Entry,
+/// Simulates the load and returns the send times of the requests that the scheme lets through.
+fn simulate(
+    scheme: SharingScheme,
+    entry: EntryPoint,
     vms: usize,
     per_s: f64,
     seed: u64,
 ) -> errors::Result<Vec<Duration>> {
     let mut rng = StdRng::seed_from_u64(seed);
-    let pause =
-        Exp::new(PRESSURE * per_s).map_err(|e| errors::Error::bad_input("rate", e.to_string()))?;
-    let senders = match way {
-        Way::Few => (per_s.round() as usize).clamp(1, vms),
-        Way::Even | Way::Account => vms,
+    let gaps = Exp::new(OVERLOAD_FACTOR * per_s)
+        .map_err(|e| errors::Error::bad_input("rate", e.to_string()))?;
+    let senders = match scheme {
+        SharingScheme::Few => (per_s.round() as usize).clamp(1, vms),
+        SharingScheme::Even | SharingScheme::Account => vms,
     };
-    let part = |_| Part { per_s: per_s / senders as f64, permits: 0.0, at: Duration::ZERO };
-    let mut parts: Vec<Part> = (0..senders).map(part).collect();
-    let (mut account, start) = (TokenBuckets::default(), Instant::now());
+    let share = |_| RateShare { per_s: per_s / senders as f64, tokens: 0.0, at: Duration::ZERO };
+    let mut shares: Vec<RateShare> = (0..senders).map(share).collect();
+    let (mut buckets, start) = (TokenBuckets::default(), Instant::now());
     let lifetime = Lifetime { target: TargetName::new("target")?, born: None };
     let limit = RateLimit::new(per_s);
-    let mut ask = |vm: usize, at: Duration| match (way, limit) {
-        (Way::Account, Some(limit)) => {
-            let decision = account.acquire(&lifetime, limit, Duration::ZERO, start + at);
+    let mut try_send = |vm: usize, at: Duration| match (scheme, limit) {
+        (SharingScheme::Account, Some(limit)) => {
+            let decision = buckets.acquire(&lifetime, limit, Duration::ZERO, start + at);
             matches!(decision, Decision::Granted(_))
         }
-        _ => parts.get_mut(vm).is_some_and(|part| part.take(at)),
+        _ => shares.get_mut(vm).is_some_and(|share| share.try_take(at)),
     };
     let (mut at, mut sent) = (Duration::ZERO, Vec::new());
-    while at < LOAD {
-        at += Duration::from_secs_f64(pause.sample(&mut rng));
+    while at < LOAD_DURATION {
+        at += Duration::from_secs_f64(gaps.sample(&mut rng));
         let vm = match entry {
-            Entry::AllVms => rng.random_range(0..vms),
-            Entry::OneVm => vms - 1,
+            EntryPoint::AllVms => rng.random_range(0..vms),
+            EntryPoint::OneVm => vms - 1,
         };
-        if ask(vm, at) {
+        if try_send(vm, at) {
             sent.push(at);
         }
     }
     Ok(sent)
 }
 
-fn most_within_span(sent: &[Duration]) -> usize {
-    let within =
-        |first: &Duration| sent.iter().filter(|at| (*first..*first + SPAN).contains(at)).count();
+/// Largest number of requests sent within any `RATE_WINDOW`.
+fn max_in_window(sent: &[Duration]) -> usize {
+    let within = |first: &Duration| {
+        sent.iter().filter(|at| (*first..*first + RATE_WINDOW).contains(at)).count()
+    };
     sent.iter().map(within).max().unwrap_or(0)
 }
--- a/load/src/run.rs
+++ b/load/src/run.rs
@@ -1,4 +1,4 @@
-//! Sends arrivals at their intended times through the entry VMs.
+//! Sends arrivals to the entry VMs at their intended times and collects the answers.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -7,57 +7,65 @@
 use outcomes::{Answer, Outcome, Reason};
 use tokio::task::JoinSet;
 
-use crate::arrivals::{Arrival, Kind};
+use crate::arrivals::{Arrival, RequestKind};
 use crate::client::{Connections, Post, connections, post};
 
-/// What became of one request.
+/// Result of one request.
 #[derive(Debug, Clone)]
-pub(crate) struct Ended {
+pub(crate) struct CompletedRequest {
+    /// Index of the request's kind.
     pub(crate) kind: usize,
-    /// When it was meant to be sent, since the begin.
+    /// Intended send time since the start of the run.
     pub(crate) at: Duration,
+    /// Time from the intended send time to the answer, so that a late send counts as latency.
     pub(crate) took: Duration,
-    /// `None` if no whole HTTP answer came.
+    /// `None` if no complete HTTP answer was received.
     pub(crate) outcome: Option<Outcome>,
     pub(crate) reason: Option<Reason>,
-    /// What the answered stages cost.
+    /// Cost of the answered stages.
     pub(crate) cost: u64,
-    /// What asking again when told to came to, where it was tried.
-    pub(crate) again: Option<Again>,
+    /// Result of the retry, if the request was refused with a time at which to retry.
+    pub(crate) retry: Option<Retry>,
 }
 
-/// What became of a request that was refused and sent again at the time told.
+/// Result of sending a refused request again at the time that the refusal named.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct Again {
+pub(crate) struct Retry {
+    /// Whether the answer was whole.
     pub(crate) whole: bool,
     pub(crate) cost: u64,
 }
 
-/// Sends all arrivals, each to the next VM by turns, and waits for all answers.
-pub(crate) async fn run(kinds: &[Kind], arrivals: &[Arrival], vms: &[SocketAddr]) -> Vec<Ended> {
+/// Sends all arrivals to the VMs in round-robin order and waits for all answers.
+pub(crate) async fn run(
+    kinds: &[RequestKind],
+    arrivals: &[Arrival],
+    vms: &[SocketAddr],
+) -> Vec<CompletedRequest> {
     let connections = Arc::new(connections());
-    let begin = Instant::now();
-    let mut under_way = JoinSet::new();
-    let mut ended = Vec::new();
+    let start = Instant::now();
+    let mut in_flight = JoinSet::new();
+    let mut completed = Vec::new();
     for arrival in arrivals {
-        let intended = begin + arrival.at;
+        let intended = start + arrival.at;
         tokio::time::sleep_until(intended.into()).await;
-        let turn = usize::try_from(arrival.number).unwrap_or(0) % vms.len();
-        let post = post_of(&kinds[arrival.kind], arrival.number, vms[turn]);
+        let vm_index = usize::try_from(arrival.number).unwrap_or(0) % vms.len();
+        let post = build_post(&kinds[arrival.kind], arrival.number, vms[vm_index]);
         let connections = Arc::clone(&connections);
         let arrival = *arrival;
-        under_way.spawn(async move { send(&connections, arrival, intended, &post).await });
-        while let Some(Ok(one)) = under_way.try_join_next() {
-            ended.push(one);
+        in_flight.spawn(async move { send(&connections, arrival, intended, &post).await });
+        while let Some(Ok(one)) = in_flight.try_join_next() {
+            completed.push(one);
         }
     }
-    while let Some(joined) = under_way.join_next().await {
-        ended.extend(joined.ok());
+    while let Some(joined) = in_flight.join_next().await {
+        completed.extend(joined.ok());
     }
-    ended
+    completed
 }
 
-fn post_of(kind: &Kind, number: u64, to: SocketAddr) -> Post {
+/// Builds the HTTP request of an arrival.
+fn build_post(kind: &RequestKind, number: u64, to: SocketAddr) -> Post {
     let prefix = if kind.prefixes == 0 { number } else { number * 7919 % kind.prefixes };
     let mut headers = vec![
         ("saddlerail-customer", kind.customer.to_owned()),
@@ -72,41 +80,47 @@
     Post { to, path: format!("/v1/services/{}", kind.service), headers, body }
 }
 
+/// Sends a request, and once more if it is refused with a time at which to retry.
 async fn send(
     connections: &Connections,
     arrival: Arrival,
     intended: Instant,
     request: &Post,
-) -> Ended {
+) -> CompletedRequest {
     let reply = post(connections, request).await;
     let took = intended.elapsed();
     let answer = reply.and_then(|r| r.answer());
-    let again = match &answer {
-        Some(refused) => ask_again(connections, request, refused).await,
+    let retry = match &answer {
+        Some(refused) => retry_refused(connections, request, refused).await,
         None => None,
     };
-    Ended {
+    CompletedRequest {
         kind: arrival.kind,
         at: arrival.at,
         took,
         outcome: answer.as_ref().map(|a| a.outcome),
         reason: answer.as_ref().and_then(|a| a.reason),
-        cost: answer.as_ref().map_or(0, cost_of),
-        again,
+        cost: answer.as_ref().map_or(0, answered_cost),
+        retry,
     }
 }
 
-fn cost_of(answer: &Answer) -> u64 {
+/// Sum of the costs of the answered stages.
+fn answered_cost(answer: &Answer) -> u64 {
     answer.stages.iter().filter_map(|stage| stage.cost).sum()
 }
 
-/// Sends a request that did not run again at the time told.
-async fn ask_again(connections: &Connections, request: &Post, refused: &Answer) -> Option<Again> {
+/// Sends a request that was not run again, at the time that the refusal named.
+async fn retry_refused(
+    connections: &Connections,
+    request: &Post,
+    refused: &Answer,
+) -> Option<Retry> {
     let wait = refused.retry_after_ms.filter(|_| refused.outcome == Outcome::NotRun)?;
     tokio::time::sleep(Duration::from_millis(wait)).await;
     let mut request = request.clone();
     request.headers.push(("saddlerail-returning", "yes".to_owned()));
     let answer = post(connections, &request).await.and_then(|r| r.answer());
     let whole = answer.as_ref().is_some_and(|a| a.outcome == Outcome::Whole);
-    Some(Again { whole, cost: answer.as_ref().map_or(0, cost_of) })
+    Some(Retry { whole, cost: answer.as_ref().map_or(0, answered_cost) })
 }
--- a/load/src/scenario.rs
+++ b/load/src/scenario.rs
@@ -1,4 +1,5 @@
-//! Scenarios: Quipu's and Zarqa's services at their sizes, under load and faults.
+//! Benchmark scenarios: the services of the users Quipu and Zarqa at the size of their fleets,
+//! under load and faults.
 
 use std::net::SocketAddr;
 use std::thread;
@@ -7,12 +8,12 @@
 use serde_json::json;
 use standins::fleet::{Fleet, Pool};
 
-use crate::arrivals::{Arrival, Kind, arrivals};
+use crate::arrivals::{Arrival, RequestKind, arrivals};
 use crate::fleet::{Layout, start};
 use crate::report::{Report, print, report};
 use crate::run::run;
 
-/// Names of all scenarios.
+/// Names of all scenarios on the command line.
 pub(crate) const NAMES: [&str; 8] = [
     "quipu-steady",
     "quipu-burst",
@@ -24,28 +25,31 @@
     "zarqa-standup",
 ];
 
-/// What to run.
+/// Options of a run.
 pub(crate) struct Plan {
     pub(crate) policies: Vec<String>,
-    /// Numbers of entry VMs; empty for the user's own.
+    /// Numbers of entry VMs to run with; empty for the number that the scenario defines.
     pub(crate) vms: Vec<usize>,
     pub(crate) seed: u64,
+    /// Duration of the arrivals.
     pub(crate) seconds: u64,
+    /// Print reports as JSON instead of tables.
     pub(crate) json: bool,
 }
 
-/// Something that goes wrong during a run.
+/// A fault that is injected during a run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Trouble {
+enum InjectedFault {
     None,
-    /// One engine and one plain target ten times slower, from a third to two thirds of the run.
+    /// One engine is ten times slower, from a third to two thirds of the run.
     SlowTargets,
-    /// A third of the engines declines all work and says nothing, from a third on.
-    ThirdGone,
+    /// Three of the engines decline all work as busy, from a third to two thirds of the run.
+    ThirdBusy,
     /// Every engine fails, from a third to two thirds of the run.
     AllFailing,
 }
 
+/// A fleet, the requests sent to it, and what goes wrong.
 struct Scenario {
     halls: &'static [&'static str],
     pools: Vec<Pool>,
@@ -53,9 +57,9 @@
     customers: &'static [(&'static str, u32)],
     services: &'static str,
     vms: usize,
-    kinds: Vec<Kind>,
-    trouble: Trouble,
-    /// All callers pause and then send at once what gathered, in this part of the run.
+    kinds: Vec<RequestKind>,
+    injected_fault: InjectedFault,
+    /// Interval in seconds in which callers send nothing; its requests are all sent at its end.
     pause: Option<(f64, f64)>,
 }
 
@@ -110,7 +114,9 @@
 service: {name: artifact, priority: standard, stages: [{name: get, select: {all: {pool: runner}}}]}
 ";
 
+/// Arguments of a stand-in target that answers after a fixed time.
 const PLAIN: &[&str] = &["--service-ms=4", "--slots=4"];
+/// Arguments of a stand-in target that streams tokens and caches prompt prefixes.
 const ENGINE: &[&str] = &[
     "--mode=engine",
     "--slots=8",
@@ -129,8 +135,8 @@
     service: &'static str,
     customer: &'static str,
     (deadline_ms, tokens, rate): (u64, u64, f64),
-) -> Kind {
-    Kind {
+) -> RequestKind {
+    RequestKind {
         label,
         service,
         customer,
@@ -143,7 +149,8 @@
     }
 }
 
-/// Ten engines of eight slots carry about 50 enrichments or 400 heading checks a second.
+/// Quipu's fleet. Ten engines of eight slots carry about 50 enrichments or 400 heading checks a
+/// second.
 fn quipu() -> Scenario {
     Scenario {
         halls: &["lim-a", "lim-b", "lim-c", "lim-d"],
@@ -163,15 +170,16 @@
             kind("heading", "heading-check", "south", (1000, 24, 40.0)),
             kind("enrichment", "enrichment", "east", (10_000, 200, 8.0)),
             kind("enrichment", "enrichment", "west", (10_000, 200, 8.0)),
-            Kind { repeatable: false, ..kind("hold", "hold", "north", (500, 0, 40.0)) },
+            RequestKind { repeatable: false, ..kind("hold", "hold", "north", (500, 0, 40.0)) },
         ],
-        trouble: Trouble::None,
+        injected_fault: InjectedFault::None,
         pause: None,
     }
 }
 
+/// Zarqa's fleet.
 fn zarqa() -> Scenario {
-    let due = 30_000;
+    let deadline_ms = 30_000;
     Scenario {
         halls: &["hall-a", "hall-b", "hall-c"],
         pools: vec![
@@ -186,17 +194,18 @@
         services: ZARQA_SERVICES,
         vms: 7,
         kinds: vec![
-            kind("triage", "triage", "ministry", (due / 6, 120, 60.0)),
-            kind("review", "review", "water", (due / 3, 150, 60.0)),
-            kind("summary", "summary", "health", (due, 200, 120.0)),
+            kind("triage", "triage", "ministry", (deadline_ms / 6, 120, 60.0)),
+            kind("review", "review", "water", (deadline_ms / 3, 150, 60.0)),
+            kind("summary", "summary", "health", (deadline_ms, 200, 120.0)),
             kind("artifact", "artifact", "health", (1000, 0, 50.0)),
-            Kind { repeatable: false, ..kind("post", "post", "water", (1000, 0, 30.0)) },
+            RequestKind { repeatable: false, ..kind("post", "post", "water", (1000, 0, 30.0)) },
         ],
-        trouble: Trouble::None,
+        injected_fault: InjectedFault::None,
         pause: None,
     }
 }
 
+/// The scenario of a name; Quipu's steady load if the name is none of the others.
 fn scenario(name: &str, seconds: f64) -> Scenario {
     let base = quipu();
     let middle = Some((seconds / 4.0, seconds * 0.75));
@@ -204,31 +213,32 @@
         "quipu-burst" => {
             let mut kinds = base.kinds.clone();
             let burst = kind("burst", "enrichment", "east", (10_000, 200, 100.0));
-            kinds.push(Kind { phase: middle, ..burst });
+            kinds.push(RequestKind { phase: middle, ..burst });
             Scenario { kinds, ..base }
         }
         "quipu-large-customer" => {
             let mut kinds = base.kinds.clone();
             let large = kind("large", "heading-check", "large", (1000, 24, 400.0));
-            kinds.push(Kind { phase: middle, ..large });
+            kinds.push(RequestKind { phase: middle, ..large });
             Scenario { kinds, ..base }
         }
-        "quipu-slow-target" => Scenario { trouble: Trouble::SlowTargets, ..base },
-        "quipu-third-gone" => Scenario { trouble: Trouble::ThirdGone, ..base },
-        "quipu-all-failing" => Scenario { trouble: Trouble::AllFailing, ..base },
+        "quipu-slow-target" => Scenario { injected_fault: InjectedFault::SlowTargets, ..base },
+        "quipu-third-gone" => Scenario { injected_fault: InjectedFault::ThirdBusy, ..base },
+        "quipu-all-failing" => Scenario { injected_fault: InjectedFault::AllFailing, ..base },
         "quipu-return" => Scenario { pause: middle, ..base },
         "zarqa-standup" => zarqa(),
         _ => base,
     }
 }
 
-/// Runs a scenario under each policy and number of VMs, on the same arrivals.
+/// Runs a scenario under each policy and number of VMs, with the same arrivals, and prints a
+/// report of each.
 pub(crate) fn measure(name: &str, plan: &Plan) {
     let seconds = plan.seconds as f64;
     let scenario = scenario(name, seconds);
     let mut sent = arrivals(&scenario.kinds, seconds, plan.seed);
     if let Some((from, to)) = scenario.pause {
-        gather(&mut sent, from, to);
+        postpone(&mut sent, from, to);
     }
     let numbers = if plan.vms.is_empty() { vec![scenario.vms] } else { plan.vms.clone() };
     println!("scenario {name}, seed {}, {} s, {} requests", plan.seed, plan.seconds, sent.len());
@@ -244,14 +254,15 @@
     }
 }
 
-/// Those due during the pause are all sent at its end.
-fn gather(sent: &mut [Arrival], from: f64, to: f64) {
+/// Moves all arrivals within the pause to its end.
+fn postpone(sent: &mut [Arrival], from: f64, to: f64) {
     let (from, to) = (Duration::from_secs_f64(from), Duration::from_secs_f64(to));
     let paused = sent.iter_mut().filter(|a| a.at >= from && a.at < to);
     paused.for_each(|arrival| arrival.at = to);
     sent.sort_by_key(|arrival| (arrival.at, arrival.number));
 }
 
+/// Starts a fleet, sends the arrivals while the fault is injected, and reports on the answers.
 fn run_once(
     scenario: &Scenario,
     policy: &str,
@@ -270,15 +281,16 @@
     });
     let callers: Vec<SocketAddr> = fleet.vms.iter().map(|vm| vm.callers).collect();
     let ended = thread::scope(|scope| {
-        scope.spawn(|| make_trouble(&fleet, scenario.trouble, seconds));
+        scope.spawn(|| inject_fault(&fleet, scenario.injected_fault, seconds));
         let tasks = tokio::runtime::Runtime::new()
-            .unwrap_or_else(|e| panic!("the benchmark's runtime does not start: {e}"));
+            .unwrap_or_else(|e| panic!("cannot start the Tokio runtime of the benchmark: {e}"));
         tasks.block_on(run(&scenario.kinds, sent, &callers))
     });
     report(policy, &scenario.kinds, &ended, &fleet)
 }
 
-fn make_trouble(fleet: &Fleet, trouble: Trouble, seconds: f64) {
+/// Injects the fault after a third of the run and removes it after another third.
+fn inject_fault(fleet: &Fleet, injected_fault: InjectedFault, seconds: f64) {
     let engine = json!({ "service_ms": 20, "token_ms": 5, "prefill_ms": 60 });
     let with = |fault: serde_json::Value| {
         let mut switches = engine.clone();
@@ -288,17 +300,17 @@
         switches
     };
     let third = Duration::from_secs_f64(seconds / 3.0);
-    let (names, fault): (Vec<String>, _) = match trouble {
-        Trouble::None => return,
-        Trouble::SlowTargets => {
+    let (names, fault): (Vec<String>, _) = match injected_fault {
+        InjectedFault::None => return,
+        InjectedFault::SlowTargets => {
             let slow = json!({ "service_ms": 200, "token_ms": 50, "prefill_ms": 600 });
             (vec!["modelo-1".to_owned()], slow)
         }
-        Trouble::ThirdGone => {
+        InjectedFault::ThirdBusy => {
             let names = (1..=3).map(|n| format!("modelo-{n}")).collect();
             (names, with(json!({ "fault": "busy" })))
         }
-        Trouble::AllFailing => {
+        InjectedFault::AllFailing => {
             let names = (1..=10).map(|n| format!("modelo-{n}")).collect();
             (names, with(json!({ "fault": "error" })))
         }
--- a/load/src/slopes.rs
+++ b/load/src/slopes.rs
@@ -1,4 +1,5 @@
-//! The slopes from which `docs/CAPACITY.md` is worked out: each figure at two sizes or more.
+//! Measures the figures from which `docs/CAPACITY.md` is calculated: the cost of the control
+//! traffic of an idle fleet, and of a configuration change, at several fleet sizes.
 
 use std::fmt::Write as _;
 use std::thread;
@@ -6,31 +7,31 @@
 
 use standins::fleet::{Fleet, Pool, agent, get_json, wait_until};
 
-use crate::process::{cpu, memory_mb};
+use crate::process::{cpu_time, memory_mb};
 
-/// Time over which an idle fleet is watched.
-const WATCH: Duration = Duration::from_secs(20);
-/// Time for a fleet to settle before it is watched.
-const SETTLE: Duration = Duration::from_secs(8);
+/// Time over which an idle fleet is measured.
+const IDLE_WINDOW: Duration = Duration::from_secs(20);
+/// Time for a fleet to settle before it is measured.
+const SETTLE_TIME: Duration = Duration::from_secs(8);
 
 const SERVICE: &str = "service: {name: one, stages: [{name: place, select: {all: {pool: t}}}]}";
 
-/// Sizes measured unless others are given: VMs and targets.
+/// Default fleet sizes, each as VMs x targets.
 pub(crate) const SIZES: &str = "6x36,12x36,24x36,62x36,6x370,6x740";
 
-/// Prints the slopes for sizes such as `62x36`, VMs and targets.
+/// Prints the figures for each size, given as VMs x targets, such as `62x36`.
 pub(crate) fn measure(sizes: &[String]) {
-    println!("control of an idle fleet, one hall, for each VM on average:");
+    println!("control traffic of an idle fleet in one hall, average per VM:");
     for size in sizes {
         let numbers = size.split_once('x');
         match numbers.and_then(|(vms, targets)| Some((vms.parse().ok()?, targets.parse().ok()?))) {
-            Some((vms, targets)) => idle(vms, targets),
-            None => println!("{size} is no size: expected VMs and targets, such as 62x36"),
+            Some((vms, targets)) => measure_idle(vms, targets),
+            None => println!("invalid size {size}: expected VMs x targets, such as 62x36"),
         }
     }
 }
 
-/// Targets that are only declared; an idle fleet calls none.
+/// Catalogue of targets that do not exist; an idle fleet calls none of them.
 fn catalogue(targets: usize) -> String {
     let mut text = "customer: {name: small}\n".to_owned();
     for number in 0..targets {
@@ -44,7 +45,8 @@
     format!("{text}---\n{SERVICE}\n")
 }
 
-fn idle(vms: usize, targets: usize) {
+/// Starts a fleet and prints what its VMs use while idle, then what a change costs.
+fn measure_idle(vms: usize, targets: usize) {
     let no_targets: [Pool; 0] = [];
     let mut fleet = Fleet::start(&no_targets);
     let applied = fleet.apply(&catalogue(targets));
@@ -55,44 +57,45 @@
     (0..vms).for_each(|index| fleet.wait_ready(index));
     fleet.list_vms(&[]);
     fleet.wait_acquainted();
-    thread::sleep(SETTLE);
+    thread::sleep(SETTLE_TIME);
 
     let before: Vec<(Duration, f64)> =
-        (0..vms).map(|i| (cpu(fleet.pid(i)), control_bytes(&fleet, i))).collect();
+        (0..vms).map(|i| (cpu_time(fleet.pid(i)), control_bytes(&fleet, i))).collect();
     let calls = platform_calls(&fleet);
-    thread::sleep(WATCH);
-    let seconds = WATCH.as_secs_f64();
-    let after = (0..vms).map(|i| (cpu(fleet.pid(i)), control_bytes(&fleet, i)));
-    let (mut used, mut bytes, mut most) = (0.0, 0.0, 0.0_f64);
+    thread::sleep(IDLE_WINDOW);
+    let seconds = IDLE_WINDOW.as_secs_f64();
+    let after = (0..vms).map(|i| (cpu_time(fleet.pid(i)), control_bytes(&fleet, i)));
+    let (mut used, mut bytes, mut peak) = (0.0, 0.0, 0.0_f64);
     for ((cpu_then, bytes_then), (cpu_now, bytes_now)) in before.iter().zip(after) {
         used += (cpu_now.saturating_sub(*cpu_then)).as_secs_f64() / seconds;
         bytes += (bytes_now - bytes_then) / seconds;
-        most = most.max((bytes_now - bytes_then) / seconds);
+        peak = peak.max((bytes_now - bytes_then) / seconds);
     }
     let calls = (platform_calls(&fleet) - calls) / seconds;
     let memory: f64 = (0..vms).map(|i| memory_mb(fleet.pid(i))).sum::<f64>() / vms as f64;
     let state = get_json(fleet.vms[0].operations, "/state").unwrap_or_default();
     let interval = state["round_interval_ms"].as_u64().unwrap_or(0);
-    let (spread, change_bytes) = change(&fleet);
+    let (propagation, change_bytes) = measure_change(&fleet);
     println!(
-        "{vms:>3} VMs {targets:>4} targets: {:.2}% of a core, {memory:.1} MB, {:.0} B/s (most {most:.0}), \
+        "{vms:>3} VMs {targets:>4} targets: {:.2}% of a core, {memory:.1} MB, {:.0} B/s (most {peak:.0}), \
          a round every {interval} ms, \
-         {calls:.1} calls/s at the platform, a change everywhere after {} ms, {change_bytes:.0} B a VM",
+         {calls:.1} calls/s at the platform, a change in force on all VMs after {} ms, {change_bytes:.0} B per VM",
         100.0 * used / vms as f64,
         bytes / vms as f64,
-        spread.as_millis()
+        propagation.as_millis()
     );
 }
 
-/// Makes one small change; the time until every VM has it, and control bytes a VM meanwhile.
-fn change(fleet: &Fleet) -> (Duration, f64) {
+/// Makes one small change. Returns the time until it is in force on every VM, and the bytes of
+/// control messages per VM in that time.
+fn measure_change(fleet: &Fleet) -> (Duration, f64) {
     let vms = fleet.vms.len();
     let before: f64 = (0..vms).map(|i| control_bytes(fleet, i)).sum();
     let old = fleet.revision(0).unwrap_or(0);
     let label = fleet.tool(&["label", "target/target-number-1", "version=v2"]);
     assert!(label.status.success(), "{}", String::from_utf8_lossy(&label.stderr));
     let began = Instant::now();
-    wait_until("the change is everywhere", || {
+    wait_until("the change is in force on every VM", || {
         (0..vms).all(|i| fleet.revision(i).is_some_and(|r| r > old))
     });
     let took = began.elapsed();
@@ -100,7 +103,7 @@
     (took, (after - before) / vms as f64)
 }
 
-/// Bytes of control messages that a VM has sent and received.
+/// Bytes of control messages that a VM has sent and received since it started.
 fn control_bytes(fleet: &Fleet, index: usize) -> f64 {
     let url = format!("http://{}/metrics", fleet.vms[index].operations);
     let page = agent().get(url).call().ok().and_then(|mut rx| rx.body_mut().read_to_string().ok());
@@ -109,7 +112,7 @@
     lines.filter_map(|l| l.rsplit(' ').next()?.parse::<f64>().ok()).sum()
 }
 
-/// Calls that the platform has answered.
+/// Reads and writes that the platform has answered.
 fn platform_calls(fleet: &Fleet) -> f64 {
     let counts = get_json(fleet.platform, "/counts").unwrap_or_default();
     ["reads", "writes"].iter().filter_map(|key| counts[*key].as_f64()).sum()
--- a/src/charts.rs
+++ b/src/charts.rs
@@ -49,7 +49,7 @@
 
     /// Plotted points of a series: interval index and aggregated value.
     pub(crate) fn points(&self, line: &Line) -> Vec<(f64, f64)> {
-        line.iter().map(|(at, values)| (*at as f64, (self.aggregate)(values))).collect()
+        line.iter().map(|(interval, values)| (*interval as f64, (self.aggregate)(values))).collect()
     }
 }
 
--- a/tools/protogen/src/main.rs
+++ b/tools/protogen/src/main.rs
@@ -1,5 +1,5 @@
-//! Makes `components/peering/src/generated` from `components/peering/proto`, with no outside
-//! compiler.
+//! Generates `components/peering/src/generated` from `components/peering/proto`. It compiles the
+//! definitions in Rust, so that `protoc` need not be installed.
 
 use std::error::Error;
 use std::path::Path;
