--- a/prove.sh
+++ b/prove.sh
@@ -1,5 +1,6 @@
 #!/usr/bin/env bash
-# Long random runs with real processes: ./prove.sh --minutes N --seed S. CI does not run it.
+# Randomised soak test with real processes; not part of CI.
+# Usage: ./prove.sh --minutes N --seed S
 set -euo pipefail
 cd "$(dirname "$0")"
 cargo build --release --workspace --quiet
