--- a/load/src/fleet.rs
+++ b/load/src/fleet.rs
@@ -17,7 +17,7 @@
     pub(crate) policy: &'a str,
 }
 
-/// Starts a fleet and waits until its VMs are ready and know each other.
+/// Starts a fleet and waits until the configuration is in force and all VMs know each other.
 pub(crate) fn start(layout: &Layout<'_>) -> Fleet {
     let mut fleet = Fleet::start(layout.pools);
     let applied = fleet.apply(&catalogue(&fleet, layout));
--- a/load/src/overhead.rs
+++ b/load/src/overhead.rs
@@ -83,7 +83,8 @@
         .unwrap_or_else(|_| unreachable!("the bounds are constants"))
 }
 
-fn as_micros(duration: Duration) -> u64 {
+/// Whole microseconds, at least 1.
+fn clamped_micros(duration: Duration) -> u64 {
     u64::try_from(duration.as_micros()).unwrap_or(u64::MAX).max(1)
 }
 
@@ -151,7 +152,7 @@
     let began = Instant::now();
     let reply = post(connections, request).await;
     assert!(reply.is_some_and(|r| r.status == 200), "a call was not answered with status 200");
-    times.saturating_record(as_micros(began.elapsed()));
+    times.saturating_record(clamped_micros(began.elapsed()));
 }
 
 /// Throughput in requests per second of `loops` callers, each of which sends the next request
@@ -195,7 +196,7 @@
         let reply = joined.ok().flatten();
         let reply = reply.unwrap_or_else(|| panic!("a stream was cut off"));
         parts += reply.parts.len() as u64;
-        reply.parts.windows(2).for_each(|w| gaps.saturating_record(as_micros(w[1] - w[0])));
+        reply.parts.windows(2).for_each(|w| gaps.saturating_record(clamped_micros(w[1] - w[0])));
     }
     (gaps, parts)
 }
--- a/load/src/prove.rs
+++ b/load/src/prove.rs
@@ -1,4 +1,4 @@
-//! Randomised soak test: callers, configuration changes and failures at the same time, then the
+//! Randomized soak test: callers, configuration changes and failures at the same time, then the
 //! same invariant checks as in the tests.
 
 use std::net::SocketAddr;
--- a/load/src/scenario.rs
+++ b/load/src/scenario.rs
@@ -130,6 +130,8 @@
     Pool { name, count, args }
 }
 
+/// A repeatable kind of request with the given deadline in ms, tokens to generate, and requests
+/// per second.
 fn kind(
     label: &'static str,
     service: &'static str,
--- a/load/src/slopes.rs
+++ b/load/src/slopes.rs
@@ -9,7 +9,7 @@
 
 use crate::process::{cpu_time, memory_mb};
 
-/// Time over which an idle fleet is measured.
+/// Time over which the use of an idle fleet is measured.
 const IDLE_WINDOW: Duration = Duration::from_secs(20);
 /// Time for a fleet to settle before it is measured.
 const SETTLE_TIME: Duration = Duration::from_secs(8);
--- a/prove.sh
+++ b/prove.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Randomised soak test with real processes; not part of CI.
+# Randomized soak test with real processes; not part of CI.
 # Usage: ./prove.sh --minutes N --seed S
 set -euo pipefail
 cd "$(dirname "$0")"
--- a/src/cmd/check.rs
+++ b/src/cmd/check.rs
@@ -24,6 +24,7 @@
     Ok(())
 }
 
+/// Reads and validates a configuration file.
 fn read_intent(path: &Path) -> Result<Intent> {
     let text = logs::read_bytes(path)?;
     let intent = users_platform::adapter().intents.intent;
@@ -121,6 +122,7 @@
     }
 }
 
+/// Description of an entry: services by weight, limits and stages.
 fn entry_text(entry: &Entry) -> String {
     let share = |share: &intent::Share| format!("{} ({})", share.service, share.weight);
     let services: Vec<String> = entry.shares.iter().map(share).collect();
--- a/src/cmd/report.rs
+++ b/src/cmd/report.rs
@@ -111,6 +111,7 @@
     Value::Array(charts.iter().map(chart).collect())
 }
 
+/// Writes all charts that have data to an HTML page.
 fn write_page(path: &Path, charts: &[Chart], seconds: u32) -> Result<()> {
     let mut page =
         String::from("<!doctype html><meta charset=utf-8><title>saddlerail report</title>");
--- a/src/fleet.rs
+++ b/src/fleet.rs
@@ -45,6 +45,7 @@
         .collect()
 }
 
+/// A JSON string as text; empty if it is not a string.
 fn text(value: &Value) -> String {
     value.as_str().unwrap_or_default().to_owned()
 }
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,5 +1,5 @@
 //! `saddlerail`, the operators' command-line tool: changes and inspects the configuration, and
-//! analyses the VMs' log files.
+//! analyzes the VMs' log files.
 
 /// Prints a line to standard output; a closed pipe ends the process without an error.
 macro_rules! out {
