--- a/tests/configuration.rs
+++ b/tests/configuration.rs
@@ -1,6 +1,7 @@
-//! An accepted configuration is in force everywhere within seconds and never reverts.
+//! Changes of the configuration: concurrent changes are linearizable, an accepted one is in force at every VM
+//! within five seconds, and no VM goes back to an earlier revision.
 
-// A helper that can't go on fails its test.
+// A failing `expect` in a helper fails the test.
 #![allow(clippy::expect_used)]
 
 mod support;
@@ -21,14 +22,16 @@
 use todc_utils::linearizability::history::History;
 use todc_utils::specifications::Specification;
 
-/// A change of the head as an operator sees it.
+/// An operation on the head of the configuration, as an operator sees it.
 #[derive(Debug, Clone, PartialEq)]
 enum HeadOp {
+    /// Reads the current revision; `None` until it is answered.
     Read(Option<u64>),
-    /// From a base revision; `Some(true)` was accepted.
+    /// Publishes a change on top of a base revision; `Some(true)` if it was accepted, `None` until it is answered.
     Change(u64, Option<bool>),
 }
 
+/// Sequential specification of the head, against which concurrent histories are checked.
 struct HeadSpec;
 
 impl Specification for HeadSpec {
@@ -57,8 +60,8 @@
     catalogue
 }
 
-/// Operators that race, while answers are lost now and then.
-fn race(
+/// Runs four operators that publish changes concurrently, and returns the history of their operations.
+fn change_concurrently(
     fleet: &Fleet,
     rounds: usize,
 ) -> Vec<(usize, todc_utils::linearizability::history::Action<HeadOp>)> {
@@ -97,28 +100,28 @@
 }
 
 #[test]
-fn racing_operators_change_the_head_one_at_a_time() {
+fn concurrent_changes_of_the_head_are_linearizable() {
     let fleet = Fleet::start(&[]);
 
-    let history = race(&fleet, 6);
+    let history = change_concurrently(&fleet, 6);
 
-    let won = history
+    let accepted_changes = history
         .iter()
         .filter(|(_, a)| matches!(a, Response(HeadOp::Change(_, Some(true)))))
         .count() as u64;
     let (head, _) = read_head(&Store::new(fleet.platform)).expect("head");
-    assert!(won > 0);
-    assert_eq!(head.revision, Revision(won));
+    assert!(accepted_changes > 0);
+    assert_eq!(head.revision, Revision(accepted_changes));
     assert!(WGLChecker::<HeadSpec>::is_linearizable(History::from_actions(history)));
 }
 
 #[test]
-fn a_change_whose_answers_were_lost_is_settled_and_refused_ones_leave_nothing_behind() {
+fn a_change_with_lost_answers_is_settled_and_a_refused_change_leaves_no_data() {
     let fleet = Fleet::start(&[]);
     let store = Store::new(fleet.platform);
     let (head, version) = read_head(&store).expect("head");
     let none = Catalogue::default();
-    // Both writes of the change take effect and lose their answers.
+    // Both writes of the change take effect, but their answers are lost.
     fleet.set_platform(&json!({ "lose_answers": 2 }));
 
     let first = publish(&store, (&head, version), &none, &customers(1), "lost");
@@ -134,7 +137,7 @@
 }
 
 #[test]
-fn a_refused_operator_is_shown_what_changed() {
+fn a_refused_change_reports_the_revision_and_the_conflicting_change() {
     let fleet = usual_fleet(1);
     let store = Store::new(fleet.platform);
     let (head, version) = read_head(&store).expect("head");
@@ -144,20 +147,20 @@
 
     let mine = publish(&store, (&head, version), &before, &customers(1), "mine");
 
-    let told = mine.expect_err("refused").to_string();
-    assert!(told.contains("revision 2") && told.contains("~ target/plain-1"), "{told}");
+    let message = mine.expect_err("refused").to_string();
+    assert!(message.contains("revision 2") && message.contains("~ target/plain-1"), "{message}");
 }
 
 #[test]
-fn bad_changes_are_refused_with_exit_code_and_place() {
+fn invalid_changes_are_refused_with_exit_code_and_location() {
     let fleet = usual_fleet(1);
     let text = "service:\n  name: x\n  stages: [{name: a, select: {all: {pool: nowhere}}}]\n";
 
     let refused = fleet.apply(text);
 
     assert_eq!(refused.status.code(), Some(2));
-    let told = String::from_utf8_lossy(&refused.stderr).into_owned();
-    assert!(told.contains("service/x.stages.a.select: matches no target"), "{told}");
+    let message = String::from_utf8_lossy(&refused.stderr).into_owned();
+    assert!(message.contains("service/x.stages.a.select: matches no target"), "{message}");
     assert_eq!(fleet.revision(0), Some(1));
     let same = fleet.file("same.yaml", "customer: {name: small}\n");
     let none = fleet.tool(&["apply", "--dry-run", "-f", same.to_str().expect("path")]);
@@ -167,7 +170,7 @@
     assert_eq!(some.status.code(), Some(10));
 }
 
-/// Changes labels while every VM's revision is watched; revisions must only rise.
+/// Changes labels while the revision of every VM is polled: it must never decrease.
 #[test]
 fn changes_reach_every_vm_within_five_seconds_and_never_revert() {
     let mut fleet = usual_fleet(5);
@@ -180,7 +183,7 @@
                 let mut last = 0;
                 while !over.load(Ordering::Relaxed) {
                     let found = fleet.revision(index).expect("a revision");
-                    assert!(found >= last, "VM {index} went back from {last} to {found}");
+                    assert!(found >= last, "VM {index} reverted from revision {last} to {found}");
                     last = found;
                     thread::sleep(Duration::from_millis(5));
                 }
@@ -190,12 +193,12 @@
         for number in 0..10 {
             let label = format!("round=r{number}");
             let changed = fleet.tool(&["label", "target/plain-1", &label, "--wait"]);
-            let told = String::from_utf8_lossy(&changed.stderr).into_owned();
-            assert!(changed.status.success(), "not everywhere within 5 s: {told}");
+            let message = String::from_utf8_lossy(&changed.stderr).into_owned();
+            assert!(changed.status.success(), "not in force at every VM within 5 s: {message}");
         }
     });
 
-    // Over a restart with the store out, the VM takes what its peers have.
+    // A VM that restarts during an outage of the store takes the configuration from its peers.
     fleet.set_platform(&json!({ "outage": true }));
     fleet.kill(4);
     fleet.restart(4);
@@ -206,7 +209,7 @@
 }
 
 #[test]
-fn a_vm_with_neither_store_nor_peers_serves_nothing_and_says_so() {
+fn a_vm_without_store_and_peers_answers_503_with_the_reason() {
     let mut fleet = Fleet::start(&usual_pools());
     assert!(fleet.apply(&fleet.catalogue(SERVICES)).status.success());
     fleet.set_platform(&json!({ "outage": true }));
@@ -221,10 +224,10 @@
     fleet.wait_ready(index);
 }
 
-/// A request keeps the revision under which it began: its later stages use the old selectors and
-/// targets, though a change took them away.
+/// A request keeps the revision under which it began: its later stages use the selectors and targets of
+/// that revision, even if a change has removed them since.
 #[test]
-fn one_request_sees_one_revision() {
+fn a_request_uses_one_revision_for_all_its_stages() {
     let fleet = usual_fleet(1);
     for target in ["plain-1", "plain-2", "plain-3", "plain-4"] {
         fleet.set_faults(target, &json!({ "service_ms": 300 }));
@@ -234,7 +237,7 @@
         thread::spawn(move || ask("check", 8000).repeatable().send(to).expect("an answer"));
     wait_until("the first stage runs", || !fleet.records().is_empty());
 
-    // From now on the last stage is a plain one, and then the engines are gone.
+    // First the last stage is moved to plain targets, then the engines are removed.
     let plain = SERVICES.replace("pool: engine}}, streams: true", "pool: plain}}");
     assert!(fleet.apply(&plain).status.success());
     let gone = fleet.tool(&["remove", "target/engine-1", "target/engine-2", "--wait"]);
--- a/tests/departures.rs
+++ b/tests/departures.rs
@@ -1,15 +1,13 @@
-//! Targets that say in their answers that they leave, or that they want to be left alone.
+//! Targets that announce in their answers that they are leaving, or that they request a backoff.
 //!
-//! What users saw: requests reached engines 4.8 and 10 s after the engines' own answers had told the VM that
-//! they leave. The order of events: the platform's store fell silent; an engine began to leave, which it could
-//! write into its entry only 13 s later; each of its answers said so meanwhile, and each VM went on to send it
-//! requests. The cause: whether a target leaves was known from its entry alone, and what its answers said of
-//! it was passed on to callers and read by nobody.
+//! Guards against requests to a target whose own answers have announced its departure. While the store is
+//! silent, a leaving target can't update its entry. A VM that relied on the entry alone and ignored the answers
+//! would keep sending it requests until the store is back, many seconds later.
 //!
-//! The evidence: with the word logged, the VM's log has `target says that it leaves` with
-//! `entry_leaving=false`, and after it tries at that target with `said_leaving_ms` up to thousands.
+//! In a log the failure shows as `target says that it leaves` with `entry_leaving=false`, followed by tries at
+//! that target with `said_leaving_ms` of up to several thousand.
 
-// A fixture that can't be set up fails its test.
+// A failing `expect` in a fixture fails the test.
 #![allow(clippy::expect_used)]
 
 use std::time::{Duration, Instant};
@@ -21,49 +19,50 @@
 use standins::users::serving::{Site, Vm, answered, get, post};
 use standins::users::store::Mood;
 
-/// Requests after a word; if they were shared among two targets, one would hardly get none.
+/// Requests after an announcement: so many that each of two targets in use would get some of them.
 const REQUESTS: usize = 24;
-/// What was sent before a word was heard arrives within this time.
-const ON_ITS_WAY: Duration = Duration::from_millis(300);
+/// A request that was sent before its VM learned of an announcement arrives within this time.
+const IN_FLIGHT: Duration = Duration::from_millis(300);
 
-/// How much longer the other worker of the pool takes: the leaving one is chosen wherever it may be.
-const SLOWER: Duration = Duration::from_millis(60);
+/// Additional time that the second worker of the pool takes, so that the first is preferred whenever it is eligible.
+const EXTRA_TIME: Duration = Duration::from_millis(60);
 
 /// Makes the second worker the slower one.
 fn slow_second_worker(site: &Site) {
-    site.pool[1].next(&vec![Act::Hang(SLOWER); REQUESTS * 4]);
+    site.pool[1].next(&vec![Act::Hang(EXTRA_TIME); REQUESTS * 4]);
 }
 
-/// An answer that was not waited for.
-const AT_ONCE: Duration = Duration::from_millis(250);
-/// Time within which a VM that is linked has heard: no heartbeat is waited for, and the state is read meanwhile.
-const TOLD_WITHIN: Duration = Duration::from_millis(500);
+/// Upper bound for an answer that is given without waiting.
+const IMMEDIATE: Duration = Duration::from_millis(250);
+/// Time within which a linked VM learns of a departure, including the time to read its state. Announcements are
+/// sent at once, not with the next heartbeat.
+const PROPAGATED_WITHIN: Duration = Duration::from_millis(500);
 
 /// A request with two stages before its engine.
 fn chain(id: &str) -> Call {
     post("/chain/", id).with("Pieces", "1,1").with("Piece-Key", "secret")
 }
 
-/// Sends requests until this target has received one and its answer was read.
-fn until_it_answered(target: &Runner, vm: &Vm, call: impl Fn(&str) -> Call, name: &str) {
+/// Sends requests until one of them has reached this target and its answer was read.
+fn send_until_answered_by(target: &Runner, vm: &Vm, call: impl Fn(&str) -> Call, name: &str) {
     let began = Instant::now();
     let mut number = 0;
-    wait_until("the target is asked", || {
+    wait_until("the target receives a request", || {
         number += 1;
         answered(&call(&format!("{name}-first-{number}")), vm);
         target.received_after(began) > 0
     });
 }
 
-/// Sends requests; gives the statuses of those that were not served.
-fn send_all(vm: &Vm, call: impl Fn(&str) -> Call, name: &str) -> Vec<u16> {
+/// Sends [`REQUESTS`] requests; returns the statuses other than 200.
+fn statuses_not_ok(vm: &Vm, call: impl Fn(&str) -> Call, name: &str) -> Vec<u16> {
     let ids = (0..REQUESTS).map(|number| format!("{name}-{number}"));
     let statuses = ids.map(|id| answered(&call(&id), vm).status());
     statuses.filter(|status| *status != 200).collect()
 }
 
 #[test]
-fn what_answers_say_of_a_leaving_target_holds_while_the_store_is_silent() {
+fn a_departure_announced_in_answers_is_respected_while_the_store_is_silent() {
     let site = Site::start();
     let vm = site.start_vm("departs", "");
     let repeat = |id: &str| get("/repeat/", id);
@@ -72,43 +71,51 @@
     site.store.set_mood(Mood::Silent);
     let leaving = [&site.plain[0], &site.engines[0], &site.pool[0]];
     leaving.iter().for_each(|target| target.set_leaves(true));
-    until_it_answered(leaving[0], &vm, repeat, "repeat");
-    until_it_answered(leaving[1], &vm, stream, "stream");
-    until_it_answered(leaving[2], &vm, chain, "chain");
-    std::thread::sleep(ON_ITS_WAY);
+    send_until_answered_by(leaving[0], &vm, repeat, "repeat");
+    send_until_answered_by(leaving[1], &vm, stream, "stream");
+    send_until_answered_by(leaving[2], &vm, chain, "chain");
+    std::thread::sleep(IN_FLIGHT);
 
     let since = Instant::now();
     let missed = [
-        send_all(&vm, repeat, "repeat"),
-        send_all(&vm, stream, "stream"),
-        send_all(&vm, chain, "chain"),
+        statuses_not_ok(&vm, repeat, "repeat"),
+        statuses_not_ok(&vm, stream, "stream"),
+        statuses_not_ok(&vm, chain, "chain"),
     ];
 
-    assert_eq!(leaving.map(|target| target.received_after(since)), [0, 0, 0], "sent to it later");
+    assert_eq!(
+        leaving.map(|target| target.received_after(since)),
+        [0, 0, 0],
+        "requests after the announcement"
+    );
     assert_eq!(missed.concat(), Vec::<u16>::new(), "the other target serves all");
 }
 
 #[test]
-fn a_target_that_wants_to_be_left_alone_is() {
+fn a_target_that_requests_a_backoff_gets_no_requests() {
     let site = Site::start();
     let vm = site.start_vm("alone", "");
     let repeat = |id: &str| get("/repeat/", id);
     slow_second_worker(&site);
     let wants = [&site.plain[0], &site.pool[0]];
     wants.iter().for_each(|target| target.next(&[Act::DeclineFor("30")]));
-    until_it_answered(wants[0], &vm, repeat, "repeat");
-    until_it_answered(wants[1], &vm, chain, "chain");
-    std::thread::sleep(ON_ITS_WAY);
+    send_until_answered_by(wants[0], &vm, repeat, "repeat");
+    send_until_answered_by(wants[1], &vm, chain, "chain");
+    std::thread::sleep(IN_FLIGHT);
 
     let since = Instant::now();
-    let missed = [send_all(&vm, repeat, "repeat"), send_all(&vm, chain, "chain")];
+    let missed = [statuses_not_ok(&vm, repeat, "repeat"), statuses_not_ok(&vm, chain, "chain")];
 
-    assert_eq!(wants.map(|target| target.received_after(since)), [0, 0], "sent to it later");
+    assert_eq!(
+        wants.map(|target| target.received_after(since)),
+        [0, 0],
+        "requests during the backoff"
+    );
     assert_eq!(missed.concat(), Vec::<u16>::new(), "the other target serves all");
 }
 
 #[test]
-fn no_entry_takes_the_word_back_within_a_lifetime() {
+fn no_entry_revokes_an_announced_departure_within_a_lifetime() {
     let site = Site::start();
     let vm = site.start_vm("back", "");
     let (leaving, repeat) = (&site.plain[0], |id: &str| get("/repeat/", id));
@@ -122,63 +129,67 @@
     let heard = |what: &str, count: usize| {
         let line = format!("target={}", leaving.id);
         let known = || vm.log().lines().filter(|l| l.contains(what) && l.contains(&line)).count();
-        wait_until("the VM has heard of the entry", || known() >= count);
+        wait_until("the VM knows of the entry", || known() >= count);
     };
     write(2, 1_000);
     heard("target known", 2);
     leaving.set_leaves(true);
-    until_it_answered(leaving, &vm, repeat, "back");
-    std::thread::sleep(ON_ITS_WAY);
+    send_until_answered_by(leaving, &vm, repeat, "back");
+    std::thread::sleep(IN_FLIGHT);
     let since = Instant::now();
 
     write(3, 1_000);
     heard("target known", 3);
-    let missed_rewritten = send_all(&vm, repeat, "rewritten");
+    let missed_rewritten = statuses_not_ok(&vm, repeat, "rewritten");
     site.store.remove(&key);
     heard("target gone", 1);
     write(4, 1_000);
     heard("target known", 4);
-    let missed_returned = send_all(&vm, repeat, "returned");
+    let missed_returned = statuses_not_ok(&vm, repeat, "returned");
     let later = leaving.received_after(since);
     leaving.set_leaves(false);
     write(5, 2_000);
     heard("target known", 5);
     site.plain[1].set_leaves(true);
-    until_it_answered(&site.plain[1], &vm, repeat, "other");
-    let missed_reborn = send_all(&vm, repeat, "reborn");
+    send_until_answered_by(&site.plain[1], &vm, repeat, "other");
+    let missed_reborn = statuses_not_ok(&vm, repeat, "reborn");
 
-    assert_eq!(later, 0, "sent to it within its lifetime");
+    assert_eq!(later, 0, "requests within the lifetime that announced its departure");
     assert_eq!([missed_rewritten, missed_returned].concat(), Vec::<u16>::new());
-    assert_eq!(missed_reborn, Vec::<u16>::new(), "a later lifetime is used as any other");
+    assert_eq!(missed_reborn, Vec::<u16>::new(), "a later lifetime is used like any other target");
 }
 
 #[test]
-fn one_vms_word_is_every_vms_without_the_store() {
+fn a_departure_known_to_one_vm_reaches_all_vms_without_the_store() {
     let site = Site::start();
     let vms = ["tells", "hears"].map(|name| site.start_vm(name, ""));
     let (leaving, repeat) = (&site.plain[0], |id: &str| get("/repeat/", id));
     wait_until("the VMs are linked", || vms.iter().all(|vm| vm.linked_peers() == 1));
     site.store.set_mood(Mood::Silent);
     leaving.set_leaves(true);
-    until_it_answered(leaving, &vms[0], repeat, "tells");
+    send_until_answered_by(leaving, &vms[0], repeat, "tells");
     let told = Instant::now();
-    wait_until("the other VM has heard", || !vms[1].listed("targets_leaving").is_empty());
+    wait_until("the other VM knows of the departure", || {
+        !vms[1].listed("targets_leaving").is_empty()
+    });
     let took = told.elapsed();
 
     let since = Instant::now();
-    let missed = send_all(&vms[1], repeat, "hears");
+    let missed = statuses_not_ok(&vms[1], repeat, "hears");
     site.store.set_mood(Mood::Well);
     let starts = site.start_vm("starts", "");
-    wait_until("a VM that starts has heard", || !starts.listed("targets_leaving").is_empty());
-    let missed_later = send_all(&starts, repeat, "starts");
+    wait_until("a VM that starts knows of the departure", || {
+        !starts.listed("targets_leaving").is_empty()
+    });
+    let missed_later = statuses_not_ok(&starts, repeat, "starts");
 
-    assert_eq!(leaving.received_after(since), 0, "sent to it by a VM that was told");
+    assert_eq!(leaving.received_after(since), 0, "requests from a VM that knows of the departure");
     assert_eq!([missed, missed_later].concat(), Vec::<u16>::new());
-    assert!(took < TOLD_WITHIN, "{took:?}");
+    assert!(took < PROPAGATED_WITHIN, "{took:?}");
 }
 
 #[test]
-fn where_all_targets_leave_a_request_is_refused_at_once() {
+fn a_request_is_refused_immediately_if_all_targets_leave() {
     let site = Site::start();
     let vm = site.start_vm("all-leave", "");
     for target in site.plain.iter().chain(&site.engines).chain(&site.pool) {
@@ -187,9 +198,9 @@
     let kinds: [fn(&str) -> Call; 3] =
         [|id| get("/repeat/", id), |id| post("/stream/", id), |id| chain(id)];
     for (number, target) in [&site.plain, &site.engines].into_iter().enumerate() {
-        target.iter().for_each(|t| until_it_answered(t, &vm, kinds[number], &t.id));
+        target.iter().for_each(|t| send_until_answered_by(t, &vm, kinds[number], &t.id));
     }
-    std::thread::sleep(ON_ITS_WAY);
+    std::thread::sleep(IN_FLIGHT);
 
     for (number, kind) in kinds.into_iter().enumerate() {
         let began = Instant::now();
@@ -197,36 +208,36 @@
 
         assert_eq!(answer.status(), 503);
         assert!(answer.header("retry-after").parse::<f64>().is_ok(), "{answer:?}");
-        assert!(began.elapsed() < AT_ONCE, "{:?}", began.elapsed());
+        assert!(began.elapsed() < IMMEDIATE, "{:?}", began.elapsed());
         assert_eq!(site.runs(&format!("refused-{number}")), 0);
     }
 }
 
 #[test]
-fn a_word_in_an_answer_that_is_not_the_targets_own_says_nothing() {
+fn an_announcement_in_an_unverified_answer_is_ignored() {
     let site = Site::start();
     let vm = site.start_vm("not-own", "");
     let (other, sound) = (&site.plain[0], &site.plain[1]);
     let repeat = |id: &str| get("/repeat/", id);
-    // A target that failed is asked after the other one, which therefore leaves.
+    // A target that failed is chosen only after the other one. The other one leaves, so that this one is used.
     other.set_leaves(true);
-    until_it_answered(other, &vm, repeat, "other");
+    send_until_answered_by(other, &vm, repeat, "other");
     sound.set_leaves(true);
     sound.next(&[Act::Cross, Act::Unsigned, Act::Encoded]);
     for number in 0..3 {
-        until_it_answered(sound, &vm, repeat, &format!("spoilt-{number}"));
+        send_until_answered_by(sound, &vm, repeat, &format!("spoilt-{number}"));
     }
     sound.set_leaves(false);
 
     let since = Instant::now();
-    until_it_answered(sound, &vm, repeat, "own");
+    send_until_answered_by(sound, &vm, repeat, "own");
 
     assert!(sound.received_after(since) > 0);
     assert_eq!(vm.listed("targets_leaving").len(), 1, "{:?}", vm.state()["targets_leaving"]);
 }
 
 #[test]
-fn callers_are_told_when_targets_that_want_to_be_left_alone_are_back() {
+fn callers_get_the_time_until_the_backoff_ends() {
     let site = Site::start();
     let vm = site.start_vm("when", "");
     let repeat = |id: &str| get("/repeat/", id);
@@ -236,19 +247,19 @@
     let asked = Instant::now();
     let refused = answered(&repeat("when-2"), &vm);
     let took = asked.elapsed();
-    let come_back: f64 = refused.header("retry-after").parse().expect("seconds");
-    std::thread::sleep(Duration::from_secs_f64(come_back));
+    let retry_after: f64 = refused.header("retry-after").parse().expect("seconds");
+    std::thread::sleep(Duration::from_secs_f64(retry_after));
     let served = answered(&repeat("when-3"), &vm);
 
     assert_eq!((turned_away.status(), refused.status()), (503, 503));
-    assert!(took < AT_ONCE, "{took:?}");
-    assert!((1.0..2.5).contains(&come_back), "{come_back}");
+    assert!(took < IMMEDIATE, "{took:?}");
+    assert!((1.0..2.5).contains(&retry_after), "{retry_after}");
     assert_eq!(served.status(), 200);
     assert_eq!(site.runs("when-1") + site.runs("when-2"), 0);
 }
 
 #[test]
-fn pieces_wait_for_a_worker_that_is_back_in_their_time_and_no_longer() {
+fn pieces_wait_for_a_backoff_only_if_it_ends_before_their_deadline() {
     let site = Site::start();
     let vm = site.start_vm("pieces", "");
     Site::next(&site.pool, &Act::DeclineFor("0.3"));
@@ -264,36 +275,40 @@
     assert_eq!(waited.status(), 200);
     assert!(took >= Duration::from_millis(300), "{took:?}");
     assert_eq!(refused.status(), 503);
-    assert!(told < AT_ONCE * 2, "{told:?}");
+    assert!(told < IMMEDIATE * 2, "{told:?}");
     assert_eq!(vm.listed("targets_left_alone").len(), 2);
 }
 
 #[test]
-fn a_stream_is_not_taken_up_at_a_target_that_leaves() {
+fn a_stream_is_not_resumed_at_a_leaving_target() {
     let site = Site::start();
     let vm = site.start_vm("taken-up", "");
     let resumed = |id: &str| post("/resumed/", id);
     let [leaving, other] = [&site.engines[0], &site.engines[1]];
     leaving.set_leaves(true);
-    until_it_answered(leaving, &vm, resumed, "taken-up");
-    std::thread::sleep(ON_ITS_WAY);
+    send_until_answered_by(leaving, &vm, resumed, "taken-up");
+    std::thread::sleep(IN_FLIGHT);
     other.next(&[Act::BreakStream(2)]);
 
     let since = Instant::now();
     answered(&resumed("breaks"), &vm);
 
-    assert_eq!(leaving.received_after(since), 0, "it was the only one left");
+    assert_eq!(
+        leaving.received_after(since),
+        0,
+        "the stream is not resumed there, although no other engine is left"
+    );
 }
 
 #[test]
-fn a_word_that_nobody_knows_is_told_once() {
+fn an_unknown_header_is_logged_once() {
     let site = Site::start();
     let vm = site.start_vm("unknown", "");
     site.plain[0].set_says("Server-Mood", "low");
 
-    send_all(&vm, |id| get("/repeat/", id), "unknown");
+    statuses_not_ok(&vm, |id| get("/repeat/", id), "unknown");
 
-    wait_until("it is told", || vm.log().contains("unknown header in answer"));
+    wait_until("the header is logged", || vm.log().contains("unknown header in answer"));
     let log = vm.log();
     let told: Vec<&str> =
         log.lines().filter(|line| line.contains("unknown header in answer")).collect();
--- a/tests/evacuation.rs
+++ b/tests/evacuation.rs
@@ -1,7 +1,7 @@
-//! Halls that operators take out of service, and targets that are cold, with real processes before the
-//! stand-ins of the users' platform.
+//! Evacuation of halls by operators, and the load on cold targets, with real processes and the stand-ins of
+//! the users' platform.
 
-// A helper that can't go on fails its test.
+// A failing `expect` in a helper fails the test.
 #![allow(clippy::expect_used)]
 
 use std::thread;
@@ -14,10 +14,10 @@
 use standins::users::serving::{A_WHILE, Site, Vm, answered, get, post, usual_configuration};
 use standins::users::store::Mood;
 
-/// An answer that was not waited for.
-const AT_ONCE: Duration = Duration::from_millis(250);
+/// Upper bound for an answer that is given without waiting.
+const IMMEDIATE: Duration = Duration::from_millis(250);
 
-fn two_halls() -> Site {
+fn start_two_halls() -> Site {
     Site::start_in(["hall-a", "hall-b"])
 }
 
@@ -33,7 +33,7 @@
     wait_until("it is logged", || vm.log().contains(text));
 }
 
-/// Sends a request of each kind a few times; gives the names of the calls that were not whole.
+/// Sends four requests of each kind; returns the ids of those that got no whole answer.
 fn send_each(vm: &Vm, run: &str) -> Vec<String> {
     let chain = |id: &str| post("/chain/", id).with("Pieces", "2,1").with("Piece-Key", "secret");
     let calls = (0..4).flat_map(|number| {
@@ -55,31 +55,31 @@
     runners.iter().map(|runner| runner.seen().len()).collect()
 }
 
-fn of_hall(site: &Site, index: usize) -> [&Runner; 3] {
+fn runners_of_hall(site: &Site, index: usize) -> [&Runner; 3] {
     [&site.plain[index], &site.engines[index], &site.pool[index]]
 }
 
 #[test]
-fn an_evacuated_hall_gets_no_new_work_of_any_kind_until_it_is_taken_back() {
-    let site = two_halls();
+fn an_evacuated_hall_gets_no_new_work_until_the_evacuation_ends() {
+    let site = start_two_halls();
     let vm = site.start_vm("evacuated", "");
     assert!(send_each(&vm, "before").is_empty());
 
     site.evacuate("hall-a");
     wait_evacuated(&vm, &["hall-a"]);
-    let before = received(&of_hall(&site, 0));
+    let before = received(&runners_of_hall(&site, 0));
     let failed = send_each(&vm, "evacuated");
-    let after = received(&of_hall(&site, 0));
-    // The other hall is emptied then, so that only this one can serve.
+    let after = received(&runners_of_hall(&site, 0));
+    // Now the other hall is evacuated, so that only this one can serve.
     site.take_back("hall-a");
     site.evacuate("hall-b");
     wait_evacuated(&vm, &["hall-b"]);
     let failed_after = send_each(&vm, "back");
 
     assert!(failed.is_empty(), "{failed:?}");
-    assert_eq!(before, after, "nothing was sent there");
+    assert_eq!(before, after, "no request reached the evacuated hall");
     assert!(failed_after.is_empty(), "{failed_after:?}");
-    let back = received(&of_hall(&site, 0));
+    let back = received(&runners_of_hall(&site, 0));
     assert!(back.iter().zip(&after).all(|(back, after)| back > after), "{after:?} {back:?}");
     wait_logged(&vm, "hall evacuated");
     wait_logged(&vm, "hall taken back");
@@ -89,8 +89,8 @@
 }
 
 #[test]
-fn callers_of_services_that_are_all_out_of_service_are_told_at_once() {
-    let site = two_halls();
+fn requests_are_refused_immediately_if_all_halls_are_evacuated() {
+    let site = start_two_halls();
     let vm = site.start_vm("all-evacuated", "");
     site.evacuate("hall-a");
     site.evacuate("hall-b");
@@ -104,15 +104,15 @@
         let answer = answered(&call, &vm);
 
         assert_eq!(answer.status(), 503, "{path}");
-        assert!(began.elapsed() < AT_ONCE, "{path}: {:?}", began.elapsed());
+        assert!(began.elapsed() < IMMEDIATE, "{path}: {:?}", began.elapsed());
         assert!(!answer.header("retry-after").is_empty(), "{path}");
         assert_eq!(site.runs(id), 0, "{path}");
     }
 }
 
 #[test]
-fn pieces_that_wait_when_the_last_hall_is_evacuated_are_given_up_at_once() {
-    let site = two_halls();
+fn waiting_pieces_fail_immediately_when_the_last_hall_is_evacuated() {
+    let site = start_two_halls();
     let vm = site.start_vm("pieces-evacuated", "");
     Site::next(&site.pool, &Act::Hang(Duration::from_millis(1500)));
     let busy: Vec<_> = (0..2)
@@ -124,7 +124,7 @@
             })
         })
         .collect();
-    wait_until("both workers are at work", || {
+    wait_until("both workers execute a call", || {
         site.pool.iter().all(|worker| !worker.seen().is_empty())
     });
     let (callers, began) = (vm.callers, Instant::now());
@@ -144,15 +144,15 @@
 }
 
 #[test]
-fn a_stream_that_is_under_way_ends_where_it_is() {
-    let site = two_halls();
+fn a_running_stream_completes_in_an_evacuated_hall() {
+    let site = start_two_halls();
     let vm = site.start_vm("under-way", "");
     site.evacuate("hall-b");
     wait_evacuated(&vm, &["hall-b"]);
     site.engines[0].next(&[Act::SlowStream(10, Duration::from_millis(120))]);
     let callers = vm.callers;
     let stream = thread::spawn(move || post("/stream/", "slow").send(callers));
-    wait_until("it runs", || site.runs("slow") == 1);
+    wait_until("the stream runs", || site.runs("slow") == 1);
 
     site.take_back("hall-b");
     site.evacuate("hall-a");
@@ -164,8 +164,8 @@
 }
 
 #[test]
-fn a_vm_that_starts_while_the_store_is_away_hears_of_an_evacuation_from_a_peer() {
-    let site = two_halls();
+fn a_vm_that_starts_during_a_store_outage_learns_of_an_evacuation_from_a_peer() {
+    let site = start_two_halls();
     let first = site.start_vm("peer-knows", "");
     site.evacuate("hall-a");
     wait_evacuated(&first, &["hall-a"]);
@@ -173,15 +173,15 @@
     link.set(Passing::None);
 
     let seeds = format!("seeds: ['{}']\n", first.peers());
-    let late = Vm::start("peer-asks", "hall-a", link.address, &seeds);
-    site.wait_known(&late);
+    let late_vm = Vm::start("peer-asks", "hall-a", link.address, &seeds);
+    site.wait_known(&late_vm);
 
-    assert_eq!(evacuated(&late), json!(["hall-a"]));
+    assert_eq!(evacuated(&late_vm), json!(["hall-a"]));
 }
 
 #[test]
-fn an_evacuation_and_its_end_while_the_store_is_away_are_in_force_once_it_is_back() {
-    let site = two_halls();
+fn changes_of_evacuations_during_a_store_outage_are_in_force_after_it() {
+    let site = start_two_halls();
     let vm = site.start_vm("store-away", "");
     site.evacuate("hall-a");
     wait_evacuated(&vm, &["hall-a"]);
@@ -193,17 +193,17 @@
     let meanwhile = evacuated(&vm);
     site.store.set_mood(Mood::Well);
 
-    assert_eq!(meanwhile, json!(["hall-a"]), "what is in force stays");
+    assert_eq!(meanwhile, json!(["hall-a"]), "the evacuation in force stays");
     wait_evacuated(&vm, &["hall-b"]);
-    // History that is gone brings neither back.
+    // Compaction of the store's history must not restore an earlier state.
     site.store.forget_history();
     thread::sleep(A_WHILE);
     assert_eq!(evacuated(&vm), json!(["hall-b"]));
 }
 
 #[test]
-fn evacuations_twice_within_a_moment_end_as_the_last_word_says() {
-    let site = two_halls();
+fn the_last_of_several_quick_evacuation_changes_is_in_force() {
+    let site = start_two_halls();
     let vm = site.start_vm("twice", "");
 
     site.evacuate("hall-a");
@@ -220,8 +220,8 @@
 }
 
 #[test]
-fn what_can_not_be_read_is_left_out_with_its_place() {
-    let site = two_halls();
+fn invalid_entries_are_ignored_and_logged_with_their_location() {
+    let site = start_two_halls();
     let vm = site.start_vm("unreadable", "");
     site.evacuate("hall-a");
     wait_evacuated(&vm, &["hall-a"]);
@@ -231,8 +231,8 @@
     wait_evacuated(&vm, &["hall-a", "nowhere"]);
 
     wait_logged(&vm, "op/evacuate/hall-b");
-    assert!(send_each(&vm, "still").is_empty(), "hall-b serves");
-    // Absurd figures of cold targets: the entry and the configuration in force stay.
+    assert!(send_each(&vm, "still").is_empty(), "hall-b still serves");
+    // Invalid values for cold targets: the previous entry and configuration stay in force.
     let mut absurd = usual_configuration(2);
     absurd["services"][0]["cold_per_s"] = json!(-4);
     site.store.put("op/config", &absurd);
@@ -243,21 +243,22 @@
     assert!(send_each(&vm, "in-force").is_empty());
 }
 
-/// VMs before the cold targets of a hall, and those targets.
+/// VMs that send requests to the cold targets.
 const VMS: usize = 6;
-const COLD: usize = 8;
-/// Requests that a cold target may get within a second: 4 x 1.5 + 2.
-const BORNE: usize = 8;
+/// Cold targets of the hall.
+const COLD_TARGETS: usize = 8;
+/// Requests that a cold target may get within a second: rate 4 x overshoot 1.5 + slack 2.
+const MAX_COLD_REQUESTS: usize = 8;
 
 #[test]
-fn a_hall_of_cold_targets_that_comes_back_is_not_rushed_at() {
+fn cold_targets_of_a_returning_hall_get_a_limited_request_rate() {
     let site = Site::start();
     let mut rated = usual_configuration(2);
     rated["services"][0]["cold_start_s"] = json!(2.0);
     rated["services"][0]["cold_per_s"] = json!(4.0);
     site.store.put("op/config", &rated);
     site.evacuate("hall-b");
-    let hall_b: Vec<Runner> = (0..COLD)
+    let hall_b: Vec<Runner> = (0..COLD_TARGETS)
         .map(|number| Runner::start(&format!("i-b-{number}"), Act::Answer).expect("a runner"))
         .collect();
     hall_b.iter().for_each(|runner| site.put_runner(runner, "plain", "hall-b", Duration::ZERO));
@@ -291,10 +292,10 @@
         .collect();
     let refused: usize = callers.into_iter().map(|caller| caller.join().expect("a caller")).sum();
 
-    // The hall was out of service until then.
+    // The hall got no requests before `began`.
     let in_a_second = |runner: &Runner| runner.most_within(Duration::from_secs(1), began);
     let most: Vec<usize> = hall_b.iter().map(in_a_second).collect();
-    assert!(most.iter().all(|most| *most <= BORNE), "{most:?}");
-    assert!(most.iter().sum::<usize>() >= COLD, "the hall is used: {most:?}");
+    assert!(most.iter().all(|most| *most <= MAX_COLD_REQUESTS), "{most:?}");
+    assert!(most.iter().sum::<usize>() >= COLD_TARGETS, "the hall is used: {most:?}");
     assert_eq!(refused, 0, "warm targets serve meanwhile");
 }
--- a/tests/outcome_evidence.rs
+++ b/tests/outcome_evidence.rs
@@ -1,7 +1,7 @@
-//! Outcomes with evidence, and answers that belong to their requests: what callers are told is
-//! set against what the targets' own records say.
+//! Outcomes reported to callers, checked against the targets' own records of what they ran, and answers that
+//! must belong to their requests.
 
-// A helper that can't go on fails its test.
+// A failing `expect` in a helper fails the test.
 #![allow(clippy::expect_used)]
 
 mod support;
@@ -14,10 +14,12 @@
 use standins::callers::{Calls, Submission, calls_by_request, violations};
 use support::{Ask, Fleet, ask, usual_fleet};
 
+/// Concurrent callers.
 const CALLERS: usize = 8;
+/// Requests of each caller.
 const REQUESTS: usize = 40;
 
-/// Many callers at once, every second request one that may not be repeated.
+/// Sends requests of many concurrent callers; every second request may not be repeated.
 fn send_many(fleet: &Fleet, service: &'static str) -> Vec<Submission> {
     let send = |caller: usize, index: usize| {
         let number = (caller * REQUESTS + index) as u64;
@@ -42,8 +44,8 @@
     })
 }
 
-/// Every answer came, nothing contradicts the records, and each attempt that reached a target is
-/// told to its caller, and no other.
+/// Checks that every request got an answer, that no answer contradicts the records, and that each answer lists
+/// exactly the attempts that reached a target.
 fn check(sent: &[Submission], calls: &Calls) {
     assert_eq!(violations(sent, calls), Vec::<String>::new());
     for one in sent {
@@ -53,11 +55,11 @@
             let wraps = reply.body["output"]["of"]["q"].as_u64();
             assert_eq!(wraps, Some(one.number), "{reply:?}");
         }
-        let mut told = reply.targets();
+        let mut reported = reply.targets();
         let mut ran: Vec<String> = calls.iter().map(|(target, _)| target.clone()).collect();
-        told.sort();
+        reported.sort();
         ran.sort();
-        assert_eq!(told, ran, "{}: {:?}", one.id, reply.body);
+        assert_eq!(reported, ran, "{}: {:?}", one.id, reply.body);
     }
 }
 
@@ -77,19 +79,19 @@
 }
 
 #[test]
-fn errors_are_told_as_what_they_are() {
+fn target_errors_are_reported_with_outcome_unknown() {
     let sent = run_with("error", 30);
     assert!(count(&sent, "whole") > 0 && count(&sent, "unknown") > 0);
 }
 
 #[test]
-fn crossed_answers_are_dropped() {
+fn answers_to_other_requests_are_dropped() {
     let sent = run_with("crossed", 30);
     assert!(count(&sent, "whole") > 0 && count(&sent, "unknown") > 0);
 }
 
 #[test]
-fn cut_answers_are_never_taken_for_whole() {
+fn truncated_answers_are_not_reported_as_whole() {
     let sent = run_with("cut", 30);
     assert!(count(&sent, "whole") > 0 && count(&sent, "unknown") > 0);
 }
@@ -102,7 +104,7 @@
 }
 
 #[test]
-fn hanging_calls_end_at_the_deadline_and_their_connection_is_not_used_again() {
+fn hanging_calls_end_at_the_deadline_and_their_connection_is_not_reused() {
     let fleet = usual_fleet(1);
     for target in ["plain-1", "plain-2", "plain-3", "plain-4"] {
         fleet.set_faults(target, &json!({ "fault": "hang", "fault_percent": 50, "service_ms": 2 }));
@@ -133,7 +135,7 @@
     stream.write_all(head.as_bytes()).expect("send");
     let mut text = Vec::new();
     let mut buf = [0; 4096];
-    // Ends with the final chunk, or with the connection.
+    // Reads up to the final chunk or the end of the connection.
     while !text.ends_with(b"0\r\n\r\n") {
         match stream.read(&mut buf) {
             Ok(0) | Err(_) => break,
@@ -148,7 +150,7 @@
 }
 
 #[test]
-fn a_cut_stream_is_seen_as_cut() {
+fn a_truncated_stream_is_recognizable() {
     let fleet = usual_fleet(1);
     for engine in ["engine-1", "engine-2"] {
         let switches = json!({ "fault": "cut", "service_ms": 2, "token_ms": 2, "tokens": 16 });
@@ -159,11 +161,11 @@
 
     assert_eq!(token_numbers(&text), (1..=8).collect::<Vec<_>>());
     assert!(text.contains("\"outcome\":\"unknown\""), "{text}");
-    assert!(!text.ends_with("0\r\n\r\n"), "a clean end: {text}");
+    assert!(!text.ends_with("0\r\n\r\n"), "the stream ended without an error: {text}");
 }
 
 #[test]
-fn a_cut_stream_is_resumed_with_no_token_lost_or_doubled() {
+fn a_broken_stream_is_resumed_without_lost_or_duplicate_tokens() {
     let fleet = usual_fleet(1);
     let whole = raw_stream(&fleet, "yes");
     for engine in ["engine-1", "engine-2"] {
@@ -180,7 +182,7 @@
     let resumed = fleet.records().iter().filter(|(_, c)| c["resumed_after"] != 0).count();
     assert!(resumed > 0, "nothing was resumed");
     let ended: Vec<&String> = texts.iter().filter(|t| t.ends_with("0\r\n\r\n")).collect();
-    assert!(!ended.is_empty(), "no stream ended whole");
+    assert!(!ended.is_empty(), "no stream was completed");
     for text in &ended {
         assert_eq!(token_numbers(text), (1..=16).collect::<Vec<_>>());
         assert_eq!(tokens(text), tokens(&whole));
@@ -192,9 +194,9 @@
     }
 }
 
-/// Whether its caller reads a stream or waits for the whole, a request ends with its caller.
+/// A request ends when its caller disconnects, both for a stream and for a single answer.
 #[test]
-fn a_caller_that_is_gone_stops_the_engine() {
+fn the_engine_stops_when_the_caller_disconnects() {
     let fleet = usual_fleet(1);
     for engine in ["engine-1", "engine-2"] {
         let switches = json!({ "service_ms": 2, "token_ms": 5, "tokens": 2000 });
@@ -222,10 +224,10 @@
     });
     drop(callers);
 
-    support::wait_until("nothing is in work any more", || {
+    support::wait_until("no request is in work", || {
         let state = support::get_json(fleet.vms[0].operations, "/state").expect("state");
         state["in_work"] == 0
     });
     let cost: u64 = engines(&fleet).iter().filter_map(|(_, call)| call["cost"].as_u64()).sum();
-    assert!(cost < 2000, "{cost} tokens of 4,000 were generated for nobody");
+    assert!(cost < 2000, "{cost} tokens of 4,000 were generated after the callers had left");
 }
