--- a/tests/fatal_requests.rs
+++ b/tests/fatal_requests.rs
@@ -1,13 +1,11 @@
-//! A request that ends every target which runs it.
+//! Quarantine of fatal requests: requests that crash every target that runs them.
 //!
-//! What users saw: abstract drafts of one customer failed, then a tenth of all drafts, while one engine after
-//! the other stopped answering and came back. The order of events: a caller sent the same request again and
-//! again, each time under a new id and to another VM; each VM sent it to an engine, which ended within a tenth
-//! of a second and cut the streams of everybody else on it; 48 engines started again in 85 seconds. The
-//! cause: tries and budgets belong to one attempt at one VM, and failures to one lifetime of a target, so
-//! that nothing connected a return with what the attempts before it had done.
-
-// A fixture that can't be set up fails its test.
+//! Guards against a caller that sends such a request again and again, under new ids and to several VMs. Each
+//! attempt would crash another engine and break all other streams on it. Limits on tries and failures apply to
+//! one attempt at one VM, or to one lifetime of a target, so they don't stop it: the VMs have to recognize the
+//! request by its content and to share what they know.
+
+// A failing `expect` in a fixture fails the test.
 #![allow(clippy::expect_used)]
 
 use std::thread::{sleep, spawn};
@@ -20,32 +18,35 @@
 use standins::users::serving::{A_WHILE, Site, Vm, answered, post};
 use standins::users::store::{Mood, Store};
 
-/// The body that ends its target.
+/// The body of the request that crashes its target.
 const FATAL: &[u8] = b"a request that no target survives";
-/// Ends after which a request is known to be one.
+/// Crashes after which a request is quarantined.
 const CRASHES: u64 = 3;
-/// Pause between two returns: the engines are back, and VMs have told each other.
-const RETURN_PAUSE: Duration = Duration::from_millis(600);
-/// Returns after those that make it known.
-const RETURNS: usize = 6;
-/// An answer that was not waited for.
-const AT_ONCE: Duration = Duration::from_millis(250);
-
-/// Callers of streams beside it, the requests of each, and the pause after each of their events.
-const CALLERS_BESIDE: usize = 8;
-const SENDS_BESIDE: usize = 4;
-const BESIDE_PAUSE: Duration = Duration::from_millis(60);
-
-/// Time for which workers hold pieces that wait.
-const HANG: Duration = Duration::from_millis(2400);
-/// How often they do so: as often as a piece is tried.
-const HANGS: usize = 4;
-
-/// VMs of a fleet of which each one is linked to some others only, and the time in which all have heard.
+/// Pause between two attempts: the engines have restarted, and the VMs have exchanged their observations.
+const RETRY_PAUSE: Duration = Duration::from_millis(600);
+/// Further attempts after the request is quarantined.
+const FURTHER_ATTEMPTS: usize = 6;
+/// Upper bound for an answer that is given without waiting.
+const IMMEDIATE: Duration = Duration::from_millis(250);
+
+/// Other callers, whose streams run at the same engines.
+const OTHER_CALLERS: usize = 8;
+/// Requests of each of these callers.
+const OTHER_SENDS: usize = 4;
+/// Pause after each event of their streams.
+const OTHER_PAUSE: Duration = Duration::from_millis(60);
+
+/// Time for which workers hold back the answer to a call.
+const HOLD_TIME: Duration = Duration::from_millis(2400);
+/// Calls that each worker holds back: as many as there are tries of a piece.
+const HELD_CALLS: usize = 4;
+
+/// VMs of a fleet in which each VM is linked to only some of the others.
 const LARGE_FLEET: usize = 12;
-const WORD_IS_OUT: Duration = Duration::from_secs(2);
+/// Time within which all VMs of this fleet refuse a fatal request.
+const PROPAGATED_WITHIN: Duration = Duration::from_secs(2);
 
-/// VMs before fragile engines, which are the only ones.
+/// VMs whose only engines are ones that crash on the fatal request.
 struct Case {
     site: Site,
     engines: Vec<Fragile>,
@@ -57,7 +58,7 @@
         Case::start_with(name, back, Act::Stream(5), 3)
     }
 
-    /// The same; engines do this with other requests.
+    /// Like [`Case::start`], with the number of VMs and with the act of the engines for all other requests.
     fn start_with(name: &str, back: Return, usual: Act, vms: usize) -> Self {
         let site = Site::start();
         for engine in &site.engines {
@@ -70,35 +71,36 @@
         Case { site, engines, vms }
     }
 
-    /// Waits until each VM is linked to so many others: without links and the store none can hear.
+    /// Waits until each VM is linked to at least `least` others: VMs need links to exchange observations without
+    /// the store.
     fn wait_linked(&self, least: usize) {
         wait_until("the VMs are linked", || self.vms.iter().all(|vm| vm.linked_peers() >= least));
     }
 
-    fn ends(&self) -> u64 {
+    fn crashes(&self) -> u64 {
         self.engines.iter().map(Fragile::ends).sum()
     }
 
-    fn reached(&self) -> usize {
+    fn fatal_requests_received(&self) -> usize {
         self.engines.iter().map(|engine| engine.reached_by(FATAL)).sum()
     }
 
-    /// The fatal request, returned so many times at one VM after the other; gives the last answer's status,
-    /// Retry-After and time.
-    fn send_fatal(&self, name: &str, returns: usize) -> (u16, String, Duration) {
+    /// Sends the fatal request `returns` times to the VMs in turn; returns the status, the Retry-After header and
+    /// the duration of the last answer.
+    fn send_fatal(&self, name: &str, attempts: usize) -> (u16, String, Duration) {
         let mut last = (0, String::new(), Duration::ZERO);
-        for number in 0..returns {
+        for number in 0..attempts {
             let vm = &self.vms[number % self.vms.len()];
             let began = Instant::now();
             let call = post("/stream/", &format!("{name}-{number}")).body(FATAL);
             let answer = call.send(vm.callers).unwrap_or_default();
             last = (answer.status(), answer.header("retry-after").to_owned(), began.elapsed());
-            sleep(RETURN_PAUSE);
+            sleep(RETRY_PAUSE);
         }
         last
     }
 
-    /// Whether each VM serves a request that does no harm.
+    /// Whether each VM serves a harmless request.
     fn serves_others(&self, name: &str) -> bool {
         self.vms.iter().enumerate().all(|(number, vm)| {
             let answer = answered(&post("/stream/", &format!("{name}-other-{number}")), vm);
@@ -122,68 +124,68 @@
     Fragile::start(name, "engine", nature, store).expect("a runner starts")
 }
 
-/// Sends the request until it is known, then more often; nothing may reach a target any more.
-fn is_stopped_for_good(name: &str, back: Return) {
+/// Sends the fatal request until it is quarantined, then further times: no further attempt may reach a target.
+fn check_quarantine(name: &str, back: Return) {
     let case = Case::start(name, back);
     case.send_fatal("first", CRASHES as usize);
-    assert_eq!(case.ends(), CRASHES, "it ends each target that runs it");
-    let before = case.reached();
+    assert_eq!(case.crashes(), CRASHES, "each attempt crashes a target");
+    let before = case.fatal_requests_received();
 
-    let (status, retry_after, took) = case.send_fatal("again", RETURNS);
+    let (status, retry_after, took) = case.send_fatal("again", FURTHER_ATTEMPTS);
 
-    assert_eq!(case.ends(), CRASHES, "no further target ended");
-    assert_eq!(case.reached(), before, "it reached no further target");
+    assert_eq!(case.crashes(), CRASHES, "no further target crashed");
+    assert_eq!(case.fatal_requests_received(), before, "the request reached no further target");
     assert_eq!(status, 503);
-    assert!(!retry_after.is_empty(), "it is told when to come back");
-    assert!(took < AT_ONCE, "it is told at once: {took:?}");
-    assert!(case.serves_others("after"), "others are served");
+    assert!(!retry_after.is_empty(), "Retry-After is missing");
+    assert!(took < IMMEDIATE, "the refusal took {took:?}");
+    assert!(case.serves_others("after"), "other requests are served");
 }
 
 #[test]
-fn a_request_that_ended_three_targets_reaches_none_at_any_vm() {
-    is_stopped_for_good("fatal-new-ids", Return::NewId);
+fn a_request_that_crashed_three_targets_with_new_ids_is_quarantined_at_all_vms() {
+    check_quarantine("fatal-new-ids", Return::NewId);
 }
 
 #[test]
-fn a_request_that_ended_three_targets_under_their_ids_reaches_none_at_any_vm() {
-    is_stopped_for_good("fatal-same-ids", Return::SameId);
+fn a_request_that_crashed_three_targets_with_the_same_ids_is_quarantined_at_all_vms() {
+    check_quarantine("fatal-same-ids", Return::SameId);
 }
 
 #[test]
-fn it_stays_known_when_all_vms_have_lost_power() {
+fn a_quarantine_survives_a_crash_of_all_vms() {
     let mut case = Case::start("fatal-power", Return::NewId);
     case.send_fatal("first", CRASHES as usize);
-    wait_until("it stands in the store", || {
+    wait_until("the quarantine is in the store", || {
         !case.site.store.keys("saddlerail/quarantine/").is_empty()
     });
 
     case.vms.iter_mut().for_each(Vm::restart);
     case.vms.iter().for_each(|vm| case.site.wait_known(vm));
-    let (status, ..) = case.send_fatal("again", RETURNS);
+    let (status, ..) = case.send_fatal("again", FURTHER_ATTEMPTS);
 
-    assert_eq!((case.ends(), status), (CRASHES, 503));
+    assert_eq!((case.crashes(), status), (CRASHES, 503));
     assert!(case.serves_others("after"));
 }
 
 #[test]
-fn vms_that_have_no_store_tell_each_other() {
+fn vms_share_a_quarantine_without_the_store() {
     let case = Case::start("fatal-no-store", Return::SameId);
     case.wait_linked(2);
     case.site.store.set_mood(Mood::Silent);
 
     case.send_fatal("first", CRASHES as usize);
-    let ends = case.ends();
-    let (status, ..) = case.send_fatal("again", RETURNS);
+    let crashes = case.crashes();
+    let (status, ..) = case.send_fatal("again", FURTHER_ATTEMPTS);
     case.site.store.set_mood(Mood::Well);
 
-    assert_eq!((ends, case.ends(), status), (CRASHES, CRASHES, 503));
-    wait_until("it stands in the store", || {
+    assert_eq!((crashes, case.crashes(), status), (CRASHES, CRASHES, 503));
+    wait_until("the quarantine is in the store", || {
         !case.site.store.keys("saddlerail/quarantine/").is_empty()
     });
 }
 
 #[test]
-fn an_operator_sees_it_and_releases_it() {
+fn an_operator_can_list_and_release_a_quarantined_request() {
     let mut case = Case::start("fatal-release", Return::NewId);
     case.send_fatal("first", CRASHES as usize);
     let content = case.vms[0].state()["quarantine"][0]["content"].clone();
@@ -200,19 +202,19 @@
         case.vms.iter().all(|vm| vm.state()["quarantine"].as_array().is_some_and(Vec::is_empty))
     });
     case.send_fatal("once-more", CRASHES as usize);
-    assert_eq!(case.ends(), 2 * CRASHES, "it runs again, until it is known again");
-    // What the store has of the time before must not stand in the way.
+    assert_eq!(case.crashes(), 2 * CRASHES, "it runs again until it is quarantined again");
+    // The release that is still in the store must not revoke the new quarantine.
     sleep(A_WHILE);
     case.vms.iter_mut().for_each(Vm::restart);
     case.vms.iter().for_each(|vm| case.site.wait_known(vm));
     case.send_fatal("after-power", 2);
-    assert_eq!(case.ends(), 2 * CRASHES, "it stays known");
+    assert_eq!(case.crashes(), 2 * CRASHES, "it stays quarantined");
 }
 
 #[test]
-fn streams_beside_it_are_not_held_against_their_callers() {
-    let case = Case::start_with("fatal-beside", Return::NewId, Act::SlowStream(5, BESIDE_PAUSE), 3);
-    let callers: Vec<_> = (0..CALLERS_BESIDE)
+fn requests_that_only_shared_a_crashed_engine_are_not_quarantined() {
+    let case = Case::start_with("fatal-beside", Return::NewId, Act::SlowStream(5, OTHER_PAUSE), 3);
+    let callers: Vec<_> = (0..OTHER_CALLERS)
         .map(|caller| {
             let at = case.vms[caller % case.vms.len()].callers;
             spawn(move || {
@@ -221,7 +223,7 @@
                     let call = post("/stream/", &format!("beside-{caller}-{number}"));
                     call.body(body.as_bytes()).send(at).unwrap_or_default()
                 };
-                (0..SENDS_BESIDE).map(send).map(|answer| answer.status()).collect::<Vec<_>>()
+                (0..OTHER_SENDS).map(send).map(|answer| answer.status()).collect::<Vec<_>>()
             })
         })
         .collect();
@@ -230,17 +232,19 @@
     let statuses = callers.into_iter().flat_map(|caller| caller.join().expect("a caller"));
     let statuses: Vec<u16> = statuses.collect();
 
-    assert!(case.ends() >= CRASHES);
-    let refused = case.vms.iter().map(|vm| vm.state()["quarantine"].as_array().map_or(0, Vec::len));
-    assert_eq!(refused.max(), Some(1), "the fatal one only: {statuses:?}");
+    assert!(case.crashes() >= CRASHES);
+    let quarantined =
+        case.vms.iter().map(|vm| vm.state()["quarantine"].as_array().map_or(0, Vec::len));
+    assert_eq!(quarantined.max(), Some(1), "only the fatal request is quarantined: {statuses:?}");
 }
 
-/// Tries of a piece: a worker whose port is still open when its connections have ended is seen by a later
-/// look, 40 ms on, when the next call is under way.
+/// Upper bound for the crashes: the number of tries of a piece. If the port of a crashed worker is still open when
+/// its connections have ended, the crash is detected only by a check 40 ms later, when the next call is already
+/// in progress.
 const PIECE_TRIES: u64 = 4;
 
 #[test]
-fn a_request_whose_pieces_end_their_workers_is_stopped_as_well() {
+fn a_request_whose_pieces_crash_their_workers_is_quarantined() {
     let site = Site::start();
     site.pool.iter().for_each(|worker| site.store.remove(&format!("servers/{}", worker.id)));
     let worker = |number: usize| {
@@ -251,42 +255,42 @@
     let workers: Vec<Fragile> = (0..5).map(worker).collect();
     let vms: Vec<Vm> =
         (0..3).map(|number| site.start_vm(&format!("fatal-pool-{number}"), "")).collect();
-    let ends = || workers.iter().map(Fragile::ends).sum::<u64>();
+    let crashes = || workers.iter().map(Fragile::ends).sum::<u64>();
     let send = |vm: &Vm, id: &str, body: &[u8], key: &str| {
         let call = post("/chain/", id).body(body).with("Pieces", "1,1").with("Piece-Key", key);
         call.send(vm.callers).unwrap_or_default()
     };
 
     send(&vms[0], "first", b"fatal", "fatal");
-    wait_until("it is known at all VMs", || {
+    wait_until("all VMs have quarantined it", || {
         vms.iter().all(|vm| vm.state()["quarantine"].as_array().is_some_and(|all| all.len() == 1))
     });
-    // A call that was under way then would have ended its worker by now.
-    sleep(RETURN_PAUSE);
-    let first = ends();
-    let again: Vec<(u16, bool)> = (0..RETURNS)
+    // A call that was in progress at that time would have crashed its worker by now.
+    sleep(RETRY_PAUSE);
+    let first = crashes();
+    let again: Vec<(u16, bool)> = (0..FURTHER_ATTEMPTS)
         .map(|number| {
             let began = Instant::now();
             let answer = send(&vms[number % 3], &format!("again-{number}"), b"fatal", "fatal");
-            (answer.status(), began.elapsed() < AT_ONCE)
+            (answer.status(), began.elapsed() < IMMEDIATE)
         })
         .collect();
-    sleep(RETURN_PAUSE);
+    sleep(RETRY_PAUSE);
     let other = send(&vms[1], "other", b"another", "secret");
 
     assert!((CRASHES..=PIECE_TRIES).contains(&first), "{first}");
-    assert_eq!(ends(), first, "no further worker ended");
-    assert_eq!(again, vec![(503, true); RETURNS], "all are told at once");
+    assert_eq!(crashes(), first, "no further worker crashed");
+    assert_eq!(again, vec![(503, true); FURTHER_ATTEMPTS], "all are refused immediately");
     assert_eq!(other.status(), 200);
 }
 
 #[test]
-fn in_a_fleet_that_is_not_fully_linked_all_vms_know_it_without_the_store() {
+fn a_quarantine_reaches_all_vms_of_a_partially_linked_fleet_without_the_store() {
     let case = Case::start_with("fatal-fleet", Return::SameId, Act::Stream(5), LARGE_FLEET);
     case.wait_linked(1);
     case.site.store.set_mood(Mood::Silent);
 
-    // Each end is seen by another VM.
+    // Each crash is observed by a different VM.
     case.send_fatal("first", CRASHES as usize);
     let began = Instant::now();
     wait_until("all VMs refuse it", || {
@@ -298,35 +302,35 @@
     let (status, ..) = case.send_fatal("again", LARGE_FLEET);
     case.site.store.set_mood(Mood::Well);
 
-    assert!(took < WORD_IS_OUT, "{took:?}");
-    assert_eq!((case.ends(), status), (CRASHES, 503));
+    assert!(took < PROPAGATED_WITHIN, "{took:?}");
+    assert_eq!((case.crashes(), status), (CRASHES, 503));
 }
 
 #[test]
-fn a_return_that_waits_for_its_stages_is_told_as_soon_as_it_is_known() {
+fn an_attempt_that_waits_for_its_stages_is_refused_once_quarantined() {
     let case = Case::start("fatal-waits", Return::NewId);
     let chain = |id: &str, pieces: &str| {
         let call = post("/chain/", id).body(FATAL).with("Deadline-Milliseconds", "3000");
         call.with("Pieces", pieces).with("Piece-Key", "secret")
     };
-    for _ in 0..HANGS {
-        Site::next(&case.site.pool, &Act::Hang(HANG));
+    for _ in 0..HELD_CALLS {
+        Site::next(&case.site.pool, &Act::Hang(HOLD_TIME));
     }
     let (at, waiting) = (case.vms[0].callers, chain("waits", "1,1"));
     let waits = spawn(move || (waiting.send(at), Instant::now()));
-    wait_until("a worker is at work on it", || {
+    wait_until("a worker executes its call", || {
         case.site.pool.iter().any(|worker| !worker.seen().is_empty())
     });
 
     for number in 0..CRASHES as usize {
-        // Without stages it is at an engine at once.
+        // Without pieces the request is sent to an engine immediately.
         chain(&format!("first-{number}"), "0,0").send(case.vms[number].callers);
     }
-    let known = Instant::now();
+    let quarantined_at = Instant::now();
     let (answer, at) = waits.join().expect("a caller");
-    let took = at.saturating_duration_since(known);
+    let took = at.saturating_duration_since(quarantined_at);
 
-    assert_eq!(case.ends(), CRASHES);
+    assert_eq!(case.crashes(), CRASHES);
     assert_eq!(answer.map(|answer| answer.status()), Some(503));
-    assert!(took < AT_ONCE, "{took:?}");
+    assert!(took < IMMEDIATE, "{took:?}");
 }
--- a/tests/halls.rs
+++ b/tests/halls.rs
@@ -1,7 +1,7 @@
-//! Cut-off halls: what is still served, what is refused, and what heals, a test for each row of
-//! `docs/design/cut-off.md`.
+//! Halls that are cut off from the platform, from other halls' targets or from each other: what is served, what
+//! is refused, and how they recover. There is a test for each row of `docs/design/cut-off.md`.
 
-// A helper that can't go on fails its test.
+// A failing `expect` in a helper fails the test.
 #![allow(clippy::expect_used)]
 
 mod support;
@@ -12,18 +12,19 @@
 use support::forwarder::Forwarder;
 use support::{Fleet, SERVICES, ask, get_json, usual_pools, wait_until};
 
-/// Two halls with a VM each; hall-b reaches the platform and hall-a's targets over links.
+/// Two halls with a VM each. hall-b's VM reaches the platform over a link that can be cut; both VMs reach
+/// hall-a's plain targets over such links.
 struct TwoHalls {
     fleet: Fleet,
     platform_link: Forwarder,
     target_links: Vec<Forwarder>,
 }
 
-fn two_halls() -> TwoHalls {
+fn start_two_halls() -> TwoHalls {
     let mut fleet = Fleet::start(&usual_pools());
     let platform_link = Forwarder::start(fleet.platform);
     let mut text = fleet.catalogue(SERVICES);
-    // hall-a's plain targets, which both halls reach over links that can be cut.
+    // hall-a's plain targets.
     let target_links: Vec<Forwarder> = ["plain-1", "plain-3"]
         .iter()
         .map(|name| {
@@ -44,27 +45,30 @@
 }
 
 #[test]
-fn a_hall_cut_from_the_platform_serves_on_and_learns_from_its_peers() {
-    let halls = two_halls();
+fn a_hall_cut_off_from_the_platform_serves_requests_and_gets_changes_from_its_peers() {
+    let halls = start_two_halls();
     let fleet = &halls.fleet;
     halls.platform_link.cut();
     let cut_off = fleet.vms[1].callers;
 
     let served = ask("check", 5000).repeatable().send(cut_off).expect("an answer");
     let once = ask("hold", 5000).send(cut_off).expect("an answer");
-    let own_id = ask("hold", 5000).once("cut-off").send(cut_off).expect("an answer");
+    let with_own_id = ask("hold", 5000).once("cut-off").send(cut_off).expect("an answer");
 
     assert_eq!((served.outcome.as_str(), once.outcome.as_str()), ("whole", "whole"));
-    assert_eq!((own_id.outcome.as_str(), &own_id.body["reason"]), ("unknown", &json!("store-out")));
-    // A change reaches it through the other hall.
+    assert_eq!(
+        (with_own_id.outcome.as_str(), &with_own_id.body["reason"]),
+        ("unknown", &json!("store-out"))
+    );
+    // A change reaches the VM through its peer in the other hall.
     let changed = fleet.tool(&["label", "target/plain-2", "a=b"]);
     assert!(changed.status.success());
-    wait_until("the change comes through peers", || fleet.revision(1) == Some(2));
+    wait_until("the change arrives from a peer", || fleet.revision(1) == Some(2));
     let state = get_json(fleet.vms[1].operations, "/state").expect("state");
     assert_eq!(state["source"], "peer");
 
     halls.platform_link.heal();
-    wait_until("claims work again", || {
+    wait_until("requests with a caller's id are accepted again", || {
         let id = "cut-off";
         let reply = ask("hold", 5000).once(id).send(cut_off).expect("an answer");
         reply.outcome != "unknown" || reply.body["reason"] == "id-taken"
@@ -72,8 +76,8 @@
 }
 
 #[test]
-fn a_hall_cut_from_another_halls_targets_serves_with_its_own() {
-    let halls = two_halls();
+fn a_hall_cut_off_from_another_halls_targets_uses_its_own() {
+    let halls = start_two_halls();
     let fleet = &halls.fleet;
     halls.target_links.iter().for_each(Forwarder::cut);
 
@@ -83,22 +87,23 @@
 
     assert!(served.iter().all(|r| r.outcome == "whole"), "{served:?}");
     let last: BTreeSet<String> = served[20..].iter().flat_map(|r| r.targets()).collect();
-    let own = BTreeSet::from(["plain-2".to_owned(), "plain-4".to_owned()]);
-    assert!(last.is_subset(&own), "{last:?}");
+    let own_targets = BTreeSet::from(["plain-2".to_owned(), "plain-4".to_owned()]);
+    assert!(last.is_subset(&own_targets), "{last:?}");
 
-    // hall-a has lost its own targets and is served by the other hall's.
-    let spilled = ask("hold", 5000).repeatable().send(fleet.vms[0].callers).expect("an answer");
-    assert_eq!(spilled.outcome, "whole");
+    // hall-a has lost its own targets and uses those of the other hall.
+    let served_by_other_hall =
+        ask("hold", 5000).repeatable().send(fleet.vms[0].callers).expect("an answer");
+    assert_eq!(served_by_other_hall.outcome, "whole");
     halls.target_links.iter().for_each(Forwarder::heal);
-    wait_until("the healed targets are used again", || {
+    wait_until("the reconnected targets are used again", || {
         let reply = ask("hold", 5000).repeatable().send(fleet.vms[0].callers).expect("an answer");
-        !own.is_superset(&reply.targets().into_iter().collect())
+        !own_targets.is_superset(&reply.targets().into_iter().collect())
     });
 }
 
 #[test]
-fn everything_cut_at_once_leaves_a_hall_to_serve_itself() {
-    let halls = two_halls();
+fn a_hall_cut_off_from_everything_serves_requests_alone() {
+    let halls = start_two_halls();
     let mut fleet = halls.fleet;
     halls.platform_link.cut();
     halls.target_links.iter().for_each(Forwarder::cut);
@@ -114,7 +119,7 @@
 
 /// Two VMs in two halls whose peer links go over links that can be cut; both reach the platform.
 #[test]
-fn halls_cut_from_each_other_serve_on_and_meet_again() {
+fn halls_cut_off_from_each_other_serve_requests_and_reconnect() {
     let mut fleet = Fleet::start(&usual_pools());
     assert!(fleet.apply(&fleet.catalogue(SERVICES)).status.success());
     let links: Vec<Forwarder> = [9001, 9011]
@@ -134,18 +139,22 @@
     };
 
     links.iter().for_each(Forwarder::cut);
-    wait_until("each takes the other for stale", || (0..2).all(|vm| age(&fleet, vm) == "stale"));
+    wait_until("each VM considers the other one stale", || {
+        (0..2).all(|vm| age(&fleet, vm) == "stale")
+    });
     for vm in 0..2 {
         let reply = ask("check", 5000).repeatable().send(fleet.vms[vm].callers);
         assert_eq!(reply.expect("an answer").outcome, "whole");
     }
-    // One id at both halls still runs once, and a change still comes to both, by the store.
+    // Through the store, a request with one id at both halls still runs once, and both VMs still get a change.
     let replies = [0, 1].map(|vm| ask("hold", 5000).once("cut").send(fleet.vms[vm].callers));
     let whole = replies.iter().flatten().filter(|reply| reply.outcome == "whole").count();
     assert_eq!(whole, 1, "{replies:?}");
     assert!(fleet.tool(&["label", "target/plain-2", "a=b"]).status.success());
-    wait_until("the change is at both", || (0..2).all(|vm| fleet.revision(vm) == Some(2)));
+    wait_until("the change is in force at both VMs", || {
+        (0..2).all(|vm| fleet.revision(vm) == Some(2))
+    });
 
     links.iter().for_each(Forwarder::heal);
-    wait_until("they meet again", || (0..2).all(|vm| age(&fleet, vm) == "fresh"));
+    wait_until("the VMs are linked again", || (0..2).all(|vm| age(&fleet, vm) == "fresh"));
 }
--- a/tests/lapsed_entries.rs
+++ b/tests/lapsed_entries.rs
@@ -1,12 +1,10 @@
-//! Entries of targets that lapse: kept around an outage of the store, gone at once otherwise.
+//! Entries of targets that lapse: kept for some time around an outage of the store, removed at once otherwise.
 //!
-//! What users saw: a request reached a target 3,048 ms after the store had its leaving, where 3,000 are borne, once in
-//! a day on which VMs were stopped in turn. The order of events, as far as reading tells: a VM's renewal came late, it
-//! took the store for lost, heard by a peer that an entry was gone, and kept it for the time that an outage takes to
-//! be over, counted from when it heard. The cause: a VM that has lost the store could not tell an outage from trouble
-//! of its own, though its peers said that the store answers them.
+//! Guards against requests to a target after its entry was removed. A VM that has lost the store must not take that
+//! for an outage while its peers report that the store answers them. If a peer tells such a VM of a removal, it has
+//! to apply the removal at once instead of keeping the entry until an outage would be over.
 
-// A fixture that can't be set up fails its test.
+// A failing `expect` in a fixture fails the test.
 #![allow(clippy::expect_used)]
 
 use std::time::{Duration, Instant};
@@ -17,62 +15,63 @@
 use standins::users::serving::{Site, Vm};
 use standins::users::store::Mood;
 
-/// A target that is gone gets no more requests after this time.
-const BORNE: Duration = Duration::from_secs(2);
+/// Time after which a removed target must get no more requests.
+const REMOVED_WITHIN: Duration = Duration::from_secs(2);
 
-/// An entry that lapsed in an outage may be back within this time of the store's return.
+/// Time from the store's return within which an entry that lapsed in the outage may be written again.
 const BACK_WITHIN: Duration = Duration::from_secs(2);
-/// The same, less what VMs take to notice the return.
-const KEPT: Duration = Duration::from_millis(1500);
+/// Time from the store's return for which a lapsed entry must be kept: [`BACK_WITHIN`] less the time that VMs take
+/// to notice the return.
+const KEPT_FOR: Duration = Duration::from_millis(1500);
 
-/// A VM that follows the store, and one whose way there can be cut.
+/// Starts a VM that keeps the store, and one whose link to the store can be cut.
 fn start(site: &Site, name: &str) -> (Vm, Vm, Link) {
     let link = Link::start(site.store.address).expect("a link");
-    let has_it = site.start_vm(&format!("{name}-has-it"), "");
-    let lost_it = Vm::start(&format!("{name}-lost-it"), "hall-a", link.address, "");
-    site.wait_known(&lost_it);
-    wait_until("the VMs are linked", || has_it.linked_peers() + lost_it.linked_peers() == 2);
-    (has_it, lost_it, link)
+    let connected = site.start_vm(&format!("{name}-has-it"), "");
+    let cut_off = Vm::start(&format!("{name}-lost-it"), "hall-a", link.address, "");
+    site.wait_known(&cut_off);
+    wait_until("the VMs are linked", || connected.linked_peers() + cut_off.linked_peers() == 2);
+    (connected, cut_off, link)
 }
 
 #[test]
-fn an_entry_that_goes_while_a_peer_has_the_store_is_not_kept() {
+fn an_entry_removed_while_a_peer_has_the_store_is_not_kept() {
     let site = Site::start();
-    let (_has_it, lost_it, link) = start(&site, "lapses");
+    let (_connected, cut_off, link) = start(&site, "lapses");
     link.set(Passing::None);
-    wait_until("it has lost the store", || lost_it.state()["store_lost"] == json!(true));
-    let before = lost_it.targets();
+    wait_until("the VM has lost the store", || cut_off.state()["store_lost"] == json!(true));
+    let before = cut_off.targets();
 
     site.store.remove(&format!("servers/{}", site.plain[0].id));
     let gone = Instant::now();
-    wait_until("the target is gone", || lost_it.targets() == before - 1);
+    wait_until("the target is gone", || cut_off.targets() == before - 1);
 
-    assert!(gone.elapsed() < BORNE, "{:?}", gone.elapsed());
+    assert!(gone.elapsed() < REMOVED_WITHIN, "{:?}", gone.elapsed());
 }
 
 #[test]
-fn an_entry_that_lapses_in_an_outage_is_kept_until_it_could_be_back() {
+fn an_entry_that_lapses_in_an_outage_is_kept_until_it_could_be_renewed() {
     let site = Site::start();
     let (one, other, _link) = start(&site, "outage");
     let vms = [&one, &other];
     let before = one.targets();
     site.store.set_mood(Mood::Silent);
-    wait_until("both have lost the store", || {
+    wait_until("both VMs have lost the store", || {
         vms.iter().all(|vm| vm.state()["store_lost"] == json!(true))
     });
     site.store.remove(&format!("servers/{}", site.plain[0].id));
     site.store.set_mood(Mood::Well);
-    wait_until("one has the store again", || {
+    wait_until("one VM has the store again", || {
         vms.iter().any(|vm| vm.state()["store_lost"] == json!(false))
     });
     let back = Instant::now();
 
     let mut kept = true;
-    while back.elapsed() < KEPT {
+    while back.elapsed() < KEPT_FOR {
         kept &= vms.iter().all(|vm| vm.targets() == before);
     }
     wait_until("the target is gone", || vms.iter().all(|vm| vm.targets() == before - 1));
 
-    assert!(kept, "it could still have come back");
-    assert!(back.elapsed() < BACK_WITHIN + BORNE, "{:?}", back.elapsed());
+    assert!(kept, "the entry was removed before it could have been written again");
+    assert!(back.elapsed() < BACK_WITHIN + REMOVED_WITHIN, "{:?}", back.elapsed());
 }
--- a/tests/large_configuration.rs
+++ b/tests/large_configuration.rs
@@ -1,6 +1,6 @@
-//! A large configuration reaches a VM over a slow link, from the store or from a peer.
+//! Transfer of a large configuration to a VM, from the store over a slow link or from a peer.
 
-// A fixture that can't be set up fails its test.
+// A failing `expect` in a fixture fails the test.
 #![allow(clippy::expect_used)]
 
 use serde_json::{Value, json};
@@ -8,18 +8,18 @@
 use standins::users::link::{Link, Passing};
 use standins::users::serving::{Site, Vm, answered, get, usual_configuration};
 
-/// Bytes a second of the slow link: the configuration takes over two seconds, more than any wait
-/// for a single answer.
-const SLOW: u32 = 400_000;
-/// Entries beside the usual ones: near a megabyte on the store's wire.
-const ENTRIES: usize = 2200;
+/// Rate of the slow link in bytes per second. The configuration takes over two seconds at this rate, longer than the
+/// timeout of any single answer.
+const SLOW_BYTES_PER_S: u32 = 400_000;
+/// Additional entries: almost one megabyte in the store's protocol.
+const FURTHER_ENTRIES: usize = 2200;
 
 /// The usual configuration with many more entries.
 fn large_configuration(version: u64) -> Value {
     let mut large = usual_configuration(version);
     let usual = large["routes"][0].clone();
     let routes = large["routes"].as_array_mut().expect("routes");
-    for number in 0..ENTRIES {
+    for number in 0..FURTHER_ENTRIES {
         let mut route = usual.clone();
         route["name"] = json!(format!("further-{number}"));
         route["path_prefix"] = json!(format!("/further-{number}/"));
@@ -30,7 +30,7 @@
 
 fn slow_link(site: &Site) -> Link {
     let link = Link::start(site.store.address).expect("a link");
-    link.set(Passing::Slow(SLOW));
+    link.set(Passing::Slow(SLOW_BYTES_PER_S));
     link
 }
 
@@ -44,7 +44,7 @@
 
     site.wait_known(&vm);
     assert_eq!(answered(&get("/further-7/", "r-1"), &vm).status(), 200);
-    assert!(!vm.log().contains("no answer in time"), "a call that brings bytes lives on");
+    assert!(!vm.log().contains("no answer in time"), "a call timed out although bytes arrived");
 }
 
 #[test]
@@ -57,11 +57,11 @@
     site.store.put("op/config", &large_configuration(2));
 
     wait_until("it is in force", || vm.state()["configuration"] == json!(2));
-    assert!(!vm.log().contains("store lost"), "a call that brings bytes lives on");
+    assert!(!vm.log().contains("store lost"), "a call timed out although bytes arrived");
 }
 
 #[test]
-fn a_listing_goes_on_at_the_page_that_failed() {
+fn a_listing_resumes_at_the_page_that_failed() {
     let site = Site::start();
     site.store.put("op/config", &large_configuration(2));
     site.store.set_page(2);
@@ -71,12 +71,12 @@
     let vm = Vm::start("large-resumed", "hall-a", link.address, "");
 
     site.wait_known(&vm);
-    assert_eq!(site.store.listed("op/config"), 1, "what was read is not read again");
+    assert_eq!(site.store.listed("op/config"), 1, "pages that were read are not read again");
     assert_eq!(site.store.listed("servers/"), 4, "three pages, one of them twice");
 }
 
 #[test]
-fn a_large_configuration_comes_from_a_peer_in_pieces_between_heartbeats() {
+fn a_large_configuration_is_sent_by_a_peer_in_parts_between_heartbeats() {
     let site = Site::start();
     site.store.put("op/config", &large_configuration(2));
     let near = site.start_vm("large-near", "");
@@ -92,13 +92,13 @@
         let log = far.log();
         log.lines().filter(|line| line.contains("news of the store from a peer")).count()
     };
-    // Lines are written a moment after they are told.
-    wait_until("the parts are told of", || parts() > 10);
+    // Log lines are written with a delay.
+    wait_until("the parts are logged", || parts() > 10);
     assert!(!far.log().contains("peer lost"));
 }
 
 #[test]
-fn what_came_from_a_peer_is_not_read_from_the_store_again() {
+fn a_configuration_from_a_peer_is_not_read_from_the_store_again() {
     let site = Site::start();
     site.store.put("op/config", &large_configuration(2));
     let near = site.start_vm("large-first", "");
@@ -112,28 +112,32 @@
     link.set(Passing::Both);
     wait_until("the VM has the store", || far.state()["store_lost"] == json!(false));
     site.store.put("op/config", &usual_configuration(3));
-    wait_until("the newest is in force", || far.state()["configuration"] == json!(3));
+    wait_until("the newest configuration is in force", || far.state()["configuration"] == json!(3));
 
-    assert_eq!(site.store.listed("op/config"), listed, "it watches from what it holds");
+    assert_eq!(
+        site.store.listed("op/config"),
+        listed,
+        "it watches from the revision that it has from its peer"
+    );
 }
 
 #[test]
-fn a_vm_that_is_behind_says_so_and_denies_nothing_that_a_newer_version_may_know() {
+fn a_vm_that_lost_the_store_answers_503_instead_of_404_for_unknown_paths() {
     let site = Site::start();
     let link = Link::start(site.store.address).expect("a link");
     let behind = Vm::start("behind-far", "hall-a", link.address, "");
     site.wait_known(&behind);
     assert_eq!(answered(&get("/further-7/", "r-1"), &behind).status(), 404);
     link.set(Passing::None);
-    wait_until("it has lost the store", || behind.state()["store_lost"] == json!(true));
+    wait_until("the VM has lost the store", || behind.state()["store_lost"] == json!(true));
 
     let unknown = answered(&get("/further-7/", "r-2"), &behind);
 
-    assert_eq!(unknown.status(), 503, "a newer version may know the path");
+    assert_eq!(unknown.status(), 503, "a newer version may have the path");
     assert_eq!(answered(&get("/repeat/", "r-3"), &behind).status(), 200);
     link.set(Passing::Both);
     site.store.put("op/config", &large_configuration(2));
-    wait_until("it has caught up", || {
+    wait_until("the VM is up to date", || {
         answered(&get("/further-7/", "r-4"), &behind).status() == 200
     });
     assert!(behind.is_ready());
--- a/tests/leaving.rs
+++ b/tests/leaving.rs
@@ -1,7 +1,7 @@
-//! A target that is leaving gets no new work after a few seconds, by whatever word it is told,
-//! and one that is dead is not called for long.
+//! A leaving target gets no new calls within three seconds, whether the VM list or its own answer announces the
+//! departure, and a target that refuses connections costs no request.
 
-// A helper that can't go on fails its test.
+// A failing `expect` in a helper fails the test.
 #![allow(clippy::expect_used)]
 
 mod support;
@@ -13,11 +13,12 @@
 use serde_json::json;
 use support::{Fleet, StopOnDrop, ask, get_json, put_json, usual_fleet, wait_until};
 
-/// Time within which the last new call must have come (aim: 3 s).
-const FEW_SECONDS: Duration = Duration::from_secs(3);
-const LEAVING: &str = "plain-1";
+/// Time after the announcement of a departure within which the last new call must have arrived.
+const LAST_CALL_WITHIN: Duration = Duration::from_secs(3);
+/// Name of the target that leaves.
+const LEAVING_TARGET: &str = "plain-1";
 
-/// Sends requests to all VMs until `during` is done; every answer must be whole.
+/// Sends requests to all VMs until `during` returns; every answer must be whole.
 fn under_load(fleet: &Fleet, during: impl FnOnce()) {
     let over = AtomicBool::new(false);
     thread::scope(|scope| {
@@ -37,67 +38,71 @@
 }
 
 fn calls(fleet: &Fleet) -> usize {
-    fleet.record(LEAVING).len()
+    fleet.record(LEAVING_TARGET).len()
 }
 
-/// After `FEW_SECONDS` the target's record must not grow any more.
+/// Checks that the target gets no new calls after [`LAST_CALL_WITHIN`].
 fn assert_no_new_calls(fleet: &Fleet) {
-    thread::sleep(FEW_SECONDS);
+    thread::sleep(LAST_CALL_WITHIN);
     let then = calls(fleet);
     thread::sleep(Duration::from_millis(1500));
-    assert_eq!(calls(fleet), then, "new calls came later than {FEW_SECONDS:?}");
+    assert_eq!(calls(fleet), then, "new calls came later than {LAST_CALL_WITHIN:?}");
 }
 
 #[test]
-fn by_the_vm_list_though_it_lags() {
+fn a_target_marked_as_leaving_in_a_delayed_vm_list_gets_no_new_calls() {
     let fleet = usual_fleet(4);
     under_load(&fleet, || {
-        wait_until("it is called", || calls(&fleet) > 0);
+        wait_until("the target is called", || calls(&fleet) > 0);
         fleet.set_platform(&json!({ "list_lag_ms": 500 }));
-        fleet.list_vms(&[LEAVING]);
+        fleet.list_vms(&[LEAVING_TARGET]);
         assert_no_new_calls(&fleet);
     });
 }
 
 #[test]
-fn by_its_own_answer_with_the_platform_out() {
+fn a_target_that_announces_its_departure_gets_no_new_calls_during_a_platform_outage() {
     let fleet = usual_fleet(4);
     under_load(&fleet, || {
-        wait_until("it is called", || calls(&fleet) > 0);
+        wait_until("the target is called", || calls(&fleet) > 0);
         fleet.set_platform(&json!({ "outage": true }));
-        put_json(fleet.target(LEAVING), "/faults", &json!({ "leaving": true, "service_ms": 2 }));
+        put_json(
+            fleet.target(LEAVING_TARGET),
+            "/faults",
+            &json!({ "leaving": true, "service_ms": 2 }),
+        );
         assert_no_new_calls(&fleet);
     });
-    // One VM heard it first hand at least; all know it.
+    // At least one VM got such an answer itself; all VMs know of the departure.
     for vm in &fleet.vms {
         let state = get_json(vm.operations, "/state").expect("state");
         let targets = state["targets"].as_array().cloned().unwrap_or_default();
         let leaving: Vec<_> = targets.iter().filter(|t| t["leaving"] == true).collect();
         assert_eq!(leaving.len(), 1, "{}", vm.name);
-        assert_eq!(leaving[0]["name"], LEAVING);
+        assert_eq!(leaving[0]["name"], LEAVING_TARGET);
     }
 }
 
 #[test]
-fn a_target_that_came_back_is_used_again() {
+fn a_leaving_target_that_is_added_again_is_used() {
     let fleet = usual_fleet(1);
-    put_json(fleet.target(LEAVING), "/faults", &json!({ "leaving": true, "service_ms": 2 }));
+    put_json(fleet.target(LEAVING_TARGET), "/faults", &json!({ "leaving": true, "service_ms": 2 }));
     let send = || ask("hold", 3000).repeatable().send(fleet.vms[0].callers).expect("an answer");
-    wait_until("it is known to leave", || {
+    wait_until("the departure is known", || {
         send();
         let state = get_json(fleet.vms[0].operations, "/state").expect("state");
         state["targets"].as_array().into_iter().flatten().any(|t| t["leaving"] == true)
     });
-    put_json(fleet.target(LEAVING), "/faults", &json!({ "service_ms": 2 }));
+    put_json(fleet.target(LEAVING_TARGET), "/faults", &json!({ "service_ms": 2 }));
 
-    // Declared anew: removed and added under the same name.
+    // The target is removed from the configuration and added again under the same name.
     let shown = fleet.tool(&["show", "target/plain-1"]);
     assert!(shown.status.success());
     assert!(fleet.tool(&["remove", "target/plain-1", "--wait"]).status.success());
     let yaml = String::from_utf8_lossy(&shown.stdout).into_owned();
     assert!(fleet.apply(&yaml).status.success());
 
-    wait_until("it is called again", || {
+    wait_until("the target is called again", || {
         send();
         calls(&fleet) > 0
     });
@@ -106,18 +111,18 @@
 #[test]
 fn dead_targets_cost_no_request() {
     let mut fleet = usual_fleet(2);
-    // A target that nobody listens for: every connection is refused.
+    // A target at whose address nothing listens: every connection is refused.
     let dead = format!(
         "target: {{name: plain-9, hall: hall-a, address: '{}:1', labels: {{pool: plain}}}}\n",
         fleet.ip
     );
     assert!(fleet.apply(&dead).status.success());
-    wait_until("all have it", || (0..2).all(|i| fleet.revision(i) == Some(2)));
+    wait_until("all VMs know the target", || (0..2).all(|i| fleet.revision(i) == Some(2)));
 
     let began = Instant::now();
     let mut sent = 0;
     while began.elapsed() < Duration::from_secs(3) {
-        // May not be repeated: only a proof that nothing was sent allows another target.
+        // The request may not be repeated: another target may be tried only if certainly nothing was sent.
         let reply = ask("hold", 3000).send(fleet.vms[sent % 2].callers).expect("an answer");
         assert_eq!(reply.outcome, "whole", "{reply:?}");
         sent += 1;
@@ -127,6 +132,6 @@
     let targets = state["targets"].as_array().cloned().unwrap_or_default();
     let dead = targets.iter().find(|t| t["name"] == "plain-9").expect("known").clone();
     let tries = dead["calls"].as_u64().expect("a count");
-    assert!(tries <= 6, "{tries} tries of a dead target in 3 s, {sent} requests");
+    assert!(tries <= 6, "{tries} tries at a dead target in 3 s, {sent} requests");
     fleet.kill(0);
 }
--- a/tests/given_up_results.rs
+++ b/tests/result_release.rs
@@ -1,7 +1,7 @@
-//! Results of stages are given up at their workers whatever becomes of the VMs: the one that had them made (the
-//! owner), and the one of the request (the requester).
+//! Results of stages are released at their workers even if a VM fails, pauses or stops: the owner, which had the
+//! results made, or the requester, which serves the request that uses them.
 
-// A fixture that can't be set up fails its test.
+// A failing `expect` in a fixture fails the test.
 #![allow(clippy::expect_used)]
 
 use std::collections::BTreeSet;
@@ -15,7 +15,7 @@
 use standins::users::runners::{Act, Runner};
 use standins::users::serving::{A_WHILE, Site, Vm, answered, post, usual_configuration};
 
-/// Two VMs that are linked: the owner of the pool and the other one.
+/// Two linked VMs: the owner of the pool and the requester, which is the other one.
 struct Pair {
     owner: Vm,
     requester: Vm,
@@ -25,7 +25,7 @@
     fn start(site: &Site, name: &str) -> Self {
         let one = site.start_vm(&format!("{name}-1"), "");
         let other = site.start_vm(&format!("{name}-2"), "");
-        wait_until("they are linked", || [&one, &other].iter().all(|vm| vm.linked_peers() == 1));
+        wait_until("the VMs are linked", || [&one, &other].iter().all(|vm| vm.linked_peers() == 1));
         if one.state()["pools"][0]["filled_by"] == json!("this VM") {
             Pair { owner: one, requester: other }
         } else {
@@ -34,7 +34,7 @@
     }
 }
 
-/// Sends requests of a chain with three pieces each.
+/// Starts requests for the chain with three pieces each.
 fn ask(address: SocketAddr, count: usize) -> Vec<JoinHandle<Option<Message>>> {
     let ask = |number: usize| {
         let id = format!("c-{number}");
@@ -46,7 +46,7 @@
 
 fn join(asked: Vec<JoinHandle<Option<Message>>>) {
     for asked in asked {
-        // A caller whose VM is gone has no answer.
+        // A caller whose VM was killed gets no answer.
         drop(asked.join().expect("no panic"));
     }
 }
@@ -55,15 +55,15 @@
     site.pool.iter().flat_map(Runner::made).map(|made| made.handle).collect()
 }
 
-fn given_up(site: &Site) -> BTreeSet<String> {
+fn released(site: &Site) -> BTreeSet<String> {
     site.pool.iter().flat_map(Runner::released).collect()
 }
 
-fn wait_all_given_up(site: &Site) {
-    wait_until("each result is given up", || made(site) == given_up(site));
+fn wait_all_released(site: &Site) {
+    wait_until("each result is released", || made(site) == released(site));
 }
 
-/// Starts requests at engines that say nothing for a while; waits until the engines have them.
+/// Starts requests at engines that don't answer for 1.5 s; waits until the engines have received them.
 fn ask_silent_engines(
     site: &Site,
     address: SocketAddr,
@@ -73,28 +73,30 @@
     site.engines.iter().for_each(|engine| engine.next(&acts));
     let asked = ask(address, count);
     let at_engines = || site.engines.iter().map(|engine| engine.seen().len()).sum::<usize>();
-    wait_until("the engines have them", || at_engines() >= count);
+    wait_until("the engines have received the requests", || at_engines() >= count);
     asked
 }
 
-/// Starts three requests whose first pieces take 0.4 s; waits until one is at work.
+/// Starts three requests whose first pieces take 0.4 s; waits until a worker executes one of them.
 fn ask_slow_workers(site: &Site, address: SocketAddr) -> Vec<JoinHandle<Option<Message>>> {
     site.pool.iter().for_each(|worker| worker.next(&[Act::Hang(Duration::from_millis(400))]));
     let asked = ask(address, 3);
-    wait_until("a piece is at work", || site.pool.iter().any(|worker| !worker.seen().is_empty()));
+    wait_until("a worker executes a piece", || {
+        site.pool.iter().any(|worker| !worker.seen().is_empty())
+    });
     asked
 }
 
-/// Stops a VM's process for longer than its requests have.
-fn stand_still(vm: &Vm) {
+/// Pauses a VM's process until after the deadline of its requests.
+fn pause(vm: &Vm) {
     vm.signal("-STOP");
     thread::sleep(Duration::from_secs(4));
     vm.signal("-CONT");
 }
 
-/// Guards against results that stay at their workers when the VM of their requests is killed.
+/// Guards against results that stay at their workers when the requester is killed.
 #[test]
-fn results_of_a_killed_requester_are_given_up_by_the_owner() {
+fn results_of_a_killed_requester_are_released_by_the_owner() {
     let site = Site::start();
     let Pair { owner: _owner, requester } = Pair::start(&site, "requester-killed");
     let asked = ask_silent_engines(&site, requester.callers, 6);
@@ -103,38 +105,38 @@
 
     join(asked);
     assert!(made(&site).len() >= 18, "three for each request");
-    wait_all_given_up(&site);
+    wait_all_released(&site);
 }
 
-/// Guards against results that stay at their workers when the VM of their requests stands still past their time.
+/// Guards against results that stay at their workers when the requester is paused until after the deadline.
 #[test]
-fn results_of_a_paused_requester_are_given_up() {
+fn results_of_a_paused_requester_are_released() {
     let site = Site::start();
     let Pair { owner: _owner, requester } = Pair::start(&site, "requester-paused");
     let asked = ask_silent_engines(&site, requester.callers, 3);
 
-    stand_still(&requester);
+    pause(&requester);
 
     join(asked);
-    wait_all_given_up(&site);
+    wait_all_released(&site);
 }
 
-/// Guards against results that are lost on their way to a VM which stands still.
+/// Guards against results that are lost because the requester is paused and doesn't read them.
 #[test]
-fn results_that_a_paused_requester_did_not_read_are_given_up() {
+fn results_that_a_paused_requester_did_not_read_are_released() {
     let site = Site::start();
     let Pair { owner: _owner, requester } = Pair::start(&site, "unread");
     let asked = ask_slow_workers(&site, requester.callers);
 
-    stand_still(&requester);
+    pause(&requester);
 
     join(asked);
-    wait_all_given_up(&site);
+    wait_all_released(&site);
 }
 
-/// Guards against results that a requester which stood still leaves to an owner that is gone.
+/// Guards against results that a paused requester leaves to its owner although the owner has been killed.
 #[test]
-fn results_of_a_killed_owner_are_given_up_by_a_requester_that_stood_still() {
+fn results_of_a_killed_owner_are_released_by_a_requester_after_a_pause() {
     let site = Site::start();
     let mut long_lives = usual_configuration(1);
     long_lives["services"][1]["pieces"]["handle_s"] = json!(20);
@@ -143,41 +145,41 @@
     let asked = ask_silent_engines(&site, requester.callers, 1);
 
     drop(owner);
-    stand_still(&requester);
+    pause(&requester);
 
     join(asked);
-    wait_all_given_up(&site);
+    wait_all_released(&site);
 }
 
-/// Guards against results that stay at their workers when their owner stands still while engines are at work.
+/// Guards against results that stay at their workers when the owner is paused while engines use them.
 #[test]
-fn results_in_use_while_their_owner_is_paused_are_given_up() {
+fn results_in_use_while_their_owner_is_paused_are_released() {
     let site = Site::start();
     let Pair { owner, requester } = Pair::start(&site, "owner-paused-late");
     let asked = ask_silent_engines(&site, requester.callers, 3);
 
-    stand_still(&owner);
+    pause(&owner);
 
     join(asked);
-    wait_all_given_up(&site);
+    wait_all_released(&site);
 }
 
-/// Guards against results that an owner which stood still hands to a link that has ended meanwhile.
+/// Guards against results that an owner sends, after a pause, over a link that was closed during the pause.
 #[test]
-fn results_that_a_paused_owner_hands_over_too_late_are_given_up() {
+fn results_that_a_paused_owner_hands_over_too_late_are_released() {
     let site = Site::start();
     let Pair { owner, requester } = Pair::start(&site, "owner-paused");
     let asked = ask_slow_workers(&site, requester.callers);
 
-    stand_still(&owner);
+    pause(&owner);
 
     join(asked);
-    wait_all_given_up(&site);
+    wait_all_released(&site);
 }
 
-/// Guards against results that stay at their workers when their request can't be served any more.
+/// Guards against results that stay at their workers when callers disconnect before their requests are served.
 #[test]
-fn results_of_requests_whose_callers_leave_are_given_up() {
+fn results_are_released_when_callers_disconnect() {
     let site = Site::start();
     let Pair { owner: _owner, requester } = Pair::start(&site, "callers-leave");
     site.pool
@@ -195,13 +197,13 @@
     for asked in asked {
         asked.join().expect("no panic");
     }
-    wait_until("nothing is in work", || requester.state()["in_work"] == json!(0));
-    wait_all_given_up(&site);
+    wait_until("no request is in work", || requester.state()["in_work"] == json!(0));
+    wait_all_released(&site);
 }
 
-/// Guards against results that are given up by nobody else when the word to their worker is lost.
+/// Guards against results that stay at their workers because a release call was lost and not retried.
 #[test]
-fn a_worker_that_loses_the_word_is_told_again() {
+fn a_lost_release_call_is_retried() {
     let site = Site::start();
     let Pair { owner, requester } = Pair::start(&site, "word-lost");
     site.pool.iter().for_each(|worker| worker.lose_releases(2));
@@ -214,12 +216,12 @@
     }
 
     assert_eq!(made(&site).len(), 8);
-    wait_all_given_up(&site);
+    wait_all_released(&site);
 }
 
-/// Guards against results that are given up by nobody since their worker's entry has lapsed for a moment.
+/// Guards against results that are never released because the entry of their worker was missing for a short time.
 #[test]
-fn a_worker_whose_entry_returns_is_told() {
+fn results_are_released_at_a_worker_whose_entry_returns() {
     let site = Site::start();
     let Pair { owner: _owner, requester } = Pair::start(&site, "entry-lapsed");
     let asked = ask_silent_engines(&site, requester.callers, 1);
@@ -234,12 +236,12 @@
     }
 
     assert_eq!(made(&site).len(), 3);
-    wait_all_given_up(&site);
+    wait_all_released(&site);
 }
 
-/// Guards against calls of pools that reach a target of another service, which has the address of a worker that ended.
+/// Guards against release calls to a target of another service that has taken over the address of a former worker.
 #[test]
-fn another_target_at_the_address_of_a_worker_is_told_nothing() {
+fn another_target_at_the_address_of_a_worker_gets_no_release_calls() {
     let site = Site::start();
     let Pair { owner: _owner, requester } = Pair::start(&site, "address-reused");
     let asked = ask_silent_engines(&site, requester.callers, 1);
@@ -248,19 +250,19 @@
         let entry = worker.entry("plain", "hall-a", "ready");
         site.store.put(&format!("servers/{}-other", worker.id), &entry);
     }
-    wait_until("the others are known", || requester.targets() == 6);
+    wait_until("the targets that replace the workers are known", || requester.targets() == 6);
     thread::sleep(A_WHILE);
-    let before = given_up(&site);
+    let before = released(&site);
 
     join(asked);
     thread::sleep(Duration::from_secs(5));
 
-    assert_eq!(given_up(&site), before);
+    assert_eq!(released(&site), before);
 }
 
-/// Guards against results that VMs which stop as planned leave behind.
+/// Guards against results that stay at their workers after a planned stop of a VM.
 #[test]
-fn results_are_given_up_by_vms_that_stop() {
+fn vms_release_results_when_they_stop() {
     for stops_owner in [false, true] {
         let site = Site::start();
         let Pair { owner, requester } = Pair::start(&site, "stops");
@@ -270,27 +272,27 @@
 
         join(asked);
         assert!(made(&site).len() >= 9, "three for each request");
-        wait_all_given_up(&site);
+        wait_all_released(&site);
     }
 }
 
-/// Guards against inputs that are taken back as fetched while the call which needs them waits for its turn behind a call
-/// of another VM, as all calls of a new owner do while the one before ends its own.
+/// Guards against inputs that are released as fetched while the call that needs them still waits at the worker behind
+/// a call of another VM. All calls of a new owner wait like this until the calls of the previous owner have ended.
 #[test]
-fn inputs_of_a_call_that_waits_for_its_turn_are_not_taken_back() {
+fn inputs_of_a_call_that_waits_at_its_worker_are_not_released() {
     let site = Site::start();
     let mut scarce = usual_configuration(2);
-    // Six results take 0.6 of the room of 1 MB that a worker has.
+    // Six results take 0.6 of the 1 MB that a worker has for results.
     scarce["routes"][4]["stages"][0]["bytes"] = json!(100_000);
     site.store.put("op/config", &scarce);
     site.store.remove("servers/i-pool-2");
     let vm = site.start_vm("waits-for-turn", "");
-    wait_until("it is in force", || vm.state()["configuration"] == json!(2));
+    wait_until("the configuration is in force", || vm.state()["configuration"] == json!(2));
     let address = vm.callers;
     let call = post("/chain/", "c-1").with("Pieces", "6,1").with("Piece-Key", "k");
 
     let asked = thread::spawn(move || call.send(address));
-    wait_until("the first stage is at work", || site.pool[0].seen().len() == 1);
+    wait_until("the worker executes the first stage", || site.pool[0].seen().len() == 1);
     thread::sleep(Duration::from_millis(5));
     site.pool[0].delay_turn(Duration::from_millis(150));
 
@@ -299,9 +301,9 @@
     assert_eq!(site.pool[0].seen().len(), 2, "each stage is called once");
 }
 
-/// Guards against inputs that an owner takes back from a requester that lives and still needs them.
+/// Guards against inputs that an owner releases although the requester is alive and still needs them.
 #[test]
-fn results_in_use_outlive_a_link_that_was_lost() {
+fn results_in_use_are_kept_when_a_link_is_lost() {
     let site = Site::start();
     let Pair { owner, requester } = Pair::start(&site, "in-use");
     let asked = ask_silent_engines(&site, requester.callers, 1);
@@ -309,11 +311,11 @@
     owner.signal("-STOP");
     wait_until("the link is lost", || requester.linked_peers() == 0);
     owner.signal("-CONT");
-    wait_until("they are linked again", || requester.linked_peers() == 1);
-    let in_use = &made(&site) - &given_up(&site);
+    wait_until("the VMs are linked again", || requester.linked_peers() == 1);
+    let in_use = &made(&site) - &released(&site);
     let is_running = asked.iter().all(|asked| !asked.is_finished());
 
     assert!(!is_running || in_use.len() >= 2, "the engine needs both results: {in_use:?}");
     join(asked);
-    wait_all_given_up(&site);
+    wait_all_released(&site);
 }
