--- a/tests/at_most_once.rs
+++ b/tests/at_most_once.rs
@@ -1,6 +1,6 @@
-//! A request that may not be repeated runs at most once, whoever sends it where and how often.
+//! A request that may not be repeated runs at most once, however often and to whichever VMs it is sent under its id.
 
-// A helper that can't go on fails its test.
+// A failing `expect` in a helper fails the test.
 #![allow(clippy::expect_used)]
 
 mod support;
@@ -50,14 +50,14 @@
 }
 
 #[test]
-fn it_is_not_run_again_after_its_vm_died_mid_call() {
+fn a_request_is_not_run_again_after_its_vm_was_killed_during_the_call() {
     let mut fleet = usual_fleet(2);
     slow_targets(&fleet, 400);
     let to = fleet.vms[0].callers;
     let sender = thread::spawn(move || ask("hold", 3000).once("dies").send(to));
     wait_until("the call is under way", || runs_of(&fleet, "dies") == 1);
     fleet.kill(0);
-    assert!(sender.join().expect("sender").is_none(), "a dead VM answered");
+    assert!(sender.join().expect("sender").is_none(), "a killed VM answered");
 
     let again = ask("hold", 3000).once("dies").send(fleet.vms[1].callers).expect("an answer");
 
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn nothing_runs_under_a_callers_id_while_the_store_is_out() {
+fn requests_with_a_callers_id_do_not_run_during_a_store_outage() {
     let fleet = usual_fleet(2);
     ask("hold", 3000).once("before").send(fleet.vms[0].callers).expect("an answer");
     fleet.set_platform(&json!({ "outage": true }));
@@ -76,7 +76,7 @@
     let before = ask("hold", 3000).once("before").send(fleet.vms[1].callers).expect("an answer");
     let no_id = ask("hold", 3000).send(fleet.vms[1].callers).expect("an answer");
 
-    // "Not run" would be a lie for the second, and this VM can't tell the two apart.
+    // The second request has run, so "not-run" would be wrong, and this VM can't tell the two apart.
     for reply in [&fresh, &before] {
         assert_eq!(
             (reply.outcome.as_str(), &reply.body["reason"]),
@@ -92,7 +92,7 @@
 }
 
 #[test]
-fn a_claim_whose_answer_was_lost_is_settled_by_reading() {
+fn a_claim_with_a_lost_answer_is_resolved_by_reading_it() {
     let fleet = usual_fleet(2);
     fleet.set_platform(&json!({ "lose_answers": 1 }));
 
@@ -104,7 +104,7 @@
 }
 
 #[test]
-fn a_vm_that_was_frozen_does_not_run_it_a_second_time() {
+fn a_vm_that_was_paused_does_not_run_a_request_a_second_time() {
     let fleet = usual_fleet(2);
     let mut outcomes = HashSet::new();
     for round in 0..8 {
@@ -112,7 +112,7 @@
         let to = fleet.vms[0].callers;
         let sent = id.clone();
         let sender = thread::spawn(move || ask("hold", 10_000).once(&sent).send(to));
-        // Freezes it at another point of its work in each round.
+        // Pauses the VM at a different point of its work in each round.
         thread::sleep(Duration::from_micros(500 * round));
         fleet.signal(0, "STOP");
 
@@ -142,7 +142,7 @@
         fleet.set_faults(target, &json!({}));
     }
     assert_eq!(refused.outcome, "not-run", "{refused:?}");
-    // The store hears of the refusal after the caller; until then the id is only taken.
+    // The refusal is written to the store after the caller is answered; until then the id is reported as taken.
     wait_until("the id is known as refused", || {
         let again = ask("hold", 1000).once("refused").send(fleet.vms[1].callers);
         let again = again.expect("an answer");
@@ -152,9 +152,9 @@
     });
 }
 
-/// An answer is not held back for the store, which is only told how the request ended.
+/// An answer must not wait for the store: after the claim the store is only informed of how the request ended.
 #[test]
-fn a_slow_store_holds_no_answer_back_once_the_claim_is_made() {
+fn a_slow_store_does_not_delay_the_answer_after_the_claim() {
     let fleet = usual_fleet(1);
     slow_targets(&fleet, 600);
     let to = fleet.vms[0].callers;
@@ -169,15 +169,16 @@
     assert!(began.elapsed() < Duration::from_millis(1400), "{:?}", began.elapsed());
 }
 
-/// A VM that refuses before it has claimed the id can't know whether another VM runs it.
+/// A VM that refuses a request before it has claimed the id can't know whether another VM runs it, so it must not
+/// report "not-run".
 #[test]
-fn a_refusal_before_the_claim_is_not_told_as_not_run() {
+fn a_refusal_before_the_claim_is_not_reported_as_not_run() {
     let mut fleet = usual_fleet(1);
     fleet.start_vm("hall-a", "limits: {requests: 1}\n");
     slow_targets(&fleet, 1500);
     let full = fleet.vms[1].callers;
     let occupies = thread::spawn(move || ask("hold", 5000).repeatable().send(full));
-    wait_until("the VM is full", || fleet.records().len() == 1);
+    wait_until("the VM is at its limit", || fleet.records().len() == 1);
     let to = fleet.vms[0].callers;
     let runs = thread::spawn(move || ask("hold", 5000).once("elsewhere").send(to));
     wait_until("the other VM runs it", || runs_of(&fleet, "elsewhere") == 1);
--- a/tests/mixed_versions.rs
+++ b/tests/mixed_versions.rs
@@ -1,6 +1,6 @@
-//! VMs that hold different versions of the configuration serve a request together.
+//! VMs with different versions of the configuration serve requests together, also while it changes repeatedly.
 
-// A fixture that can't be set up fails its test.
+// A failing `expect` in a fixture fails the test.
 #![allow(clippy::expect_used)]
 
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -13,7 +13,7 @@
 use standins::users::runners::{Act, Runner};
 use standins::users::serving::{Site, Vm, answered, post, usual_configuration};
 
-/// The usual configuration with one more pool, and an entry whose requests need it.
+/// The usual configuration with one more pool and a route whose requests need it.
 fn with_new_pool(version: u64) -> Value {
     let mut cfg = usual_configuration(version);
     let mut pool = cfg["services"][1].clone();
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn a_pool_that_the_better_owner_does_not_know_yet_is_served() {
+fn a_pool_that_its_preferred_owner_does_not_know_yet_is_served() {
     let site = Site::start();
     let worker = Runner::start("i-new-1", Act::Answer).expect("a runner starts");
     site.store.put("servers/i-new-1", &worker.entry("new-pool", "hall-a", "ready"));
@@ -40,20 +40,23 @@
     link.set(Passing::None);
 
     site.store.put("op/config", &with_new_pool(2));
-    wait_until("one VM has it in force", || vm.state()["configuration"] == json!(2));
-    assert_eq!(owner.state()["configuration"], json!(1), "the other VM is behind");
+    wait_until("the new configuration is in force at one VM", || {
+        vm.state()["configuration"] == json!(2)
+    });
+    assert_eq!(owner.state()["configuration"], json!(1), "the other VM has the previous version");
     let call = post("/new/", "r-1").with("Pieces", "1").with("Piece-Key", "k-1");
     let answer = answered(&call.with("Model", "m").with("Token-Counts", "10,5"), &vm);
 
     assert_eq!(answer.status(), 200);
 }
 
-/// Pause between two changes, shorter than the time in which the VMs gather them.
+/// Pause between two changes, shorter than the interval over which VMs collect changes.
 const CHANGE_PAUSE: Duration = Duration::from_millis(150);
+/// Changes of the configuration.
 const CHANGES: u64 = 12;
 
-/// Sends requests that may not be repeated, and chains, to one VM until told to end; gives how often
-/// each of the former ran, and the statuses that were not 200.
+/// Sends requests that may not be repeated, and requests for the chain, to one VM until `over` is set. Returns how
+/// often each of the former ran, and the statuses other than 200.
 fn send_until(over: &AtomicBool, site: &Site, vm: &Vm, name: &str) -> (Vec<usize>, Vec<u16>) {
     let (mut runs, mut other) = (Vec::new(), Vec::new());
     let mut number = 0;
@@ -70,7 +73,7 @@
 }
 
 #[test]
-fn settings_read_again_beside_versions_in_series_cut_and_repeat_nothing() {
+fn reloads_during_a_series_of_changes_cut_and_repeat_no_request() {
     let site = Site::start();
     let vms: Vec<Vm> = ["mixed-a", "mixed-b", "mixed-c"].map(|name| site.start_vm(name, "")).into();
     let over = AtomicBool::new(false);
@@ -96,7 +99,7 @@
         assert!(runs.iter().all(|runs| *runs == 1), "{runs:?}");
         assert!(other.is_empty(), "{other:?}");
     }
-    wait_until("all have the last version", || {
+    wait_until("the last version is in force at all VMs", || {
         vms.iter().all(|vm| vm.state()["configuration"] == json!(1 + CHANGES))
     });
 }
--- a/tests/orders.rs
+++ b/tests/orders.rs
@@ -1,6 +1,7 @@
-//! Orders to engines: under a lease with a fence, from one holder a hall, frozen ones included.
+//! Orders that bring engines into their wanted condition. In each hall one VM holds the lease for them, and a fencing
+//! token keeps a paused former holder from giving outdated orders.
 
-// A helper that can't go on fails its test.
+// A failing `expect` in a helper fails the test.
 #![allow(clippy::expect_used)]
 
 mod support;
@@ -11,10 +12,11 @@
 use serde_json::{Value, json};
 use support::{Fleet, agent, get_json, put_json, usual_fleet, wait_until};
 
+/// Name of the engine that gets the orders.
 const ENGINE: &str = "engine-1";
 
-/// Declares the engine's wanted model anew.
-fn want(fleet: &Fleet, model: &str, checks_fence: bool) {
+/// Applies a new wanted model for the engine.
+fn apply_wanted_model(fleet: &Fleet, model: &str, checks_fence: bool) {
     let text = format!(
         "target: {{name: {ENGINE}, hall: hall-a, address: '{}', labels: {{pool: engine}}, \
          wanted: {{model: {model}}}, checks_fence: {checks_fence}}}\n",
@@ -38,7 +40,7 @@
     get_json(fleet.vms[vm].operations, "/state")?["orders_fence"].as_u64()
 }
 
-/// Two VMs in the engine's hall, and one in the other.
+/// Two VMs (0 and 2) in the engine's hall and one (1) in the other hall.
 fn fleet() -> Fleet {
     let mut fleet = usual_fleet(2);
     fleet.start_vm("hall-a", "");
@@ -50,38 +52,38 @@
 #[test]
 fn an_engine_follows_its_wanted_condition_under_one_holder() {
     let fleet = fleet();
-    want(&fleet, "m1", true);
+    apply_wanted_model(&fleet, "m1", true);
     wait_until("m1 is ordered", || model(&fleet) == "m1");
-    want(&fleet, "m2", true);
+    apply_wanted_model(&fleet, "m2", true);
     wait_until("m2 is ordered", || model(&fleet) == "m2");
 
     let holders = (0..3).filter(|vm| fence(&fleet, *vm).is_some()).count();
     assert_eq!(holders, 1);
-    assert_eq!(fence(&fleet, 1), None, "a VM of the other hall");
+    assert_eq!(fence(&fleet, 1), None, "a VM of the other hall holds the lease");
     let fences: Vec<Value> = orders(&fleet).iter().map(|o| o["fence"].clone()).collect();
     assert_eq!(fences, [1, 1]);
 }
 
 #[test]
-fn a_holder_that_was_frozen_past_its_lease_orders_nothing_old() {
+fn a_holder_paused_beyond_its_lease_gives_no_outdated_orders() {
     let fleet = fleet();
-    want(&fleet, "m0", true);
+    apply_wanted_model(&fleet, "m0", true);
     wait_until("m0 is ordered", || model(&fleet) == "m0");
     for round in 1..=3 {
         let holder = [0, 2].into_iter().find(|vm| fence(&fleet, *vm).is_some());
         let holder = holder.expect("a holder");
         let other = 2 - holder;
-        // Frozen at another point of its work in each round, while it has an order to give.
-        want(&fleet, &format!("old-{round}"), true);
+        // The holder is paused at a different point of its work in each round, while it has an order to give.
+        apply_wanted_model(&fleet, &format!("old-{round}"), true);
         thread::sleep(Duration::from_millis(300 * round));
         fleet.signal(holder, "STOP");
         let wanted = format!("new-{round}");
-        want(&fleet, &wanted, true);
+        apply_wanted_model(&fleet, &wanted, true);
         wait_until("the other VM holds the lease", || fence(&fleet, other).is_some());
         wait_until("the new model is ordered", || model(&fleet) == wanted);
 
         fleet.signal(holder, "CONT");
-        wait_until("the old holder knows", || fence(&fleet, holder).is_none());
+        wait_until("the old holder has given up the lease", || fence(&fleet, holder).is_none());
 
         assert_eq!(model(&fleet), wanted);
         let fences: Vec<u64> = orders(&fleet).iter().filter_map(|o| o["fence"].as_u64()).collect();
@@ -89,7 +91,8 @@
     }
 }
 
-/// What an old holder that was frozen between its check and its send would do.
+/// Sends an order with an outdated fence, as a former holder would that was paused between the check of its lease and
+/// the order; returns the status.
 fn stale_order(fleet: &Fleet) -> u16 {
     let order = json!({ "fence": 0, "wanted": { "model": "stale" } });
     let url = format!("http://{}/v1/orders", fleet.target(ENGINE));
@@ -97,9 +100,9 @@
 }
 
 #[test]
-fn a_checking_target_refuses_a_stale_order() {
+fn a_target_that_checks_the_fence_refuses_a_stale_order() {
     let fleet = fleet();
-    want(&fleet, "m1", true);
+    apply_wanted_model(&fleet, "m1", true);
     wait_until("m1 is ordered", || model(&fleet) == "m1");
 
     assert_eq!(stale_order(&fleet), 409);
@@ -107,27 +110,27 @@
 }
 
 #[test]
-fn a_target_that_does_not_check_takes_it_and_is_put_right_by_the_holder() {
+fn a_target_that_does_not_check_the_fence_is_corrected_by_the_holder() {
     let fleet = fleet();
     put_json(fleet.target(ENGINE), "/faults", &json!({ "checks_fence": false }));
-    want(&fleet, "m1", false);
+    apply_wanted_model(&fleet, "m1", false);
     wait_until("m1 is ordered", || model(&fleet) == "m1");
 
-    // Not prevented: for about a second the engine is in the old holder's condition.
+    // The stale order takes effect: for about a second the engine is in the condition that it names.
     assert_eq!(stale_order(&fleet), 200);
     assert_eq!(model(&fleet), "stale");
-    wait_until("the holder puts it right", || model(&fleet) == "m1");
+    wait_until("the holder restores the wanted model", || model(&fleet) == "m1");
 }
 
 #[test]
-fn nothing_is_ordered_while_the_store_is_out() {
+fn no_orders_are_given_during_a_store_outage() {
     let fleet = fleet();
-    want(&fleet, "m1", true);
+    apply_wanted_model(&fleet, "m1", true);
     wait_until("m1 is ordered", || model(&fleet) == "m1");
     let holder = [0, 2].into_iter().find(|vm| fence(&fleet, *vm).is_some()).expect("a holder");
-    want(&fleet, "m2", true);
+    apply_wanted_model(&fleet, "m2", true);
     fleet.set_platform(&json!({ "outage": true }));
-    wait_until("the holder knows that it is none", || fence(&fleet, holder).is_none());
+    wait_until("the holder has given up the lease", || fence(&fleet, holder).is_none());
     let then = orders(&fleet).len();
     thread::sleep(Duration::from_millis(2500));
 
--- a/tests/platform_names.rs
+++ b/tests/platform_names.rs
@@ -1,13 +1,14 @@
-//! The users' platform's names stand in its adapter only.
+//! Checks on the sources: names of the users' platform occur only in its adapter, and the adapter stays small.
 
-// A fixture that can't be set up fails its test.
+// A failing `unwrap` in a fixture fails the test.
 #![allow(clippy::unwrap_used)]
 
 use std::fs;
 use std::path::{Path, PathBuf};
 
-/// Names that only the adapter may know. Words that the field uses too are not among them.
-const NAMES: [&str; 20] = [
+/// Names of the platform's protocols and data that may occur only in the adapter. Terms of the field that the platform
+/// happens to use as well are not listed.
+const PLATFORM_NAMES: [&str; 20] = [
     "deadline-milliseconds",
     "expected-instance",
     "response-signature",
@@ -30,14 +31,14 @@
     "after_revision",
 ];
 
-/// Where the project's own code stands.
-const SOURCES: [&str; 6] = ["src", "components", "daemon", "gateway", "load", "tools"];
+/// Directories of the sources that must not contain these names.
+const SOURCE_DIRS: [&str; 6] = ["src", "components", "daemon", "gateway", "load", "tools"];
 
 fn rust_files(dir: &Path, found: &mut Vec<PathBuf>) {
     for entry in fs::read_dir(dir).unwrap().flatten() {
         let path = entry.path();
         if path.is_dir() {
-            // Tests speak the wire themselves.
+            // Tests may use the platform's protocol directly.
             if path.file_name().is_none_or(|name| name != "tests" && name != "target") {
                 rust_files(&path, found);
             }
@@ -48,21 +49,21 @@
 }
 
 #[test]
-fn no_name_of_the_users_platform_stands_outside_its_adapter() {
+fn no_name_of_the_users_platform_occurs_outside_its_adapter() {
     let root = Path::new(env!("CARGO_MANIFEST_DIR"));
     let mut files = Vec::new();
-    SOURCES.iter().for_each(|dir| rust_files(&root.join(dir), &mut files));
+    SOURCE_DIRS.iter().for_each(|dir| rust_files(&root.join(dir), &mut files));
     assert!(files.len() > 50, "only {} files found", files.len());
 
     for path in files {
         let text = fs::read_to_string(&path).unwrap().to_ascii_lowercase();
-        let found = NAMES.iter().find(|name| text.contains(**name));
+        let found = PLATFORM_NAMES.iter().find(|name| text.contains(**name));
         assert_eq!(found, None, "{}", path.display());
     }
 }
 
 #[test]
-fn the_adapter_stays_small() {
+fn the_adapter_has_fewer_than_1500_lines() {
     let root = Path::new(env!("CARGO_MANIFEST_DIR"));
     let mut files = Vec::new();
     rust_files(&root.join("platform/src"), &mut files);
--- a/tests/random_scenarios.rs
+++ b/tests/random_scenarios.rs
@@ -1,16 +1,18 @@
-//! Scenes drawn from seeds, played with real processes; the soak plays hundreds of them by hand.
+//! Random scenarios generated from fixed seeds and run with real processes. The soak runs hundreds of them when started
+//! by hand.
 
 use standins::users::scenes::{ResultScene, TurnScene};
 
-/// Seeds of calls that wait for their turn.
-const TURN_SEEDS: std::ops::Range<u64> = 0..8;
-/// Seeds of results whose owner or requester fails.
+/// Seeds of scenarios in which a call waits at its worker behind another call.
+const QUEUED_CALL_SEEDS: std::ops::Range<u64> = 0..8;
+/// Seeds of scenarios in which the owner or the requester of results fails.
 const RESULT_SEEDS: std::ops::Range<u64> = 0..6;
 
-/// Guards against inputs that are taken back as fetched from a call that waits for its turn, whatever came before it.
+/// Guards against inputs that are released as fetched while the call that needs them still waits at its worker, with
+/// random preceding calls.
 #[test]
-fn inputs_are_kept_while_a_call_waits_for_its_turn_at_a_pool_at_work() {
-    for seed in TURN_SEEDS {
+fn inputs_are_kept_while_a_call_waits_at_a_busy_worker() {
+    for seed in QUEUED_CALL_SEEDS {
         let scene = TurnScene::draw(seed);
 
         let calls = scene.calls(&format!("turn-{seed}"));
@@ -19,10 +21,10 @@
     }
 }
 
-/// Guards against results that two VMs give up, or none, when one of them is killed or stands still, in fleets of any
-/// size.
+/// Guards against results that two VMs release, or none, when the owner or the requester is killed or paused, in fleets
+/// of any size.
 #[test]
-fn results_are_given_up_once_though_a_vm_fails_in_fleets_of_any_size() {
+fn results_are_released_once_when_a_vm_fails() {
     for seed in RESULT_SEEDS {
         let scene = ResultScene::draw(seed);
 
--- a/tests/relayed_changes.rs
+++ b/tests/relayed_changes.rs
@@ -1,6 +1,6 @@
-//! In a large fleet two VMs of each hall watch the store, and the others hear of changes from them.
+//! Relaying of changes in a large fleet: two VMs of each hall watch the store and pass changes on to the others.
 
-// A fixture that can't be set up fails its test.
+// A failing `expect` in a fixture fails the test.
 #![allow(clippy::expect_used)]
 
 use serde_json::json;
@@ -9,15 +9,15 @@
 use standins::users::serving::{Site, Vm, usual_configuration};
 use standins::users::store::Mood;
 
-/// VMs of a hall: with both halls more than are linked to all others.
-const EACH: usize = 6;
-/// Looks at the fleet between two changes that end watches.
-const LOOKS_A_CHANGE: u32 = 20;
+/// VMs of each hall; so many that the VMs of both halls are not all linked to each other.
+const VMS_PER_HALL: usize = 6;
+/// Polls of the fleet between two changes that end watches.
+const POLLS_PER_CHANGE: u32 = 20;
 const HALLS: [&str; 2] = ["hall-a", "hall-b"];
 
 struct Member {
     vm: Vm,
-    /// Its way to the store.
+    /// The VM's link to the store.
     link: Link,
     hall: &'static str,
 }
@@ -38,7 +38,8 @@
         let vm = Vm::start(&format!("{name}-{hall}-{number}"), hall, link.address, "");
         Member { vm, link, hall }
     };
-    let halls = HALLS.into_iter().flat_map(|hall| (0..EACH).map(move |number| (number, hall)));
+    let halls =
+        HALLS.into_iter().flat_map(|hall| (0..VMS_PER_HALL).map(move |number| (number, hall)));
     let fleet: Vec<Member> = halls.map(start).collect();
     fleet.iter().for_each(|member| site.wait_known(&member.vm));
     fleet
@@ -48,30 +49,30 @@
     fleet.iter().filter(|member| member.hall == hall && member.watches()).count()
 }
 
-/// Waits until the fleet has settled. A watch that was begun goes on until the next change, so that
-/// some change is made now and then.
-fn wait_for_two_a_hall(site: &Site, fleet: &[Member]) {
-    let mut looks = 0;
-    wait_until("two VMs a hall watch", || {
-        looks += 1;
-        if looks % LOOKS_A_CHANGE == 0 {
-            site.store.put("op/other", &json!(looks));
+/// Waits until two VMs of each hall watch the store. A watch that was begun lasts until the next change, so an unrelated
+/// key is changed from time to time.
+fn wait_for_two_watchers_per_hall(site: &Site, fleet: &[Member]) {
+    let mut polls = 0;
+    wait_until("two VMs of each hall watch", || {
+        polls += 1;
+        if polls % POLLS_PER_CHANGE == 0 {
+            site.store.put("op/other", &json!(polls));
         }
         HALLS.iter().all(|hall| watchers(fleet, hall) == 2)
     });
 }
 
 fn wait_for_version(fleet: &[Member], version: u64) {
-    wait_until("all have the version in force", || {
+    wait_until("the version is in force at all VMs", || {
         fleet.iter().all(|member| member.version() == version)
     });
 }
 
 #[test]
-fn two_vms_of_each_hall_watch_and_a_change_reaches_all() {
+fn two_vms_of_each_hall_watch_and_a_change_reaches_all_vms() {
     let site = Site::start();
     let fleet = start_fleet(&site, "relay-few");
-    wait_for_two_a_hall(&site, &fleet);
+    wait_for_two_watchers_per_hall(&site, &fleet);
 
     site.store.put("op/config", &usual_configuration(2));
 
@@ -79,23 +80,23 @@
 }
 
 #[test]
-fn a_change_reaches_all_when_those_that_watched_are_gone() {
+fn a_change_reaches_all_vms_when_the_watching_vms_are_killed() {
     let site = Site::start();
     let mut fleet = start_fleet(&site, "relay-gone");
-    wait_for_two_a_hall(&site, &fleet);
+    wait_for_two_watchers_per_hall(&site, &fleet);
 
     fleet.retain(|member| !member.watches());
     site.store.put("op/config", &usual_configuration(2));
 
     wait_for_version(&fleet, 2);
-    wait_for_two_a_hall(&site, &fleet);
+    wait_for_two_watchers_per_hall(&site, &fleet);
 }
 
 #[test]
-fn a_change_reaches_all_when_the_store_turns_those_that_watch_away() {
+fn a_change_reaches_all_vms_when_the_watching_vms_lose_the_store() {
     let site = Site::start();
     let fleet = start_fleet(&site, "relay-refused");
-    wait_for_two_a_hall(&site, &fleet);
+    wait_for_two_watchers_per_hall(&site, &fleet);
 
     fleet.iter().filter(|member| member.watches()).for_each(|m| m.link.set(Passing::None));
     site.store.put("op/config", &usual_configuration(2));
@@ -104,12 +105,12 @@
 }
 
 #[test]
-fn a_store_that_comes_back_is_found_and_its_changes_reach_all() {
+fn changes_reach_all_vms_after_a_store_outage() {
     let site = Site::start();
     let fleet = start_fleet(&site, "relay-outage");
-    wait_for_two_a_hall(&site, &fleet);
+    wait_for_two_watchers_per_hall(&site, &fleet);
     site.store.set_mood(Mood::Busy);
-    wait_until("all have lost the store", || {
+    wait_until("all VMs have lost the store", || {
         fleet.iter().all(|member| member.vm.state()["store_lost"] == json!(true))
     });
 
@@ -117,14 +118,14 @@
     site.store.put("op/config", &usual_configuration(2));
 
     wait_for_version(&fleet, 2);
-    wait_for_two_a_hall(&site, &fleet);
+    wait_for_two_watchers_per_hall(&site, &fleet);
 }
 
 #[test]
-fn history_that_is_forgotten_leaves_no_vm_behind() {
+fn changes_reach_all_vms_after_the_store_lost_its_history() {
     let site = Site::start();
     let fleet = start_fleet(&site, "relay-forgotten");
-    wait_for_two_a_hall(&site, &fleet);
+    wait_for_two_watchers_per_hall(&site, &fleet);
     site.store.set_mood(Mood::Silent);
     site.store.put("op/config", &usual_configuration(2));
     site.store.forget_history();
--- a/tests/request_path.rs
+++ b/tests/request_path.rs
@@ -1,6 +1,7 @@
-//! A request's way from a caller over four targets and back, with real processes.
+//! The path of a request from its caller through four stages and back, the checks of its input, and the operations
+//! pages and the command-line tool, with real processes.
 
-// A helper that can't go on fails its test.
+// A failing `expect` in a helper fails the test.
 #![allow(clippy::expect_used)]
 
 mod support;
@@ -13,7 +14,7 @@
 use support::{agent, ask, get_json, usual_fleet, wait_until};
 
 #[test]
-fn answers_whole_over_four_stages() {
+fn a_request_with_four_stages_gets_a_whole_answer() {
     let fleet = usual_fleet(1);
 
     let reply = ask("check", 5000).repeatable().send(fleet.vms[0].callers).expect("an answer");
@@ -29,7 +30,7 @@
 }
 
 #[test]
-fn streams_every_token_and_the_outcome() {
+fn a_stream_contains_every_token_and_the_outcome() {
     let fleet = usual_fleet(1);
 
     let ask = ask("check", 5000).repeatable().header("accept", "text/event-stream");
@@ -45,7 +46,7 @@
 }
 
 #[test]
-fn refuses_bad_input_with_its_place_and_runs_nothing() {
+fn invalid_input_is_refused_with_its_location_and_not_run() {
     let fleet = usual_fleet(1);
     let to = fleet.vms[0].callers;
     let big = format!("\"{}\"", "x".repeat(2 << 20));
@@ -98,7 +99,7 @@
 }
 
 #[test]
-fn slow_heads_and_idle_connections_end_and_others_are_served() {
+fn slow_and_idle_connections_are_closed_and_others_are_served() {
     let mut fleet = support::Fleet::start(&support::usual_pools());
     assert!(fleet.apply(&fleet.catalogue(support::SERVICES)).status.success());
     let vm = fleet.start_vm("hall-a", "limits: {head_ms: 300, body_ms: 300}\n");
@@ -118,7 +119,7 @@
     assert_eq!(served.outcome, "whole");
     for mut connection in idle.into_iter().chain([slow]) {
         connection.set_read_timeout(Some(Duration::from_secs(10))).expect("set");
-        // Closed by the daemon, with or without a last word.
+        // The daemon closes the connection, with or without an error response.
         let _ = connection.read_to_end(&mut Vec::new()).expect("the end within the wait");
     }
     let mut answer = [0; 12];
@@ -127,7 +128,7 @@
 }
 
 #[test]
-fn operations_page_tells_health_metrics_state_and_decisions() {
+fn operations_pages_show_health_metrics_and_decisions() {
     let fleet = usual_fleet(2);
     let id = "explained-1";
     let ask = ask("check", 5000).repeatable().header("saddlerail-request-id", id);
@@ -141,20 +142,20 @@
     assert_eq!(page("/ready"), "ready\n");
     let metrics = page("/metrics");
     assert!(metrics.contains("saddlerail_requests_total"), "{metrics}");
-    wait_until("the record is whole", || {
+    wait_until("the record is complete", || {
         let records = get_json(fleet.vms[1].operations, "/explain/explained-1").expect("JSON");
         records[0]["outcome"] == "whole"
     });
-    // The tool asks the first VM, which finds the record at the second.
+    // The tool queries the first VM, which gets the record from the second.
     let told = fleet.tool(&["explain", id]);
     let text = String::from_utf8_lossy(&told.stdout).into_owned();
     assert!(told.status.success() && text.matches("answered").count() == 4, "{text}");
     assert!(!fleet.tool(&["explain", "no-such-id"]).status.success());
 }
 
-/// A reader that closes the pipe early, such as `head`, is no failure of the tool.
+/// The tool must not fail if the reader of its output closes the pipe early, as `head` does.
 #[test]
-fn the_tool_ends_quietly_when_nobody_reads() {
+fn the_tool_succeeds_when_its_output_is_closed() {
     let fleet = usual_fleet(1);
     let mut tool = std::process::Command::new(env!("CARGO_BIN_EXE_saddlerail"))
         .args(["state", "--vm", &fleet.vms[0].operations.to_string()])
