--- a/tests/foreign_entries.rs
+++ b/tests/foreign_entries.rs
@@ -1,6 +1,7 @@
-//! Entries that others than their targets wrote: they name no target, and what else is there holds.
+//! Entries in the store that were not written by their targets, or are of an earlier lifetime: they are ignored, and all
+//! other entries stay in force.
 
-// A fixture that can't be set up fails its test.
+// A failing `expect` in a fixture fails the test.
 #![allow(clippy::expect_used)]
 
 use std::time::Instant;
@@ -10,7 +11,7 @@
 use standins::users::serving::{A_WHILE, Site, answered, get};
 
 #[test]
-fn what_others_write_names_no_target_and_the_rest_holds() {
+fn invalid_and_outdated_entries_are_ignored() {
     let site = Site::start();
     let vm = site.start_vm("strangers", "");
     let served = |name: &str| {
@@ -25,7 +26,7 @@
     };
     let key = format!("servers/{}", one.id);
     let known = vm.targets();
-    // Before all others in a listing, and as changes.
+    // These come before and after all others in a listing, and also arrive as changes.
     site.store.put("servers/0-first", &json!("no entry"));
     site.store.put("servers/zz", &json!({"service": "plain", "address": 5}));
     site.store.put("servers/strange", &json!({"state": "asleep", "service": "plain"}));
@@ -42,7 +43,7 @@
     let mut early = sound(1_000);
     early["address"] = json!("127.0.0.1:9");
     site.store.put(&key, &early);
-    wait_until("the earlier lifetime was heard of", || {
+    wait_until("the entry of the earlier lifetime is logged", || {
         vm.log().contains("target's entry of an earlier lifetime")
     });
     site.store.put(&format!("servers/{}", other.id), &other.entry("plain", "hall-a", "draining"));
@@ -51,8 +52,8 @@
     let after = served("after");
 
     assert_eq!([beside, without].concat(), vec![200; 20]);
-    assert_eq!(reached, 0, "its entry names it no more");
+    assert_eq!(reached, 0, "the target gets no requests without a valid entry");
     assert_eq!(after, vec![200; 10]);
-    assert_eq!(one.received_after(since), 10, "the later lifetime is where it said");
+    assert_eq!(one.received_after(since), 10, "the address of the later lifetime stays in force");
     assert_eq!(later_vm.targets(), known);
 }
--- a/tests/input_release.rs
+++ b/tests/input_release.rs
@@ -1,6 +1,6 @@
-//! When a request's inputs are given up while a call that needs them is at its worker, with real processes.
+//! Release of a request's inputs while a call that needs them is at its worker, with real processes.
 
-// A fixture that can't be set up fails its test.
+// A failing `expect` in a fixture fails the test.
 #![allow(clippy::expect_used)]
 
 use std::thread::{self, JoinHandle};
@@ -12,10 +12,10 @@
 use standins::users::runners::{Act, Runner};
 use standins::users::serving::{Site, Vm, post, usual_configuration};
 
-/// How long the second stage is at work: less than its owner is patient for.
-const AT_WORK: Duration = Duration::from_millis(250);
+/// Execution time of the second stage, shorter than the time for which the owner waits for an answer.
+const EXECUTION_TIME: Duration = Duration::from_millis(250);
 
-/// One VM before a worker whose room is scarce once the first stage's results lie there.
+/// Starts one VM and one worker whose room for results is scarce once it holds those of the first stage.
 fn start(name: &str) -> (Site, Vm) {
     let site = Site::start();
     let mut scarce = usual_configuration(2);
@@ -23,7 +23,7 @@
     site.store.put("op/config", &scarce);
     site.store.remove("servers/i-pool-2");
     let vm = site.start_vm(name, "");
-    wait_until("it is in force", || vm.state()["configuration"] == json!(2));
+    wait_until("the configuration is in force", || vm.state()["configuration"] == json!(2));
     (site, vm)
 }
 
@@ -37,50 +37,56 @@
     ask_for(vm, "6,1")
 }
 
-/// Waits until results are given up or the second stage is done; gives how many were given up before its end.
-fn given_up_before_its_end(worker: &Runner) -> usize {
+/// Waits until results are released or the second stage is done; returns how many were released before its end.
+fn released_before_end(worker: &Runner) -> usize {
     let is_done = || worker.made().len() > 6;
-    wait_until("an end", || !worker.released().is_empty() || is_done());
+    wait_until("results are released or the stage is done", || {
+        !worker.released().is_empty() || is_done()
+    });
     if is_done() { 0 } else { worker.released().len() }
 }
 
-/// Guards against room that is held for as long as a call works, where other pieces need it.
+/// Guards against inputs that use room until the end of their call although other pieces need that room.
 #[test]
-fn inputs_are_given_up_once_the_worker_says_that_their_call_is_at_work() {
+fn inputs_are_released_once_the_worker_reports_that_their_call_runs() {
     let (site, vm) = start("at-work");
     let worker = &site.pool[0];
-    worker.next(&[Act::Answer, Act::Hang(AT_WORK)]);
+    worker.next(&[Act::Answer, Act::Hang(EXECUTION_TIME)]);
 
     let asked = ask(&vm);
 
-    assert_eq!(given_up_before_its_end(worker), 6, "while the second stage is at work");
+    assert_eq!(
+        released_before_end(worker),
+        6,
+        "all inputs are released while the second stage runs"
+    );
     let answer = asked.join().expect("no panic").expect("an answer");
     assert_eq!(answer.status(), 200, "{answer:?}");
 }
 
-/// Guards against inputs that are taken back from a call whose worker does not say whether it waits.
+/// Guards against inputs that are released although the worker doesn't report whether their call still waits.
 #[test]
-fn inputs_are_kept_where_the_worker_does_not_say() {
+fn inputs_are_kept_if_the_worker_does_not_report() {
     let (site, vm) = start("says-nothing");
     let worker = &site.pool[0];
     worker.set_reports(false);
-    worker.next(&[Act::Answer, Act::Hang(AT_WORK)]);
+    worker.next(&[Act::Answer, Act::Hang(EXECUTION_TIME)]);
 
     let asked = ask(&vm);
 
-    assert_eq!(given_up_before_its_end(worker), 0, "it may wait for its turn");
+    assert_eq!(released_before_end(worker), 0, "the call may still wait at its worker");
     let answer = asked.join().expect("no panic").expect("an answer");
     assert_eq!(answer.status(), 200, "{answer:?}");
     assert_eq!(worker.seen().len(), 2, "each stage is called once");
 }
 
-/// Guards against pieces that are made again though they are done, since another one of their stage found no room and its
-/// inputs were given up meanwhile.
+/// Guards against finished pieces that are made again because another piece of their stage found no room and its inputs
+/// were released meanwhile.
 #[test]
-fn pieces_that_are_done_are_kept_though_an_input_of_another_is_gone() {
+fn finished_pieces_are_kept_when_an_input_of_another_piece_is_gone() {
     let (site, vm) = start("done-kept");
     let worker = &site.pool[0];
-    worker.next(&[Act::Answer, Act::NoRoomForLast(AT_WORK)]);
+    worker.next(&[Act::Answer, Act::NoRoomForLast(EXECUTION_TIME)]);
 
     let asked = ask_for(&vm, "6,3");
 
--- a/tests/mixed_versions.rs
+++ b/tests/mixed_versions.rs
@@ -36,7 +36,9 @@
     let owner = Vm::start("mixed-owner", "hall-a", link.address, "cores: 64\n");
     site.wait_known(&owner);
     let vm = site.start_vm("mixed-small", "cores: 0.1\n");
-    wait_until("they are linked", || vm.state()["pools"][0]["filled_by"] == json!("mixed-owner"));
+    wait_until("the VMs are linked", || {
+        vm.state()["pools"][0]["filled_by"] == json!("mixed-owner")
+    });
     link.set(Passing::None);
 
     site.store.put("op/config", &with_new_pool(2));
--- a/tests/serving.rs
+++ b/tests/serving.rs
@@ -1,7 +1,7 @@
-//! The serving path with real processes before the stand-ins of the users' platform: what callers
-//! get, and what runners saw.
+//! The serving path with real processes and the stand-ins of the users' platform: what callers get, and what reaches
+//! the runners.
 
-// A fixture that can't be set up fails its test.
+// A failing `expect` in a fixture fails the test.
 #![allow(clippy::expect_used)]
 
 use std::thread;
@@ -18,7 +18,7 @@
 use standins::users::store::Mood;
 
 #[test]
-fn answers_are_whole_and_calls_carry_what_they_should() {
+fn answers_are_whole_and_calls_have_the_right_headers() {
     let site = Site::start();
     let vm = site.start_vm("whole", "");
 
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn what_is_not_served_is_told_apart() {
+fn refusals_have_distinct_statuses() {
     let site = Site::start();
     let vm = site.start_vm("told", "");
 
@@ -61,11 +61,11 @@
 }
 
 #[test]
-fn a_vm_that_knows_no_configuration_says_so() {
+fn a_vm_without_configuration_answers_503_and_is_not_ready() {
     let site = Site::start();
     site.store.set_mood(Mood::Silent);
     let vm = Vm::start("unknowing", "hall-a", site.store.address, "");
-    wait_until("it listens", || get("/repeat/", "r-1").send(vm.callers).is_some());
+    wait_until("the VM listens", || get("/repeat/", "r-1").send(vm.callers).is_some());
 
     let answer = answered(&get("/nowhere/", "r-2"), &vm);
 
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn what_may_not_be_repeated_runs_once_whatever_comes_back() {
+fn a_request_that_may_not_be_repeated_runs_once_whatever_its_target_answers() {
     let site = Site::start();
     let vm = site.start_vm("once", "");
     let acts =
@@ -91,13 +91,13 @@
         let expected = if *act == Act::Fail { 500 } else { 502 };
         assert_eq!(answer.status(), expected, "{act:?}");
         assert_eq!(site.runs(&id), 1, "{act:?}");
-        // The runner that was not asked still has its act to do.
+        // The runner that got no request still has its act queued.
         site.plain.iter().for_each(|runner| runner.clear_acts());
     }
 }
 
 #[test]
-fn what_did_not_run_is_tried_elsewhere_or_refused_with_a_time_to_come_back() {
+fn a_declined_request_is_tried_elsewhere_or_refused_with_retry_after() {
     let site = Site::start();
     let vm = site.start_vm("declined", "");
     Site::next(&site.plain, &Act::Decline);
@@ -105,8 +105,8 @@
     let answer = answered(&post("/once/", "r-1"), &vm);
 
     assert_eq!(answer.status(), 503, "both declined");
-    let come_back: f64 = answer.header("retry-after").parse().expect("seconds");
-    assert!(come_back > 0.0);
+    let retry_after: f64 = answer.header("retry-after").parse().expect("seconds");
+    assert!(retry_after > 0.0);
     assert_eq!(site.runs("r-1"), 0);
     site.plain[0].next(&[Act::Decline]);
     site.plain[1].next(&[Act::Answer]);
@@ -115,7 +115,7 @@
 }
 
 #[test]
-fn what_may_be_repeated_is_served_though_answers_are_spoiled() {
+fn a_request_that_may_be_repeated_is_served_despite_invalid_answers() {
     let site = Site::start();
     let vm = site.start_vm("repeat", "repeats: {slack: 100}\n");
     for (number, act) in
@@ -135,7 +135,7 @@
 }
 
 #[test]
-fn a_second_answer_on_a_kept_connection_reaches_nobody() {
+fn an_extra_answer_on_a_kept_connection_is_dropped() {
     let site = Site::start();
     let vm = site.start_vm("extra", "");
     for number in 0..30 {
@@ -152,10 +152,10 @@
 }
 
 #[test]
-fn another_lifetime_at_the_address_gets_no_work() {
+fn another_lifetime_at_an_address_gets_no_requests() {
     let site = Site::start();
     let vm = site.start_vm("lifetime", "");
-    // The entry still names the lifetime before; its address belongs to another one now.
+    // The entry still names the previous lifetime, whose address now belongs to another one.
     for runner in &site.plain {
         let old = runner.entry("plain", "hall-a", "ready");
         site.store.remove(&format!("servers/{}", runner.id));
@@ -170,32 +170,38 @@
 }
 
 #[test]
-fn all_vms_together_keep_no_more_at_rest_than_a_target_takes() {
+fn all_vms_together_keep_no_more_idle_connections_than_a_target_takes() {
     let site = Site::start();
-    let mut few = usual_configuration(2);
-    let services = few["services"].as_array_mut().expect("services");
+    let mut one_connection = usual_configuration(2);
+    let services = one_connection["services"].as_array_mut().expect("services");
     services.iter_mut().for_each(|service| service["connection_limit"] = json!(1));
     let vms = [site.start_vm("rests-1", ""), site.start_vm("rests-2", "")];
-    wait_until("they are linked", || {
+    wait_until("the VMs are linked", || {
         vms.iter().all(|vm| vm.state()["peers"][0]["linked"] == json!(true))
     });
     let open = || site.plain.iter().map(Runner::open_connections).sum::<u64>();
     answered(&get("/repeat/", "r-1"), &vms[0]);
     let kept = open();
 
-    site.store.put("op/config", &few);
-    wait_until("it is in force", || vms.iter().all(|vm| vm.state()["configuration"] == json!(2)));
+    site.store.put("op/config", &one_connection);
+    wait_until("the configuration is in force", || {
+        vms.iter().all(|vm| vm.state()["configuration"] == json!(2))
+    });
     for (number, vm) in vms.iter().cycle().take(8).enumerate() {
         answered(&get("/repeat/", &format!("r-2{number}")), vm);
     }
 
     assert_eq!(kept, 1, "a connection is kept where the target takes 50");
     thread::sleep(A_WHILE);
-    assert_eq!(open(), 0, "none is at rest where it takes one from two VMs");
+    assert_eq!(
+        open(),
+        0,
+        "no connection is kept idle where the target takes one and there are two VMs"
+    );
 }
 
 #[test]
-fn unframed_answers_are_passed_on_whole() {
+fn answers_without_framing_are_passed_on_whole() {
     let site = Site::start();
     let vm = site.start_vm("unframed", "");
     Site::next(&site.plain, &Act::Unframed);
@@ -207,7 +213,7 @@
 }
 
 #[test]
-fn an_answer_comes_by_the_end_of_the_time() {
+fn an_answer_is_sent_by_the_deadline() {
     let site = Site::start();
     let vm = site.start_vm("time", "");
     Site::next(&site.plain, &Act::Hang(Duration::from_secs(5)));
@@ -216,12 +222,12 @@
     let call = Call::new("POST", HOST, "/once/", "r-1").with("Deadline-Milliseconds", "600");
     let answer = answered(&call, &vm);
 
-    assert_eq!(answer.status(), 504, "it may have run");
+    assert_eq!(answer.status(), 504, "the request may have run");
     assert!(began.elapsed() < Duration::from_millis(1100), "{:?}", began.elapsed());
 }
 
 #[test]
-fn configurations_come_into_force_and_a_bad_one_is_kept_out() {
+fn a_valid_configuration_comes_into_force_and_an_invalid_one_is_refused() {
     let site = Site::start();
     let vm = site.start_vm("config", "");
     let mut next = usual_configuration(5);
@@ -238,19 +244,19 @@
     let old = get("/keyed/", "r-4").with("Authorization", "Bearer key-1");
     assert_eq!(answered(&old, &vm).status(), 401);
     assert_eq!(vm.state()["configuration"], json!(5));
-    wait_until("it is told", || vm.log().contains("configuration kept out"));
+    wait_until("the refusal is logged", || vm.log().contains("configuration kept out"));
 }
 
 #[test]
-fn changes_are_heard_from_a_peer_while_the_store_is_away() {
+fn a_vm_that_starts_during_a_store_outage_gets_the_configuration_from_a_peer() {
     let site = Site::start();
     let near = site.start_vm("near", "");
-    // This VM reaches the store over a stand-in of its own that goes silent.
+    // Both VMs use the store, which falls silent below; the one that starts then has only its peers.
     let far = site.start_vm("far", "");
-    wait_until("they are linked", || far.state()["peers"][0]["linked"] == json!(true));
+    wait_until("the VMs are linked", || far.state()["peers"][0]["linked"] == json!(true));
     let newer = usual_configuration(9);
     site.store.put("op/config", &newer);
-    wait_until("both have it", || {
+    wait_until("both VMs have the configuration", || {
         [&near, &far].iter().all(|vm| vm.state()["configuration"] == json!(9))
     });
     site.store.set_mood(Mood::Silent);
@@ -265,7 +271,7 @@
 }
 
 #[test]
-fn a_leaving_runner_gets_no_new_work_and_lapsed_entries_have_time_to_return() {
+fn a_leaving_runner_gets_no_new_requests_and_lapsed_entries_are_kept_for_a_time() {
     let site = Site::start();
     let vm = site.start_vm("leaving", "");
     let gone = &site.plain[0];
@@ -285,16 +291,18 @@
     thread::sleep(A_WHILE);
     assert_eq!(answered(&get("/repeat/", "kept"), &vm).status(), 200);
 
-    wait_until("it is taken as gone in the end", || {
+    wait_until("the target is removed after the time to return", || {
         answered(&get("/repeat/", "late"), &vm).status() == 503
     });
 }
 
 #[test]
-fn a_calm_store_is_asked_seldom_and_its_silence_is_noticed_all_the_same() {
+fn an_idle_vm_calls_the_store_rarely_but_detects_its_silence() {
     let site = Site::start();
     let vm = site.start_vm("seldom", "");
-    wait_until("its own entry stands", || !site.store.keys("saddlerail/vms/").is_empty());
+    wait_until("the VM's own entry is in the store", || {
+        !site.store.keys("saddlerail/vms/").is_empty()
+    });
     thread::sleep(A_WHILE);
     let before = site.store.calls();
     thread::sleep(Duration::from_secs(7));
@@ -305,13 +313,16 @@
     site.store.put("op/config", &usual_configuration(3));
     site.store.set_mood(Mood::Well);
 
-    assert!(asked <= 4, "{asked} calls in 7 s: only its lease is renewed, every 1.9 s");
-    assert!(vm.log().contains("call=renew"), "the waiting watch does not tell");
-    wait_until("the newest is in force", || vm.state()["configuration"] == json!(3));
+    assert!(asked <= 4, "{asked} calls in 7 s, although only the lease is renewed, every 1.9 s");
+    assert!(
+        vm.log().contains("call=renew"),
+        "the failed renewal reveals the outage, not the waiting watch"
+    );
+    wait_until("the newest configuration is in force", || vm.state()["configuration"] == json!(3));
 }
 
 #[test]
-fn a_forgotten_history_loses_no_change() {
+fn a_change_is_not_lost_with_the_history_of_the_store() {
     let site = Site::start();
     let vm = site.start_vm("history", "");
     site.store.set_mood(Mood::Busy);
@@ -322,19 +333,19 @@
 
     site.store.set_mood(Mood::Well);
 
-    wait_until("the newest is in force", || vm.state()["configuration"] == json!(4));
+    wait_until("the newest configuration is in force", || vm.state()["configuration"] == json!(4));
 }
 
 #[test]
-fn a_hall_is_out_of_reach_if_its_vms_are_silent_and_none_of_its_targets_answers() {
+fn a_hall_is_out_of_reach_if_its_vms_are_silent_and_its_targets_unreachable() {
     let site = Site::start();
     let vm = site.start_vm("asks", "");
     let other = Vm::start("silent", "hall-b", site.store.address, "");
     other.wait_ready();
-    wait_until("they are linked", || vm.state()["peers"][0]["linked"] == json!(true));
+    wait_until("the VMs are linked", || vm.state()["peers"][0]["linked"] == json!(true));
     let far = Runner::start("i-far", Act::Answer).expect("a runner starts");
     site.store.put("servers/i-far", &far.entry("plain", "hall-b", "ready"));
-    wait_until("it is known", || vm.state()["targets"] == json!(7));
+    wait_until("the target is known", || vm.state()["targets"] == json!(7));
 
     other.signal("-STOP");
     thread::sleep(A_WHILE * 2);
@@ -342,28 +353,34 @@
     let mut closed = far.entry("plain", "hall-b", "ready");
     closed["address"] = json!(closed_address());
     site.store.put("servers/i-far", &closed);
-    wait_until("it is out of reach", || vm.state()["halls_out_of_reach"] == json!(["hall-b"]));
+    wait_until("the hall is out of reach", || {
+        vm.state()["halls_out_of_reach"] == json!(["hall-b"])
+    });
     let answers: Vec<u16> = (0..8)
         .map(|number| answered(&get("/repeat/", &format!("r-{number}")), &vm).status())
         .collect();
     other.signal("-CONT");
 
-    assert_eq!(with_a_target, json!([]), "a silent VM alone is no hall out of reach");
+    assert_eq!(
+        with_a_target,
+        json!([]),
+        "a silent VM alone does not mean that its hall is out of reach"
+    );
     assert_eq!(answers, [200; 8]);
-    wait_until("it is in reach again", || vm.state()["halls_out_of_reach"] == json!([]));
-    wait_until("both are told", || {
+    wait_until("the hall is in reach again", || vm.state()["halls_out_of_reach"] == json!([]));
+    wait_until("both changes are logged", || {
         ["hall out of reach", "hall within reach"].iter().all(|told| vm.log().contains(told))
     });
 }
 
-/// An address at which nothing listens.
+/// Returns an address at which nothing listens.
 fn closed_address() -> String {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a free port");
     listener.local_addr().expect("its address").to_string()
 }
 
 #[test]
-fn a_planned_stop_cuts_nothing() {
+fn a_planned_stop_cuts_no_request_and_no_stream() {
     let site = Site::start();
     let mut vm = site.start_vm("stop", "stop: {notice_ms: 300, grace_s: 4}\n");
     let address = vm.callers;
@@ -372,10 +389,14 @@
     wait_until("the stream runs", || site.runs("s-1") == 1);
 
     vm.signal("-TERM");
-    wait_until("it is not ready", || !vm.is_ready());
+    wait_until("the VM is not ready", || !vm.is_ready());
     let meanwhile = answered(&get("/repeat/", "r-1"), &vm);
 
-    assert_eq!(meanwhile.status(), 200, "until the balancer has heard");
+    assert_eq!(
+        meanwhile.status(),
+        200,
+        "requests are served until the balancer has noticed the stop"
+    );
     assert_eq!(meanwhile.header("connection"), "close");
     let stream = stream.join().expect("no panic").expect("an answer");
     assert!(stream.whole);
@@ -384,29 +405,29 @@
 }
 
 #[test]
-fn a_hangup_changes_nothing_and_bad_settings_are_told() {
+fn a_hangup_signal_reloads_the_settings_and_requests_are_served() {
     let site = Site::start();
     let vm = site.start_vm("hangup", "");
 
     vm.signal("-HUP");
 
-    wait_until("it is told", || vm.log().contains("settings read again"));
+    wait_until("the reload is logged", || vm.log().contains("settings read again"));
     assert_eq!(answered(&get("/repeat/", "r-1"), &vm).status(), 200);
 }
 
 #[test]
-fn a_runners_entry_that_can_not_be_read_is_left_out_and_told() {
+fn an_invalid_entry_of_a_runner_is_ignored_and_logged() {
     let site = Site::start();
     let vm = site.start_vm("entry", "");
 
     site.store.put("servers/broken", &json!({"service": 7}));
 
-    wait_until("it is told", || vm.log().contains("target's entry left out"));
+    wait_until("the invalid entry is logged", || vm.log().contains("target's entry left out"));
     assert_eq!(answered(&get("/repeat/", "r-1"), &vm).status(), 200);
 }
 
 #[test]
-fn a_request_can_be_followed_from_its_id_and_counted() {
+fn a_request_is_logged_with_its_id_and_counted() {
     let site = Site::start();
     let vm = site.start_vm("told-apart", "");
     Site::next(&site.plain, &Act::Lose);
@@ -417,8 +438,10 @@
         let log = vm.log();
         log.lines().any(|line| line.contains("request=lost-1") && line.contains(what))
     };
-    wait_until("the try is told", || lines("msg=try") && lines("missed=\"Lost"));
-    wait_until("the end is told", || lines("msg=\"request ended\"") && lines("outcome=unknown"));
+    wait_until("the try is logged", || lines("msg=try") && lines("missed=\"Lost"));
+    wait_until("the outcome is logged", || {
+        lines("msg=\"request ended\"") && lines("outcome=unknown")
+    });
     let page = vm.page("/metrics");
     assert!(page.contains("saddlerail_requests_total"), "{page}");
     assert!(page.contains("outcome=\"unknown\""), "{page}");
@@ -435,5 +458,5 @@
         let peers = vm.state()["peers"].as_array().cloned().unwrap_or_default();
         peers.len() == 3 && peers.iter().all(|peer| peer["linked"] == json!(true))
     };
-    wait_until("each is linked to all others", || vms.iter().all(linked));
+    wait_until("each VM is linked to all others", || vms.iter().all(linked));
 }
--- a/tests/serving_logs.rs
+++ b/tests/serving_logs.rs
@@ -1,7 +1,7 @@
-//! Logs of the serving path under a flood, with a real process before the stand-ins of the users'
+//! Logging of the serving path when nobody reads the log, with a real process and the stand-ins of the users'
 //! platform.
 
-// A fixture that can't be set up fails its test.
+// A failing `expect` in a fixture fails the test.
 #![allow(clippy::expect_used)]
 
 use std::io::{BufRead, BufReader};
@@ -9,19 +9,19 @@
 
 use standins::users::serving::{Site, Vm, answered, get};
 
-/// Requests that write several times what a pipe and the lines kept in memory hold.
-const FLOOD: u32 = 2500;
+/// Requests whose log lines are several times what the pipe and the queue of lines in memory hold.
+const FLOOD_REQUESTS: u32 = 2500;
 
-/// Longest answer while nobody reads the log: far below the pause of a blocked write.
-const PROMPT: Duration = Duration::from_secs(1);
+/// Longest permitted time of an answer while nobody reads the log, far below the pause that a blocked write causes.
+const MAX_LATENCY: Duration = Duration::from_secs(1);
 
 #[test]
-fn a_log_that_nobody_reads_holds_nothing_up_and_what_is_dropped_is_counted() {
+fn an_unread_log_does_not_delay_requests_and_dropped_lines_are_counted() {
     let site = Site::start();
     let (vm, out) = Vm::start_piped("flood", site.store.address);
     site.wait_known(&vm);
 
-    let slowest = (0..FLOOD)
+    let slowest = (0..FLOOD_REQUESTS)
         .map(|number| {
             let began = Instant::now();
             let status = answered(&get("/repeat/", &format!("r-{number}")), &vm).status();
@@ -32,8 +32,8 @@
     let mut lines = BufReader::new(out).lines().map_while(Result::ok);
     let dropped = lines.by_ref().find(|line| line.contains("log lines dropped"));
 
-    assert!(slowest.is_some_and(|slowest| slowest < PROMPT), "{slowest:?}");
-    let dropped = dropped.expect("what was dropped is told");
+    assert!(slowest.is_some_and(|slowest| slowest < MAX_LATENCY), "{slowest:?}");
+    let dropped = dropped.expect("the number of dropped lines is logged");
     let count = dropped.rsplit_once("lines=").and_then(|(_, count)| count.parse::<u64>().ok());
     assert!(count.is_some_and(|count| count > 0), "{dropped}");
     answered(&get("/repeat/", "later"), &vm);
--- a/tests/serving_stops.rs
+++ b/tests/serving_stops.rs
@@ -1,6 +1,6 @@
-//! Planned stops of the serving path, with requests whose time is longer than the grace of a stop.
+//! Planned stops of the serving path, with requests whose timeout is longer than the grace period of a stop.
 
-// A fixture that can't be set up fails its test.
+// A failing `expect` in a fixture fails the test.
 #![allow(clippy::expect_used)]
 
 use std::net::TcpStream;
@@ -14,24 +14,24 @@
 use standins::users::serving::{HOST, Site, Vm, usual_configuration};
 use standins::users::{Message, Wire};
 
-/// Times of a stop: the grace is shorter than the time that requests have.
+/// Settings of a stop: the grace period is shorter than the timeout of requests.
 const STOP: &str = "stop: {notice_ms: 1000, grace_s: 4}\n";
-/// Time after the signal within which the process has to end by itself.
+/// Grace period: time after the signal within which the process has to end by itself.
 const GRACE: Duration = Duration::from_secs(4);
-/// Time after the signal within which requests are taken.
+/// Notice period: time after the signal during which requests are still accepted.
 const NOTICE: Duration = Duration::from_secs(1);
-/// Time that requests have, in milliseconds.
+/// Timeout of requests, in milliseconds.
 const LONG_MS: u32 = 20_000;
 /// Requests in each case.
 const REQUESTS: usize = 6;
-/// Pause between two requests: some come before the signal, some during the notice.
+/// Pause between two requests: some arrive before the signal, some during the notice period.
 const PAUSE: Duration = Duration::from_millis(250);
-/// When the signal comes after the first request.
+/// Time from the first request to the signal.
 const SIGNAL_AFTER: Duration = Duration::from_millis(700);
-/// Longer than a stop.
+/// No answer for longer than a stop takes.
 const SILENT: Act = Act::Hang(Duration::from_secs(15));
 
-/// A site whose requests have [`LONG_MS`] and may wait for most of it.
+/// A site whose requests have a timeout of [`LONG_MS`] and may wait for most of it.
 fn long_site() -> Site {
     let site = Site::start();
     let mut cfg = usual_configuration(2);
@@ -56,7 +56,8 @@
     if path == "/chain/" { call.with("Pieces", "1,2").with("Piece-Key", "k") } else { call }
 }
 
-/// Sends requests one after the other, without waiting for answers, and stops the VM among them; gives the answers.
+/// Sends requests at intervals of [`PAUSE`], without waiting for answers, and stops the VM between them; returns the
+/// answers.
 fn ask_and_stop(vm: &mut Vm, path: &str) -> Vec<Option<Message>> {
     let address = vm.callers;
     thread::scope(|scope| {
@@ -81,14 +82,14 @@
     answers.iter().map(|answer| answer.as_ref().map_or(0, Message::status)).collect()
 }
 
-/// All of a list of runners do so from now on.
+/// Lets all these runners use this act from now on.
 fn always(runners: &[Runner], act: &Act) {
     runners.iter().for_each(|runner| runner.next(&vec![act.clone(); 1000]));
 }
 
-/// Guards against requests that a stopping VM closes without an answer (LOST).
+/// Guards against connections that a stopping VM closes without an answer to their request, which callers see as lost.
 #[test]
-fn requests_without_an_answer_at_the_end_of_a_stop_are_told_so() {
+fn unanswered_requests_get_an_error_at_the_end_of_a_stop() {
     type Case = (&'static str, &'static str, fn(&Site), u16);
     let cases: [Case; 6] = [
         ("workers-silent", "/chain/", |site| always(&site.pool, &SILENT), 503),
@@ -99,24 +100,23 @@
         ("targets-silent", "/once/", |site| always(&site.plain, &SILENT), 502),
     ];
     thread::scope(|scope| {
-        for (name, path, hinder, unserved) in cases {
+        for (name, path, inject_fault, expected_status) in cases {
             scope.spawn(move || {
                 let site = long_site();
                 let mut vm = start_vm(&site, &format!("stop-{name}"));
-                hinder(&site);
+                inject_fault(&site);
 
                 let answers = ask_and_stop(&mut vm, path);
 
                 let statuses = statuses(&answers);
-                let is_told = |status: &u16| [200, unserved, 503].contains(status);
-                assert!(statuses.iter().all(is_told), "{name}: {statuses:?}");
+                let is_expected = |status: &u16| [200, expected_status, 503].contains(status);
+                assert!(statuses.iter().all(is_expected), "{name}: {statuses:?}");
                 assert!(answers.iter().flatten().all(|answer| answer.whole), "{name}: {answers:?}");
                 for answer in answers.iter().flatten().filter(|answer| answer.status() == 503) {
                     assert!(!answer.header("retry-after").is_empty(), "{name}: {answer:?}");
                 }
-                let told_not_run =
-                    statuses.iter().enumerate().filter(|(_, status)| **status == 503);
-                for (number, _) in told_not_run {
+                let refused = statuses.iter().enumerate().filter(|(_, status)| **status == 503);
+                for (number, _) in refused {
                     assert_eq!(site.runs(&format!("r-{number}")), 0, "{name}: {number}");
                 }
             });
@@ -124,7 +124,7 @@
     });
 }
 
-/// Calls and requests that workers have received.
+/// Number of messages that the workers have received.
 fn calls(site: &Site) -> usize {
     site.pool.iter().map(|worker| worker.received().len()).sum()
 }
@@ -133,9 +133,10 @@
     runners.iter().for_each(|runner| site.store.remove(&format!("servers/{}", runner.id)));
 }
 
-/// Guards against requests that wait for the end of a stop though it is known that they can't be served by then.
+/// Guards against requests that wait for the end of a stop although it is already known that they can't be served by
+/// then.
 #[test]
-fn a_request_that_can_not_end_before_the_process_is_handed_back_at_once() {
+fn a_request_that_can_not_complete_before_the_stop_is_refused_immediately() {
     let site = long_site();
     let mut vm = start_vm(&site, "stop-known");
     let slow = Act::SlowStream(30, Duration::from_millis(100));
@@ -148,15 +149,15 @@
             (call.send(address).expect("an answer"), began.elapsed())
         })
     };
-    let learned: Vec<_> = (0..8).map(|number| ask("/chain/", &format!("l-{number}"))).collect();
-    assert!(learned.into_iter().all(|one| one.join().expect("no panic").0.whole));
+    let completed: Vec<_> = (0..8).map(|number| ask("/chain/", &format!("l-{number}"))).collect();
+    assert!(completed.into_iter().all(|one| one.join().expect("no panic").0.whole));
 
     always(&site.pool, &SILENT);
     let made_before = calls(&site);
     let before = ask("/chain/", "before");
-    wait_until("it waits for its stages", || calls(&site) > made_before);
+    wait_until("the request waits for its stages", || calls(&site) > made_before);
     vm.signal("-TERM");
-    wait_until("it stops", || vm.state()["stopping"] == json!(true));
+    wait_until("the VM is stopping", || vm.state()["stopping"] == json!(true));
     let (during, took) = ask("/chain/", "during").join().expect("no panic");
     let (short, _) = ask("/repeat/", "short").join().expect("no panic");
     let (before, held) = before.join().expect("no panic");
@@ -168,34 +169,35 @@
     assert_eq!(vm.wait_end(), Some(0));
 }
 
-/// Guards against callers who are sent elsewhere at once where no other VM serves, or held off where one does.
+/// Guards against a wrong Retry-After: a short one where no other VM can serve the caller, or a long one where another
+/// VM can.
 #[test]
-fn callers_come_back_at_once_if_another_vm_serves_and_else_after_the_restart() {
+fn retry_after_of_a_stopping_vm_depends_on_whether_another_vm_serves() {
     for has_peer in [true, false] {
         let site = long_site();
         let mut vm = start_vm(&site, "stop-elsewhere");
         let peer = has_peer.then(|| start_vm(&site, "stop-elsewhere-peer"));
         let peers = usize::from(has_peer);
-        wait_until("they are linked", || vm.linked_peers() == peers);
+        wait_until("the VMs are linked", || vm.linked_peers() == peers);
 
         vm.signal("-TERM");
         thread::sleep(NOTICE + PAUSE);
         let answer = long_call("/repeat/", "r-1").send(vm.callers).expect("an answer");
 
-        let come_back = answer.header("retry-after").parse::<f64>().expect("seconds");
+        let retry_after = answer.header("retry-after").parse::<f64>().expect("seconds");
         assert_eq!(answer.status(), 503);
         assert!(
-            if has_peer { come_back < 0.1 } else { come_back > 1.0 },
-            "{has_peer}: {come_back}"
+            if has_peer { retry_after < 0.1 } else { retry_after > 1.0 },
+            "{has_peer}: {retry_after}"
         );
         assert_eq!(vm.wait_end(), Some(0));
         drop(peer);
     }
 }
 
-/// Guards against a stop that further signals end early or begin anew.
+/// Guards against further signals that end a stop early or restart it.
 #[test]
-fn signals_amid_a_stop_change_nothing() {
+fn further_signals_do_not_change_a_stop() {
     let site = long_site();
     let mut vm = start_vm(&site, "stop-signals");
     always(&site.engines, &SILENT);
@@ -214,9 +216,9 @@
     assert!(signalled.elapsed() < GRACE, "{:?}", signalled.elapsed());
 }
 
-/// Guards against a VM that stood still past the end of its stop and ends without a word as it wakes.
+/// Guards against a VM that was paused until after the end of its stop and then exits without answering its requests.
 #[test]
-fn a_vm_that_wakes_after_its_end_was_due_still_answers() {
+fn a_vm_paused_beyond_the_end_of_its_stop_still_answers() {
     let site = long_site();
     let mut vm = start_vm(&site, "stop-asleep");
     always(&site.engines, &SILENT);
@@ -225,7 +227,7 @@
     wait_until("it is at an engine", || site.runs(id) == 1);
 
     vm.signal("-TERM");
-    wait_until("it stops", || vm.state()["stopping"] == json!(true));
+    wait_until("the VM is stopping", || vm.state()["stopping"] == json!(true));
     vm.signal("-STOP");
     thread::sleep(GRACE + SIGNAL_AFTER);
     vm.signal("-CONT");
@@ -234,7 +236,7 @@
     assert_eq!(vm.wait_end(), Some(0));
 }
 
-/// Guards against answers that a stopping VM has begun to send and cuts for a caller that reads slowly.
+/// Guards against answers that a stopping VM has begun to send and truncates because the caller reads slowly.
 #[test]
 fn a_caller_that_reads_late_gets_its_whole_answer_from_a_vm_that_stops() {
     const BYTES: usize = 48 << 20;
@@ -251,14 +253,14 @@
     let answer = long_call("/once/", "r-1").send_and_read_after(address, read_late);
 
     let answer = answer.expect("a head");
-    assert!(answer.whole, "cut");
+    assert!(answer.whole, "the answer was truncated");
     assert_eq!(answer.body.len(), BYTES);
     assert_eq!(vm.wait_end(), Some(0));
 }
 
-/// Guards against stops that last as long as the grace for connections on which nothing is under way.
+/// Guards against stops that take the whole grace period because of idle connections.
 #[test]
-fn connections_at_rest_do_not_hold_up_a_stop() {
+fn idle_connections_do_not_delay_a_stop() {
     let site = long_site();
     let mut vm = start_vm(&site, "stop-rest");
     let _unused = TcpStream::connect(vm.callers).expect("a connection");
--- a/tests/serving_streams.rs
+++ b/tests/serving_streams.rs
@@ -1,7 +1,6 @@
-//! Streams and stages of the serving path with real processes before the stand-ins of the users'
-//! platform.
+//! Streams and stages of the serving path, with real processes and the stand-ins of the users' platform.
 
-// A fixture that can't be set up fails its test.
+// A failing `expect` in a fixture fails the test.
 #![allow(clippy::expect_used)]
 
 use std::collections::BTreeSet;
@@ -15,7 +14,7 @@
 use standins::users::serving::{Site, Vm, answered, events, post, usual_configuration};
 
 #[test]
-fn streams_are_passed_on_and_a_cut_one_is_seen_as_cut() {
+fn streams_are_passed_on_and_a_truncated_one_is_recognizable() {
     let site = Site::start();
     let vm = site.start_vm("streams", "");
 
@@ -31,7 +30,7 @@
 }
 
 #[test]
-fn a_stream_that_may_be_resumed_loses_and_doubles_nothing() {
+fn a_resumed_stream_has_no_lost_or_duplicate_events() {
     let site = Site::start();
     let vm = site.start_vm("resumed", "");
     site.engines[0].next(&[Act::BreakStream(3)]);
@@ -39,7 +38,7 @@
 
     let answer = answered(&post("/resumed/", "s-1"), &vm);
 
-    // The second engine breaks off at once, since it goes on after the third event.
+    // The second engine breaks the stream at once, because it resumes after the third event.
     assert_eq!(events(&answer), [1, 2, 3]);
     assert!(!answer.whole, "two tries are allowed");
     let one_breaks = || {
@@ -54,11 +53,11 @@
         assert_eq!(events(&answer), [1, 2, 3, 4, 5]);
         seen.push(site.runs(&format!("s-1{number}")));
     }
-    assert!(seen.contains(&2), "one of them was taken up elsewhere: {seen:?}");
+    assert!(seen.contains(&2), "one of them was resumed at the other engine: {seen:?}");
 }
 
 #[test]
-fn events_that_a_second_run_makes_again_are_passed_on_once() {
+fn events_repeated_by_a_second_run_are_passed_on_once() {
     let site = Site::start();
     let vm = site.start_vm("again", "");
     for (number, engine) in site.engines.iter().enumerate() {
@@ -74,7 +73,7 @@
 }
 
 #[test]
-fn a_caller_that_leaves_ends_the_work() {
+fn a_stream_is_cancelled_when_its_caller_disconnects() {
     let site = Site::start();
     let vm = site.start_vm("leaves", "");
     Site::next(&site.engines, &Act::SlowStream(500, Duration::from_millis(20)));
@@ -88,7 +87,7 @@
 }
 
 #[test]
-fn stages_are_made_once_and_their_results_given_up() {
+fn stages_run_once_and_their_results_are_released() {
     let site = Site::start();
     let vm = site.start_vm("stages", "");
 
@@ -111,14 +110,14 @@
         .collect();
     assert!(second.iter().all(|call| !call.text().contains("private_key")));
     let released = || site.pool.iter().map(|runner| runner.released().len()).sum::<usize>();
-    wait_until("all results are given up", || released() == 5);
+    wait_until("all results are released", || released() == 5);
 }
 
 #[test]
 fn pieces_of_many_requests_at_several_vms_share_calls() {
     let site = Site::start();
     let vms = [site.start_vm("fill-1", ""), site.start_vm("fill-2", "")];
-    wait_until("they are linked", || {
+    wait_until("the VMs are linked", || {
         vms.iter().all(|vm| vm.state()["peers"][0]["linked"] == json!(true))
     });
 
@@ -142,7 +141,7 @@
 }
 
 #[test]
-fn a_lost_call_and_a_result_that_is_gone_are_made_up_for() {
+fn a_lost_call_is_repeated_and_a_missing_result_is_reported() {
     let site = Site::start();
     let vm = site.start_vm("gone", "");
     let call = |id: &str| post("/chain/", id).with("Pieces", "1,1").with("Piece-Key", "k");
@@ -158,7 +157,7 @@
 }
 
 #[test]
-fn a_result_that_all_pieces_of_a_stage_miss_costs_one_round() {
+fn a_result_that_all_pieces_of_a_stage_miss_is_made_again_once() {
     let site = Site::start();
     site.store.remove("servers/i-pool-2");
     let vm = site.start_vm("all-gone", "");
@@ -171,25 +170,25 @@
     assert_eq!(site.pool[0].seen().len(), 4, "each stage is called twice");
 }
 
-/// Which of two VMs fills the pool's calls, once they are linked.
-fn owner_of_the_pool(vms: &[Vm]) -> usize {
-    wait_until("they are linked", || {
+/// Waits until the two VMs are linked; returns the index of the one that owns the pool.
+fn pool_owner(vms: &[Vm]) -> usize {
+    wait_until("the VMs are linked", || {
         vms.iter().all(|vm| vm.state()["peers"][0]["linked"] == json!(true))
     });
     usize::from(vms[0].state()["pools"][0]["filled_by"] != json!("this VM"))
 }
 
 #[test]
-fn the_vm_that_fills_calls_may_die() {
+fn a_request_is_served_when_the_owner_of_its_pool_is_killed() {
     let site = Site::start();
     let mut vms = vec![site.start_vm("dies-1", ""), site.start_vm("dies-2", "")];
-    let owner = owner_of_the_pool(&vms);
-    let asker = 1 - owner;
+    let owner = pool_owner(&vms);
+    let requester = 1 - owner;
     site.pool.iter().for_each(|runner| runner.next(&[Act::Hang(Duration::from_millis(400))]));
-    let address = vms[asker].callers;
+    let address = vms[requester].callers;
     let call = post("/chain/", "c-1").with("Pieces", "1,1").with("Piece-Key", "k");
     let asked = thread::spawn(move || call.send(address));
-    wait_until("the piece is at work", || site.pool.iter().any(|r| !r.seen().is_empty()));
+    wait_until("a worker executes the piece", || site.pool.iter().any(|r| !r.seen().is_empty()));
 
     drop(vms.remove(owner));
 
@@ -197,36 +196,38 @@
     assert!(answer.whole && events(&answer).len() == 5, "{answer:?}");
 }
 
-/// Guards against a result that two VMs give up, or none, when the one that had it made is killed.
+/// Guards against a result that two VMs release, or none, when the owner is killed.
 #[test]
-fn results_are_given_up_though_the_vm_that_had_them_made_is_gone() {
+fn results_are_released_once_when_their_owner_is_killed() {
     let site = Site::start();
     let mut vms = vec![site.start_vm("gone-1", ""), site.start_vm("gone-2", "")];
-    let owner = owner_of_the_pool(&vms);
+    let owner = pool_owner(&vms);
     let address = vms[1 - owner].callers;
     Site::next(&site.engines, &Act::Hang(Duration::from_millis(900)));
     let call = post("/chain/", "c-1").with("Pieces", "1,2").with("Piece-Key", "k");
     let asked = thread::spawn(move || call.send(address));
-    wait_until("the engine is asked", || site.engines.iter().any(|e| !e.seen().is_empty()));
+    wait_until("an engine has received the request", || {
+        site.engines.iter().any(|e| !e.seen().is_empty())
+    });
 
     drop(vms.remove(owner));
 
     drop(asked.join().expect("no panic"));
     let released = || site.pool.iter().map(|runner| runner.released().len()).sum::<usize>();
-    wait_until("all three results are given up", || released() == 3);
+    wait_until("all three results are released", || released() == 3);
     let results: BTreeSet<String> = site.pool.iter().flat_map(Runner::released).collect();
     assert_eq!(results.len(), 3, "each of them: {results:?}");
 }
 
 #[test]
-fn results_are_given_up_before_the_first_event_where_room_is_scarce() {
+fn results_are_released_before_the_first_event_if_room_is_scarce() {
     let site = Site::start();
     let mut scarce = usual_configuration(2);
     // Three results take 0.9 of the 1 MB that a worker has.
     scarce["routes"][4]["stages"][1]["bytes"] = json!(300_000);
     site.store.put("op/config", &scarce);
     let vm = site.start_vm("scarce", "");
-    wait_until("it is in force", || vm.state()["configuration"] == json!(2));
+    wait_until("the configuration is in force", || vm.state()["configuration"] == json!(2));
     Site::next(&site.engines, &Act::Hang(Duration::from_millis(1500)));
     let call = post("/chain/", "c-1").with("Pieces", "1,3").with("Piece-Key", "k");
     let address = vm.callers;
@@ -234,19 +235,19 @@
     let asked = thread::spawn(move || call.send(address));
 
     let released = || site.pool.iter().map(|runner| runner.released().len()).sum::<usize>();
-    wait_until("the results of both stages are given up", || released() == 4);
+    wait_until("the results of both stages are released", || released() == 4);
     assert!(!asked.is_finished(), "the engine has not answered yet");
     drop(asked.join().expect("no panic"));
 }
 
 #[test]
-fn a_target_that_was_replaced_costs_no_try() {
+fn a_misdirected_call_does_not_count_as_a_try() {
     let site = Site::start();
     let mut one_try = usual_configuration(2);
     one_try["routes"][4]["max_attempts"] = json!(1);
     site.store.put("op/config", &one_try);
     let vm = site.start_vm("replaced", "");
-    wait_until("it is in force", || vm.state()["configuration"] == json!(2));
+    wait_until("the configuration is in force", || vm.state()["configuration"] == json!(2));
     let chain = |id: &str| post("/chain/", id).with("Pieces", "2,1").with("Piece-Key", "secret");
 
     for (number, replaced) in [0, 1, 0, 1].into_iter().enumerate() {
@@ -256,7 +257,7 @@
 
         assert_eq!((answer.status(), site.runs(&id)), (200, 1), "{answer:?}");
         site.engines.iter().for_each(|engine| engine.clear_acts());
-        // The VM took the target for gone; its next entry brings it back.
+        // The VM has removed the target; the next entry adds it again.
         let mut entry = site.engines[replaced].entry("engine", "hall-a", "ready");
         entry["sequence"] = json!(number + 2);
         site.store.put(&format!("servers/{}", site.engines[replaced].id), &entry);
@@ -265,7 +266,7 @@
 }
 
 #[test]
-fn a_request_that_may_have_run_is_not_told_otherwise_since_its_stages_fail_later() {
+fn a_request_that_may_have_run_is_not_reported_as_not_run_when_its_stages_fail_later() {
     let site = Site::start();
     let mut config = usual_configuration(2);
     let mut routes = config["routes"].as_array_mut().expect("routes").iter_mut();
@@ -275,7 +276,8 @@
     site.store.put("op/config", &config);
     let vm = site.start_vm("may-have-run", "");
     wait_until("the configuration is in force", || vm.state()["configuration"] == json!(2));
-    // One engine runs it and is lost, the other one misses an input, and no worker makes it again.
+    // The first engine runs the request and its answer is lost, the second one misses an input, and no worker can make
+    // that input again.
     site.engines[0].next(&[Act::Lose]);
     site.engines[1].next(&[Act::InputGone]);
     site.pool[0].next(&[Act::Answer]);
@@ -286,5 +288,5 @@
 
     assert_eq!(site.runs("may-have-run"), 1);
     assert_eq!(site.engines[1].seen().len(), 1, "the second try missed an input");
-    assert_eq!(answer.status(), 502, "it may have run");
+    assert_eq!(answer.status(), 502, "the request may have run");
 }
--- a/tests/silent_watches.rs
+++ b/tests/silent_watches.rs
@@ -1,6 +1,6 @@
-//! A watch of the store whose connection fell silent for good, while new connections work.
+//! A watch of the store whose connection has become silent permanently, while new connections work.
 
-// A fixture that can't be set up fails its test.
+// A failing `expect` in a fixture fails the test.
 #![allow(clippy::expect_used)]
 
 use std::time::{Duration, Instant};
@@ -10,22 +10,22 @@
 use standins::users::link::Link;
 use standins::users::serving::{Site, Vm, answered, get};
 
-/// Time after which the platform bears no request at a target that leaves.
-const LEAVING_BORNE: Duration = Duration::from_secs(2);
+/// Time after the announcement of a departure from which the target must get no requests.
+const NO_REQUESTS_AFTER: Duration = Duration::from_secs(2);
 
 fn knows_one_leaving(vm: &Vm) -> bool {
     vm.log().contains("leaving=true")
 }
 
-/// Guards against a VM that sends work to targets which left, for as long as its silent watch may wait.
+/// Guards against a VM that sends requests to targets that left, because its silent watch is still waiting.
 #[test]
-fn a_vm_whose_watch_is_silent_hears_of_leaving_targets_from_its_peers() {
+fn a_vm_whose_watch_is_silent_learns_of_departures_from_its_peers() {
     let site = Site::start();
     let link = Link::start(site.store.address).expect("a link");
     let vm = Vm::start("silent-watch", "hall-a", link.address, "");
     site.wait_known(&vm);
     let peer = site.start_vm("silent-watch-peer", "");
-    wait_until("they are linked", || vm.linked_peers() == 1 && peer.linked_peers() == 1);
+    wait_until("the VMs are linked", || vm.linked_peers() == 1 && peer.linked_peers() == 1);
     std::thread::sleep(Duration::from_secs(1));
 
     link.silence_waiting();
@@ -33,12 +33,16 @@
     let mut entry = leaving.entry("plain", "hall-a", "draining");
     entry["sequence"] = json!(2);
     site.store.put(&format!("servers/{}", leaving.id), &entry);
-    wait_until("the peer knows", || knows_one_leaving(&peer));
-    let told = Instant::now();
-    std::thread::sleep(LEAVING_BORNE);
+    wait_until("the peer knows of the departure", || knows_one_leaving(&peer));
+    let known_at = Instant::now();
+    std::thread::sleep(NO_REQUESTS_AFTER);
     for number in 0..20 {
         assert_eq!(answered(&get("/repeat/", &format!("r-{number}")), &vm).status(), 200);
     }
 
-    assert_eq!(leaving.received_after(told + LEAVING_BORNE), 0, "it leaves");
+    assert_eq!(
+        leaving.received_after(known_at + NO_REQUESTS_AFTER),
+        0,
+        "requests after the departure"
+    );
 }
--- a/tests/soak.rs
+++ b/tests/soak.rs
@@ -1,26 +1,28 @@
-//! A short randomized run with fixed seeds; each seed that ever failed is among them, with its cause.
+//! Short randomized runs with fixed seeds. Seeds that once failed are among them, each with the cause of its failure.
 
 use std::time::Duration;
 
 use standins::users::soak::{self, Size};
 use standins::users::stop_soak;
 
-/// Seeds that are played.
-/// In 503 six runners ended under one request, before VMs told each other of an end at once.
-/// In 803 engines and plain targets were sent requests seconds after their answers had said that they leave, before such
-/// words were heeded.
+/// Seeds of runs with random faults.
+///
+/// 503 guards against VMs that don't share a crash at once: one request crashes six runners.
+/// 803 guards against VMs that ignore departures announced in answers: engines and plain targets get requests seconds
+/// after such an announcement.
 const SEEDS: [u64; 4] = [1, 2, 503, 803];
-/// Seeds of planned stops that are played: both broke before requests that a stopping VM can't serve were told so.
+/// Seeds of runs with planned stops. Both guard against a stopping VM that doesn't answer the requests that it can't
+/// serve.
 const STOP_SEEDS: [u64; 2] = [1, 2];
-/// Callers of such a run.
+/// Callers in a run with planned stops.
 const STOP_CALLERS: u64 = 12;
-/// Time of the faults in a run.
-const TIME: Duration = Duration::from_secs(4);
+/// Time for which a run injects faults.
+const FAULT_TIME: Duration = Duration::from_secs(4);
 
 #[test]
-fn promises_hold_under_random_faults() {
+fn guarantees_hold_under_random_faults() {
     for seed in SEEDS {
-        let report = soak::run(seed, TIME, Size::default());
+        let report = soak::run(seed, FAULT_TIME, Size::default());
 
         assert_eq!(report.broken, Vec::<String>::new(), "seed {seed}");
         assert!(report.whole > 20 && report.faults > 5, "seed {seed}: {report:?}");
@@ -28,11 +30,11 @@
 }
 
 #[test]
-fn what_a_vm_has_read_it_answers_though_stops_come_in_series() {
+fn requests_that_a_vm_has_read_are_answered_during_repeated_stops() {
     for seed in STOP_SEEDS {
         let size = Size { callers: STOP_CALLERS, ..Size::default() };
 
-        let report = stop_soak::run(seed, TIME, size);
+        let report = stop_soak::run(seed, FAULT_TIME, size);
 
         assert_eq!(report.broken, Vec::<String>::new(), "seed {seed}");
         assert!(report.whole > 20 && report.restarts > 3, "seed {seed}: {report:?}");
--- a/tests/stops.rs
+++ b/tests/stops.rs
@@ -1,6 +1,6 @@
-//! A planned stop cuts no request and no stream, and callers behind the balancer see none of it.
+//! A planned stop of a VM cuts no request and no stream, and callers behind a balancer don't notice it.
 
-// A helper that can't go on fails its test.
+// A failing `expect` in a helper fails the test.
 #![allow(clippy::expect_used)]
 
 mod support;
@@ -13,19 +13,20 @@
 use serde_json::json;
 use support::{Ask, Fleet, Reply, StopOnDrop, agent, ask, usual_fleet, wait_until};
 
-/// A balancer: asks each VM for its readiness and sends a request to one that is ready; a
-/// connection that is refused goes to the next.
+/// A load balancer that probes the readiness of each VM and sends a request to one that is ready. If a connection is
+/// refused, it tries the next VM.
 struct Balancer {
     ready: Vec<AtomicBool>,
-    turn: AtomicUsize,
+    next: AtomicUsize,
 }
 
+/// Pause between two probes.
 const PROBE_PAUSE: Duration = Duration::from_millis(50);
 
 impl Balancer {
     fn new(vms: usize) -> Self {
         let ready = (0..vms).map(|_| AtomicBool::new(true)).collect();
-        Balancer { ready, turn: AtomicUsize::new(0) }
+        Balancer { ready, next: AtomicUsize::new(0) }
     }
 
     fn probe(&self, pages: &[std::net::SocketAddr], over: &AtomicBool) {
@@ -40,7 +41,7 @@
 
     fn send(&self, callers: &[std::net::SocketAddr], ask: &Ask<'_>) -> Option<Reply> {
         for _ in 0..100 {
-            let index = self.turn.fetch_add(1, Ordering::Relaxed) % callers.len();
+            let index = self.next.fetch_add(1, Ordering::Relaxed) % callers.len();
             if !self.ready[index].load(Ordering::Relaxed) {
                 thread::sleep(Duration::from_millis(1));
                 continue;
@@ -54,7 +55,7 @@
     }
 }
 
-/// A fleet whose requests take longer than a stop's notice, so that a stop meets them in work.
+/// A fleet whose requests take longer than the notice period of a stop, so that some are in work during the stop.
 fn slow_fleet() -> Fleet {
     let fleet = usual_fleet(3);
     for target in ["plain-1", "plain-2", "plain-3", "plain-4"] {
@@ -66,7 +67,8 @@
     fleet
 }
 
-/// Plain and streamed requests through the balancer while `during` stops VMs.
+/// Sends plain and streamed requests through the balancer while `during` stops VMs; every answer must be whole. Returns
+/// the number of answers.
 fn under_load(fleet: &Mutex<Fleet>, during: impl FnOnce()) -> usize {
     let over = AtomicBool::new(false);
     let (callers, pages): (Vec<_>, Vec<_>) = {
@@ -85,7 +87,9 @@
                     let ask = ask("check", 10_000);
                     let ask =
                         if streamed { ask.header("accept", "text/event-stream") } else { ask };
-                    let reply = balancer.send(callers, &ask).expect("cut, or no VM");
+                    let reply = balancer
+                        .send(callers, &ask)
+                        .expect("the request was cut, or no VM is ready");
                     let whole = if streamed {
                         let text = reply.body.as_str().unwrap_or_default().to_owned();
                         text.contains("\"outcome\":\"whole\"")
@@ -104,7 +108,7 @@
 }
 
 #[test]
-fn a_planned_stop_under_load_cuts_nothing() {
+fn a_planned_stop_under_load_cuts_no_request() {
     let fleet = Mutex::new(slow_fleet());
     let answered = under_load(&fleet, || {
         thread::sleep(Duration::from_millis(500));
@@ -116,7 +120,7 @@
 }
 
 #[test]
-fn a_rolling_restart_of_all_vms_under_load_cuts_nothing() {
+fn a_rolling_restart_under_load_cuts_no_request() {
     let fleet = Mutex::new(slow_fleet());
     let answered = under_load(&fleet, || {
         for index in 0..3 {
@@ -124,7 +128,7 @@
             fleet.stop(index);
             fleet.restart(index);
             fleet.wait_ready(index);
-            // The balancer needs a look to see it.
+            // The balancer notices the VM at its next probe.
             thread::sleep(PROBE_PAUSE * 4);
         }
     });
@@ -132,7 +136,7 @@
 }
 
 #[test]
-fn work_longer_than_the_stop_allows_is_answered_as_what_it_is() {
+fn requests_that_outlast_a_stop_are_reported_as_failed_or_unknown() {
     let mut fleet = support::Fleet::start(&support::usual_pools());
     assert!(fleet.apply(&fleet.catalogue(support::SERVICES)).status.success());
     fleet.start_vm("hall-a", "limits: {notice_ms: 100, stop_ms: 600}\n");
--- a/tests/support/forwarder.rs
+++ b/tests/support/forwarder.rs
@@ -1,4 +1,4 @@
-//! A link that can be cut: passes bytes between a loopback port and a process, until told not to.
+//! A TCP forwarder that simulates a link which can be cut.
 
 use std::io::{Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -6,8 +6,9 @@
 use std::sync::{Arc, Mutex};
 use std::thread;
 
-/// A link from a port of its own to a process.
+/// Forwards connections from a port of its own to a process.
 pub struct Forwarder {
+    /// Address at which it listens.
     pub address: SocketAddr,
     cut: Arc<AtomicBool>,
     open: Arc<Mutex<Vec<TcpStream>>>,
@@ -24,21 +25,21 @@
         thread::spawn(move || {
             for near in listener.incoming().flatten() {
                 if is_cut.load(Ordering::SeqCst) {
-                    // Closed at once, as a refused connection would be.
+                    // The connection is closed at once, similar to a refused one.
                     continue;
                 }
                 let Ok(far) = TcpStream::connect(to) else { continue };
                 let mut open = opened.lock().expect("lock");
                 open.extend([near.try_clone(), far.try_clone()].into_iter().flatten());
                 drop(open);
-                pass_on(&near, &far);
-                pass_on(&far, &near);
+                forward(&near, &far);
+                forward(&far, &near);
             }
         });
         Forwarder { address, cut, open }
     }
 
-    /// Ends every connection and takes no new one.
+    /// Closes all connections and accepts no new ones.
     pub fn cut(&self) {
         self.cut.store(true, Ordering::SeqCst);
         for stream in self.open.lock().expect("lock").drain(..) {
@@ -46,13 +47,14 @@
         }
     }
 
-    /// Takes connections again.
+    /// Accepts connections again.
     pub fn heal(&self) {
         self.cut.store(false, Ordering::SeqCst);
     }
 }
 
-fn pass_on(from: &TcpStream, to: &TcpStream) {
+/// Starts a thread that copies bytes in one direction until either side is closed.
+fn forward(from: &TcpStream, to: &TcpStream) {
     let (Ok(mut from), Ok(mut to)) = (from.try_clone(), to.try_clone()) else { return };
     thread::spawn(move || {
         let mut buf = [0; 16 * 1024];
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -1,6 +1,6 @@
-//! What the tests with real processes share: callers' requests and the usual fleet.
+//! Shared fixtures of the tests with real processes: requests of callers, the usual services, pools and fleet.
 
-// Each test file uses its own part, and a fixture that can't be set up fails its test.
+// Each test file uses only some of the items; a failing `expect` in a fixture fails the test.
 #![allow(dead_code, unused_imports, clippy::expect_used)]
 
 pub mod forwarder;
@@ -10,7 +10,7 @@
 pub use standins::callers::{Ask, Reply, ask};
 pub use standins::fleet::{Fleet, LONG, Pool, agent, get_json, put_json, wait_until};
 
-/// Ends a test's background threads when dropped, also when the test fails before its end.
+/// Sets a flag that ends a test's background threads when dropped, also if the test panics.
 pub struct StopOnDrop<'a>(pub &'a AtomicBool);
 
 impl Drop for StopOnDrop<'_> {
@@ -19,7 +19,7 @@
     }
 }
 
-/// A service of two plain stages and one of four with a stream at the end.
+/// Configuration of the services: `hold` with one plain stage, and `check` with three plain stages and a streamed one.
 pub const SERVICES: &str = "\
 service: {name: hold, priority: interactive, stages: [{name: place, select: {all: {pool: plain}}}]}
 ---
@@ -32,7 +32,7 @@
     - {name: generate, select: {all: {pool: engine}}, streams: true}
 ";
 
-/// Plain targets and engines enough for [`SERVICES`].
+/// Pools of plain targets and engines for [`SERVICES`].
 pub fn usual_pools() -> [Pool; 2] {
     [
         Pool { name: "plain", count: 4, args: &["--service-ms=2"] },
@@ -44,8 +44,8 @@
     ]
 }
 
-/// A fleet with the usual pools and services, entry VMs in hall-a and hall-b by turns, listed
-/// and acquainted.
+/// Starts a fleet with the usual pools and services and with this many VMs, alternately in hall-a and hall-b; waits until
+/// the VMs know each other.
 pub fn usual_fleet(vms: usize) -> Fleet {
     let mut fleet = Fleet::start(&usual_pools());
     let applied = fleet.apply(&fleet.catalogue(SERVICES));
--- a/tests/tool.rs
+++ b/tests/tool.rs
@@ -1,6 +1,6 @@
-//! The tool reads logs and configurations without any process running.
+//! The command-line tool's commands that only read files: `trace` and `report` on logs, `check` on configurations.
 
-// A fixture that can't be set up fails its test.
+// A failing `expect` in a fixture fails the test.
 #![allow(clippy::expect_used)]
 
 use std::process::{Command, Output};
@@ -19,10 +19,11 @@
     String::from_utf8_lossy(&out.stdout).into_owned()
 }
 
+/// Log of a VM with requests, reports of pools and worker calls.
 const LOG: &str = "tests/fixtures/logs/front-1.log";
 
 #[test]
-fn trace_tells_a_requests_way_in_order() {
+fn trace_shows_the_events_of_a_request_in_order() {
     let out = tool(&["trace", "3e9861d31f5c3ff3", LOG]);
 
     assert!(out.status.success());
@@ -35,7 +36,7 @@
 }
 
 #[test]
-fn trace_tells_the_story_of_all_attempts_at_one_request() {
+fn trace_shows_all_attempts_at_one_request() {
     let fatal = "tests/fixtures/logs/fatal.log";
     let out = tool(&["trace", "156569f2d3d67849f56b3f9cb420d20c", fatal]);
 
@@ -48,7 +49,7 @@
 }
 
 #[test]
-fn trace_tells_what_each_vm_heard_of_a_target() {
+fn trace_shows_how_each_vm_learned_of_a_departure() {
     let out = tool(&["trace", "i-plain-1", "tests/fixtures/logs/leaving.log"]);
 
     let text = text(&out);
@@ -56,11 +57,14 @@
     assert_eq!(words.len(), 2, "{text}");
     assert!(words[0].contains("tells") && words[0].contains("from=\"its answer\""));
     assert!(words[1].contains("hears") && words[1].contains("from=tells"));
-    assert!(!text.contains("said_leaving_ms=0"), "nothing is sent to it after the word: {text}");
+    assert!(
+        !text.contains("said_leaving_ms=0"),
+        "no requests are sent to it after the announcement: {text}"
+    );
 }
 
 #[test]
-fn trace_gives_pairs_as_json() {
+fn trace_prints_fields_as_json() {
     let out = tool(&["trace", "3e9861d31f5c3ff3", LOG, "--output", "json"]);
 
     let lines: Value = serde_json::from_str(&text(&out)).expect("JSON");
@@ -70,7 +74,7 @@
 }
 
 #[test]
-fn trace_says_when_no_line_names_the_request_or_a_file_is_missing() {
+fn trace_fails_if_no_line_names_the_request_or_a_file_is_missing() {
     let unknown = tool(&["trace", "nobody", LOG]);
     let missing = tool(&["trace", "nobody", "tests/fixtures/logs/none.log"]);
 
@@ -80,7 +84,7 @@
 }
 
 #[test]
-fn check_tells_what_a_configuration_becomes_and_what_is_wrong_with_one() {
+fn check_summarizes_a_valid_configuration_and_reports_errors_of_an_invalid_one() {
     let good = tool(&["check", "platform/tests/fixtures/good/whole.json"]);
     let bad = tool(&["check", "platform/tests/fixtures/bad/stage-needs-later.json"]);
 
@@ -94,7 +98,7 @@
 }
 
 #[test]
-fn check_against_an_older_configuration_tells_only_what_changes() {
+fn check_against_an_older_configuration_shows_only_changes() {
     let file = "platform/tests/fixtures/good/whole.json";
     let path = std::env::temp_dir().join(format!("saddlerail-against-{}.json", std::process::id()));
     let old = std::fs::read_to_string(file).expect("the fixture");
@@ -119,7 +123,7 @@
 }
 
 #[test]
-fn report_tells_what_takes_room_and_who_calls_workers() {
+fn report_shows_the_use_of_room_and_the_callers_of_workers() {
     let told = tool(&["report", LOG, "--output", "json"]);
 
     let charts: Value = serde_json::from_str(&text(&told)).expect("JSON");
@@ -138,7 +142,7 @@
 }
 
 #[test]
-fn report_draws_and_tells_how_requests_ended() {
+fn report_shows_the_outcomes_of_requests() {
     let page = std::env::temp_dir().join(format!("saddlerail-report-{}.html", std::process::id()));
     let path = page.display().to_string();
 
