--- a/tests/departures.rs
+++ b/tests/departures.rs
@@ -77,7 +77,7 @@
     std::thread::sleep(IN_FLIGHT);
 
     let since = Instant::now();
-    let missed = [
+    let not_ok = [
         statuses_not_ok(&vm, repeat, "repeat"),
         statuses_not_ok(&vm, stream, "stream"),
         statuses_not_ok(&vm, chain, "chain"),
@@ -88,7 +88,7 @@
         [0, 0, 0],
         "requests after the announcement"
     );
-    assert_eq!(missed.concat(), Vec::<u16>::new(), "the other target serves all");
+    assert_eq!(not_ok.concat(), Vec::<u16>::new(), "the other target serves all");
 }
 
 #[test]
@@ -104,14 +104,14 @@
     std::thread::sleep(IN_FLIGHT);
 
     let since = Instant::now();
-    let missed = [statuses_not_ok(&vm, repeat, "repeat"), statuses_not_ok(&vm, chain, "chain")];
+    let not_ok = [statuses_not_ok(&vm, repeat, "repeat"), statuses_not_ok(&vm, chain, "chain")];
 
     assert_eq!(
         wants.map(|target| target.received_after(since)),
         [0, 0],
         "requests during the backoff"
     );
-    assert_eq!(missed.concat(), Vec::<u16>::new(), "the other target serves all");
+    assert_eq!(not_ok.concat(), Vec::<u16>::new(), "the other target serves all");
 }
 
 #[test]
@@ -126,37 +126,37 @@
         entry["born"] = json!(born);
         site.store.put(&key, &entry);
     };
-    let heard = |what: &str, count: usize| {
+    let wait_logged = |what: &str, count: usize| {
         let line = format!("target={}", leaving.id);
         let known = || vm.log().lines().filter(|l| l.contains(what) && l.contains(&line)).count();
         wait_until("the VM knows of the entry", || known() >= count);
     };
     write(2, 1_000);
-    heard("target known", 2);
+    wait_logged("target known", 2);
     leaving.set_leaves(true);
     send_until_answered_by(leaving, &vm, repeat, "back");
     std::thread::sleep(IN_FLIGHT);
     let since = Instant::now();
 
     write(3, 1_000);
-    heard("target known", 3);
-    let missed_rewritten = statuses_not_ok(&vm, repeat, "rewritten");
+    wait_logged("target known", 3);
+    let not_ok_rewritten = statuses_not_ok(&vm, repeat, "rewritten");
     site.store.remove(&key);
-    heard("target gone", 1);
+    wait_logged("target gone", 1);
     write(4, 1_000);
-    heard("target known", 4);
-    let missed_returned = statuses_not_ok(&vm, repeat, "returned");
+    wait_logged("target known", 4);
+    let not_ok_returned = statuses_not_ok(&vm, repeat, "returned");
     let later = leaving.received_after(since);
     leaving.set_leaves(false);
     write(5, 2_000);
-    heard("target known", 5);
+    wait_logged("target known", 5);
     site.plain[1].set_leaves(true);
     send_until_answered_by(&site.plain[1], &vm, repeat, "other");
-    let missed_reborn = statuses_not_ok(&vm, repeat, "reborn");
+    let not_ok_reborn = statuses_not_ok(&vm, repeat, "reborn");
 
     assert_eq!(later, 0, "requests within the lifetime that announced its departure");
-    assert_eq!([missed_rewritten, missed_returned].concat(), Vec::<u16>::new());
-    assert_eq!(missed_reborn, Vec::<u16>::new(), "a later lifetime is used like any other target");
+    assert_eq!([not_ok_rewritten, not_ok_returned].concat(), Vec::<u16>::new());
+    assert_eq!(not_ok_reborn, Vec::<u16>::new(), "a later lifetime is used like any other target");
 }
 
 #[test]
@@ -175,16 +175,16 @@
     let took = told.elapsed();
 
     let since = Instant::now();
-    let missed = statuses_not_ok(&vms[1], repeat, "hears");
+    let not_ok = statuses_not_ok(&vms[1], repeat, "hears");
     site.store.set_mood(Mood::Well);
     let starts = site.start_vm("starts", "");
     wait_until("a VM that starts knows of the departure", || {
         !starts.listed("targets_leaving").is_empty()
     });
-    let missed_later = statuses_not_ok(&starts, repeat, "starts");
+    let not_ok_later = statuses_not_ok(&starts, repeat, "starts");
 
     assert_eq!(leaving.received_after(since), 0, "requests from a VM that knows of the departure");
-    assert_eq!([missed, missed_later].concat(), Vec::<u16>::new());
+    assert_eq!([not_ok, not_ok_later].concat(), Vec::<u16>::new());
     assert!(took < PROPAGATED_WITHIN, "{took:?}");
 }
 
--- a/tests/fatal_requests.rs
+++ b/tests/fatal_requests.rs
@@ -85,7 +85,7 @@
         self.engines.iter().map(|engine| engine.reached_by(FATAL)).sum()
     }
 
-    /// Sends the fatal request `returns` times to the VMs in turn; returns the status, the Retry-After header and
+    /// Sends the fatal request `attempts` times to the VMs in turn; returns the status, the Retry-After header and
     /// the duration of the last answer.
     fn send_fatal(&self, name: &str, attempts: usize) -> (u16, String, Duration) {
         let mut last = (0, String::new(), Duration::ZERO);
--- a/tests/lapsed_entries.rs
+++ b/tests/lapsed_entries.rs
@@ -1,8 +1,9 @@
 //! Entries of targets that lapse: kept for some time around an outage of the store, removed at once otherwise.
 //!
-//! Guards against requests to a target after its entry was removed. A VM that has lost the store must not take that
-//! for an outage while its peers report that the store answers them. If a peer tells such a VM of a removal, it has
-//! to apply the removal at once instead of keeping the entry until an outage would be over.
+//! Guards against requests to a target after its entry was removed. A VM that has lost the store, for instance because
+//! a renewal of its lease was late, must not take that for an outage while its peers report that the store answers
+//! them. If a peer tells such a VM of a removal, it has to apply the removal at once instead of keeping the entry until
+//! an outage would be over.
 
 // A failing `expect` in a fixture fails the test.
 #![allow(clippy::expect_used)]
--- a/tests/orders.rs
+++ b/tests/orders.rs
@@ -83,7 +83,7 @@
         wait_until("the new model is ordered", || model(&fleet) == wanted);
 
         fleet.signal(holder, "CONT");
-        wait_until("the old holder has given up the lease", || fence(&fleet, holder).is_none());
+        wait_until("the old holder no longer holds the lease", || fence(&fleet, holder).is_none());
 
         assert_eq!(model(&fleet), wanted);
         let fences: Vec<u64> = orders(&fleet).iter().filter_map(|o| o["fence"].as_u64()).collect();
@@ -130,7 +130,7 @@
     let holder = [0, 2].into_iter().find(|vm| fence(&fleet, *vm).is_some()).expect("a holder");
     apply_wanted_model(&fleet, "m2", true);
     fleet.set_platform(&json!({ "outage": true }));
-    wait_until("the holder has given up the lease", || fence(&fleet, holder).is_none());
+    wait_until("the holder no longer holds the lease", || fence(&fleet, holder).is_none());
     let then = orders(&fleet).len();
     thread::sleep(Duration::from_millis(2500));
 
--- a/tests/soak.rs
+++ b/tests/soak.rs
@@ -1,4 +1,4 @@
-//! Short randomized runs with fixed seeds. Seeds that once failed are among them, each with the cause of its failure.
+//! Short randomized runs with fixed seeds. Every seed that ever failed is among them, with the cause of its failure.
 
 use std::time::Duration;
 
--- a/tests/tool.rs
+++ b/tests/tool.rs
@@ -53,10 +53,11 @@
     let out = tool(&["trace", "i-plain-1", "tests/fixtures/logs/leaving.log"]);
 
     let text = text(&out);
-    let words: Vec<&str> = text.lines().filter(|line| line.contains("that it leaves")).collect();
-    assert_eq!(words.len(), 2, "{text}");
-    assert!(words[0].contains("tells") && words[0].contains("from=\"its answer\""));
-    assert!(words[1].contains("hears") && words[1].contains("from=tells"));
+    let announcements: Vec<&str> =
+        text.lines().filter(|line| line.contains("that it leaves")).collect();
+    assert_eq!(announcements.len(), 2, "{text}");
+    assert!(announcements[0].contains("tells") && announcements[0].contains("from=\"its answer\""));
+    assert!(announcements[1].contains("hears") && announcements[1].contains("from=tells"));
     assert!(
         !text.contains("said_leaving_ms=0"),
         "no requests are sent to it after the announcement: {text}"
@@ -124,9 +125,9 @@
 
 #[test]
 fn report_shows_the_use_of_room_and_the_callers_of_workers() {
-    let told = tool(&["report", LOG, "--output", "json"]);
+    let report = tool(&["report", LOG, "--output", "json"]);
 
-    let charts: Value = serde_json::from_str(&text(&told)).expect("JSON");
+    let charts: Value = serde_json::from_str(&text(&report)).expect("JSON");
     let points = |title: &str, line: &str| {
         let charts = charts.as_array().expect("charts");
         let chart = charts.iter().find(|chart| chart["title"] == title).expect("the chart");
@@ -146,15 +147,15 @@
     let page = std::env::temp_dir().join(format!("saddlerail-report-{}.html", std::process::id()));
     let path = page.display().to_string();
 
-    let told = tool(&["report", LOG, "--output", "json"]);
-    let drawn = tool(&["report", LOG, "--page", &path]);
+    let report = tool(&["report", LOG, "--output", "json"]);
+    let page_report = tool(&["report", LOG, "--page", &path]);
     let nothing = tool(&["report", "tests/fixtures/logs/empty.log"]);
 
-    let charts: Value = serde_json::from_str(&text(&told)).expect("JSON");
+    let charts: Value = serde_json::from_str(&text(&report)).expect("JSON");
     assert_eq!(charts[0]["title"], "Requests by outcome");
     assert_eq!(charts[0]["lines"]["unknown"].as_array().map(Vec::len), Some(1), "{charts}");
     assert_eq!(charts[2]["lines"].as_object().map(|lines| lines.len()), Some(1), "{charts}");
-    assert!(drawn.status.success(), "{drawn:?}");
+    assert!(page_report.status.success(), "{page_report:?}");
     let html = std::fs::read_to_string(&page).expect("the page");
     assert!(html.contains("<svg") && html.contains("unknown"), "{html}");
     assert!(String::from_utf8_lossy(&nothing.stderr).contains("no line tells"), "{nothing:?}");
