--- a/standins/src/bin/soak.rs
+++ b/standins/src/bin/soak.rs
@@ -1,6 +1,8 @@
-//! Plays randomized runs of the serving path under faults, or of planned stops in series, or scenes drawn from seeds:
+//! Runs randomized tests of the serving path: under faults, with repeated planned stops, or single scenarios
+//! generated from seeds:
 //! `soak --seed N --runs N --seconds N --vms N --callers N [--stops | --turns | --results]`.
-//! Ends with 1 if a promise was broken.
+//!
+//! The exit code is 1 if a check failed.
 
 use std::ops::Range;
 use std::process::ExitCode;
@@ -23,11 +25,11 @@
     Arg::new(name).long(name).action(ArgAction::SetTrue).help(help)
 }
 
-/// Plays scenes; `play` gives what a seed's scene was and showed, and whether it kept its promise.
-fn play_scenes(seeds: Range<u64>, play: fn(u64) -> (String, bool)) -> ExitCode {
+/// Runs one scenario per seed. `run` returns the scenario with its result as text, and whether it passed.
+fn run_scenarios(seeds: Range<u64>, run: fn(u64) -> (String, bool)) -> ExitCode {
     let mut broken = 0;
     for seed in seeds {
-        let (shown, is_kept) = play(seed);
+        let (shown, is_kept) = run(seed);
         println!("seed={seed} kept={is_kept} {shown}");
         broken += usize::from(!is_kept);
     }
@@ -35,47 +37,44 @@
     if broken == 0 { ExitCode::SUCCESS } else { ExitCode::FAILURE }
 }
 
-fn turn_scene(seed: u64) -> (String, bool) {
-    let scene = QueuedCallScenario::draw(seed);
-    let calls = scene.calls(&format!("turn-{seed}"));
-    (format!("{scene:?} calls={calls}"), calls == 2)
+fn queued_call_scenario(seed: u64) -> (String, bool) {
+    let scenario = QueuedCallScenario::draw(seed);
+    let calls = scenario.calls(&format!("turn-{seed}"));
+    (format!("{scenario:?} calls={calls}"), calls == 2)
 }
 
-fn result_scene(seed: u64) -> (String, bool) {
-    let scene = ResultReleaseScenario::draw(seed);
-    let told = scene.told(&format!("result-{seed}"));
-    (format!("{scene:?} {told:?}"), scene.keeps(&told))
+fn result_release_scenario(seed: u64) -> (String, bool) {
+    let scenario = ResultReleaseScenario::draw(seed);
+    let summary = scenario.told(&format!("result-{seed}"));
+    (format!("{scenario:?} {summary:?}"), scenario.keeps(&summary))
 }
 
 fn main() -> ExitCode {
     let args = Command::new("soak")
         .arg(number("seed", "1", "First seed"))
-        .arg(number("runs", "1", "Runs, each with the next seed"))
-        .arg(number("seconds", "6", "Seconds of faults in a run"))
-        .arg(number("vms", "3", "VMs of a run"))
-        .arg(number("callers", "4", "Callers of a run"))
+        .arg(number("runs", "1", "Number of runs, each with the next seed"))
+        .arg(number("seconds", "6", "Duration of the faults of a run, in seconds"))
+        .arg(number("vms", "3", "Number of VMs"))
+        .arg(number("callers", "4", "Number of callers"))
         .arg(flag("stops", "Planned stops only"))
-        .arg(flag("turns", "Scenes of calls that wait for their turn"))
-        .arg(flag(
-            "results",
-            "Scenes of results whose owner or requester is killed or stands still",
-        ))
+        .arg(flag("turns", "Scenarios with calls that wait in the queue of a pool"))
+        .arg(flag("results", "Scenarios with results whose owner or requester is killed or paused"))
         .get_matches();
     let first = value(&args, "seed");
     let seeds = first..first + value(&args, "runs");
     if args.get_flag("turns") {
-        return play_scenes(seeds, turn_scene);
+        return run_scenarios(seeds, queued_call_scenario);
     }
     if args.get_flag("results") {
-        return play_scenes(seeds, result_scene);
+        return run_scenarios(seeds, result_release_scenario);
     }
-    let play = if args.get_flag("stops") { stop_soak::run } else { soak::run };
+    let run = if args.get_flag("stops") { stop_soak::run } else { soak::run };
     let time = Duration::from_secs(value(&args, "seconds"));
     let vms = usize::try_from(value(&args, "vms")).unwrap_or(usize::MAX);
     let size = Size { vms, callers: value(&args, "callers") };
     let mut broken = 0;
     for seed in seeds {
-        let report = play(seed, time, size);
+        let report = run(seed, time, size);
         println!(
             "seed={seed} requests={} whole={} faults={} results={} broken={}",
             report.requests,
--- a/standins/src/bin/standin-platform.rs
+++ b/standins/src/bin/standin-platform.rs
@@ -1,5 +1,5 @@
-//! Stand-in of the platform: compare-and-swap, leases, watches and the VM list, with faults that
-//! are switched at run time through `PUT /faults`.
+//! Stand-in for the platform: a key-value store with compare-and-swap and watches, leases, and the
+//! VM list. `PUT /faults` injects faults at run time.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -15,26 +15,28 @@
 use standins::{BufferedRequest, json_response, raw_response};
 use tokio::sync::Notify;
 
-/// Faults; each holds until it is set otherwise.
+/// Faults, set by `PUT /faults`. Each stays in force until the next request.
 #[derive(Debug, Clone, Default, Deserialize, Serialize)]
 #[serde(deny_unknown_fields, default)]
 struct Faults {
-    /// Every call is answered 503.
+    /// Answers every call with 503.
     outage: bool,
-    /// Every call waits this long first.
+    /// Delay before every call is handled.
     delay_ms: u64,
-    /// Writes take effect, but this many answers are lost.
+    /// Number of further writes that take effect without being answered.
     lose_answers: u64,
-    /// The VM list shows what it was this long ago.
+    /// Age of the VM list that is returned.
     list_lag_ms: u64,
 }
 
+/// A stored value. Its version starts at 1 and grows with each write.
 #[derive(Debug, Clone)]
 struct Value {
     bytes: Vec<u8>,
     version: u64,
 }
 
+/// A lease. Its fence grows each time the lease is granted after it expired.
 #[derive(Debug, Clone, Serialize)]
 struct Lease {
     holder: String,
@@ -68,7 +70,7 @@
     async fn answer(&self, req: BufferedRequest) -> Response<Body> {
         match (&req.method, req.path.as_str()) {
             (&Method::PUT, "/faults") => return self.set_faults(&req),
-            (&Method::PUT, "/vms") => return self.set_list(&req),
+            (&Method::PUT, "/vms") => return self.set_vm_list(&req),
             (&Method::GET, "/counts") => return self.counts(),
             _ => {}
         }
@@ -79,7 +81,7 @@
         }
         let key = req.path.trim_start_matches("/kv/").to_owned();
         match (&req.method, req.path.as_str()) {
-            (&Method::GET, "/vms") => self.list(),
+            (&Method::GET, "/vms") => self.vm_list(),
             (&Method::GET, path) if path.starts_with("/kv/") => self.read(&key, &req).await,
             (_, path) if path.starts_with("/kv/") => self.write(&key, &req).await,
             (&Method::PUT, path) if path.starts_with("/leases/") => self.lease(&req),
@@ -98,7 +100,7 @@
         }
     }
 
-    fn set_list(&self, req: &BufferedRequest) -> Response<Body> {
+    fn set_vm_list(&self, req: &BufferedRequest) -> Response<Body> {
         match serde_json::from_slice(&req.body) {
             Ok(list) => {
                 self.state().lists.push((Some(Instant::now()), list));
@@ -108,6 +110,7 @@
         }
     }
 
+    /// Numbers of calls handled so far and of keys stored.
     fn counts(&self) -> Response<Body> {
         let state = self.state();
         let counts = json!({
@@ -117,7 +120,8 @@
         json_response(200, &counts)
     }
 
-    fn list(&self) -> Response<Body> {
+    /// The VM list as it was `list_lag_ms` ago.
+    fn vm_list(&self) -> Response<Body> {
         let mut state = self.state();
         state.reads += 1;
         let lag = Duration::from_millis(state.faults.list_lag_ms);
@@ -126,6 +130,7 @@
         json_response(200, &seen.map_or(json!([]), |(_, list)| list.clone()))
     }
 
+    /// Reads a key. With `watch`, waits until its version differs from the given one or `wait_ms` are over.
     async fn read(&self, key: &str, req: &BufferedRequest) -> Response<Body> {
         let until = Instant::now() + Duration::from_millis(req.number("wait_ms"));
         let seen = req.query.get("watch").and_then(|v| v.parse::<u64>().ok());
@@ -144,7 +149,7 @@
             if seen != Some(version) || Instant::now() >= until {
                 return value.map_or_else(
                     || raw_response(404, Vec::new()),
-                    |v| versioned(raw_response(200, v.bytes), v.version),
+                    |v| with_version(raw_response(200, v.bytes), v.version),
                 );
             }
             let left = until.saturating_duration_since(Instant::now());
@@ -152,23 +157,25 @@
         }
     }
 
+    /// Writes or deletes a key if its version is the expected one.
     async fn write(&self, key: &str, req: &BufferedRequest) -> Response<Body> {
         let (rx, lost) = {
             let mut state = self.state();
             state.writes += 1;
-            let rx = apply(&mut state, key, req);
+            let rx = compare_and_swap(&mut state, key, req);
             let lost = state.faults.lose_answers > 0;
             state.faults.lose_answers = state.faults.lose_answers.saturating_sub(1);
             (rx, lost)
         };
         self.changed.notify_waiters();
         if lost {
-            // The client gives up long before.
+            // Longer than any client timeout, so that the client never receives the answer.
             tokio::time::sleep(Duration::from_secs(60)).await;
         }
         rx
     }
 
+    /// Grants or renews a lease; answers 409 while another holder has it.
     fn lease(&self, req: &BufferedRequest) -> Response<Body> {
         let name = req.path.trim_start_matches("/leases/").to_owned();
         let holder = String::from_utf8_lossy(&req.body).into_owned();
@@ -192,21 +199,23 @@
     }
 }
 
-fn apply(state: &mut State, key: &str, req: &BufferedRequest) -> Response<Body> {
+/// Performs a compare-and-swap write or delete.
+fn compare_and_swap(state: &mut State, key: &str, req: &BufferedRequest) -> Response<Body> {
     let found = state.values.get(key).map_or(0, |v| v.version);
     if req.number("expect") != found {
-        return versioned(raw_response(409, Vec::new()), found);
+        return with_version(raw_response(409, Vec::new()), found);
     }
     if req.method == Method::DELETE {
         state.values.remove(key);
-        return versioned(raw_response(200, Vec::new()), found);
+        return with_version(raw_response(200, Vec::new()), found);
     }
     let value = Value { bytes: req.body.to_vec(), version: found + 1 };
     state.values.insert(key.to_owned(), value);
-    versioned(raw_response(200, Vec::new()), found + 1)
+    with_version(raw_response(200, Vec::new()), found + 1)
 }
 
-fn versioned(mut rx: Response<Body>, version: u64) -> Response<Body> {
+/// Adds the version header.
+fn with_version(mut rx: Response<Body>, version: u64) -> Response<Body> {
     rx.headers_mut().insert("x-version", HeaderValue::from(version));
     rx
 }
--- a/standins/src/bin/standin-target.rs
+++ b/standins/src/bin/standin-target.rs
@@ -1,6 +1,7 @@
-//! Stand-in of targets: plain services and stage pools, or model engines that stream tokens.
-//! One process can stand for several targets at ports that follow each other. Faults are
-//! switched at run time through `PUT /faults`; `GET /record` tells the calls that ran.
+//! Stand-in for targets: plain services and stage pools, or model engines that stream tokens.
+//!
+//! One process can serve several targets on consecutive ports. `PUT /faults` changes latencies and
+//! faults at run time; `GET /record` lists the calls that ran.
 
 use std::collections::{BTreeMap, HashSet, VecDeque};
 use std::net::SocketAddr;
@@ -17,52 +18,52 @@
 use standins::{BufferedRequest, json_response, raw_response};
 use tokio::sync::{mpsc, oneshot};
 
-/// How calls go wrong.
+/// The fault applied to calls to a target.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Deserialize, Serialize)]
 #[serde(rename_all = "kebab-case")]
 enum Fault {
     #[default]
     None,
-    /// Runs, then answers 500.
+    /// Runs the call, then answers 500.
     Error,
-    /// Runs and never answers.
+    /// Runs the call and never answers.
     Hang,
-    /// Runs and closes in the middle of the answer.
+    /// Runs the call and closes the connection in the middle of the answer.
     Cut,
-    /// Runs and gives the answer of an earlier call, with that call's id.
+    /// Runs the call, but returns the answer and the attempt id of an earlier call.
     Crossed,
-    /// Answers 503 and does not run.
+    /// Answers 503 without running the call.
     Busy,
 }
 
-/// Times and faults; each holds until it is set otherwise.
+/// Latencies and faults of a target, set by `PUT /faults`. Each stays in force until the next request.
 #[derive(Debug, Clone, Deserialize, Serialize)]
 #[serde(deny_unknown_fields, default)]
-struct Switches {
+struct TargetSettings {
     fault: Fault,
-    /// Calls out of a hundred that the fault meets.
+    /// Percentage of calls to which `fault` applies.
     fault_percent: u8,
-    /// Time of a plain call, or to the first token.
+    /// Duration of a plain call, or time to the first token.
     service_ms: u64,
-    /// Time between tokens of one stream while nothing else runs.
+    /// Time between the tokens of a stream while no other call runs.
     token_ms: u64,
-    /// Tokens of an answer.
+    /// Number of tokens in an answer.
     tokens: u64,
-    /// Extra time to the first token if the prefix is not cached.
+    /// Additional time to the first token if the prefix is not cached.
     prefill_ms: u64,
-    /// Declines all work and says that it leaves.
+    /// Answers every call with 503 and announces that the target is leaving.
     leaving: bool,
-    /// Age of the load that is reported.
+    /// Age of the reported load and delay of the cache events.
     report_lag_ms: u64,
-    /// Whether orders with a lower fence are refused.
+    /// Whether orders with a lower fence than the highest one seen are refused.
     checks_fence: bool,
-    /// One cache event in this many is lost; 0 loses none.
+    /// Drops every n-th cache event; 0 drops none.
     lose_event_every: u64,
 }
 
-impl Default for Switches {
+impl Default for TargetSettings {
     fn default() -> Self {
-        Switches {
+        TargetSettings {
             fault: Fault::None,
             fault_percent: 100,
             service_ms: 5,
@@ -77,6 +78,7 @@
     }
 }
 
+/// A call that ran, as `GET /record` lists it.
 #[derive(Debug, Clone, Serialize)]
 struct CallRecord {
     attempt: String,
@@ -88,18 +90,18 @@
     prefix_hit: bool,
 }
 
-/// Order of the queue: priority, then arrival.
-type Turn = (u8, u64);
+/// Queue order: priority class, then arrival number.
+type QueueKey = (u8, u64);
 
 #[derive(Debug, Default)]
 struct State {
-    switches: Switches,
+    settings: TargetSettings,
     running: u32,
-    queue: BTreeMap<Turn, oneshot::Sender<()>>,
+    queue: BTreeMap<QueueKey, oneshot::Sender<()>>,
     arrivals: u64,
     record: Vec<CallRecord>,
     cancelled: HashSet<String>,
-    /// Attempt and output of the last plain answer.
+    /// Attempt id and output of the last plain answer, for [`Fault::Crossed`].
     answered: Option<(String, serde_json::Value)>,
     prefixes: VecDeque<u64>,
     cache_events: Vec<(u128, serde_json::Value)>,
@@ -110,6 +112,7 @@
     reported_at: Option<Instant>,
 }
 
+/// One target of the process.
 struct Target {
     engine: bool,
     slots: u32,
@@ -118,7 +121,7 @@
     started: Instant,
 }
 
-/// A slot; gives itself to the next in the queue when dropped.
+/// A concurrency slot. Dropping it passes it on to the next waiting call.
 struct Slot(Arc<Target>);
 
 impl Drop for Slot {
@@ -138,7 +141,8 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    async fn slot(self: &Arc<Self>, priority: &str) -> Slot {
+    /// Waits for a free slot; waiting calls are served by priority, then in order of arrival.
+    async fn acquire_slot(self: &Arc<Self>, priority: &str) -> Slot {
         let class = match priority {
             "interactive" => 0,
             "standard" => 1,
@@ -152,22 +156,22 @@
             } else {
                 let (tx, rx) = oneshot::channel();
                 state.arrivals += 1;
-                let turn = (class, state.arrivals);
-                state.queue.insert(turn, tx);
+                let key = (class, state.arrivals);
+                state.queue.insert(key, tx);
                 Some(rx)
             }
         };
         if let Some(rx) = wait {
-            // Only a slot that is dropped ends the wait, and it sends.
+            // A dropped slot sends on the channel before it drops the sender, so this never fails.
             let _ = rx.await;
         }
         Slot(Arc::clone(self))
     }
 
-    /// The load as it was a while ago.
+    /// The load as `running/waiting`, at most `report_lag_ms` old.
     fn load(&self) -> String {
         let mut state = self.state();
-        let lag = Duration::from_millis(state.switches.report_lag_ms);
+        let lag = Duration::from_millis(state.settings.report_lag_ms);
         if state.reported_at.is_none_or(|at| at.elapsed() >= lag) {
             state.reported = (state.running, u32::try_from(state.queue.len()).unwrap_or(u32::MAX));
             state.reported_at = Some(Instant::now());
@@ -178,7 +182,7 @@
     async fn answer(self: Arc<Self>, req: BufferedRequest) -> Response<Body> {
         let path = req.path.clone();
         match (&req.method, path.as_str()) {
-            (&Method::PUT, "/faults") => self.set_switches(&req),
+            (&Method::PUT, "/faults") => self.set_settings(&req),
             (&Method::GET, "/record") => json_response(200, &self.state().record),
             (&Method::GET, "/v1/load") => json_response(200, &self.load()),
             (&Method::GET, "/v1/cache-events") => json_response(200, &self.cache_events()),
@@ -195,38 +199,39 @@
         }
     }
 
-    fn set_switches(&self, req: &BufferedRequest) -> Response<Body> {
+    fn set_settings(&self, req: &BufferedRequest) -> Response<Body> {
         match serde_json::from_slice(&req.body) {
-            Ok(switches) => {
-                self.state().switches = switches;
+            Ok(settings) => {
+                self.state().settings = settings;
                 json_response(200, &"set")
             }
             Err(e) => json_response(400, &e.to_string()),
         }
     }
 
-    /// Cache events that are old enough to be told.
+    /// Cache events older than `report_lag_ms`.
     fn cache_events(&self) -> Vec<serde_json::Value> {
         let state = self.state();
-        let lag = u128::from(state.switches.report_lag_ms);
+        let lag = u128::from(state.settings.report_lag_ms);
         let until = self.started.elapsed().as_millis().saturating_sub(lag);
         let told = state.cache_events.iter().filter(|(at, _)| *at <= until);
         told.map(|(_, event)| event.clone()).collect()
     }
 
-    /// What the last order that was taken wants.
+    /// The last order that was accepted.
     fn condition(&self) -> Response<Body> {
         let none = json!({ "fence": 0, "wanted": {} });
         json_response(200, self.state().orders.last().unwrap_or(&none))
     }
 
+    /// Accepts an order unless its fence is outdated.
     fn order(&self, req: &BufferedRequest) -> Response<Body> {
         let Ok(order) = serde_json::from_slice::<serde_json::Value>(&req.body) else {
             return json_response(400, &"no order");
         };
         let fence = order["fence"].as_u64().unwrap_or(0);
         let mut state = self.state();
-        if state.switches.checks_fence && fence < state.fence {
+        if state.settings.checks_fence && fence < state.fence {
             return json_response(409, &json!({ "fence": state.fence }));
         }
         state.fence = state.fence.max(fence);
@@ -234,96 +239,113 @@
         json_response(200, &"taken")
     }
 
+    /// Runs one stage call.
     async fn stage(self: Arc<Self>, req: BufferedRequest) -> Response<Body> {
-        let mut switches = self.state().switches.clone();
+        let mut settings = self.state().settings.clone();
         let input: serde_json::Value = serde_json::from_slice(&req.body).unwrap_or_default();
-        if let Some(tokens) = find(&input, "tokens").and_then(serde_json::Value::as_u64) {
-            switches.tokens = tokens;
+        if let Some(tokens) = find_input_value(&input, "tokens").and_then(serde_json::Value::as_u64)
+        {
+            settings.tokens = tokens;
         }
-        let met = rand::random_range(0..100) < switches.fault_percent;
-        let fault = if met { switches.fault } else { Fault::None };
+        let fault_applies = rand::random_range(0..100) < settings.fault_percent;
+        let fault = if fault_applies { settings.fault } else { Fault::None };
         let attempt = req.header("x-attempt-id");
         let earlier = self.state().answered.clone().filter(|_| fault == Fault::Crossed);
-        let named = earlier.as_ref().map_or_else(|| attempt.clone(), |(id, _)| id.clone());
-        if switches.leaving || fault == Fault::Busy {
-            return self.with_head(raw_response(503, Vec::new()), &named, switches.leaving);
+        let reported_attempt =
+            earlier.as_ref().map_or_else(|| attempt.clone(), |(id, _)| id.clone());
+        if settings.leaving || fault == Fault::Busy {
+            return self.with_target_headers(
+                raw_response(503, Vec::new()),
+                &reported_attempt,
+                settings.leaving,
+            );
         }
-        let slot = self.slot(&req.header("x-priority")).await;
+        let slot = self.acquire_slot(&req.header("x-priority")).await;
         let index = self.begin_record(&req, &attempt);
         if fault == Fault::Hang {
             tokio::time::sleep(Duration::from_secs(3600)).await;
         }
         let streams = self.engine && req.header("accept").contains("event-stream");
         let hit = self.state().record[index].prefix_hit;
-        let prefill = if hit { 0 } else { switches.prefill_ms };
-        let first = Duration::from_millis(switches.service_ms + prefill);
+        let prefill = if hit { 0 } else { settings.prefill_ms };
+        let first = Duration::from_millis(settings.service_ms + prefill);
         tokio::time::sleep(first).await;
         if fault == Fault::Error {
-            return self.with_head(raw_response(500, Vec::new()), &named, false);
+            return self.with_target_headers(
+                raw_response(500, Vec::new()),
+                &reported_attempt,
+                false,
+            );
         }
         if streams {
-            return self.stream(slot, &req, index, fault, &named, &switches);
+            return self.stream(slot, &req, index, fault, &reported_attempt, &settings);
         }
         let output = json!({ "by": req.path.rsplit('/').next(), "of": input });
-        let cost = if self.engine { switches.tokens } else { 1 };
+        let cost = if self.engine { settings.tokens } else { 1 };
         if self.engine {
-            self.generate(switches.tokens, switches.token_ms).await;
+            self.generate(settings.tokens, settings.token_ms).await;
         }
         self.end_record(index, cost);
         drop(slot);
         self.state().answered = Some((attempt, output.clone()));
         let output = earlier.map_or(output, |(_, output)| output);
-        let body = json!({ "attempt": named, "output": output, "cost": cost });
+        let body = json!({ "attempt": reported_attempt, "output": output, "cost": cost });
         let bytes = serde_json::to_vec(&body).unwrap_or_default();
         if fault == Fault::Cut {
             let (tx, rx) = mpsc::channel(2);
             let _ = tx.send(Ok(Bytes::from(bytes[..bytes.len() / 2].to_vec()))).await;
             let _ = tx.send(Err(BodyAborted)).await;
-            return self.with_head(Response::new(stream_body(rx)), &named, false);
+            return self.with_target_headers(
+                Response::new(stream_body(rx)),
+                &reported_attempt,
+                false,
+            );
         }
-        self.with_head(raw_response(200, bytes), &named, false)
+        self.with_target_headers(raw_response(200, bytes), &reported_attempt, false)
     }
 
+    /// Waits for as long as the engine takes to generate the tokens.
     async fn generate(&self, tokens: u64, token_ms: u64) {
         for _ in 0..tokens {
             tokio::time::sleep(self.token_time(token_ms)).await;
         }
     }
 
-    /// A batch slows each of its streams a little.
+    /// Time per token; up to 1.5 times `token_ms` when all slots are busy, because batching slows each stream.
     fn token_time(&self, token_ms: u64) -> Duration {
         let running = f64::from(self.state().running) / f64::from(self.slots);
         Duration::from_millis(token_ms).mul_f64(1.0 + 0.5 * running)
     }
 
+    /// Streams the tokens as server-sent events, starting after `Last-Event-Id`.
     fn stream(
         self: Arc<Self>,
         slot: Slot,
         req: &BufferedRequest,
         index: usize,
         fault: Fault,
-        named: &str,
-        switches: &Switches,
+        reported_attempt: &str,
+        settings: &TargetSettings,
     ) -> Response<Body> {
         let (tx, rx) = mpsc::channel(64);
-        let switches = switches.clone();
+        let settings = settings.clone();
         let first = req.header("last-event-id").parse::<u64>().unwrap_or(0);
-        let seed = hash(&req.body);
-        let (target, name) = (Arc::clone(&self), named.to_owned());
+        let seed = fnv1a(&req.body);
+        let (target, name) = (Arc::clone(&self), reported_attempt.to_owned());
         let attempt = req.header("x-attempt-id");
         tokio::spawn(async move {
             let _slot = slot;
-            for number in first + 1..=switches.tokens {
+            for number in first + 1..=settings.tokens {
                 if target.state().cancelled.contains(&attempt) {
                     return;
                 }
-                if fault == Fault::Cut && number > first + switches.tokens / 2 {
+                if fault == Fault::Cut && number > first + settings.tokens / 2 {
                     let _ = tx.send(Err(BodyAborted)).await;
                     return;
                 }
-                tokio::time::sleep(target.token_time(switches.token_ms)).await;
-                // The same input gives the same tokens on every engine.
-                let token = format!("w{} ", hash(&(seed + number).to_le_bytes()) % 1000);
+                tokio::time::sleep(target.token_time(settings.token_ms)).await;
+                // The same input gives the same tokens on every engine, so that a stream can be resumed on another one.
+                let token = format!("w{} ", fnv1a(&(seed + number).to_le_bytes()) % 1000);
                 let data = json!({ "attempt": name, "token": token });
                 let part = Bytes::from(format!("id: {number}\ndata: {data}\n\n"));
                 if tx.send(Ok(part)).await.is_err() {
@@ -331,20 +353,26 @@
                 }
                 target.state().record[index].cost += 1;
             }
-            let cost = switches.tokens - first;
+            let cost = settings.tokens - first;
             target.end_record(index, cost);
-            let end = json!({ "tokens": switches.tokens, "cost": cost });
+            let end = json!({ "tokens": settings.tokens, "cost": cost });
             let _ = tx.send(Ok(Bytes::from(format!("event: end\ndata: {end}\n\n")))).await;
         });
         let mut rx = Response::new(stream_body(rx));
         rx.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static("text/event-stream"));
-        self.with_head(rx, named, false)
+        self.with_target_headers(rx, reported_attempt, false)
     }
 
-    fn with_head(&self, mut rx: Response<Body>, named: &str, leaving: bool) -> Response<Body> {
+    /// Adds the attempt id, the load and, if `leaving`, the notice that the target is leaving.
+    fn with_target_headers(
+        &self,
+        mut rx: Response<Body>,
+        reported_attempt: &str,
+        leaving: bool,
+    ) -> Response<Body> {
         let value =
             |text: &str| HeaderValue::from_str(text).unwrap_or(HeaderValue::from_static(""));
-        rx.headers_mut().insert("x-attempt-id", value(named));
+        rx.headers_mut().insert("x-attempt-id", value(reported_attempt));
         rx.headers_mut().insert("x-load", value(&self.load()));
         if leaving {
             rx.headers_mut().insert("x-leaving", value("true"));
@@ -352,12 +380,13 @@
         rx
     }
 
+    /// Records a call and updates the prefix cache; returns the index of the record.
     fn begin_record(&self, req: &BufferedRequest, attempt: &str) -> usize {
         let mut state = self.state();
         let input: serde_json::Value = serde_json::from_slice(&req.body).unwrap_or_default();
-        let prefix = match find(&input, "prefix") {
-            Some(prefix) => hash(prefix.to_string().as_bytes()),
-            None => hash(&req.body),
+        let prefix = match find_input_value(&input, "prefix") {
+            Some(prefix) => fnv1a(prefix.to_string().as_bytes()),
+            None => fnv1a(&req.body),
         };
         let prefix_hit = state.prefixes.contains(&prefix);
         state.prefixes.retain(|p| *p != prefix);
@@ -365,7 +394,7 @@
         state.prefixes.truncate(self.cached_prefixes);
         if !prefix_hit {
             state.cache_event_count += 1;
-            let every = state.switches.lose_event_every;
+            let every = state.settings.lose_event_every;
             if every == 0 || !state.cache_event_count.is_multiple_of(every) {
                 let event = json!({ "number": state.cache_event_count, "cached": prefix });
                 state.cache_events.push((self.started.elapsed().as_millis(), event));
@@ -384,6 +413,7 @@
         state.record.len() - 1
     }
 
+    /// Marks a recorded call as completed with its cost.
     fn end_record(&self, index: usize, cost: u64) {
         let mut state = self.state();
         state.record[index].ended = true;
@@ -391,13 +421,13 @@
     }
 }
 
-/// The value of a key in the caller's body, through the wrappings of earlier stages.
-fn find<'a>(input: &'a serde_json::Value, key: &str) -> Option<&'a serde_json::Value> {
-    input.get(key).or_else(|| find(input.get("of")?, key))
+/// Finds a key in the caller's body, inside the `of` wrappers that earlier stages added.
+fn find_input_value<'a>(input: &'a serde_json::Value, key: &str) -> Option<&'a serde_json::Value> {
+    input.get(key).or_else(|| find_input_value(input.get("of")?, key))
 }
 
-/// FNV-1a, so that every process gives the same tokens.
-fn hash(bytes: &[u8]) -> u64 {
+/// FNV-1a hash; stable across processes, so that every engine generates the same tokens.
+fn fnv1a(bytes: &[u8]) -> u64 {
     bytes
         .iter()
         .fold(0xcbf2_9ce4_8422_2325, |h, b| (h ^ u64::from(*b)).wrapping_mul(0x0100_0000_01b3))
@@ -431,12 +461,12 @@
     let Some(first) = args.get_one::<SocketAddr>("listen").copied() else {
         return Ok(());
     };
-    let switches = Switches {
+    let settings = TargetSettings {
         service_ms: number("service-ms"),
         token_ms: number("token-ms"),
         tokens: number("tokens"),
         prefill_ms: number("prefill-ms"),
-        ..Switches::default()
+        ..TargetSettings::default()
     };
     let mut servers = tokio::task::JoinSet::new();
     for offset in 0..u16::try_from(number("count")).unwrap_or(1) {
@@ -444,7 +474,7 @@
             engine: args.get_one::<String>("mode").is_some_and(|m| m == "engine"),
             slots: u32::try_from(number("slots")).unwrap_or(1),
             cached_prefixes: usize::try_from(number("cached-prefixes")).unwrap_or(0),
-            state: Mutex::new(State { switches: switches.clone(), ..State::default() }),
+            state: Mutex::new(State { settings: settings.clone(), ..State::default() }),
             started: Instant::now(),
         });
         let address = SocketAddr::new(first.ip(), first.port() + offset);
--- a/standins/src/callers.rs
+++ b/standins/src/callers.rs
@@ -1,4 +1,4 @@
-//! Callers of entry VMs, and the checks of what they were told against what the targets ran.
+//! Callers of entry VMs, and checks of their answers against the calls that the targets recorded.
 
 use std::collections::{BTreeSet, HashMap};
 use std::net::SocketAddr;
@@ -7,37 +7,37 @@
 
 use crate::fleet::{Fleet, agent};
 
-/// A caller's answer.
+/// An answer that a caller received.
 #[derive(Debug, Clone)]
 pub struct Reply {
     /// HTTP status.
     pub status: u16,
-    /// The outcome header.
+    /// Value of the `saddlerail-outcome` header.
     pub outcome: String,
-    /// The body as JSON, or as a string if it is none.
+    /// The body as JSON, or as a JSON string if it is not JSON.
     pub body: Value,
 }
 
 impl Reply {
-    /// Targets of all stages that ran or may have run.
+    /// Target names of all stages that ran or may have run.
     pub fn targets(&self) -> Vec<String> {
         let stages = self.body["stages"].as_array().cloned().unwrap_or_default();
         stages.iter().map(|s| s["target"].as_str().unwrap_or_default().to_owned()).collect()
     }
 }
 
-/// A caller's request to one VM.
+/// A request that a caller sends to a VM.
 #[derive(Debug, Clone)]
 pub struct CallerRequest<'a> {
-    /// The service.
+    /// Name of the service.
     pub service: &'a str,
-    /// All headers.
+    /// All headers, in order.
     pub headers: Vec<(&'a str, String)>,
     /// JSON body.
     pub body: String,
 }
 
-/// A request with the headers that are always needed.
+/// A request with the mandatory headers: customer and deadline.
 pub fn caller_request(service: &str, deadline_ms: u64) -> CallerRequest<'_> {
     let headers = vec![
         ("saddlerail-customer", "small".to_owned()),
@@ -47,33 +47,33 @@
 }
 
 impl<'a> CallerRequest<'a> {
-    /// With a further header.
+    /// Adds a header.
     #[must_use]
     pub fn header(mut self, name: &'a str, value: &str) -> Self {
         self.headers.push((name, value.to_owned()));
         self
     }
 
-    /// One that may be repeated.
+    /// Marks the request as repeatable.
     #[must_use]
     pub fn repeatable(self) -> Self {
         self.header("saddlerail-repeatable", "yes")
     }
 
-    /// One that may not be repeated, under the caller's own id.
+    /// Marks the request as not repeatable, with a request id set by the caller.
     #[must_use]
     pub fn once(self, id: &str) -> Self {
         self.header("saddlerail-repeatable", "no").header("saddlerail-request-id", id)
     }
 
-    /// With another body.
+    /// Replaces the body.
     #[must_use]
     pub fn body(mut self, body: &str) -> Self {
         body.clone_into(&mut self.body);
         self
     }
 
-    /// Sends it; `None` if no whole answer came, as when the VM died.
+    /// Sends the request; `None` if no complete answer came, for example because the VM died.
     pub fn send(&self, to: SocketAddr) -> Option<Reply> {
         let mut call = agent().post(format!("http://{to}/v1/services/{}", self.service));
         for (name, value) in &self.headers {
@@ -87,23 +87,23 @@
     }
 }
 
-/// One submission of a request and what came back.
+/// One submission of a request, and its answer.
 #[derive(Debug)]
 pub struct Submission {
     /// The request id.
     pub id: String,
     /// The number in the request's body.
     pub number: u64,
-    /// Whether it may be repeated.
+    /// Whether the request is repeatable.
     pub repeatable: bool,
-    /// The answer; `None` if none came, as when the VM died.
+    /// The answer; `None` if none came, for example because the VM died.
     pub reply: Option<Reply>,
 }
 
-/// Calls that targets ran, by request id, each with its target's name.
+/// Calls that targets ran, by request id; each entry has the target's name and the recorded call.
 pub type Calls = HashMap<String, Vec<(String, Value)>>;
 
-/// Reads all targets' records.
+/// Reads the recorded calls of all targets.
 pub fn calls_by_request(fleet: &Fleet) -> Calls {
     let mut calls = Calls::new();
     for (target, call) in fleet.records() {
@@ -114,7 +114,7 @@
     calls
 }
 
-/// Everything that callers were told and the targets' records contradict.
+/// Answers that contradict the calls recorded by the targets, one description each.
 pub fn violations(submissions: &[Submission], calls: &Calls) -> Vec<String> {
     let mut by_id: HashMap<&str, Vec<&Submission>> = HashMap::new();
     for one in submissions {
@@ -131,39 +131,46 @@
             let stages: BTreeSet<&str> =
                 calls.iter().filter_map(|(_, call)| call["stage"].as_str()).collect();
             if stages.len() < calls.len() {
-                found.push(format!("{id}: a stage ran twice: {calls:?}"));
+                found.push(format!(
+                    "{id}: a stage of a request that is not repeatable ran twice: {calls:?}"
+                ));
             }
             if replies().filter(|(_, reply)| reply.outcome == "whole").count() > 1 {
-                found.push(format!("{id}: two submissions were answered whole"));
+                found.push(format!("{id}: two submissions have the outcome whole"));
             }
         }
         if let [Submission { reply: Some(reply), .. }] = submissions[..]
             && let Some(call) = calls.iter().find(|(target, _)| !reply.targets().contains(target))
         {
-            found.push(format!("{id}: a call was not told: {call:?}, {reply:?}"));
+            found.push(format!("{id}: the answer lacks a call that ran: {call:?}, {reply:?}"));
         }
     }
     found
 }
 
-/// What one answer says that can't be so.
+/// Describes how an answer contradicts the recorded calls, if it does.
 fn contradiction(one: &Submission, reply: &Reply, calls: &[(String, Value)]) -> Option<String> {
     match reply.outcome.as_str() {
-        "whole" if asked_number(&reply.body["output"]).is_some_and(|n| n != one.number) => {
-            Some(format!("got another's answer: {reply:?}"))
+        "whole" if request_number(&reply.body["output"]).is_some_and(|n| n != one.number) => {
+            Some(format!("the answer belongs to another request: {reply:?}"))
         }
-        "whole" if !cost_is_true(reply, calls) => {
-            Some(format!("was charged what did not run: {reply:?}, {calls:?}"))
+        "whole" if !is_cost_consistent(reply, calls) => Some(format!(
+            "the charged cost does not match the calls that ran: {reply:?}, {calls:?}"
+        )),
+        "not-run" if !calls.is_empty() => {
+            Some(format!("outcome not-run, but these calls ran: {calls:?}"))
+        }
+        "unknown" if one.repeatable => {
+            Some(format!("outcome unknown for a repeatable request: {reply:?}"))
         }
-        "not-run" if !calls.is_empty() => Some(format!("was told not run, ran {calls:?}")),
-        "unknown" if one.repeatable => Some(format!("may be repeated: {reply:?}")),
         "whole" | "not-run" | "failed" | "unknown" | "streaming" => None,
-        other => Some(format!("was told {other}")),
+        other => Some(format!("unexpected outcome {other}")),
     }
 }
 
-/// Whether the charge is at most what ran, and just that if the cost of every call is known.
-fn cost_is_true(reply: &Reply, calls: &[(String, Value)]) -> bool {
+/// Whether the charged cost is at most the cost of the calls that ran, and equal to it if the cost of
+/// every call is known.
+fn is_cost_consistent(reply: &Reply, calls: &[(String, Value)]) -> bool {
     let stages = reply.body["stages"].as_array().cloned().unwrap_or_default();
     let charged: u64 = stages.iter().filter_map(|s| s["cost"].as_u64()).sum();
     let ended = calls.iter().filter(|(_, call)| call["ended"] == true);
@@ -172,7 +179,7 @@
     charged <= ran && (charged == ran || !all_known)
 }
 
-/// The number in the innermost input of outputs that wrap it.
-fn asked_number(output: &Value) -> Option<u64> {
-    output.get("q").map_or_else(|| asked_number(output.get("of")?), Value::as_u64)
+/// The number in the caller's body, inside the `of` wrappers that the stages added.
+fn request_number(output: &Value) -> Option<u64> {
+    output.get("q").map_or_else(|| request_number(output.get("of")?), Value::as_u64)
 }
--- a/standins/src/fleet.rs
+++ b/standins/src/fleet.rs
@@ -1,7 +1,7 @@
-//! A fleet of real processes on loopback addresses of its own: platform, targets and entry VMs,
-//! stopped by process id when dropped. For tests and benchmarks.
+//! A fleet of real processes for tests and benchmarks: the stand-in platform, stand-in targets and entry
+//! VMs, all on a loopback address of their own. Dropping the fleet kills them.
 
-// A fixture that can't be set up must end its test or benchmark at once.
+// A failed setup must end the test or benchmark at once.
 #![allow(clippy::expect_used)]
 
 use std::fs;
@@ -15,51 +15,54 @@
 
 use serde_json::{Value, json};
 
-/// Longest wait for any condition; reached only if the condition never comes.
+/// Longest wait for any condition; reached only if the condition never becomes true.
 pub const MAX_WAIT: Duration = Duration::from_secs(20);
-/// VMs that a VM keeps in mind whatever hall they are in.
-const KEPT_AT_LEAST: usize = 16;
+/// Number of VMs that a VM keeps in its VM list regardless of their hall.
+const MIN_KNOWN_VMS: usize = 16;
+/// Port of the platform.
 const PLATFORM_PORT: u16 = 7000;
+/// First port of the first pool; each pool's ports begin 100 above those of the pool before.
 const TARGET_PORT: u16 = 8000;
 
-static FLEETS: AtomicU8 = AtomicU8::new(1);
+/// Number of the next loopback address of this process.
+static NEXT_ADDRESS: AtomicU8 = AtomicU8::new(1);
 
-/// A kind of target to start: its pool label, how many, and arguments of the stand-in.
+/// A pool of identical targets to start.
 #[derive(Debug, Clone)]
 pub struct Pool {
-    /// Value of the label "pool" and start of the targets' names.
+    /// Value of the `pool` label and prefix of the targets' names.
     pub name: &'static str,
-    /// Targets; all of them run in one process.
+    /// Number of targets; all of them run in one process.
     pub count: u16,
-    /// Arguments of the stand-in.
+    /// Command line arguments of `standin-target`.
     pub args: &'static [&'static str],
 }
 
 /// One entry VM of the fleet.
 #[derive(Debug)]
 pub struct Vm {
-    /// Name.
+    /// VM name.
     pub name: String,
-    /// Where callers connect.
+    /// Address for callers.
     pub callers: SocketAddr,
-    /// Its peer link.
+    /// Address for peer links.
     pub peers: SocketAddr,
-    /// Its operations page.
+    /// Address of the operations pages.
     pub operations: SocketAddr,
     settings: PathBuf,
     child: Option<Child>,
 }
 
-/// Platform, targets and entry VMs, all processes of their own.
+/// A platform, targets and entry VMs, each a separate process (the targets of a pool share one).
 #[derive(Debug)]
 pub struct Fleet {
-    /// The loopback address of all its processes.
+    /// Loopback address of all processes of the fleet.
     pub ip: IpAddr,
-    /// The platform's store and VM list.
+    /// Address of the platform.
     pub platform: SocketAddr,
-    /// Where entry VMs started from now on look for the platform.
+    /// Platform address written into the settings of VMs that are started from now on.
     pub platform_for_vms: SocketAddr,
-    /// Entry VMs, in the order in which they were started.
+    /// Entry VMs, in order of their first start.
     pub vms: Vec<Vm>,
     /// Names and addresses of all targets.
     pub targets: Vec<(String, SocketAddr)>,
@@ -67,17 +70,20 @@
     children: Vec<Child>,
 }
 
-/// A program of the workspace, from the build folder of the running one.
+/// Path of a program of the workspace, in the build directory of the running program.
 ///
 /// # Panics
-/// If it is not built.
+/// If the program is not built.
 pub fn program_path(name: &str) -> PathBuf {
     let own = std::env::current_exe().expect("own path");
     let found = own.ancestors().skip(1).take(2).map(|dir| dir.join(name)).find(|p| p.exists());
     found.unwrap_or_else(|| panic!("{name} is not built: build or test the whole workspace"))
 }
 
-/// Waits until `done`, and fails the test with `what` if that does not come.
+/// Waits until `done` returns true.
+///
+/// # Panics
+/// With `what` after [`MAX_WAIT`].
 pub fn wait_until(what: &str, mut done: impl FnMut() -> bool) {
     let began = Instant::now();
     while !done() {
@@ -86,7 +92,7 @@
     }
 }
 
-/// A client that takes every status and never uses a connection twice.
+/// An HTTP client that accepts every status and never reuses a connection.
 pub fn agent() -> ureq::Agent {
     ureq::Agent::config_builder()
         .http_status_as_error(false)
@@ -96,16 +102,16 @@
         .new_agent()
 }
 
-/// Puts JSON, which must be taken.
+/// Sends a PUT request with a JSON body.
 ///
 /// # Panics
-/// If it is not.
+/// If the status of the answer is not 200.
 pub fn put_json(to: SocketAddr, path: &str, value: &Value) {
     let rx = agent().put(format!("http://{to}{path}")).send(value.to_string()).expect("put");
     assert_eq!(rx.status().as_u16(), 200, "PUT {path} {value}");
 }
 
-/// Gets JSON; `None` if there was no answer with status 200.
+/// Fetches JSON; `None` without an answer with status 200.
 pub fn get_json(from: SocketAddr, path: &str) -> Option<Value> {
     let mut rx = agent().get(format!("http://{from}{path}")).call().ok()?;
     if rx.status().as_u16() != 200 {
@@ -118,22 +124,22 @@
     agent().get(format!("http://{from}{path}")).call().ok().map(|rx| rx.status().as_u16())
 }
 
-/// Sends a signal to one process that the test started.
+/// Sends a signal, named as `kill` names it, to a process that the test started.
 pub fn signal(child: &Child, name: &str) {
     let status = Command::new("kill").arg(format!("-{name}")).arg(child.id().to_string()).status();
     assert!(status.expect("kill").success(), "kill -{name}");
 }
 
-/// A loopback address that no other fixture has, of this process or another one, so that its
+/// A loopback address that no other fixture uses, in this process or another one, so that all its
 /// ports are free.
 pub fn unique_loopback_address() -> IpAddr {
-    let number = FLEETS.fetch_add(1, Ordering::Relaxed);
+    let number = NEXT_ADDRESS.fetch_add(1, Ordering::Relaxed);
     let [.., high, low] = std::process::id().to_be_bytes();
     IpAddr::V4(Ipv4Addr::new(127, high.max(1), low, number))
 }
 
 impl Fleet {
-    /// Platform and targets, with no entry VM yet.
+    /// Starts the platform and the targets, without entry VMs.
     pub fn start(pools: &[Pool]) -> Fleet {
         let ip = unique_loopback_address();
         let dir = std::env::temp_dir().join(format!("saddlerail-test-{ip}"));
@@ -170,7 +176,8 @@
         fleet
     }
 
-    /// Targets of the pools in hall-a and hall-b by turns, two customers and the services.
+    /// Configuration text with the targets of all pools, alternately in hall-a and hall-b, two customers
+    /// (`small` and `large`), and the given services.
     pub fn catalogue(&self, services: &str) -> String {
         let mut text = "customer: {name: small}\n---\ncustomer: {name: large}\n".to_owned();
         for (index, (name, address)) in self.targets.iter().enumerate() {
@@ -184,20 +191,20 @@
         format!("{text}---\n{services}")
     }
 
-    /// Writes the text to a file and applies it.
+    /// Writes a configuration to a file and applies it with the command line tool.
     pub fn apply(&self, text: &str) -> Output {
         let file = self.write_file("apply.yaml", text);
         self.run_cli(&["apply", "-f", file.to_str().unwrap_or_default()])
     }
 
-    /// Writes a file into the fleet's folder.
+    /// Writes a file into the fleet's directory and returns its path.
     pub fn write_file(&self, name: &str, text: &str) -> PathBuf {
         let path = self.dir.join(name);
         fs::write(&path, text).expect("write");
         path
     }
 
-    /// Runs the operators' tool.
+    /// Runs the `saddlerail` command line tool.
     pub fn run_cli(&self, args: &[&str]) -> Output {
         let mut command = Command::new(program_path("saddlerail"));
         command.arg(format!("--platform={}", self.platform));
@@ -207,15 +214,15 @@
         command.args(args).output().expect("tool")
     }
 
-    /// Starts entry VM `number` (from 1) in a hall, with further settings, and waits until it
-    /// is ready.
+    /// Starts a further entry VM in a hall and waits until it is ready. `more` is appended to its settings.
+    /// Returns its index.
     pub fn start_vm(&mut self, hall: &str, more: &str) -> usize {
         let index = self.start_vm_without_waiting(hall, more);
         self.wait_ready(index);
         index
     }
 
-    /// Starts an entry VM without waiting for it.
+    /// Starts a further entry VM without waiting for it; returns its index.
     pub fn start_vm_without_waiting(&mut self, hall: &str, more: &str) -> usize {
         let index = self.vms.len();
         let port = 9000 + 10 * u16::try_from(index).expect("few VMs");
@@ -252,7 +259,7 @@
         vm.child = Some(command.spawn().expect("saddleraild starts"));
     }
 
-    /// Waits until a VM says that it is ready.
+    /// Waits until a VM reports that it is ready.
     pub fn wait_ready(&self, index: usize) {
         let vm = &self.vms[index];
         wait_until(&format!("{} is ready", vm.name), || {
@@ -260,9 +267,9 @@
         });
     }
 
-    /// Waits until every VM has heard of every other one, or of as many as it keeps at least.
+    /// Waits until every VM has fresh news of every other one, or of as many as it keeps at least.
     pub fn wait_for_peer_discovery(&self) {
-        let others = (self.vms.len() - 1).min(KEPT_AT_LEAST);
+        let others = (self.vms.len() - 1).min(MIN_KNOWN_VMS);
         for vm in &self.vms {
             wait_until(&format!("{} knows all", vm.name), || {
                 let state = get_json(vm.operations, "/state").unwrap_or_default();
@@ -272,7 +279,7 @@
         }
     }
 
-    /// The revision in force on a VM, if it answers.
+    /// The configuration revision in force on a VM; `None` if the VM doesn't answer.
     pub fn revision(&self, index: usize) -> Option<u64> {
         get_json(self.vms[index].operations, "/state")?["revision"].as_u64()
     }
@@ -282,12 +289,12 @@
         signal(self.vms[index].child.as_ref().expect("runs"), name);
     }
 
-    /// Process id of a VM.
+    /// Process id of a running VM.
     pub fn pid(&self, index: usize) -> u32 {
         self.vms[index].child.as_ref().expect("runs").id()
     }
 
-    /// Kills a VM's process at once.
+    /// Kills a VM's process with SIGKILL and waits for its end.
     pub fn kill(&mut self, index: usize) {
         if let Some(mut child) = self.vms[index].child.take() {
             child.kill().expect("kill");
@@ -295,7 +302,7 @@
         }
     }
 
-    /// Asks a VM to stop and waits until it has; the time it took.
+    /// Stops a VM with SIGTERM and waits for its end; returns the time that took.
     pub fn stop(&mut self, index: usize) -> Duration {
         let began = Instant::now();
         self.signal(index, "TERM");
@@ -304,9 +311,9 @@
         began.elapsed()
     }
 
-    /// Sets the switches of a target.
-    pub fn set_faults(&self, target: &str, switches: &Value) {
-        put_json(self.target(target), "/faults", switches);
+    /// Sets the latencies and faults of a target.
+    pub fn set_faults(&self, target: &str, settings: &Value) {
+        put_json(self.target(target), "/faults", settings);
     }
 
     /// Sets the faults of the platform.
@@ -314,7 +321,7 @@
         put_json(self.platform, "/faults", faults);
     }
 
-    /// Puts all targets and VMs on the platform's list, those named as leaving.
+    /// Publishes all targets and VMs on the platform's VM list; those in `leaving` with the state leaving.
     pub fn publish_vm_list(&self, leaving: &[&str]) {
         let state = |name: &str| {
             if leaving.contains(&name) { "leaving" } else { "live" }
@@ -329,18 +336,18 @@
         put_json(self.platform, "/vms", &targets.chain(vms).collect());
     }
 
-    /// Address of a target.
+    /// Address of a target, by name.
     pub fn target(&self, name: &str) -> SocketAddr {
         self.targets.iter().find(|(n, _)| n == name).expect("a target").1
     }
 
-    /// The calls that a target ran.
+    /// The calls that a target recorded.
     pub fn record(&self, target: &str) -> Vec<Value> {
         let record = get_json(self.target(target), "/record").expect("record");
         record.as_array().cloned().unwrap_or_default()
     }
 
-    /// The calls that all targets ran, each with its target's name.
+    /// The calls that all targets recorded, each with its target's name.
     pub fn records(&self) -> Vec<(String, Value)> {
         let of = |name: &String| {
             self.record(name).into_iter().map({
@@ -351,7 +358,7 @@
         self.targets.iter().flat_map(|(name, _)| of(name)).collect()
     }
 
-    /// Everything that a VM logged.
+    /// The log of a VM, across restarts.
     pub fn log(&self, index: usize) -> String {
         let mut text = String::new();
         let path = self.dir.join(format!("{}.log", self.vms[index].name));
--- a/standins/src/lib.rs
+++ b/standins/src/lib.rs
@@ -1,4 +1,6 @@
-//! What the stand-ins share: serving JSON over HTTP and reading query parameters.
+//! Stand-ins for the platform and for targets, and fixtures that start them with real VM processes.
+//!
+//! This file has what the stand-in programs share: an HTTP server and JSON responses.
 
 pub mod callers;
 pub mod fleet;
@@ -17,37 +19,42 @@
 use tokio::net::TcpListener;
 use tokio::sync::watch;
 
+/// Largest request body, in bytes.
 const MAX_BODY: usize = 16 << 20;
-const WAIT: Duration = Duration::from_secs(60);
+/// Longest wait for a request body.
+const BODY_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// A request with its body read.
+/// A request whose body has been read completely.
 #[derive(Debug)]
 pub struct BufferedRequest {
-    /// Method.
+    /// HTTP method.
     pub method: Method,
-    /// Path without the query.
+    /// Path without the query string.
     pub path: String,
-    /// Query parameters.
+    /// Query parameters, not percent-decoded.
     pub query: HashMap<String, String>,
-    /// Headers.
+    /// Request headers.
     pub headers: HeaderMap,
-    /// Body.
+    /// Complete body.
     pub body: Bytes,
 }
 
 impl BufferedRequest {
-    /// A query parameter as a number; 0 if absent or no number.
+    /// A query parameter as a number; 0 if it is absent or not a number.
     pub fn number(&self, name: &str) -> u64 {
         self.query.get(name).and_then(|v| v.parse().ok()).unwrap_or(0)
     }
 
-    /// A header as text; empty if absent.
+    /// A header as text; empty if it is absent or not text.
     pub fn header(&self, name: &str) -> String {
         self.headers.get(name).and_then(|v| v.to_str().ok()).unwrap_or_default().to_owned()
     }
 }
 
-/// Serves until the process ends.
+/// Serves HTTP on `address` until the process ends.
+///
+/// # Errors
+/// If the address cannot be bound.
 pub async fn serve<H, F>(address: SocketAddr, handle: H) -> std::io::Result<()>
 where
     H: Fn(BufferedRequest) -> F + Clone + Send + Sync + 'static,
@@ -63,7 +70,7 @@
             let pairs = head.uri.query().unwrap_or_default().split('&');
             let query = pairs.filter_map(|pair| pair.split_once('='));
             let query = query.map(|(k, v)| (k.to_owned(), v.to_owned())).collect();
-            let Ok(body) = read_body(body, MAX_BODY, WAIT).await else {
+            let Ok(body) = read_body(body, MAX_BODY, BODY_TIMEOUT).await else {
                 return json_response(400, &"body");
             };
             let path = head.uri.path().to_owned();
@@ -81,12 +88,12 @@
     Ok(())
 }
 
-/// An answer with a status and a JSON body.
+/// A response with a status and a JSON body.
 pub fn json_response<T: Serialize>(status: u16, value: &T) -> Response<Body> {
     raw_response(status, serde_json::to_vec(value).unwrap_or_default())
 }
 
-/// An answer with a status and a body as it is.
+/// A response with a status and the given bytes as its body.
 pub fn raw_response(status: u16, body: Vec<u8>) -> Response<Body> {
     let mut rx = Response::new(full_body(body));
     *rx.status_mut() = hyper::StatusCode::from_u16(status).unwrap_or_default();
--- a/standins/src/serving_path/callers.rs
+++ b/standins/src/serving_path/callers.rs
@@ -1,10 +1,10 @@
-//! Callers of the users' platform: one request on a connection of its own, or several on one.
+//! Callers of the serving path: requests on new connections or on one that is kept open.
 
 use std::net::{SocketAddr, TcpStream};
 
 use super::{HttpConnection, HttpMessage};
 
-/// A request to be sent.
+/// A request that a caller sends.
 #[derive(Debug, Clone)]
 pub struct Call {
     method: &'static str,
@@ -14,27 +14,28 @@
 }
 
 impl Call {
-    /// A request with an id to a path of a host.
+    /// A request without a body, with the `Host` and `Request-Id` headers.
     pub fn new(method: &'static str, host: &str, path: &str, id: &str) -> Self {
         let headers =
             vec![("Host".to_owned(), host.to_owned()), ("Request-Id".to_owned(), id.to_owned())];
         Call { method, path: path.to_owned(), headers, body: Vec::new() }
     }
 
-    /// The same with another header.
+    /// Adds a header.
     #[must_use]
     pub fn with_header(mut self, name: &str, value: &str) -> Self {
         self.headers.push((name.to_owned(), value.to_owned()));
         self
     }
 
-    /// The same with a body.
+    /// Sets the body.
     #[must_use]
     pub fn body(mut self, body: &[u8]) -> Self {
         self.body = body.to_vec();
         self
     }
 
+    /// The request as sent.
     fn bytes(&self) -> Vec<u8> {
         let mut bytes = format!("{} {} HTTP/1.1\r\n", self.method, self.path).into_bytes();
         for (name, value) in &self.headers {
@@ -48,12 +49,12 @@
         bytes
     }
 
-    /// Sends it on a connection; `None` if that ends with no head of an answer.
+    /// Sends the request on a connection; `None` if the connection ends before a complete response head.
     pub fn send_on(&self, wire: &mut HttpConnection) -> Option<HttpMessage> {
         wire.write(&self.bytes()).then(|| wire.read()).flatten()
     }
 
-    /// Sends it on a connection and reads the answer after a while.
+    /// Sends the request on a connection and reads the answer after `wait`.
     pub fn send_on_and_read_after(
         &self,
         wire: &mut HttpConnection,
@@ -66,12 +67,12 @@
         wire.read()
     }
 
-    /// Sends it on a new connection.
+    /// Sends the request on a new connection.
     pub fn send(&self, address: SocketAddr) -> Option<HttpMessage> {
         self.send_on(&mut HttpConnection::new(TcpStream::connect(address).ok()?))
     }
 
-    /// Sends it and begins to read its answer once `begin` returns.
+    /// Sends the request on a new connection and reads the answer once `begin` has returned.
     pub fn send_and_read_after(
         &self,
         address: SocketAddr,
@@ -85,7 +86,7 @@
         wire.read()
     }
 
-    /// Sends it and closes the connection after a while without reading.
+    /// Sends the request on a new connection and closes it after `after` without reading.
     pub fn send_and_disconnect(&self, address: SocketAddr, after: std::time::Duration) {
         if let Ok(stream) = TcpStream::connect(address) {
             let mut wire = HttpConnection::new(stream);
--- a/standins/tests/platform.rs
+++ b/standins/tests/platform.rs
@@ -1,7 +1,8 @@
-//! The stand-in of the platform does what the platform's page promises.
+//! The stand-in platform implements the compare-and-swap of the platform's protocol.
 
 use std::process::{Child, Command};
 
+/// A child process that is killed when dropped.
 struct Running(Child);
 
 impl Drop for Running {
@@ -12,7 +13,7 @@
 }
 
 #[test]
-fn compares_and_swaps() {
+fn a_write_needs_the_expected_version() {
     let [.., high, low] = std::process::id().to_be_bytes();
     let address = format!("127.{}.{low}.250:7000", high.max(1));
     let mut command = Command::new(env!("CARGO_BIN_EXE_standin-platform"));
