--- a/standins/src/callers.rs
+++ b/standins/src/callers.rs
@@ -154,15 +154,11 @@
         "whole" if request_number(&reply.body["output"]).is_some_and(|n| n != one.number) => {
             Some(format!("the answer belongs to another request: {reply:?}"))
         }
-        "whole" if !is_cost_consistent(reply, calls) => Some(format!(
-            "the charged cost does not match the calls that ran: {reply:?}, {calls:?}"
-        )),
-        "not-run" if !calls.is_empty() => {
-            Some(format!("outcome not-run, but these calls ran: {calls:?}"))
-        }
-        "unknown" if one.repeatable => {
-            Some(format!("outcome unknown for a repeatable request: {reply:?}"))
+        "whole" if !is_cost_consistent(reply, calls) => {
+            Some(format!("cost differs from the calls that ran: {reply:?}, {calls:?}"))
         }
+        "not-run" if !calls.is_empty() => Some(format!("outcome not-run, but ran {calls:?}")),
+        "unknown" if one.repeatable => Some(format!("unknown though repeatable: {reply:?}")),
         "whole" | "not-run" | "failed" | "unknown" | "streaming" => None,
         other => Some(format!("unexpected outcome {other}")),
     }
--- a/standins/src/serving_path/behavior.rs
+++ b/standins/src/serving_path/behavior.rs
@@ -1,57 +1,58 @@
-//! What runners may do with a request.
+//! Behaviors of the stand-in runners, faults included.
 
 use std::time::Duration;
 
-/// How a runner behaves towards the next request.
+/// How a runner handles a request.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Behavior {
-    /// A whole answer.
+    /// It sends a complete answer.
     Answer,
-    /// A whole answer of so many bytes.
+    /// It sends a complete answer with a body of so many bytes.
     Large(usize),
-    /// It answers with a failure of its own, after it ran.
+    /// It runs the request and answers 500.
     Fail,
-    /// It is full and does not run it.
+    /// It answers 503 without running the request.
     Decline,
-    /// It does not run it, and wants nothing more for so long: the text of `Retry-After`.
+    /// It answers 503 without running the request, with this `Retry-After` value in seconds.
     DeclineFor(&'static str),
-    /// Another lifetime stands at its address.
+    /// It answers 421, as a different instance at the same address.
     Misdirected,
-    /// It runs it and closes with no answer.
+    /// It runs the request and closes the connection without an answer.
     Lose,
-    /// Half of the body, then the connection ends.
+    /// It sends half of the body, then closes the connection.
     CutBody,
-    /// A whole answer to another request.
+    /// It sends a complete answer with the id of another request.
     Cross,
-    /// A whole answer, and a second one a moment later.
+    /// It sends a complete answer, and the same one again 2 ms later.
     Extra,
-    /// Bytes that are no answer.
+    /// It sends bytes that are not HTTP.
     Garbage,
-    /// A success with no receipt.
+    /// It sends a success without the `Response-Signature` header.
     Unsigned,
-    /// A success in another coding.
+    /// It sends a success with a `Content-Encoding`.
     Encoded,
-    /// An answer with no length that ends with its connection.
+    /// It sends an answer without a length, which the end of the connection delimits.
     Unframed,
-    /// It runs it and says nothing for this long.
+    /// It runs the request and answers after this time.
     Hang(Duration),
-    /// A stream of so many events.
+    /// It streams events up to this number.
     Stream(u64),
-    /// A stream of so many events from the first on, whatever the caller has.
+    /// It streams events up to this number from the first on, ignoring `Last-Event-Id`.
     StreamFromFirst(u64),
-    /// A stream that breaks off in the middle of the event after so many.
+    /// It streams events up to this number and closes the connection in the middle of the next one.
     BreakStream(u64),
-    /// A stream of so many events with a pause after each.
+    /// It streams events up to this number, with a pause after each.
     SlowStream(u64, Duration),
-    /// An input is gone.
+    /// It answers that an input is gone, without running the request.
     InputGone,
-    /// It has no room for the last piece of a call, and is at work on the others for this long.
+    /// It has no room for the last piece of a call, and runs the others for this long.
     NoRoomForLast(Duration),
 }
 
 impl Behavior {
-    /// Whether an answer comes at once that is the runner's own.
-    pub(super) fn speaks_for_it(&self) -> bool {
+    /// Whether the runner sends an immediate answer that callers accept as its own. Only the headers of such an answer
+    /// (leaving, rate) count.
+    pub(super) fn answers_at_once(&self) -> bool {
         match self {
             Behavior::Misdirected
             | Behavior::Lose
--- a/standins/src/serving_path/faulty_link.rs
+++ b/standins/src/serving_path/faulty_link.rs
@@ -1,4 +1,5 @@
-//! A link between two processes that can be spoiled: delayed, slowed, silenced, cut in one direction, reset.
+//! A TCP proxy between two processes that injects network faults: delay, limited bandwidth, loss of all bytes in
+//! one or both directions, and resets.
 
 use std::io::{Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -7,54 +8,54 @@
 use std::thread::{self, sleep};
 use std::time::Duration;
 
-/// Pause between two looks at whether the link passes again.
-const LOOK: Duration = Duration::from_millis(5);
+/// Polling interval while the link forwards nothing.
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// What the link does.
+/// How a link forwards bytes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum LinkMode {
-    /// It passes bytes both ways.
+    /// Forwards bytes in both directions.
     #[default]
     Normal,
-    /// It passes them late.
+    /// Delays each read by this time before it is forwarded.
     Delayed(Duration),
-    /// It passes so many bytes a second in each direction of each connection.
+    /// Forwards so many bytes per second in each direction of each connection.
     RateLimited(u32),
-    /// It passes none, and says nothing.
+    /// Forwards nothing and keeps connections open.
     Blackhole,
-    /// It passes only those of the side that connected.
+    /// Forwards only the bytes of the side that connected.
     OneWay,
-    /// It closes connections, those that are open too.
+    /// Closes connections, open ones as soon as bytes arrive on them.
     Reset,
 }
 
-/// A connection over a link.
+/// State of a connection through the link.
 #[derive(Default)]
 struct Connection {
-    /// Whether the side that connected sent last: it waits for an answer.
-    waits: AtomicBool,
-    /// Whether nothing passes any more.
-    silent: AtomicBool,
+    /// Whether the side that connected sent last, so that it awaits_answer for an answer.
+    awaits_answer: AtomicBool,
+    /// Whether the link has stopped forwarding on this connection for good.
+    is_blackholed: AtomicBool,
 }
 
-/// A link from a port of its own to an address.
+/// A proxy from a port of its own to a fixed address; clones share its state.
 #[derive(Clone)]
 pub struct FaultyLink {
-    /// Where to connect.
+    /// Address to connect to.
     pub address: SocketAddr,
-    passing: Arc<Mutex<LinkMode>>,
+    mode: Arc<Mutex<LinkMode>>,
     connections: Arc<Mutex<Vec<Arc<Connection>>>>,
 }
 
 impl FaultyLink {
-    /// Listens on a free port and passes to `to`.
+    /// Listens on a free port and forwards connections to `to`.
     ///
     /// # Errors
-    /// The system's, if no port is free.
+    /// If no port is free.
     pub fn start(to: SocketAddr) -> std::io::Result<Self> {
         let listener = TcpListener::bind("127.0.0.1:0")?;
         let address = listener.local_addr()?;
-        let link = FaultyLink { address, passing: Arc::default(), connections: Arc::default() };
+        let link = FaultyLink { address, mode: Arc::default(), connections: Arc::default() };
         let own = link.clone();
         thread::spawn(move || {
             for near in listener.incoming().flatten() {
@@ -64,24 +65,25 @@
                 if let (Some(there), Some(back)) = (both(&near, &far), both(&far, &near)) {
                     let connection = Arc::new(Connection::default());
                     own.connections().push(Arc::clone(&connection));
-                    own.pass(there, Arc::clone(&connection), true);
-                    own.pass(back, connection, false);
+                    own.forward(there, Arc::clone(&connection), true);
+                    own.forward(back, connection, false);
                 }
             }
         });
         Ok(link)
     }
 
-    /// Changes what the link does.
-    pub fn set(&self, passing: LinkMode) {
-        *self.passing.lock().unwrap_or_else(PoisonError::into_inner) = passing;
+    /// Sets how the link forwards bytes.
+    pub fn set(&self, mode: LinkMode) {
+        *self.mode.lock().unwrap_or_else(PoisonError::into_inner) = mode;
     }
 
-    /// Lets nothing pass any more on connections whose answer is waited for now; others and new ones work.
+    /// Stops forwarding for good on the connections on which an answer is awaited now; all others, new ones too, keep
+    /// working.
     pub fn blackhole_waiting(&self) {
         for connection in self.connections().iter() {
-            let waits = connection.waits.load(Ordering::Relaxed);
-            connection.silent.fetch_or(waits, Ordering::Relaxed);
+            let awaits_answer = connection.awaits_answer.load(Ordering::Relaxed);
+            connection.is_blackholed.fetch_or(awaits_answer, Ordering::Relaxed);
         }
     }
 
@@ -89,43 +91,47 @@
         self.connections.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn now(&self) -> LinkMode {
-        *self.passing.lock().unwrap_or_else(PoisonError::into_inner)
+    fn mode(&self) -> LinkMode {
+        *self.mode.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn pass(
+    /// Forwards one direction of a connection on a thread of its own.
+    fn forward(
         &self,
         (mut from, mut to): (TcpStream, TcpStream),
         connection: Arc<Connection>,
-        there: bool,
+        is_request: bool,
     ) {
         let link = self.clone();
         thread::spawn(move || {
             let mut buf = [0; 16 * 1024];
             while let Ok(count) = from.read(&mut buf) {
-                // What is read of a silent connection is dropped, its end included.
-                if connection.silent.load(Ordering::Relaxed) {
+                // Bytes of a blackholed connection are dropped. Its end isn't forwarded either.
+                if connection.is_blackholed.load(Ordering::Relaxed) {
                     if count == 0 {
                         return;
                     }
                     continue;
                 }
-                if count == 0 || !link.wait(there, count) || to.write_all(&buf[..count]).is_err() {
+                if count == 0
+                    || !link.wait(is_request, count)
+                    || to.write_all(&buf[..count]).is_err()
+                {
                     break;
                 }
-                connection.waits.store(there, Ordering::Relaxed);
+                connection.awaits_answer.store(is_request, Ordering::Relaxed);
             }
             drop(to.shutdown(Shutdown::Both));
             drop(from.shutdown(Shutdown::Both));
         });
     }
 
-    /// Waits until `count` bytes may pass; false if the connection is to be closed.
-    fn wait(&self, there: bool, count: usize) -> bool {
+    /// Waits until `count` bytes may be forwarded; false if the connection is to be closed.
+    fn wait(&self, is_request: bool, count: usize) -> bool {
         loop {
-            match self.now() {
+            match self.mode() {
                 LinkMode::Normal => return true,
-                LinkMode::OneWay if there => return true,
+                LinkMode::OneWay if is_request => return true,
                 LinkMode::Delayed(time) => {
                     sleep(time);
                     return true;
@@ -135,7 +141,7 @@
                     return true;
                 }
                 LinkMode::Reset => return false,
-                LinkMode::Blackhole | LinkMode::OneWay => sleep(LOOK),
+                LinkMode::Blackhole | LinkMode::OneWay => sleep(POLL_INTERVAL),
             }
         }
     }
--- a/standins/src/serving_path/mod.rs
+++ b/standins/src/serving_path/mod.rs
@@ -1,6 +1,7 @@
-//! Stand-ins for the users' platform, written from its published protocol: a key-value store,
-//! runners with the faults that its pages name, and callers. Threads with plain sockets, so that
-//! each byte can be spoiled.
+//! Stand-ins around the serving path, written from its published protocol: a key-value store, runners
+//! that inject the faults named by the protocol, callers, and the VMs under test as processes.
+//!
+//! They use threads and plain sockets instead of an HTTP library, so that a fault can change any byte.
 
 mod behavior;
 pub mod callers;
@@ -21,24 +22,24 @@
 use std::net::TcpStream;
 use std::time::Duration;
 
-/// Longest wait for a peer's bytes.
+/// Read timeout of a connection.
 const READ_WAIT: Duration = Duration::from_secs(20);
 
-/// A message as it came over a connection: first line, headers with names in lower case, body.
+/// An HTTP request or response as it was received.
 #[derive(Debug, Clone, Default)]
 pub struct HttpMessage {
-    /// First line.
+    /// Request line or status line.
     pub start_line: String,
-    /// Headers, names in lower case.
+    /// Headers by lower-case name.
     pub headers: HashMap<String, String>,
-    /// Body, with its chunks joined.
+    /// Body, after decoding of chunks.
     pub body: Vec<u8>,
-    /// Whether the body came to its end.
+    /// Whether the body was received up to its end.
     pub is_complete: bool,
 }
 
 impl HttpMessage {
-    /// A header; empty if absent.
+    /// A header; empty if it is absent.
     pub fn header(&self, name: &str) -> &str {
         self.headers.get(name).map_or("", String::as_str)
     }
@@ -53,31 +54,31 @@
         self.start_line.split(' ').nth(1).unwrap_or_default()
     }
 
-    /// The status of an answer; 0 if there is none.
+    /// The status of an answer; 0 if the status line has none.
     pub fn status(&self) -> u16 {
         self.start_line.split(' ').nth(1).and_then(|status| status.parse().ok()).unwrap_or(0)
     }
 
-    /// The body as text.
+    /// The body as text; invalid UTF-8 is replaced.
     pub fn text(&self) -> String {
         String::from_utf8_lossy(&self.body).into_owned()
     }
 }
 
-/// A connection that reads and writes messages.
+/// A TCP connection that reads HTTP messages and writes raw bytes.
 pub struct HttpConnection {
     reader: BufReader<TcpStream>,
 }
 
 impl HttpConnection {
-    /// Takes over a connection.
+    /// Wraps a connection; sets TCP_NODELAY and the read timeout.
     pub fn new(stream: TcpStream) -> Self {
         drop(stream.set_nodelay(true));
         drop(stream.set_read_timeout(Some(READ_WAIT)));
         HttpConnection { reader: BufReader::new(stream) }
     }
 
-    /// Writes bytes; false if the peer is gone.
+    /// Writes bytes; false if the write failed.
     pub fn write(&mut self, bytes: &[u8]) -> bool {
         self.reader.get_mut().write_all(bytes).is_ok()
     }
@@ -96,7 +97,7 @@
         !is_open || stream.set_nonblocking(false).is_err()
     }
 
-    /// Reads a message; `None` if the peer closed before its head was whole.
+    /// Reads a message; `None` if the connection ended before a complete head.
     pub fn read(&mut self) -> Option<HttpMessage> {
         let mut message = HttpMessage { start_line: self.line()?, ..HttpMessage::default() };
         loop {
@@ -119,12 +120,14 @@
         Some(message)
     }
 
+    /// Reads a line without its end.
     fn line(&mut self) -> Option<String> {
         let mut line = String::new();
         let read = self.reader.read_line(&mut line).ok()?;
         (read > 0).then(|| line.trim_end().to_owned())
     }
 
+    /// Reads a chunked body; false if it is incomplete or malformed.
     fn chunks(&mut self, body: &mut Vec<u8>) -> bool {
         loop {
             let Some(line) = self.line() else { return false };
@@ -141,8 +144,8 @@
     }
 }
 
-/// Serves connections with a function each on a thread of its own, until the process ends.
-pub(crate) fn serve_each(
+/// Runs `serve` for each accepted connection, on a thread of its own, until the process ends.
+pub(crate) fn serve_connections(
     listener: std::net::TcpListener,
     serve: impl Fn(HttpConnection) + Send + Sync + 'static,
 ) {
@@ -155,8 +158,8 @@
     });
 }
 
-/// A message with a length.
-pub(crate) fn answer(status: &str, headers: &[(&str, &str)], body: &[u8]) -> Vec<u8> {
+/// A response with a `Content-Length`, as bytes.
+pub(crate) fn response_bytes(status: &str, headers: &[(&str, &str)], body: &[u8]) -> Vec<u8> {
     let mut bytes = format!("HTTP/1.1 {status}\r\nContent-Length: {}\r\n", body.len()).into_bytes();
     for (name, value) in headers {
         bytes.extend_from_slice(format!("{name}: {value}\r\n").as_bytes());
--- a/standins/src/serving_path/runners.rs
+++ b/standins/src/serving_path/runners.rs
@@ -9,7 +9,7 @@
 use serde_json::{Value, json};
 
 pub use super::behavior::Behavior;
-use super::{HttpConnection, HttpMessage, answer, serve_each};
+use super::{HttpConnection, HttpMessage, response_bytes, serve_connections};
 
 /// A request that a runner received, and what its answer said beside the rest.
 #[derive(Debug, Clone)]
@@ -85,7 +85,7 @@
             _ => None,
         };
         let id = req.header("request-id").to_owned();
-        let speaks = act.speaks_for_it();
+        let speaks = act.answers_at_once();
         let leaves = self.leaves && speaks;
         let rate = self.rate.as_deref().and_then(|rate| rate.parse().ok());
         let at = Instant::now();
@@ -111,7 +111,7 @@
         let listener = TcpListener::bind("127.0.0.1:0")?;
         let runner = Runner::unserved(id, listener.local_addr()?, usual);
         let serving = runner.clone();
-        serve_each(listener, move |wire| {
+        serve_connections(listener, move |wire| {
             serving.with(|state| state.open += 1);
             serving.serve(wire);
             serving.with(|state| state.open -= 1);
@@ -287,7 +287,7 @@
         let words = self.words();
         let words = words.iter().map(|(name, value)| (*name, value.as_str()));
         let headers: Vec<(&str, &str)> = headers.iter().copied().chain(words).collect();
-        answer(status, &headers, body)
+        response_bytes(status, &headers, body)
     }
 
     /// Headers by which the runner speaks of itself.
--- a/standins/src/serving_path/store.rs
+++ b/standins/src/serving_path/store.rs
@@ -1,4 +1,4 @@
-//! The store: keys with revisions, watches, leases, and outages.
+//! Stand-in for the key-value store: keys with revisions, listings in pages, watches, leases, and outages.
 
 use std::collections::BTreeMap;
 use std::net::{SocketAddr, TcpListener};
@@ -8,60 +8,63 @@
 
 use serde_json::{Value, json};
 
-use super::{HttpConnection, HttpMessage, answer, serve_each};
+use super::{HttpConnection, HttpMessage, response_bytes, serve_connections};
 
-/// Pause between two looks of a waiting watch.
-const LOOK: Duration = Duration::from_millis(5);
+/// Polling interval of a waiting call.
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// How the store behaves.
+/// How the store answers calls.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum StoreMode {
-    /// It serves.
+    /// It serves calls.
     #[default]
     Normal,
-    /// It answers 503 to everything.
+    /// It answers every call with 503.
     Unavailable,
-    /// It says nothing.
+    /// It answers nothing until the mode changes.
     Unresponsive,
 }
 
 #[derive(Default)]
 struct State {
     revision: u64,
+    /// Revision, value and lease (0 for none) by key.
     items: BTreeMap<String, (u64, String, u64)>,
+    /// Revision and key of each change.
     log: Vec<(u64, String)>,
-    /// Changes up to this revision are forgotten.
-    forgotten: u64,
+    /// Changes up to this revision are compacted; watches from an older revision are answered 410.
+    compacted_revision: u64,
     mode: StoreMode,
+    /// Expiry and time to live by lease id.
     leases: BTreeMap<u64, (Instant, Duration)>,
     calls: u64,
-    /// Items in a page of a listing; 0 for all.
+    /// Items per page of a listing; 0 for no limit.
     page: usize,
-    /// Listings asked for, page by page, by prefix.
+    /// Number of pages requested by prefix.
     listed: BTreeMap<String, u64>,
-    /// The prefix and number of a page that is refused once.
+    /// Prefix and number of a page that is answered 503 once.
     fail_at: Option<(String, u64)>,
 }
 
-/// A running store.
+/// A running store; clones share its state.
 #[derive(Clone)]
 pub struct Store {
-    /// Where it listens.
+    /// Address on which the store listens.
     pub address: SocketAddr,
     state: Arc<Mutex<State>>,
 }
 
 impl Store {
-    /// Starts a store with nothing in it.
+    /// Starts an empty store on a free port.
     pub fn start() -> std::io::Result<Self> {
         let listener = TcpListener::bind("127.0.0.1:0")?;
         let store = Store { address: listener.local_addr()?, state: Arc::default() };
         let serving = store.clone();
-        serve_each(listener, move |wire| serving.serve(wire));
+        serve_connections(listener, move |wire| serving.serve(wire));
         Ok(store)
     }
 
-    /// Writes a key as operators and runners do.
+    /// Writes a key without a lease.
     pub fn put(&self, key: &str, value: &Value) {
         self.with(|state| state.put(key, &value.to_string(), 0));
     }
@@ -71,14 +74,14 @@
         self.with(|state| state.remove(key));
     }
 
-    /// Changes how the store behaves.
+    /// Sets how the store answers calls.
     pub fn set_mode(&self, mode: StoreMode) {
         self.with(|state| state.mode = mode);
     }
 
-    /// Forgets all history; watches of older revisions are answered so.
+    /// Compacts all history: watches from a revision before the current one are answered 410.
     pub fn compact_history(&self) {
-        self.with(|state| state.forgotten = state.revision);
+        self.with(|state| state.compacted_revision = state.revision);
     }
 
     /// Keys that start with a prefix.
@@ -86,29 +89,30 @@
         self.with(|state| state.items.keys().filter(|k| k.starts_with(prefix)).cloned().collect())
     }
 
-    /// Gives listings in pages of so many items.
+    /// Limits the pages of listings to `items` items.
     pub fn set_page_size(&self, items: usize) {
         self.with(|state| state.page = items);
     }
 
-    /// Refuses one page of the listings of a prefix, counted from 1.
+    /// Answers one page of the listings of a prefix with 503; pages count from 1 since the store started.
     pub fn fail_listing_page(&self, prefix: &str, page: u64) {
         self.with(|state| state.fail_at = Some((prefix.to_owned(), page)));
     }
 
-    /// Pages asked for of the listings of a prefix.
+    /// Number of pages requested of the listings of a prefix.
     pub fn listed_pages(&self, prefix: &str) -> u64 {
         self.with(|state| state.listed.get(prefix).copied().unwrap_or(0))
     }
 
-    /// Calls so far.
+    /// Number of calls received so far.
     pub fn calls(&self) -> u64 {
         self.with(|state| state.calls)
     }
 
+    /// Runs `f` on the state after expired leases have ended.
     fn with<R>(&self, f: impl FnOnce(&mut State) -> R) -> R {
         let mut state = self.state.lock().unwrap_or_else(PoisonError::into_inner);
-        state.end_leases();
+        state.expire_leases();
         f(&mut state)
     }
 
@@ -120,20 +124,20 @@
             });
             match mode {
                 StoreMode::Unavailable => {
-                    wire.write(&answer("503 Busy", &[], b""));
+                    wire.write(&response_bytes("503 Busy", &[], b""));
                     continue;
                 }
                 StoreMode::Unresponsive => {
                     while self.with(|state| state.mode) == StoreMode::Unresponsive {
-                        sleep(LOOK);
+                        sleep(POLL_INTERVAL);
                     }
-                    // What was asked meanwhile stays without an answer.
+                    // The connection is closed: a call that came during the outage is never answered.
                     return;
                 }
                 StoreMode::Normal => {}
             }
             let Some((status, body)) = self.answer_to(&req) else { return };
-            if !wire.write(&answer(status, &[], body.to_string().as_bytes())) {
+            if !wire.write(&response_bytes(status, &[], body.to_string().as_bytes())) {
                 return;
             }
         }
@@ -173,19 +177,21 @@
         }
     }
 
+    /// Waits for changes after a revision, at most `wait_ms`; `None` closes the connection.
     fn watch(&self, prefix: &str, after: u64, wait_ms: u64) -> Option<(&'static str, Value)> {
         let end = Instant::now() + Duration::from_millis(wait_ms);
-        let mut was_silent = false;
+        let mut was_unresponsive = false;
         loop {
             let seen = self.with(|state| {
-                // A watch that waits as the store falls silent hears nothing, not even its end.
-                was_silent |= state.mode == StoreMode::Unresponsive;
-                match (state.mode, was_silent) {
+                // A watch that waits while the store becomes unresponsive gets no answer, not even after
+                // its own time limit; its connection is closed once the mode changes.
+                was_unresponsive |= state.mode == StoreMode::Unresponsive;
+                match (state.mode, was_unresponsive) {
                     (StoreMode::Unresponsive, _) => return None,
                     (StoreMode::Unavailable, _) | (StoreMode::Normal, true) => return Some(None),
                     (StoreMode::Normal, false) => {}
                 }
-                if after < state.forgotten {
+                if after < state.compacted_revision {
                     return Some(Some(("410 Gone", json!({}))));
                 }
                 let events = state.events(prefix, after);
@@ -195,7 +201,7 @@
             });
             match seen {
                 Some(answer) => return answer,
-                None => sleep(LOOK),
+                None => sleep(POLL_INTERVAL),
             }
         }
     }
@@ -217,7 +223,7 @@
 
     fn item(&self, key: &str) -> Option<Value> {
         let (revision, value, lease) = self.items.get(key)?;
-        Some(json!({"private_key": key, "value": base64_of(value.as_bytes()),
+        Some(json!({"private_key": key, "value": base64_encode(value.as_bytes()),
             "revision": revision, "created_rev": revision, "lease": lease}))
     }
 
@@ -250,7 +256,7 @@
             if lease != 0 && !self.leases.contains_key(&lease) {
                 return ("404 Not Found", json!({}));
             }
-            let value = bytes_of(write["value"].as_str().unwrap_or_default());
+            let value = base64_decode(write["value"].as_str().unwrap_or_default());
             let key = write["private_key"].as_str().unwrap_or_default();
             self.put(key, &String::from_utf8_lossy(&value), lease);
         }
@@ -274,7 +280,8 @@
         }
     }
 
-    fn end_leases(&mut self) {
+    /// Removes expired leases with their keys.
+    fn expire_leases(&mut self) {
         let now = Instant::now();
         let over: Vec<u64> =
             self.leases.iter().filter(|(_, (until, _))| *until < now).map(|(id, _)| *id).collect();
@@ -287,12 +294,12 @@
     }
 }
 
-fn base64_of(bytes: &[u8]) -> String {
+fn base64_encode(bytes: &[u8]) -> String {
     use base64::Engine;
     base64::engine::general_purpose::STANDARD.encode(bytes)
 }
 
-fn bytes_of(text: &str) -> Vec<u8> {
+fn base64_decode(text: &str) -> Vec<u8> {
     use base64::Engine;
     base64::engine::general_purpose::STANDARD.decode(text).unwrap_or_default()
 }
