--- a/standins/src/bin/soak.rs
+++ b/standins/src/bin/soak.rs
@@ -38,15 +38,15 @@
 }
 
 fn queued_call_scenario(seed: u64) -> (String, bool) {
-    let scenario = QueuedCallScenario::draw(seed);
-    let calls = scenario.calls(&format!("turn-{seed}"));
+    let scenario = QueuedCallScenario::generate(seed);
+    let calls = scenario.count_calls(&format!("turn-{seed}"));
     (format!("{scenario:?} calls={calls}"), calls == 2)
 }
 
 fn result_release_scenario(seed: u64) -> (String, bool) {
-    let scenario = ResultReleaseScenario::draw(seed);
-    let summary = scenario.told(&format!("result-{seed}"));
-    (format!("{scenario:?} {summary:?}"), scenario.keeps(&summary))
+    let scenario = ResultReleaseScenario::generate(seed);
+    let summary = scenario.run(&format!("result-{seed}"));
+    (format!("{scenario:?} {summary:?}"), scenario.is_satisfied_by(&summary))
 }
 
 fn main() -> ExitCode {
--- a/standins/src/serving_path/crashing.rs
+++ b/standins/src/serving_path/crashing.rs
@@ -1,4 +1,4 @@
-//! Runners that end under a certain request, and come back after a while as the next lifetime.
+//! Stand-in runners that crash on a certain request and restart after a while, as a new incarnation.
 
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
 use std::sync::{Arc, Mutex, PoisonError};
@@ -11,55 +11,58 @@
 use super::store::Store;
 use super::{HttpConnection, HttpMessage};
 
-/// Pause between two tries to listen at the same port again.
-const LISTEN_PAUSE: Duration = Duration::from_millis(5);
-/// Pause between two looks whether the port is closed.
-const MOMENT: Duration = Duration::from_micros(100);
+/// Interval between attempts to bind the same port again.
+const BIND_RETRY_INTERVAL: Duration = Duration::from_millis(5);
+/// Polling interval while the port closes.
+const CLOSE_POLL_INTERVAL: Duration = Duration::from_micros(100);
 
-/// How a runner comes back.
+/// The instance id with which a runner restarts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RestartId {
-    /// Under a new id.
+    /// A new id.
     NewId,
-    /// Under the id that it had; only its time of birth tells the lifetimes apart.
+    /// The same id; only the `born` time of the entry tells the incarnations apart.
     SameId,
 }
 
-/// What ends a runner.
+/// The request that makes a runner crash.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum CrashTrigger {
     /// A request with this body.
     Body(Vec<u8>),
-    /// A call with a piece that has this secret.
+    /// A call with a piece that has this key.
     PieceKey(String),
 }
 
-/// What a fragile runner is.
+/// How a runner crashes and restarts.
 #[derive(Debug, Clone)]
 pub struct CrashingRunnerConfig {
-    /// What ends it.
+    /// The request that makes it crash.
     pub trigger: CrashTrigger,
-    /// It ends this long after it began to run such a request.
+    /// Time from the start of such a request until the crash.
     pub crash_delay: Duration,
-    /// It is away for this long.
+    /// Time from the crash until the restart.
     pub downtime: Duration,
-    /// How it comes back.
+    /// The id with which it restarts.
     pub restart_id: RestartId,
-    /// What it does with other requests.
+    /// How it handles other requests.
     pub default_behavior: Behavior,
 }
 
 struct State {
-    lifetime: Option<Runner>,
-    /// Whether its port is open.
-    listens: bool,
+    /// The current incarnation; `None` while the runner is down.
+    incarnation: Option<Runner>,
+    /// Whether its port is open for connections.
+    is_listening: bool,
+    /// Connections of the current incarnation, to be closed by a crash.
     open: Vec<TcpStream>,
-    lifetimes: u64,
-    /// Bodies of requests that reached it, of all lifetimes.
-    reached: Vec<Vec<u8>>,
+    /// Number of incarnations so far.
+    incarnation_count: u64,
+    /// Bodies of the requests that all incarnations received.
+    received_bodies: Vec<Vec<u8>>,
 }
 
-/// A runner that ends under a certain request.
+/// A runner that crashes on a certain request; clones share its state.
 #[derive(Clone)]
 pub struct CrashingRunner {
     name: String,
@@ -71,7 +74,7 @@
 }
 
 impl CrashingRunner {
-    /// Starts a runner of a service and writes its entry.
+    /// Starts a runner of a service and writes its store entry.
     pub fn start(
         name: &str,
         service: &str,
@@ -80,11 +83,11 @@
     ) -> std::io::Result<Self> {
         let listener = TcpListener::bind("127.0.0.1:0")?;
         let state = State {
-            lifetime: None,
-            listens: true,
+            incarnation: None,
+            is_listening: true,
             open: Vec::new(),
-            lifetimes: 0,
-            reached: Vec::new(),
+            incarnation_count: 0,
+            received_bodies: Vec::new(),
         };
         let fragile = CrashingRunner {
             name: name.to_owned(),
@@ -94,46 +97,49 @@
             store: store.clone(),
             state: Arc::new(Mutex::new(state)),
         };
-        // Its entry stands when this returns, so that tests can count on it.
-        let (living, first) = (fragile.clone(), fragile.begin_lifetime());
-        spawn(move || living.live(listener, first));
+        // The entry is written before this returns, so that tests can rely on it.
+        let (serving, first) = (fragile.clone(), fragile.begin_incarnation());
+        spawn(move || serving.run(listener, first));
         Ok(fragile)
     }
 
-    /// How often it has ended.
+    /// Number of crashes so far.
     pub fn crashes(&self) -> u64 {
-        self.with(|state| state.lifetimes.saturating_sub(u64::from(state.lifetime.is_some())))
+        self.with(|state| {
+            state.incarnation_count.saturating_sub(u64::from(state.incarnation.is_some()))
+        })
     }
 
-    /// How many requests with this body reached it, in all of its lifetimes.
+    /// Number of requests with this body that all incarnations received.
     pub fn requests_with_body(&self, body: &[u8]) -> usize {
-        self.with(|state| state.reached.iter().filter(|seen| *seen == body).count())
+        self.with(|state| state.received_bodies.iter().filter(|seen| *seen == body).count())
     }
 
     fn with<R>(&self, f: impl FnOnce(&mut State) -> R) -> R {
         f(&mut self.state.lock().unwrap_or_else(PoisonError::into_inner))
     }
 
-    /// One lifetime after the other.
-    fn live(&self, first_listener: TcpListener, first: Runner) {
+    /// Serves one incarnation after the other.
+    fn run(&self, first_listener: TcpListener, first: Runner) {
         let (mut listener, mut runner) = (first_listener, first);
         loop {
             self.accept(&listener, &runner);
             drop(listener);
-            self.with(|state| state.listens = false);
+            self.with(|state| state.is_listening = false);
             sleep(self.config.downtime);
             listener = loop {
                 match TcpListener::bind(self.address) {
                     Ok(listener) => break listener,
-                    Err(_) => sleep(LISTEN_PAUSE),
+                    Err(_) => sleep(BIND_RETRY_INTERVAL),
                 }
             };
-            runner = self.begin_lifetime();
+            runner = self.begin_incarnation();
         }
     }
 
-    fn begin_lifetime(&self) -> Runner {
-        let number = self.with(|state| state.lifetimes);
+    /// Begins the next incarnation and writes its store entry.
+    fn begin_incarnation(&self) -> Runner {
+        let number = self.with(|state| state.incarnation_count);
         let id = |number: u64| match self.config.restart_id {
             RestartId::NewId => format!("{}-{number}", self.name),
             RestartId::SameId => self.name.clone(),
@@ -141,9 +147,9 @@
         let runner =
             Runner::unserved(&id(number), self.address, self.config.default_behavior.clone());
         self.with(|state| {
-            state.lifetimes += 1;
-            state.lifetime = Some(runner.clone());
-            state.listens = true;
+            state.incarnation_count += 1;
+            state.incarnation = Some(runner.clone());
+            state.is_listening = true;
         });
         if self.config.restart_id == RestartId::NewId && number > 0 {
             self.store.remove(&format!("servers/{}", id(number - 1)));
@@ -152,6 +158,7 @@
         runner
     }
 
+    /// The store entry, with the time at which the incarnation began.
     fn entry(&self, runner: &Runner) -> Value {
         let born = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         let mut entry = runner.entry(&self.service, "hall-a", "ready");
@@ -159,14 +166,14 @@
         entry
     }
 
-    /// Takes connections until the lifetime ends.
+    /// Accepts connections until the incarnation ends.
     fn accept(&self, listener: &TcpListener, runner: &Runner) {
         for stream in listener.incoming().flatten() {
-            let lives = self.with(|state| {
+            let is_up = self.with(|state| {
                 state.open.extend(stream.try_clone());
-                state.lifetime.is_some()
+                state.incarnation.is_some()
             });
-            if !lives {
+            if !is_up {
                 return;
             }
             let (serving, runner) = (self.clone(), runner.clone());
@@ -176,9 +183,9 @@
 
     fn serve(&self, mut wire: HttpConnection, runner: &Runner) {
         while let Some(req) = wire.read() {
-            self.with(|state| state.reached.push(req.body.clone()));
+            self.with(|state| state.received_bodies.push(req.body.clone()));
             if self.is_fatal(&req, runner) {
-                self.end();
+                self.crash();
                 return;
             }
             if !runner.answer(&mut wire, &req) {
@@ -187,6 +194,7 @@
         }
     }
 
+    /// Whether a request makes the runner crash; waits for the crash delay if so.
     fn is_fatal(&self, req: &HttpMessage, runner: &Runner) -> bool {
         let is_fatal = match &self.config.trigger {
             CrashTrigger::Body(body) => req.body == *body,
@@ -199,14 +207,15 @@
         fatal
     }
 
-    /// Ends the lifetime: its port first, which a connection of its own wakes, then all its connections.
-    fn end(&self) {
-        if self.with(|state| state.lifetime.take()).is_none() {
+    /// Ends the incarnation: closes its port first, waking the accepting thread with a connection of its own, then all
+    /// its connections.
+    fn crash(&self) {
+        if self.with(|state| state.incarnation.take()).is_none() {
             return;
         }
         drop(TcpStream::connect(self.address));
-        while self.with(|state| state.listens) {
-            sleep(MOMENT);
+        while self.with(|state| state.is_listening) {
+            sleep(CLOSE_POLL_INTERVAL);
         }
         for stream in self.with(|state| std::mem::take(&mut state.open)) {
             drop(stream.shutdown(Shutdown::Both));
--- a/standins/src/serving_path/runners.rs
+++ b/standins/src/serving_path/runners.rs
@@ -1,4 +1,5 @@
-//! Runners: plain services, engines that stream, and pools of pieces, each with its faults.
+//! Stand-in runners, the processes that execute requests: plain services, engines that stream events, and pools
+//! that compute pieces of stages. A script tells them how to handle the next requests.
 
 use std::net::{SocketAddr, TcpListener};
 use std::sync::atomic::AtomicU64;
@@ -11,102 +12,109 @@
 pub use super::behavior::Behavior;
 use super::{HttpConnection, HttpMessage, response_bytes, serve_connections};
 
-/// A request that a runner received, and what its answer said beside the rest.
+/// A request that a runner received, with the notices that its answer carried.
 #[derive(Debug, Clone)]
 pub struct ReceivedRequest {
-    /// The request's id.
+    /// Request id.
     pub id: String,
-    /// When it came.
+    /// Time of receipt.
     pub at: Instant,
-    /// Whether the answer, given at once and as its own, said that the runner leaves.
+    /// Whether an immediate answer of the runner's own announced that the runner is leaving.
     pub leaves: bool,
-    /// For how long the runner wanted to be left alone.
+    /// Time for which the answer asked for no further requests (`Retry-After`).
     pub left_alone: Option<Duration>,
-    /// The rate that the runner named then.
+    /// Rate limit in force at that time (`Server-Limit`), in requests per second.
     pub rate: Option<f64>,
-    /// Whether an answer was given at once and as its own.
-    pub speaks: bool,
+    /// Whether the runner sent an immediate answer of its own.
+    pub answered_at_once: bool,
 }
 
 /// A result that a runner made.
 #[derive(Debug, Clone)]
 pub struct StageResult {
-    /// Its handle.
+    /// Handle that names the result.
     pub handle: String,
-    /// When its call came.
+    /// When the call arrived.
     pub called: Instant,
-    /// When it was made.
+    /// When the result was computed.
     pub at: Instant,
-    /// Whether whoever called had closed the connection before the answer: nobody learns the handle.
-    pub is_unheard: bool,
+    /// Whether the caller had closed the connection before the answer, so that nobody learns the handle.
+    pub caller_gone: bool,
 }
 
-/// What a runner saw and does.
+/// What a runner recorded and how it behaves.
 #[derive(Default)]
 pub(super) struct State {
+    /// Requests and calls that it received, complete.
     seen: Vec<HttpMessage>,
+    /// Ids of the requests that it ran.
     ran: Vec<String>,
     /// Requests and calls that it received, in order.
     received: Vec<ReceivedRequest>,
+    /// Behaviors for the next requests, in order.
     pub(super) script: Vec<Behavior>,
+    /// Behavior once the script is empty.
     usual: Option<Behavior>,
+    /// Handles whose release it was told, with the time.
     pub(super) released: Vec<(String, Instant)>,
-    /// Results that it made.
+    /// Results that it computed.
     pub(super) made: Vec<StageResult>,
-    /// Words that results are given up which it will lose: it closes with no answer and frees nothing.
-    pub(super) losing: usize,
-    /// How long the next call of pieces waits for its turn, behind a call of somebody else.
-    pub(super) turn_after: Duration,
-    /// Calls of pieces that wait for their turn, behind a call of somebody else.
+    /// Number of release calls that it will lose: it closes the connection without an answer and frees nothing.
+    pub(super) releases_to_lose: usize,
+    /// How long the next call of pieces waits in the queue, as if behind another VM's call.
+    pub(super) queue_delay: Duration,
+    /// Number of calls of pieces that wait in the queue.
     pub(super) waiting: usize,
-    /// Calls of pieces at work.
-    pub(super) at_work: usize,
-    /// Whether it answers that it has no report.
-    pub(super) reports_nothing: bool,
-    /// Pieces made: request, stage, piece.
+    /// Number of calls of pieces that are running.
+    pub(super) running_calls: usize,
+    /// Whether it answers requests for its report with 404.
+    pub(super) has_no_report: bool,
+    /// Computed pieces: request id, stage number, piece number.
     pub(super) pieces: Vec<(String, u64, u64)>,
-    /// Sizes of calls.
+    /// Number of pieces in each call.
     pub(super) calls: Vec<usize>,
+    /// Streams whose reader was gone before their end.
     aborted_streams: u64,
-    /// Connections that are open.
+    /// Number of open connections.
     open: u64,
-    /// Whether each answer says that it leaves.
+    /// Whether each answer announces that the runner is leaving (`Server-Leaving`).
     leaves: bool,
-    /// The rate that each answer names: the text of `Server-Limit`.
+    /// Rate limit that each answer announces: the value of `Server-Limit`.
     rate: Option<String>,
-    /// A header that each answer has beside these.
-    says: Option<(&'static str, String)>,
+    /// A further header of each answer.
+    extra_header: Option<(&'static str, String)>,
 }
 
 impl State {
-    pub(super) fn receive(&mut self, req: &HttpMessage, act: &Behavior) {
-        let left_alone = match act {
+    /// Records a request and the notices that its answer will carry.
+    pub(super) fn receive(&mut self, req: &HttpMessage, behavior: &Behavior) {
+        let left_alone = match behavior {
             Behavior::DeclineFor(seconds) => seconds.parse().ok().map(Duration::from_secs_f64),
             _ => None,
         };
         let id = req.header("request-id").to_owned();
-        let speaks = act.answers_at_once();
-        let leaves = self.leaves && speaks;
+        let answered_at_once = behavior.answers_at_once();
+        let leaves = self.leaves && answered_at_once;
         let rate = self.rate.as_deref().and_then(|rate| rate.parse().ok());
         let at = Instant::now();
-        self.received.push(ReceivedRequest { id, at, leaves, left_alone, rate, speaks });
+        self.received.push(ReceivedRequest { id, at, leaves, left_alone, rate, answered_at_once });
         self.seen.push(req.clone());
     }
 }
 
-/// A running runner.
+/// A running stand-in runner; clones share its state.
 #[derive(Clone)]
 pub struct Runner {
-    /// Where it listens.
+    /// Address on which it listens.
     pub address: SocketAddr,
-    /// Its id.
+    /// Instance id.
     pub id: String,
     state: Arc<Mutex<State>>,
     pub(super) next_handle: Arc<AtomicU64>,
 }
 
 impl Runner {
-    /// Starts a runner that answers as `usual`.
+    /// Starts a runner on a free port that handles requests as `usual` when its script is empty.
     pub fn start(id: &str, usual: Behavior) -> std::io::Result<Self> {
         let listener = TcpListener::bind("127.0.0.1:0")?;
         let runner = Runner::unserved(id, listener.local_addr()?, usual);
@@ -119,7 +127,7 @@
         Ok(runner)
     }
 
-    /// A runner whose connections somebody else takes and serves.
+    /// A runner whose connections the caller of this function accepts and serves.
     pub(super) fn unserved(id: &str, address: SocketAddr, usual: Behavior) -> Self {
         let state = State { usual: Some(usual), ..State::default() };
         Runner {
@@ -130,33 +138,33 @@
         }
     }
 
-    /// What it writes of itself into the store.
+    /// The store entry of the runner, without cold start time.
     pub fn entry(&self, service: &str, zone: &str, state: &str) -> Value {
         json!({"service": service, "address": self.address.to_string(), "zone": zone,
             "version": "v1", "slots": 4, "state": state, "cold_remaining_ms": 0, "sequence": 1})
     }
 
-    /// Behaves so towards the next requests, then as usual again.
-    pub fn queue_behaviors(&self, acts: &[Behavior]) {
-        self.with(|state| state.script.extend_from_slice(acts));
+    /// Appends behaviors for the next requests; after them it behaves as usual again.
+    pub fn queue_behaviors(&self, behaviors: &[Behavior]) {
+        self.with(|state| state.script.extend_from_slice(behaviors));
     }
 
-    /// From now on each answer says that it leaves, or no answer does.
+    /// Sets whether each answer announces that the runner is leaving.
     pub fn set_leaving(&self, leaves: bool) {
         self.with(|state| state.leaves = leaves);
     }
 
-    /// From now on each answer names this rate, or none does.
+    /// Sets the rate limit that each answer announces; `None` for none.
     pub fn set_rate(&self, rate: Option<&str>) {
         self.with(|state| state.rate = rate.map(str::to_owned));
     }
 
-    /// From now on each answer has this header.
+    /// Adds this header to each answer; it replaces an earlier one.
     pub fn set_extra_header(&self, name: &'static str, value: &str) {
-        self.with(|state| state.says = Some((name, value.to_owned())));
+        self.with(|state| state.extra_header = Some((name, value.to_owned())));
     }
 
-    /// Most requests and calls that it received within any `span` of those after `since`.
+    /// The largest number of requests and calls received after `since` within any interval of length `span`.
     pub fn most_within(&self, span: Duration, since: Instant) -> usize {
         let received = self.with(|state| state.received.clone());
         let later: Vec<Instant> =
@@ -167,8 +175,8 @@
         later.iter().map(within).max().unwrap_or(0)
     }
 
-    /// Forgets the acts that it was told to do.
-    pub fn clear_acts(&self) {
+    /// Clears the script.
+    pub fn clear_script(&self) {
         self.with(|state| state.script.clear());
     }
 
@@ -177,62 +185,63 @@
         self.with(|state| state.ran.clone())
     }
 
-    /// Requests and calls that it received later than `after`.
+    /// Number of requests and calls received after `after`.
     pub fn received_after(&self, after: Instant) -> usize {
         self.with(|state| state.received.iter().filter(|one| one.at > after).count())
     }
 
-    /// Requests and calls that it received, in order.
+    /// Requests and calls that it received, in order, without their bodies.
     pub fn received(&self) -> Vec<ReceivedRequest> {
         self.with(|state| state.received.clone())
     }
 
-    /// Everything that it was sent.
+    /// Requests and calls that it received, in order, complete. Release calls and requests for its report are not
+    /// among them.
     pub fn messages(&self) -> Vec<HttpMessage> {
         self.with(|state| state.seen.clone())
     }
 
-    /// Pieces that it made: request, stage, piece.
+    /// Pieces that it computed: request id, stage number, piece number.
     pub fn pieces(&self) -> Vec<(String, u64, u64)> {
         self.with(|state| state.pieces.clone())
     }
 
-    /// Results that it made.
+    /// Results that it computed.
     pub fn made(&self) -> Vec<StageResult> {
         self.with(|state| state.made.clone())
     }
 
-    /// Lets the next call of pieces wait for its turn, as one behind a call of somebody else does.
+    /// Lets the next call of pieces wait in the queue for `time`, as if behind another VM's call.
     pub fn delay_next_call(&self, time: Duration) {
-        self.with(|state| state.turn_after = time);
+        self.with(|state| state.queue_delay = time);
     }
 
-    /// Tells its report when it is asked, or that it has none.
+    /// Sets whether it answers requests for its report; otherwise it answers 404.
     pub fn set_reporting(&self, reports: bool) {
-        self.with(|state| state.reports_nothing = !reports);
+        self.with(|state| state.has_no_report = !reports);
     }
 
-    /// Loses the next words that results are given up.
+    /// Lets it lose the next `count` release calls: no answer, and nothing is released.
     pub fn lose_releases(&self, count: usize) {
-        self.with(|state| state.losing = count);
+        self.with(|state| state.releases_to_lose = count);
     }
 
-    /// Handles that it was told to give up.
+    /// Handles that it was told to release.
     pub fn released(&self) -> Vec<String> {
         self.timed_releases().into_iter().map(|(handle, _)| handle).collect()
     }
 
-    /// The same, with the times of the words.
+    /// Handles that it was told to release, with the time of each release call.
     pub fn timed_releases(&self) -> Vec<(String, Instant)> {
         self.with(|state| state.released.clone())
     }
 
-    /// Connections that are open.
+    /// Number of open connections.
     pub fn open_connections(&self) -> u64 {
         self.with(|state| state.open)
     }
 
-    /// Streams whose reader was gone before their end.
+    /// Number of streams whose reader was gone before their end.
     pub fn aborted_streams(&self) -> u64 {
         self.with(|state| state.aborted_streams)
     }
@@ -252,25 +261,26 @@
     /// Answers a request; false if the connection is to end.
     pub(super) fn answer(&self, wire: &mut HttpConnection, req: &HttpMessage) -> bool {
         match req.path_and_query() {
-            "/stage-run" => self.make_pieces(wire, req),
+            "/stage-run" => self.run_pieces(wire, req),
             "/stage-free" => self.release(wire, req),
             "/report" => self.report(wire),
             _ => self.run(wire, req),
         }
     }
 
+    /// Runs a request with the next behavior of the script.
     fn run(&self, wire: &mut HttpConnection, req: &HttpMessage) -> bool {
         let id = req.header("request-id").to_owned();
         let expected = req.header("expected-instance").to_owned();
-        let act = self.with(|state| {
+        let behavior = self.with(|state| {
             let next = (!state.script.is_empty()).then(|| state.script.remove(0));
-            let act = next.or(state.usual.clone()).unwrap_or(Behavior::Answer);
-            state.receive(req, &act);
-            act
+            let behavior = next.or(state.usual.clone()).unwrap_or(Behavior::Answer);
+            state.receive(req, &behavior);
+            behavior
         });
-        let act = if expected == self.id { act } else { Behavior::Misdirected };
+        let behavior = if expected == self.id { behavior } else { Behavior::Misdirected };
         let not_run = matches!(
-            act,
+            behavior,
             Behavior::Decline
                 | Behavior::DeclineFor(_)
                 | Behavior::Misdirected
@@ -279,32 +289,39 @@
         if !not_run {
             self.with(|state| state.ran.push(id.clone()));
         }
-        self.act(wire, &act, &id, req)
+        self.respond(wire, &behavior, &id, req)
     }
 
-    /// An answer, which says what the runner says of itself.
+    /// An answer that includes the runner's notices.
     pub(super) fn reply(&self, status: &str, headers: &[(&str, &str)], body: &[u8]) -> Vec<u8> {
-        let words = self.words();
-        let words = words.iter().map(|(name, value)| (*name, value.as_str()));
-        let headers: Vec<(&str, &str)> = headers.iter().copied().chain(words).collect();
+        let notices = self.notices();
+        let notices = notices.iter().map(|(name, value)| (*name, value.as_str()));
+        let headers: Vec<(&str, &str)> = headers.iter().copied().chain(notices).collect();
         response_bytes(status, &headers, body)
     }
 
-    /// Headers by which the runner speaks of itself.
-    fn words(&self) -> Vec<(&'static str, String)> {
+    /// Headers of the runner's notices: leaving, rate limit, and the extra one.
+    fn notices(&self) -> Vec<(&'static str, String)> {
         self.with(|state| {
             let leaving = state.leaves.then(|| ("Server-Leaving", "1".to_owned()));
             let rate = state.rate.clone().map(|rate| ("Server-Limit", rate));
-            leaving.into_iter().chain(rate).chain(state.says.clone()).collect()
+            leaving.into_iter().chain(rate).chain(state.extra_header.clone()).collect()
         })
     }
 
-    fn act(&self, wire: &mut HttpConnection, act: &Behavior, id: &str, req: &HttpMessage) -> bool {
+    /// Answers a request according to a behavior; false if the connection is to end.
+    fn respond(
+        &self,
+        wire: &mut HttpConnection,
+        behavior: &Behavior,
+        id: &str,
+        req: &HttpMessage,
+    ) -> bool {
         let body = format!("{} answers {id}", self.id);
         let receipt = format!("sig-{}", self.id);
         let own = [("Request-Id", id), ("Response-Signature", receipt.as_str())];
         let whole = self.reply("200 OK", &own, body.as_bytes());
-        match act {
+        match behavior {
             Behavior::Answer => wire.write(&whole),
             Behavior::Large(bytes) => {
                 let large = "x".repeat(bytes.saturating_sub(body.len())) + &body;
@@ -313,8 +330,8 @@
             Behavior::Fail => wire.write(&self.reply("500 Oops", &own, b"failed")),
             Behavior::Decline => wire.write(&self.reply("503 Full", &[("Not-Executed", "1")], b"")),
             Behavior::DeclineFor(seconds) => {
-                let turned_away = [("Not-Executed", "1"), ("Retry-After", *seconds)];
-                wire.write(&self.reply("503 Full", &turned_away, b""))
+                let refusal = [("Not-Executed", "1"), ("Retry-After", *seconds)];
+                wire.write(&self.reply("503 Full", &refusal, b""))
             }
             Behavior::InputGone => {
                 wire.write(&self.reply("409 Gone", &[("Not-Executed", "1")], b""))
@@ -373,7 +390,8 @@
         }
     }
 
-    /// Streams events up to number `last`, from the one after the caller's last.
+    /// Streams events up to number `last`, from the one after `Last-Event-Id`; with `break_after`, breaks off in the
+    /// middle of the event after that number.
     fn stream(
         &self,
         wire: &mut HttpConnection,
@@ -384,13 +402,13 @@
         pause: Duration,
     ) -> bool {
         let first = req.header("last-event-id").parse::<u64>().map_or(1, |event| event + 1);
-        let words = self.words();
-        let words = words.iter().map(|(name, value)| format!("{name}: {value}\r\n"));
-        let words = words.collect::<String>();
+        let notices = self.notices();
+        let notices = notices.iter().map(|(name, value)| format!("{name}: {value}\r\n"));
+        let notices = notices.collect::<String>();
         let head = format!(
             "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\nContent-Type: text/event-stream\r\n\
              Request-Id: {id}\r\nResponse-Signature: sig-{}\r\n{}\r\n",
-            self.id, words
+            self.id, notices
         );
         let mut sent = wire.write(head.as_bytes());
         for number in first..=last {
--- a/standins/src/serving_path/scenarios.rs
+++ b/standins/src/serving_path/scenarios.rs
@@ -1,6 +1,7 @@
-//! Scenes drawn from a seed: calls that wait for their turn, and owners of pools that are killed.
+//! Scenarios generated from a seed: calls that wait in the queue of a pool, and VMs that fail while other VMs use the
+//! results of their pools.
 
-// A fixture that can't be set up fails its scene.
+// A failed setup fails the scenario.
 #![allow(clippy::expect_used)]
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -18,38 +19,38 @@
 use super::site::{Site, Vm, default_configuration, post};
 use crate::fleet::wait_until;
 
-/// Requests before the one whose call waits.
-const BEFORE: std::ops::Range<u64> = 0..9;
-/// Pause after each of them, in milliseconds.
-const GAP: std::ops::Range<u64> = 0..400;
-/// How long the call waits for its turn, in milliseconds; less than the owner is patient for.
-const DELAY: std::ops::Range<u64> = 0..220;
-/// Bytes of a result of the first stage: six take 0.36 to 0.78 of their worker's room.
+/// Number of requests before the one whose call waits.
+const EARLIER_REQUESTS: std::ops::Range<u64> = 0..9;
+/// Pause after each of these requests, in milliseconds.
+const EARLIER_PAUSE_MS: std::ops::Range<u64> = 0..400;
+/// How long the call waits in the queue, in milliseconds; less than the owner's timeout.
+const QUEUE_DELAY_MS: std::ops::Range<u64> = 0..220;
+/// Size of a result of the first stage, in bytes: six results take 0.36 to 0.78 of their worker's memory.
 const RESULT_BYTES: std::ops::Range<u64> = 60_000..130_000;
 
-/// Name by which a VM speaks of itself.
+/// Name that a VM's state dump uses for the VM itself.
 const THIS_VM: &str = "this VM";
-/// VMs of a fleet, on both sides of the size from which each is linked to some others only.
-const FLEETS: [usize; 4] = [2, 3, 12, 14];
-/// Requests at their engines as the owner is killed.
+/// Fleet sizes, below and above the size from which each VM is linked to only some of the others.
+const FLEET_SIZES: [usize; 4] = [2, 3, 12, 14];
+/// Number of requests that engines process when the fault occurs.
 const REQUESTS: std::ops::Range<usize> = 1..4;
-/// How long the engines say nothing.
-const SILENCE: Duration = Duration::from_millis(900);
-/// The moment of the fault after the engines have the requests, in milliseconds: words about the first stage's results
-/// are on their way then.
-const AFTER: std::ops::Range<u64> = 0..6;
-/// The same after the first piece is asked for, in parts of that: two calls of 20 ms are made in it.
-const AT_WORK_PART: u32 = 10;
-/// Time in which an answer is on its way to the owner, and from there to the VM of the request, in milliseconds.
-const ON_THE_WAY_MS: i64 = 20;
-/// How long a VM stands still: longer than its requests have.
+/// How long the engines take to answer.
+const ENGINE_TIME: Duration = Duration::from_millis(900);
+/// Time of the fault after the engines have received the requests, in milliseconds. Releases of the first stage's
+/// results are in transit then.
+const FAULT_DELAY_MS: std::ops::Range<u64> = 0..6;
+/// Factor of `fault_delay` after the first call for a piece, for [`Fault::OwnerKilledAtWork`]: two calls of 20 ms run in that time.
+const AT_WORK_FACTOR: u32 = 10;
+/// Longest time in which an answer reaches the owner, and from there the VM of the request, in milliseconds.
+const TRANSIT_MS: i64 = 20;
+/// How long a VM is paused: longer than the deadlines of its requests.
 const PAUSE: Duration = Duration::from_secs(4);
-/// Life of a result, in seconds.
-const LIFE_S: std::ops::Range<u64> = 4..12;
-/// Time in which a later word about a result would come: words are repeated for 4 s at most.
-const LATER: Duration = Duration::from_secs(5);
+/// Lifetime of a result, in seconds.
+const RESULT_LIFE_S: std::ops::Range<u64> = 4..12;
+/// Time in which a further release of a result would arrive: releases are repeated for 4 s at most.
+const RELEASE_WAIT: Duration = Duration::from_secs(5);
 
-/// A call that waits for its turn behind a call of another VM.
+/// A call that waits in the queue of a pool, as if behind a call of another VM.
 #[derive(Debug)]
 pub struct QueuedCallScenario {
     before: u64,
@@ -59,22 +60,22 @@
 }
 
 impl QueuedCallScenario {
-    /// Draws a scene.
-    pub fn draw(seed: u64) -> Self {
+    /// Generates a scenario from a seed.
+    pub fn generate(seed: u64) -> Self {
         let mut rng = StdRng::seed_from_u64(seed);
         QueuedCallScenario {
-            before: rng.random_range(BEFORE),
-            gap: Duration::from_millis(rng.random_range(GAP)),
-            delay: Duration::from_millis(rng.random_range(DELAY)),
+            before: rng.random_range(EARLIER_REQUESTS),
+            gap: Duration::from_millis(rng.random_range(EARLIER_PAUSE_MS)),
+            delay: Duration::from_millis(rng.random_range(QUEUE_DELAY_MS)),
             result_bytes: rng.random_range(RESULT_BYTES),
         }
     }
 
-    /// Plays it; gives how often the stages of the request were called, which are two.
+    /// Runs the scenario; returns how often the two stages of the request were called. Each has to be called once.
     ///
     /// # Panics
     /// If a fixture can't be set up, or the request is not served.
-    pub fn calls(&self, name: &str) -> usize {
+    pub fn count_calls(&self, name: &str) -> usize {
         let site = Site::start();
         let mut scarce = default_configuration(2);
         scarce["routes"][4]["stages"][0]["bytes"] = json!(self.result_bytes);
@@ -103,48 +104,48 @@
     }
 }
 
-/// What happens to a VM.
+/// A fault of a VM.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Fault {
     /// The owner of the pool is killed while engines have the results.
     OwnerKilled,
-    /// It is killed while results are made.
+    /// The owner of the pool is killed while its workers compute results.
     OwnerKilledAtWork,
-    /// The owner of the pool stands still.
+    /// The owner of the pool is paused.
     OwnerPaused,
-    /// The VM of the requests stands still.
+    /// The VM that received the requests is paused.
     RequesterPaused,
 }
 
-/// A fault while engines are at work on requests whose stages were made by another VM.
+/// A fault while engines process requests whose stages ran in a pool owned by another VM.
 #[derive(Debug)]
 pub struct ResultReleaseScenario {
     vms: usize,
     requests: usize,
     fault: Fault,
-    after: Duration,
-    /// Life of a result in seconds, which a pause outlasts or not.
+    fault_delay: Duration,
+    /// Lifetime of a result in seconds; some are shorter than a pause, some longer.
     life_s: u64,
 }
 
-/// What became of the results of a scene.
+/// What became of the results of a scenario.
 #[derive(Debug)]
 pub struct ReleaseSummary {
-    /// Results that were made.
+    /// Number of results that were computed.
     pub made: usize,
-    /// Those among them that their workers were told to give up.
-    pub given_up: usize,
-    /// Words beyond the first one for each.
-    pub again: usize,
-    /// When the words came for those that were told more than once, in milliseconds after the fault.
-    pub again_ms: Vec<Vec<i64>>,
-    /// When those were made which nobody gave up, in milliseconds after the fault.
-    pub left_ms: Vec<i64>,
+    /// Number of results whose release their workers were told.
+    pub released: usize,
+    /// Number of releases beyond the first one for each result.
+    pub repeated: usize,
+    /// Times of the releases of each result that was released more than once, in milliseconds after the fault.
+    pub repeat_times_ms: Vec<Vec<i64>>,
+    /// When the results that nobody released were computed, in milliseconds after the fault.
+    pub unreleased_ms: Vec<i64>,
 }
 
 impl ResultReleaseScenario {
-    /// Draws a scene.
-    pub fn draw(seed: u64) -> Self {
+    /// Generates a scenario from a seed.
+    pub fn generate(seed: u64) -> Self {
         let mut rng = StdRng::seed_from_u64(seed);
         let faults = [
             Fault::OwnerKilled,
@@ -153,69 +154,71 @@
             Fault::RequesterPaused,
         ];
         ResultReleaseScenario {
-            vms: FLEETS[rng.random_range(0..FLEETS.len())],
+            vms: FLEET_SIZES[rng.random_range(0..FLEET_SIZES.len())],
             requests: rng.random_range(REQUESTS),
             fault: faults[rng.random_range(0..faults.len())],
-            after: Duration::from_millis(rng.random_range(AFTER)),
-            life_s: rng.random_range(LIFE_S),
+            fault_delay: Duration::from_millis(rng.random_range(FAULT_DELAY_MS)),
+            life_s: rng.random_range(RESULT_LIFE_S),
         }
     }
 
-    /// Whether each result is given up once. One that the owner had as it stood still may have run out meanwhile, and
-    /// nobody knows those that were on their way to an owner as it was killed. An owner can't know that a worker was
-    /// told just before the VM which told it stood still.
-    pub fn keeps(&self, told: &ReleaseSummary) -> bool {
+    /// Whether each result was released exactly once, with these exceptions: A result that a paused owner held may have
+    /// expired meanwhile. Nobody knows the results that were in transit to an owner when it was killed. An owner can't
+    /// know that a worker was told of a release just before the VM that told it was paused.
+    pub fn is_satisfied_by(&self, summary: &ReleaseSummary) -> bool {
         let is_known = match self.fault {
             Fault::OwnerKilled => |_: &i64| true,
-            Fault::OwnerKilledAtWork => |made: &i64| *made < -ON_THE_WAY_MS,
+            Fault::OwnerKilledAtWork => |made: &i64| *made < -TRANSIT_MS,
             Fault::OwnerPaused | Fault::RequesterPaused => |_: &i64| false,
         };
-        let is_unknown = |words: &Vec<i64>| {
-            self.fault == Fault::RequesterPaused && words.len() == 2 && words[0] < ON_THE_WAY_MS
+        let is_unknown = |releases: &Vec<i64>| {
+            self.fault == Fault::RequesterPaused && releases.len() == 2 && releases[0] < TRANSIT_MS
         };
-        told.again_ms.iter().all(is_unknown) && !told.left_ms.iter().any(is_known)
+        summary.repeat_times_ms.iter().all(is_unknown)
+            && !summary.unreleased_ms.iter().any(is_known)
     }
 
-    /// Plays it; gives what the workers were told once nothing more comes.
+    /// Runs the scenario; returns which results the workers were told to release, once no more releases can arrive.
     ///
     /// # Panics
     /// If a fixture can't be set up.
-    pub fn told(&self, name: &str) -> ReleaseSummary {
+    pub fn run(&self, name: &str) -> ReleaseSummary {
         let site = Site::start();
         let mut config = default_configuration(1);
         config["services"][1]["pieces"]["handle_s"] = json!(self.life_s);
         site.store.put("op/config", &config);
         let mut vms = start_vms(&site, name, self.vms);
-        let owner = owner_of_the_pool(&vms);
+        let owner = pool_owner(&vms);
         let requester = (owner + 1) % vms.len();
-        let silent = vec![Behavior::Hang(SILENCE); REQUESTS.end];
+        let silent = vec![Behavior::Hang(ENGINE_TIME); REQUESTS.end];
         site.engines.iter().for_each(|engine| engine.queue_behaviors(&silent));
-        let asked = ask(vms[requester].callers, self.requests);
+        let asked = send_requests(vms[requester].callers, self.requests);
         if self.fault == Fault::OwnerKilledAtWork {
-            wait_until("a piece is asked for", || at(&site.pool) > 0);
-            thread::sleep(self.after * AT_WORK_PART);
+            wait_until("a piece is asked for", || received_count(&site.pool) > 0);
+            thread::sleep(self.fault_delay * AT_WORK_FACTOR);
         } else {
-            wait_until("the engines have them", || at(&site.engines) >= self.requests);
-            thread::sleep(self.after);
+            wait_until("the engines have them", || received_count(&site.engines) >= self.requests);
+            thread::sleep(self.fault_delay);
         }
 
         let fault_at = Instant::now();
         match self.fault {
             Fault::OwnerKilled | Fault::OwnerKilledAtWork => drop(vms.remove(owner)),
-            Fault::OwnerPaused => stand_still(&vms[owner]),
-            Fault::RequesterPaused => stand_still(&vms[requester]),
+            Fault::OwnerPaused => pause(&vms[owner]),
+            Fault::RequesterPaused => pause(&vms[requester]),
         }
 
         for asked in asked {
-            // Its answer is another matter.
+            // Only the results are checked, not the answers.
             drop(asked.join().expect("no panic"));
         }
-        thread::sleep(LATER);
-        told(&site, fault_at)
+        thread::sleep(RELEASE_WAIT);
+        summarize_releases(&site, fault_at)
     }
 }
 
-fn stand_still(vm: &Vm) {
+/// Pauses a VM's process.
+fn pause(vm: &Vm) {
     vm.signal("-STOP");
     thread::sleep(PAUSE);
     vm.signal("-CONT");
@@ -229,7 +232,11 @@
     answer.is_some_and(|answer| answer.status() == 200)
 }
 
-fn ask(address: SocketAddr, requests: usize) -> Vec<thread::JoinHandle<Option<HttpMessage>>> {
+/// Sends chain requests, each on a thread of its own.
+fn send_requests(
+    address: SocketAddr,
+    requests: usize,
+) -> Vec<thread::JoinHandle<Option<HttpMessage>>> {
     let ask = |number: usize| {
         let call = chain(&format!("c-{number}"), "1,2");
         thread::spawn(move || call.send(address))
@@ -237,49 +244,50 @@
     (0..requests).map(ask).collect()
 }
 
-fn at(runners: &[Runner]) -> usize {
+/// Number of requests and calls that runners received.
+fn received_count(runners: &[Runner]) -> usize {
     runners.iter().map(|runner| runner.messages().len()).sum()
 }
 
-/// Starts VMs; waits until all of them have the same one fill the calls of the pool.
+/// Starts VMs and waits until all of them name the same one as the owner of the pool.
 fn start_vms(site: &Site, name: &str, count: usize) -> Vec<Vm> {
     let start = |number| Vm::start(&format!("{name}-{number}"), "hall-a", site.store.address, "");
     let vms: Vec<Vm> = (0..count).map(start).collect();
     vms.iter().for_each(|vm| site.wait_for_all_runners(vm));
-    wait_until("one VM fills the calls", || {
-        let fillers: Vec<String> = vms.iter().map(filler).collect();
-        let others = fillers.iter().filter(|filler| *filler != THIS_VM);
+    wait_until("all VMs name the same owner of the pool", || {
+        let owners: Vec<String> = vms.iter().map(owner_named_by).collect();
+        let others = owners.iter().filter(|owner| *owner != THIS_VM);
         let others: BTreeSet<&String> = others.collect();
-        others.len() == 1 && fillers.iter().filter(|filler| *filler == THIS_VM).count() == 1
+        others.len() == 1 && owners.iter().filter(|owner| *owner == THIS_VM).count() == 1
     });
     vms
 }
 
-/// The VM that fills the calls of the pool, as a VM names it.
-fn filler(vm: &Vm) -> String {
+/// The owner of the pool, which fills the calls to its workers, as `vm` names it.
+fn owner_named_by(vm: &Vm) -> String {
     vm.state()["pools"][0]["filled_by"].as_str().unwrap_or_default().to_owned()
 }
 
-fn owner_of_the_pool(vms: &[Vm]) -> usize {
-    vms.iter().position(|vm| filler(vm) == THIS_VM).expect("a VM fills the calls")
+fn pool_owner(vms: &[Vm]) -> usize {
+    vms.iter().position(|vm| owner_named_by(vm) == THIS_VM).expect("a VM owns the pool")
 }
 
-/// What the workers were told.
-fn told(site: &Site, fault_at: Instant) -> ReleaseSummary {
-    let mut words: BTreeMap<String, Vec<i64>> = BTreeMap::new();
+/// Summarizes the releases that the workers were told.
+fn summarize_releases(site: &Site, fault_at: Instant) -> ReleaseSummary {
+    let mut releases: BTreeMap<String, Vec<i64>> = BTreeMap::new();
     for (handle, at) in site.pool.iter().flat_map(Runner::timed_releases) {
-        words.entry(handle).or_default().push(millis_after(at, fault_at));
+        releases.entry(handle).or_default().push(millis_after(at, fault_at));
     }
-    let again_ms = words.values().filter(|times| times.len() > 1).cloned().collect();
+    let repeat_times_ms = releases.values().filter(|times| times.len() > 1).cloned().collect();
     let made: Vec<StageResult> = site.pool.iter().flat_map(Runner::made).collect();
-    let left = made.iter().filter(|made| !words.contains_key(&made.handle));
-    let left_ms: Vec<i64> = left.map(|made| millis_after(made.at, fault_at)).collect();
+    let left = made.iter().filter(|made| !releases.contains_key(&made.handle));
+    let unreleased_ms: Vec<i64> = left.map(|made| millis_after(made.at, fault_at)).collect();
     ReleaseSummary {
-        given_up: made.len() - left_ms.len(),
+        released: made.len() - unreleased_ms.len(),
         made: made.len(),
-        again: words.values().map(|times| times.len() - 1).sum(),
-        again_ms,
-        left_ms,
+        repeated: releases.values().map(|times| times.len() - 1).sum(),
+        repeat_times_ms,
+        unreleased_ms,
     }
 }
 
--- a/standins/src/serving_path/site.rs
+++ b/standins/src/serving_path/site.rs
@@ -1,6 +1,6 @@
-//! VMs of the serving path as processes, before the stand-ins of this folder.
+//! VMs as processes together with the stand-ins they need: a store with the default configuration, and runners.
 
-// A fixture that can't be set up fails its test.
+// A failed setup fails the test.
 #![allow(clippy::expect_used)]
 
 use std::net::SocketAddr;
@@ -16,23 +16,23 @@
 use super::store::Store;
 use crate::fleet::{program_path, unique_loopback_address, wait_until};
 
-/// Host that the usual configuration serves.
+/// Host of all routes of the default configuration.
 pub const HOST: &str = "h.example";
 
-/// Time within which the VMs of a test have a change in force, in milliseconds; less than
-/// [`SETTLE_TIME`], after which tests look.
+/// Setting `in_force_ms` of the VMs, in milliseconds: the time within which a change is in force. Less than
+/// [`SETTLE_TIME`], after which tests check.
 const IN_FORCE_MS: u64 = 600;
 
-/// Ports of a VM, on a loopback address of its own: callers, ready, peers, operations.
+/// Ports of a VM for callers, readiness, peers and operations, on a loopback address of its own.
 const PORTS: [u16; 4] = [7001, 7002, 7003, 7004];
 
-/// A VM's process; killed when dropped.
+/// A VM process. Dropping it kills the process.
 pub struct Vm {
-    /// Where callers connect.
+    /// Address for callers.
     pub callers: SocketAddr,
-    /// Where the balancer asks.
+    /// Address on which load balancers query readiness.
     pub ready: SocketAddr,
-    /// Where metrics and state are served.
+    /// Address of metrics and state pages.
     pub operations: SocketAddr,
     peers: SocketAddr,
     settings: PathBuf,
@@ -48,12 +48,12 @@
 }
 
 impl Vm {
-    /// Starts a VM before a store; `extra` are further lines of its settings.
+    /// Starts a VM that uses a store; `extra` is appended to its settings.
     pub fn start(name: &str, hall: &str, store: SocketAddr, extra: &str) -> Self {
         Vm::start_to(name, hall, store, extra, to_file)
     }
 
-    /// The same; `out` gives its standard output, from the path of its log file.
+    /// Like [`Vm::start`]; `out` opens the standard output, given the path of the log file.
     fn start_to(
         name: &str,
         hall: &str,
@@ -77,75 +77,74 @@
         Vm { callers, ready, operations, peers, settings, log, child }
     }
 
-    /// Starts a VM like [`Vm::start`] whose standard output is a pipe; gives its end, to be read or
-    /// left to fill.
+    /// Starts a VM whose standard output is a pipe; returns the reading end, which may be read or left to fill.
     pub fn start_piped(name: &str, store: SocketAddr) -> (Self, ChildStdout) {
         let mut vm = Vm::start_to(name, "hall-a", store, "", |_| Stdio::piped());
         let out = vm.child.stdout.take().expect("its standard output");
         (vm, out)
     }
 
-    /// Where it takes links.
+    /// Address for peer links.
     pub fn peers(&self) -> SocketAddr {
         self.peers
     }
 
-    /// Whether it says that it is ready.
+    /// Whether the VM reports that it is ready.
     pub fn is_ready(&self) -> bool {
         let answer = Call::new("GET", "ready", "/ready", "-").send(self.ready);
         answer.is_some_and(|answer| answer.status() == 200)
     }
 
-    /// Waits until it is ready.
+    /// Waits until the VM is ready.
     pub fn wait_ready(&self) {
         wait_until("the VM is ready", || self.is_ready());
     }
 
-    /// Waits until it is ready and knows so many runners.
+    /// Waits until the VM is ready and knows so many runners.
     pub fn wait_for_targets(&self, runners: u64) {
         self.wait_ready();
         wait_until("the VM knows the runners", || self.targets() == runners);
     }
 
-    /// A page of its operations address.
+    /// A page of the operations address; empty without an answer.
     pub fn operations_page(&self, path: &str) -> String {
         let answer = Call::new("GET", "operations", path, "-").send(self.operations);
         answer.map(|answer| answer.text()).unwrap_or_default()
     }
 
-    /// Its state dump.
+    /// The VM's state dump; null without an answer.
     pub fn state(&self) -> Value {
         serde_json::from_str(&self.operations_page("/state")).unwrap_or_default()
     }
 
-    /// What its state lists under a name.
+    /// A list of the state dump; empty if it is absent.
     pub fn state_list(&self, name: &str) -> Vec<Value> {
         self.state()[name].as_array().cloned().unwrap_or_default()
     }
 
-    /// Targets that it knows.
+    /// Number of targets that the VM knows.
     pub fn targets(&self) -> u64 {
         self.state()["targets"].as_u64().unwrap_or(0)
     }
 
-    /// Peers that it is linked to.
+    /// Number of peers with an open link.
     pub fn linked_peers(&self) -> usize {
         self.state_list("peers").iter().filter(|peer| peer["linked"] == true).count()
     }
 
-    /// Its log so far.
+    /// The log since the last start.
     pub fn log(&self) -> String {
         std::fs::read_to_string(&self.log).unwrap_or_default()
     }
 
-    /// Sends its process a signal.
+    /// Sends a signal to the process; `signal` is an option of `kill`, such as `-TERM`.
     pub fn signal(&self, signal: &str) {
         let pid = self.child.id().to_string();
         let sent = Command::new("kill").args([signal, &pid]).status().expect("kill runs");
         assert!(sent.success());
     }
 
-    /// Waits for its end; gives the exit code.
+    /// Waits for the end of the process; returns the exit code.
     pub fn wait_exit(&mut self) -> Option<i32> {
         let mut code = None;
         wait_until("the VM has ended", || match self.child.try_wait() {
@@ -158,7 +157,7 @@
         code.flatten()
     }
 
-    /// Kills its process and starts another one with the same settings.
+    /// Kills the process and starts another one with the same settings.
     pub fn restart(&mut self) {
         drop(self.child.kill());
         drop(self.child.wait());
@@ -181,9 +180,9 @@
         .expect("saddleraild starts")
 }
 
-/// The usual configuration: a plain service that may be repeated and one that may not, one that has no
-/// runners unless a test starts some, streams that may be resumed and others, and a chain of two stages
-/// before an engine.
+/// The default configuration. Routes: a plain service, repeatable, not repeatable, and restricted by API key; streams
+/// of an engine, resumable and not; a chain of two stages before an engine; and `/fragile/`, whose service has no
+/// runners unless a test starts some.
 pub fn default_configuration(version: u64) -> Value {
     let route = |path: &str, kind: &str, service: &str| {
         json!({"name": path.trim_matches('/'), "host": HOST, "path_prefix": path, "kind": kind,
@@ -217,25 +216,25 @@
         "tenants": [{"name": "quipu", "api_keys": ["key-1"]}]})
 }
 
-/// A store with the usual configuration and two runners for each service.
+/// A store with the default configuration and two runners for each service.
 pub struct Site {
     /// The store.
     pub store: Store,
-    /// Runners of the plain service.
+    /// Runners of the service `plain`.
     pub plain: Vec<Runner>,
-    /// Engines.
+    /// Runners of the service `engine`.
     pub engines: Vec<Runner>,
-    /// Runners of the pool.
+    /// Runners of the service `pool`.
     pub pool: Vec<Runner>,
 }
 
 impl Site {
-    /// Starts the stand-ins, all runners in hall-a.
+    /// Starts the store and the runners, all in hall-a.
     pub fn start() -> Self {
         Site::start_in(["hall-a", "hall-a"])
     }
 
-    /// Starts the stand-ins; the first runner of each service stands in the first hall, the second in the
+    /// Starts the store and the runners; the first runner of each service is in the first hall, the second one in the
     /// other.
     pub fn start_in(halls: [&str; 2]) -> Self {
         let store = Store::start().expect("the store starts");
@@ -261,81 +260,81 @@
         site
     }
 
-    /// The services and their runners.
+    /// Names of the services with their runners.
     pub fn services(&self) -> [(&'static str, &[Runner]); 3] {
         [("plain", &self.plain), ("engine", &self.engines), ("pool", &self.pool)]
     }
 
-    /// Writes a runner's entry, as one that is cold for some time yet.
+    /// Writes a runner's store entry, with the remaining cold start time.
     pub fn register_runner(&self, runner: &Runner, service: &str, hall: &str, cold: Duration) {
         let mut entry = runner.entry(service, hall, "ready");
         entry["cold_remaining_ms"] = json!(u64::try_from(cold.as_millis()).unwrap_or(u64::MAX));
         self.store.put(&format!("servers/{}", runner.id), &entry);
     }
 
-    /// Takes the runners of a hall out of service, as operators do.
+    /// Evacuates a hall, as operators do.
     pub fn evacuate(&self, hall: &str) {
         self.store.put(&format!("op/evacuate/{hall}"), &json!({}));
     }
 
-    /// Takes them back.
+    /// Ends the evacuation of a hall.
     pub fn end_evacuation(&self, hall: &str) {
         self.store.remove(&format!("op/evacuate/{hall}"));
     }
 
-    /// Starts a VM and waits until it is ready and knows all runners.
+    /// Starts a VM in hall-a and waits until it is ready and knows all runners.
     pub fn start_vm(&self, name: &str, extra: &str) -> Vm {
         let vm = Vm::start(name, "hall-a", self.store.address, extra);
         self.wait_for_all_runners(&vm);
         vm
     }
 
-    /// The same, where some entries name no runner; waits until it knows so many.
+    /// Like [`Site::start_vm`], for a store with invalid runner entries: waits until the VM knows so many runners.
     pub fn start_vm_expecting(&self, name: &str, runners: u64) -> Vm {
         let vm = Vm::start(name, "hall-a", self.store.address, "");
         vm.wait_for_targets(runners);
         vm
     }
 
-    /// Waits until a VM knows all runners.
+    /// Waits until a VM knows all runners in the store.
     pub fn wait_for_all_runners(&self, vm: &Vm) {
         vm.wait_for_targets(self.store.keys("servers/").len() as u64);
     }
 
-    /// How often a request ran, over all runners that answer requests.
+    /// How often a request ran, over all plain runners and engines.
     pub fn runs(&self, id: &str) -> usize {
         let all = self.plain.iter().chain(&self.engines);
         all.map(|runner| runner.ran().iter().filter(|ran| *ran == id).count()).sum()
     }
 
-    /// Lets the next requests at all runners of a list be answered so.
-    pub fn queue_behavior(runners: &[Runner], act: &Behavior) {
-        runners.iter().for_each(|runner| runner.queue_behaviors(std::slice::from_ref(act)));
+    /// Sets the behavior of each of these runners for its next request.
+    pub fn queue_behavior(runners: &[Runner], behavior: &Behavior) {
+        runners.iter().for_each(|runner| runner.queue_behaviors(std::slice::from_ref(behavior)));
     }
 }
 
-/// Pause that lets what should not happen show itself.
+/// Time to wait before checking that something did not happen.
 pub const SETTLE_TIME: Duration = Duration::from_millis(700);
 
-/// A request with no body to a path of the usual host.
+/// A GET request to a path of [`HOST`], with a deadline of 2 s.
 pub fn get(path: &str, id: &str) -> Call {
     Call::new("GET", HOST, path, id).with_header("Deadline-Milliseconds", "2000")
 }
 
-/// A request with a body to a path of the usual host.
+/// A POST request with a body to a path of [`HOST`], with a deadline of 2 s.
 pub fn post(path: &str, id: &str) -> Call {
     Call::new("POST", HOST, path, id).with_header("Deadline-Milliseconds", "2000").body(b"a body")
 }
 
-/// The answer of a VM.
+/// Sends a request to a VM and returns the answer.
 ///
 /// # Panics
-/// If there is none.
+/// If there is no answer.
 pub fn send_expecting_answer(call: &Call, vm: &Vm) -> HttpMessage {
     call.send(vm.callers).expect("an answer")
 }
 
-/// Numbers of the events of a stream's answer.
+/// Ids of the events in a stream's answer.
 pub fn event_ids(answer: &HttpMessage) -> Vec<u64> {
     let text = answer.text();
     text.lines().filter_map(|line| line.strip_prefix("id: ")?.parse().ok()).collect()
--- a/standins/src/serving_path/soak.rs
+++ b/standins/src/serving_path/soak.rs
@@ -282,7 +282,7 @@
     links.iter().for_each(|link| link.set(LinkMode::Normal));
     HALLS.iter().for_each(|hall| site.end_evacuation(hall));
     for runner in site.plain.iter().chain(&site.engines).chain(&site.pool) {
-        runner.clear_acts();
+        runner.clear_script();
     }
     interruptions
 }
--- a/standins/src/serving_path/soak_checks.rs
+++ b/standins/src/serving_path/soak_checks.rs
@@ -91,7 +91,7 @@
     let ends: Vec<Instant> = interruptions.iter().filter(|i| i.is_end).map(|i| i.at).collect();
     let is_owed = |made: &StageResult| {
         let life = made.called..made.at + RESULT_LIFE;
-        !made.is_unheard && !ends.iter().any(|end| life.contains(end))
+        !made.caller_gone && !ends.iter().any(|end| life.contains(end))
     };
     let owed: Vec<StageResult> = site.pool.iter().flat_map(Runner::made).filter(is_owed).collect();
     report.results = owed.len();
@@ -163,7 +163,7 @@
         let uninterrupted = |since: &&Instant| !is_interrupted(interruptions, vm, **since, one.at);
         match told.get(&vm).filter(uninterrupted) {
             Some(since) if one.at > *since + ON_THEIR_WAY => counted.push((one.at, rate)),
-            None if one.speaks => drop(told.insert(vm, one.at)),
+            None if one.answered_at_once => drop(told.insert(vm, one.at)),
             Some(_) | None => {}
         }
     }
--- a/standins/src/serving_path/stop_soak.rs
+++ b/standins/src/serving_path/stop_soak.rs
@@ -210,7 +210,7 @@
         }
     }
     for runner in site.plain.iter().chain(&site.engines).chain(&site.pool) {
-        runner.clear_acts();
+        runner.clear_script();
     }
 }
 
--- a/tests/rates.rs
+++ b/tests/rates.rs
@@ -104,7 +104,7 @@
             });
             targets.iter().all(|target| has_heard(vm, target))
         });
-        targets[0].clear_acts();
+        targets[0].clear_script();
     }
 }
 
--- a/tests/scenes.rs
+++ b/tests/scenes.rs
@@ -11,9 +11,9 @@
 #[test]
 fn inputs_are_kept_while_a_call_waits_for_its_turn_at_a_pool_at_work() {
     for seed in TURN_SEEDS {
-        let scene = QueuedCallScenario::draw(seed);
+        let scene = QueuedCallScenario::generate(seed);
 
-        let calls = scene.calls(&format!("turn-{seed}"));
+        let calls = scene.count_calls(&format!("turn-{seed}"));
 
         assert_eq!(calls, 2, "each stage is called once; seed {seed}: {scene:?}");
     }
@@ -24,10 +24,10 @@
 #[test]
 fn results_are_given_up_once_though_a_vm_fails_in_fleets_of_any_size() {
     for seed in RESULT_SEEDS {
-        let scene = ResultReleaseScenario::draw(seed);
+        let scene = ResultReleaseScenario::generate(seed);
 
-        let told = scene.told(&format!("result-{seed}"));
+        let told = scene.run(&format!("result-{seed}"));
 
-        assert!(scene.keeps(&told), "seed {seed}: {scene:?} {told:?}");
+        assert!(scene.is_satisfied_by(&told), "seed {seed}: {scene:?} {told:?}");
     }
 }
--- a/tests/serving.rs
+++ b/tests/serving.rs
@@ -100,7 +100,7 @@
         assert_eq!(answer.status(), expected, "{act:?}");
         assert_eq!(site.runs(&id), 1, "{act:?}");
         // The runner that was not asked still has its act to do.
-        site.plain.iter().for_each(|runner| runner.clear_acts());
+        site.plain.iter().for_each(|runner| runner.clear_script());
     }
 }
 
@@ -147,7 +147,7 @@
             answer.is_complete && answer.text().ends_with(&format!("answers {id}")),
             "{answer:?}"
         );
-        site.plain.iter().for_each(|runner| runner.clear_acts());
+        site.plain.iter().for_each(|runner| runner.clear_script());
     }
 }
 
--- a/tests/serving_streams.rs
+++ b/tests/serving_streams.rs
@@ -64,7 +64,7 @@
     let site = Site::start();
     let vm = site.start_vm("again", "");
     for (number, engine) in site.engines.iter().enumerate() {
-        site.engines.iter().for_each(|other| other.clear_acts());
+        site.engines.iter().for_each(|other| other.clear_script());
         engine.queue_behaviors(&[Behavior::BreakStream(3), Behavior::BreakStream(3)]);
         site.engines[1 - number]
             .queue_behaviors(&[Behavior::StreamFromFirst(5), Behavior::StreamFromFirst(5)]);
@@ -263,7 +263,7 @@
         let answer = send_expecting_answer(&chain(&id), &vm);
 
         assert_eq!((answer.status(), site.runs(&id)), (200, 1), "{answer:?}");
-        site.engines.iter().for_each(|engine| engine.clear_acts());
+        site.engines.iter().for_each(|engine| engine.clear_script());
         // The VM took the target for gone; its next entry brings it back.
         let mut entry = site.engines[replaced].entry("engine", "hall-a", "ready");
         entry["sequence"] = json!(number + 2);
