--- a/standins/src/serving_path/soak.rs
+++ b/standins/src/serving_path/soak.rs
@@ -1,12 +1,12 @@
-//! A randomized run of the serving path under faults from outside, and what it must keep to.
+//! Randomized test run of the serving path under external faults, and its report.
 //!
-//! The faults: links that are late, silent, cut one way or reset; processes that are paused, killed,
-//! restarted and told to stop; a store that is busy, silent or forgets its history; runners that lose,
-//! cut, cross, spoil and decline answers, say in answers only that they leave, want to be left alone for some
-//! time, or take a rate; a request that ends each runner that runs it; halls whose runners are taken out of service and back,
-//! runners that turn cold; changes of the configuration in between.
+//! The faults: links to the store that delay or drop bytes, in one or both directions, or are reset; VM processes that
+//! are paused, killed and restarted, or sent SIGHUP; a store that refuses calls, doesn't answer or compacts its history;
+//! runners that lose, truncate, mix up, corrupt or refuse answers, announce only in answers that they are leaving, ask
+//! for a pause or for a rate limit; a request that crashes each runner that runs it; halls that are evacuated and
+//! restored; runners with cold starts; and changes of the configuration in between.
 
-// A fixture that can't be set up fails its run.
+// A failed setup fails the run.
 #![allow(clippy::expect_used)]
 
 use std::net::SocketAddr;
@@ -24,34 +24,35 @@
 use super::faulty_link::{FaultyLink, LinkMode};
 use super::runners::{Behavior, Runner};
 use super::site::{HOST, Site, Vm, default_configuration};
-use super::soak_checks::{check_answer, check_fragile, check_rates, check_results, check_words};
-use super::soak_notices::{come_back, let_runners_leave, let_runners_name_rates};
+use super::soak_checks::{check_answer, check_crashes, check_notices, check_rates, check_results};
+use super::soak_notices::{announce_leaving, announce_rates, restart_runners};
 use super::store::StoreMode;
 
-/// Pause between two faults, in milliseconds.
+/// Pause after each fault, in milliseconds.
 const FAULT_PAUSE: std::ops::Range<u64> = 80..500;
-/// Halls in which runners stand: the first one of each service in the first, the second in the other.
+/// Halls of the runners: the first runner of each service is in the first hall, the second one in the other.
 pub(super) const HALLS: [&str; 2] = ["hall-a", "hall-b"];
-/// Seeds of the faults that were added to the first ones are these further on, so that the first ones come as
-/// they did.
-pub(super) const LATER_FAULTS: u64 = 1 << 32;
-/// How long runners say to be cold.
+/// Seed offset between the independent random generators of a run. A further generator with its own multiple of the
+/// offset leaves the faults of the others as they are for a given seed.
+pub(super) const SEED_OFFSET: u64 = 1 << 32;
+/// Remaining cold start times that runners report, in milliseconds.
 const COLD: std::ops::Range<u64> = 100..1500;
-/// Time for the fleet to recover after the last fault.
+/// Time within which the VMs have to recover after the last fault.
 const RECOVERY: Duration = Duration::from_secs(8);
 
-/// Runners that end under a fatal request, and what makes a request one.
-const FRAGILE: usize = 3;
+/// Number of runners that crash on a fatal request.
+const CRASHING_RUNNERS: usize = 3;
+/// Body of a fatal request.
 const FATAL: &[u8] = b"fatal";
-/// Times for which runners want to be left alone, in seconds.
-const LEFT_ALONE: [&str; 3] = ["0.3", "1.5", "2.5"];
-/// How often a fault comes with such a word.
-const LEFT_ALONE_PART: f64 = 0.3;
+/// `Retry-After` values with which runners refuse requests, in seconds.
+const RETRY_AFTER_S: [&str; 3] = ["0.3", "1.5", "2.5"];
+/// Probability that a fault comes with such a refusal.
+const REFUSAL_PROBABILITY: f64 = 0.3;
 
 /// Pause between two fatal requests, in milliseconds.
 const FATAL_PAUSE: std::ops::Range<u64> = 20..200;
 
-/// What callers ask: path, whether it may run more than once, whether it streams.
+/// Kinds of requests: path, whether the request may run more than once, whether the answer is a stream.
 pub(super) const KINDS: [(&str, bool, bool); 5] = [
     ("/repeat/", true, false),
     ("/once/", false, false),
@@ -60,12 +61,12 @@
     ("/chain/", false, true),
 ];
 
-/// How large a run is.
+/// Size of a run.
 #[derive(Debug, Clone, Copy)]
 pub struct Size {
-    /// VMs.
+    /// Number of VMs.
     pub vms: usize,
-    /// Callers.
+    /// Number of concurrent callers.
     pub callers: u64,
 }
 
@@ -75,45 +76,46 @@
     }
 }
 
-/// What a run showed.
+/// Result of a run.
 #[derive(Debug, Default)]
 pub struct Report {
-    /// Requests that were sent.
+    /// Number of requests sent, without those that probe for crashes and recovery.
     pub requests: u64,
-    /// Those that were answered whole.
+    /// Number of requests with a complete successful answer.
     pub complete: u64,
-    /// Faults that were brought about.
+    /// Number of faults injected.
     pub faults: u64,
-    /// Restarts of VMs among them.
+    /// Number of VM restarts among the faults.
     pub restarts: u64,
-    /// Requests that runners answered with a word that they leave or want to be left alone.
+    /// Number of answers of runners with the notice that they are leaving or with a `Retry-After`.
     pub notices: usize,
-    /// Requests from VMs that had heard of it which reached runners while they named a rate.
+    /// Number of requests that reached runners while a rate limit was in force, from VMs that knew of it.
     pub rate_limited: usize,
-    /// Results of stages that were made, but for those of which no VM learned the handle.
+    /// Number of stage results that have to be released, see `check_results`.
     pub results: usize,
-    /// Promises that were broken.
+    /// Descriptions of the checks that failed.
     pub violations: Vec<String>,
 }
 
-pub(super) struct Answered {
+/// A request that was sent, and its answer.
+pub(super) struct AnsweredRequest {
     pub(super) id: String,
     pub(super) kind: usize,
-    /// The VM that was asked.
+    /// Index of the VM that received the request.
     pub(super) vm: usize,
     pub(super) sent: Instant,
     pub(super) answer: Option<HttpMessage>,
 }
 
-/// A VM was restarted or stood still.
+/// A restart or a pause of a VM.
 pub(super) struct Interruption {
     pub(super) vm: usize,
     pub(super) at: Instant,
-    /// Whether its process ended.
+    /// Whether the process ended.
     pub(super) is_end: bool,
 }
 
-/// Plays one run.
+/// Runs the faults of a seed for `time`, then the checks.
 pub fn run(seed: u64, time: Duration, size: Size) -> Report {
     let site = Site::start_in(HALLS);
     let links: Vec<FaultyLink> =
@@ -126,7 +128,7 @@
             Vm::start(&name, "hall-a", link.address, "stop: {notice_ms: 200, grace_s: 3}\n")
         })
         .collect();
-    let fragile = start_fragile(seed, &site);
+    let fragile = start_crashing_runners(seed, &site);
     vms.iter().for_each(|vm| site.wait_for_all_runners(vm));
     let addresses: Vec<SocketAddr> = vms.iter().map(|vm| vm.callers).collect();
     let over = AtomicBool::new(false);
@@ -141,18 +143,18 @@
                 let mut rng = StdRng::seed_from_u64(seed * 1000 + caller);
                 while !over.load(Ordering::Relaxed) {
                     let number = sent.fetch_add(1, Ordering::Relaxed);
-                    let one = ask(&mut rng, addresses, seed, number);
+                    let one = send_request(&mut rng, addresses, seed, number);
                     answered.lock().unwrap_or_else(PoisonError::into_inner).push(one);
                 }
             });
         }
         let (addresses, ended) = (&addresses, &over);
-        scope.spawn(move || send_fatal(seed, addresses, ended));
+        scope.spawn(move || send_fatal_requests(seed, addresses, ended));
         let site = &site;
-        scope.spawn(move || let_runners_leave(seed, time, site));
-        scope.spawn(move || let_runners_name_rates(seed, time, site));
+        scope.spawn(move || announce_leaving(seed, time, site));
+        scope.spawn(move || announce_rates(seed, time, site));
         let faults = Faults { seed, time, site, links: &links };
-        interruptions = bring_about_faults(&faults, &mut vms, &mut report);
+        interruptions = inject_faults(&faults, &mut vms, &mut report);
         over.store(true, Ordering::Relaxed);
     });
     let answered = answered.into_inner().unwrap_or_else(PoisonError::into_inner);
@@ -160,19 +162,21 @@
     for one in &answered {
         check_answer(&site, one, &mut report);
     }
-    check_fragile(&fragile, &vms, &mut report);
-    check_words(&site, &answered, &interruptions, &mut report);
+    check_crashes(&fragile, &vms, &mut report);
+    check_notices(&site, &answered, &interruptions, &mut report);
     check_rates(&site, &answered, &interruptions, &mut report);
-    come_back(&site);
+    restart_runners(&site);
     if !recovers(&addresses, seed) {
-        report.violations.push(format!("not every VM serves {RECOVERY:?} after the last fault"));
+        report
+            .violations
+            .push(format!("not every VM serves requests within {RECOVERY:?} after the last fault"));
     }
     check_results(&site, &interruptions, &mut report);
     report
 }
 
-/// Runners of a service of their own, half of which come back under their ids.
-fn start_fragile(seed: u64, site: &Site) -> Vec<CrashingRunner> {
+/// Starts the runners of the service `fragile`; every other one keeps its id when it restarts.
+fn start_crashing_runners(seed: u64, site: &Site) -> Vec<CrashingRunner> {
     let start = |number: usize| {
         let config = CrashingRunnerConfig {
             trigger: CrashTrigger::Body(FATAL.to_vec()),
@@ -184,12 +188,12 @@
         let name = format!("i-fragile-{seed}-{number}");
         CrashingRunner::start(&name, "fragile", config, &site.store).expect("a runner starts")
     };
-    (0..FRAGILE).map(start).collect()
+    (0..CRASHING_RUNNERS).map(start).collect()
 }
 
-/// Sends a fatal request again and again, at any VM, and others to the same runners in between.
-fn send_fatal(seed: u64, addresses: &[SocketAddr], over: &AtomicBool) {
-    let mut rng = StdRng::seed_from_u64(seed + 2 * LATER_FAULTS);
+/// Sends fatal requests and harmless ones to the service `fragile`, at random VMs.
+fn send_fatal_requests(seed: u64, addresses: &[SocketAddr], over: &AtomicBool) {
+    let mut rng = StdRng::seed_from_u64(seed + 2 * SEED_OFFSET);
     let mut number = 0;
     while !over.load(Ordering::Relaxed) {
         number += 1;
@@ -203,7 +207,13 @@
     }
 }
 
-fn ask(rng: &mut StdRng, addresses: &[SocketAddr], seed: u64, number: u64) -> Answered {
+/// Sends a random request to a random VM.
+fn send_request(
+    rng: &mut StdRng,
+    addresses: &[SocketAddr],
+    seed: u64,
+    number: u64,
+) -> AnsweredRequest {
     let kind = rng.random_range(0..KINDS.len());
     let id = format!("soak-{seed}-{number}");
     let mut call = Call::new("POST", HOST, KINDS[kind].0, &id)
@@ -215,13 +225,13 @@
     let (vm, sent) = (rng.random_range(0..addresses.len()), Instant::now());
     let answer = call.send(addresses[vm]);
     if answer.is_none() {
-        // Nobody listens there for the moment.
+        // The VM may be restarting.
         thread::sleep(Duration::from_millis(20));
     }
-    Answered { id, kind, vm, sent, answer }
+    AnsweredRequest { id, kind, vm, sent, answer }
 }
 
-/// What faults come of, and where.
+/// Parameters of the faults: their seed, their duration and what they affect.
 struct Faults<'a> {
     seed: u64,
     time: Duration,
@@ -229,16 +239,12 @@
     links: &'a [FaultyLink],
 }
 
-/// Brings them about; gives what interrupted VMs.
-fn bring_about_faults(
-    faults: &Faults<'_>,
-    vms: &mut [Vm],
-    report: &mut Report,
-) -> Vec<Interruption> {
+/// Injects faults until their time is over; returns the interruptions of VMs.
+fn inject_faults(faults: &Faults<'_>, vms: &mut [Vm], report: &mut Report) -> Vec<Interruption> {
     let Faults { seed, time, site, links } = *faults;
     let mut rng = StdRng::seed_from_u64(seed);
-    let mut later = StdRng::seed_from_u64(seed + LATER_FAULTS);
-    let mut words = StdRng::seed_from_u64(seed + 4 * LATER_FAULTS);
+    let mut availability_rng = StdRng::seed_from_u64(seed + SEED_OFFSET);
+    let mut refusal_rng = StdRng::seed_from_u64(seed + 4 * SEED_OFFSET);
     let mut interruptions = Vec::new();
     let end = Instant::now() + time;
     let mut version = 1;
@@ -267,11 +273,11 @@
                 interruptions.push(Interruption { vm, at: Instant::now(), is_end: true });
             }
             10 => vms[vm].signal("-HUP"),
-            _ => spoil(&mut rng, site),
+            _ => inject_runner_faults(&mut rng, site),
         }
-        spoil(&mut rng, site);
-        change_service(&mut later, site);
-        turn_away(&mut words, site);
+        inject_runner_faults(&mut rng, site);
+        change_availability(&mut availability_rng, site);
+        refuse_next(&mut refusal_rng, site);
         thread::sleep(Duration::from_millis(rng.random_range(FAULT_PAUSE)));
         if rng.random_bool(0.4) {
             site.store.set_mode(StoreMode::Normal);
@@ -287,17 +293,17 @@
     interruptions
 }
 
-/// Lets a runner turn its next request away and want to be left alone, now and then.
-fn turn_away(rng: &mut StdRng, site: &Site) {
+/// With some probability, lets a runner refuse its next request with a `Retry-After`.
+fn refuse_next(rng: &mut StdRng, site: &Site) {
     let (service, runner) = (rng.random_range(0..3), rng.random_range(0..2));
-    let seconds = LEFT_ALONE[rng.random_range(0..LEFT_ALONE.len())];
-    if rng.random_bool(LEFT_ALONE_PART) {
+    let seconds = RETRY_AFTER_S[rng.random_range(0..RETRY_AFTER_S.len())];
+    if rng.random_bool(REFUSAL_PROBABILITY) {
         site.services()[service].1[runner].queue_behaviors(&[Behavior::DeclineFor(seconds)]);
     }
 }
 
-/// Takes a hall out of service or back, or lets a runner turn cold.
-fn change_service(rng: &mut StdRng, site: &Site) {
+/// Evacuates a hall, ends an evacuation, or lets a runner report a cold start.
+fn change_availability(rng: &mut StdRng, site: &Site) {
     let index = rng.random_range(0..HALLS.len());
     match rng.random_range(0..6) {
         0 => site.evacuate(HALLS[index]),
@@ -311,14 +317,15 @@
     }
 }
 
+/// Pauses a VM's process.
 fn pause(vm: &Vm, time: Duration) {
     vm.signal("-STOP");
     thread::sleep(time);
     vm.signal("-CONT");
 }
 
-/// Tells a runner to spoil one of its next answers.
-fn spoil(rng: &mut StdRng, site: &Site) {
+/// Sets a fault for the next request of one runner of each service.
+fn inject_runner_faults(rng: &mut StdRng, site: &Site) {
     let pick = |rng: &mut StdRng, runners: &[Runner]| runners[rng.random_range(0..2)].clone();
     let time = Duration::from_millis(rng.random_range(100..900));
     let plain = [
@@ -348,7 +355,7 @@
     pick(rng, &site.pool).queue_behaviors(&[pool[rng.random_range(0..pool.len())].clone()]);
 }
 
-/// Whether every VM serves again in time.
+/// Whether every VM serves again within [`RECOVERY`].
 fn recovers(addresses: &[SocketAddr], seed: u64) -> bool {
     let end = Instant::now() + RECOVERY;
     let serves = |address: SocketAddr, number: usize| {
--- a/standins/src/serving_path/soak_checks.rs
+++ b/standins/src/serving_path/soak_checks.rs
@@ -1,4 +1,4 @@
-//! What a randomized run must have kept to, from what callers and runners saw.
+//! Checks of a randomized run, based on the answers that callers received and the requests that runners recorded.
 
 use std::collections::{BTreeSet, HashMap};
 use std::thread;
@@ -8,84 +8,88 @@
 use super::crashing::CrashingRunner;
 use super::runners::{ReceivedRequest, Runner, StageResult};
 use super::site::{Site, Vm};
-use super::soak::{Answered, Interruption, KINDS, Report};
+use super::soak::{AnsweredRequest, Interruption, KINDS, Report};
 
-/// Ends that make a fatal request known.
+/// Number of crashes after which a request is quarantined.
 const CRASHES: u64 = 3;
-/// Ends beyond these that are borne: the tries of a return that is under way, and those at a VM that was
-/// started again and is not linked yet.
-const MORE_ENDS: u64 = 2;
-/// Events of a whole stream.
+/// Further crashes that are tolerated, per restart of a VM and once more: attempts of a request that is under way again,
+/// and attempts at a VM that has restarted and is not linked to its peers yet.
+const TOLERATED_CRASHES: u64 = 2;
+/// Number of events in a complete stream.
 const EVENTS: u64 = 5;
-/// A request that was sent later than this after a VM had heard that a runner leaves does not reach it from there.
-const LEAVING_BORNE: Duration = Duration::from_secs(2);
-/// Requests that were on their way at the word arrive within this time.
-const ON_THEIR_WAY: Duration = Duration::from_millis(500);
-/// Requests from a VM that reach a runner later, before its time is over, and are borne.
-const LATE_BORNE: usize = 2;
+/// Time after the notice that a runner is leaving, from which on requests sent to the VM that received the notice must
+/// not reach the runner.
+const LEAVING_TOLERANCE: Duration = Duration::from_secs(2);
+/// Time within which requests arrive that were in transit when a notice was sent.
+const TRANSIT_TIME: Duration = Duration::from_millis(500);
+/// Number of requests from a VM that may reach a runner later than that, before its `Retry-After` is over.
+const TOLERATED_LATE_REQUESTS: usize = 2;
 
-/// The span in which requests to a runner that names a rate are counted.
+/// Interval over which requests to a runner with a rate limit are counted.
 const RATE_SPAN: Duration = Duration::from_secs(4);
-/// Time after which a result that nobody gives up runs out, as the usual configuration says.
+/// Time after which an unreleased result expires; `handle_s` of the default configuration.
 const RESULT_LIFE: Duration = Duration::from_secs(4);
-/// Such a runner bears this many times what its rate allows in that span,
+/// Tolerated multiple of the number of requests that the rate limit allows in [`RATE_SPAN`].
 const RATE_FACTOR: f64 = 1.5;
-/// and so many requests more.
-const RATE_MORE: f64 = 5.0;
+/// Number of requests tolerated in addition to [`RATE_FACTOR`].
+const RATE_EXTRA: f64 = 5.0;
 
-/// Few runners ended under the fatal request, and no other request is taken for one.
-pub(super) fn check_fragile(fragile: &[CrashingRunner], vms: &[Vm], report: &mut Report) {
+/// Checks that only few runners crashed on the fatal request, and that no other request was quarantined.
+pub(super) fn check_crashes(fragile: &[CrashingRunner], vms: &[Vm], report: &mut Report) {
     let ends: u64 = fragile.iter().map(CrashingRunner::crashes).sum();
-    let most = CRASHES + MORE_ENDS * (1 + report.restarts);
+    let most = CRASHES + TOLERATED_CRASHES * (1 + report.restarts);
     if ends > most {
-        report.violations.push(format!("{ends} runners ended under one request, {most} are borne"));
+        report.violations.push(format!("{ends} crashes on one request, expected at most {most}"));
     }
     let refused = |vm: &Vm| vm.state()["quarantine"].as_array().map_or(0, Vec::len);
     if let Some(many) = vms.iter().map(refused).max().filter(|refused| *refused > 1) {
-        report.violations.push(format!("{many} requests are refused as fatal, one is"));
+        report.violations.push(format!("{many} quarantined requests, expected one"));
     }
 }
 
-/// What a runner said to a VM holds for what that VM sends it, unless the VM was interrupted since then.
-pub(super) fn check_words(
+/// Checks that VMs respect the notices of runners: a VM that was told of one by an answer sends the runner no further
+/// requests, unless the VM was interrupted since then.
+pub(super) fn check_notices(
     site: &Site,
-    answered: &[Answered],
+    answered: &[AnsweredRequest],
     interruptions: &[Interruption],
     report: &mut Report,
 ) {
     let sent = by_id(answered);
     for runner in site.plain.iter().chain(&site.engines) {
         let received = runner.received();
-        let by_vm: Vec<(&ReceivedRequest, &Answered)> =
+        let by_vm: Vec<(&ReceivedRequest, &AnsweredRequest)> =
             received.iter().filter_map(|r| Some((r, *sent.get(r.id.as_str())?))).collect();
-        let words = by_vm.iter().filter(|(r, _)| r.leaves || r.left_alone.is_some());
-        for (word, told) in words {
+        let notices = by_vm.iter().filter(|(r, _)| r.leaves || r.left_alone.is_some());
+        for (notice, told) in notices {
             report.notices += 1;
             let later = by_vm.iter().filter(|(r, one)| {
-                let interrupted = is_interrupted(interruptions, told.vm, word.at, r.at);
-                one.vm == told.vm && r.at > word.at && !interrupted
+                let interrupted = is_interrupted(interruptions, told.vm, notice.at, r.at);
+                one.vm == told.vm && r.at > notice.at && !interrupted
             });
-            let (until, alone) = (word.left_alone.map(|time| word.at + time), ON_THEIR_WAY);
+            let (until, alone) = (notice.left_alone.map(|time| notice.at + time), TRANSIT_TIME);
             let too_many = later.clone().filter(|(r, _)| {
-                until.is_some_and(|until| (word.at + alone..until).contains(&r.at))
+                until.is_some_and(|until| (notice.at + alone..until).contains(&r.at))
             });
-            if too_many.clone().count() > LATE_BORNE {
+            if too_many.clone().count() > TOLERATED_LATE_REQUESTS {
                 let count = too_many.count();
-                report.violations.push(format!("{}: {count} requests while left alone", runner.id));
+                report
+                    .violations
+                    .push(format!("{}: {count} requests during Retry-After", runner.id));
             }
             for (_, one) in
-                later.filter(|(_, one)| word.leaves && one.sent > word.at + LEAVING_BORNE)
+                later.filter(|(_, one)| notice.leaves && one.sent > notice.at + LEAVING_TOLERANCE)
             {
                 report
                     .violations
-                    .push(format!("{}: {} reached it, which leaves", runner.id, one.id));
+                    .push(format!("{}: {} reached a leaving runner", runner.id, one.id));
             }
         }
     }
 }
 
-/// Workers hear of every result before it runs out, but for those of which a VM's end may have taken the handle. Waits
-/// for the last ones.
+/// Checks that workers are told to release every result before it expires, except those whose handle may have been lost
+/// with a VM process or was never received. Waits for the last releases.
 pub(super) fn check_results(site: &Site, interruptions: &[Interruption], report: &mut Report) {
     let until = Instant::now() + RESULT_LIFE;
     let ends: Vec<Instant> = interruptions.iter().filter(|i| i.is_end).map(|i| i.at).collect();
@@ -102,42 +106,44 @@
             return;
         }
         if Instant::now() > until {
-            report.violations.push(format!("{kept} of {} results are not given up", owed.len()));
+            report.violations.push(format!("{kept} of {} results are not released", owed.len()));
             return;
         }
         thread::sleep(Duration::from_millis(50));
     }
 }
 
-fn by_id(answered: &[Answered]) -> HashMap<&str, &Answered> {
+/// Requests by their ids.
+fn by_id(answered: &[AnsweredRequest]) -> HashMap<&str, &AnsweredRequest> {
     answered.iter().map(|one| (one.id.as_str(), one)).collect()
 }
 
-/// Whether a VM was restarted or stood still between two moments.
+/// Whether a VM was restarted or paused in an interval.
 fn is_interrupted(interruptions: &[Interruption], vm: usize, from: Instant, to: Instant) -> bool {
     interruptions.iter().any(|one| one.vm == vm && (from..to).contains(&one.at))
 }
 
-/// A runner that names a rate gets no more than it bears from VMs that have heard of it, unless they were interrupted
-/// since then.
+/// Checks that a runner with a rate limit receives no more requests than tolerated from VMs that know of the limit,
+/// unless these were interrupted since then.
 pub(super) fn check_rates(
     site: &Site,
-    answered: &[Answered],
+    answered: &[AnsweredRequest],
     interruptions: &[Interruption],
     report: &mut Report,
 ) {
     let sent = by_id(answered);
     for runner in site.plain.iter().chain(&site.engines) {
-        let counted = counted_at_rate(&runner.received(), &sent, interruptions);
+        let counted = requests_at_rate(&runner.received(), &sent, interruptions);
         report.rate_limited += counted.len();
         for (first, _) in &counted {
             let within =
                 || counted.iter().filter(|(at, _)| (*first..*first + RATE_SPAN).contains(at));
             let highest = within().map(|(_, rate)| *rate).fold(0.0, f64::max);
-            let borne = RATE_FACTOR * highest * RATE_SPAN.as_secs_f64() + RATE_MORE;
+            let tolerated = RATE_FACTOR * highest * RATE_SPAN.as_secs_f64() + RATE_EXTRA;
             let count = within().count();
-            if count as f64 > borne {
-                let what = format!("{}: {count} requests in 4 s, {borne} are borne", runner.id);
+            if count as f64 > tolerated {
+                let what =
+                    format!("{}: {count} requests in 4 s, expected at most {tolerated}", runner.id);
                 report.violations.push(what);
                 break;
             }
@@ -145,24 +151,24 @@
     }
 }
 
-/// Requests that came while a runner named a rate, from VMs that had heard it do so, with that rate.
-fn counted_at_rate(
+/// Requests that arrived while a rate limit was in force, from VMs that knew of it: time and rate limit.
+fn requests_at_rate(
     received: &[ReceivedRequest],
-    sent: &HashMap<&str, &Answered>,
+    sent: &HashMap<&str, &AnsweredRequest>,
     interruptions: &[Interruption],
 ) -> Vec<(Instant, f64)> {
     let mut told: HashMap<usize, Instant> = HashMap::new();
     let mut counted = Vec::new();
     for one in received {
         let Some(rate) = one.rate else {
-            // Whoever heard of it before hears of the next one anew.
+            // VMs have to be told again of the next rate limit.
             told.clear();
             continue;
         };
         let Some(vm) = sent.get(one.id.as_str()).map(|one| one.vm) else { continue };
         let uninterrupted = |since: &&Instant| !is_interrupted(interruptions, vm, **since, one.at);
         match told.get(&vm).filter(uninterrupted) {
-            Some(since) if one.at > *since + ON_THEIR_WAY => counted.push((one.at, rate)),
+            Some(since) if one.at > *since + TRANSIT_TIME => counted.push((one.at, rate)),
             None if one.answered_at_once => drop(told.insert(vm, one.at)),
             Some(_) | None => {}
         }
@@ -170,8 +176,8 @@
     counted
 }
 
-/// Checks one answer against what the runners saw.
-pub(super) fn check_answer(site: &Site, one: &Answered, report: &mut Report) {
+/// Checks one answer against the requests that runners ran.
+pub(super) fn check_answer(site: &Site, one: &AnsweredRequest, report: &mut Report) {
     let (path, repeatable, streams) = KINDS[one.kind];
     let id = &one.id;
     let mut broken = |what: String| report.violations.push(format!("{path} {id}: {what}"));
@@ -183,27 +189,28 @@
     match answer.status() {
         200 => {
             if !answer.header("response-signature").starts_with("sig-") {
-                broken("a success with no receipt".to_owned());
+                broken("a success without Response-Signature".to_owned());
             }
             if answer.header("request-id") != id {
-                broken(format!("the answer of {}", answer.header("request-id")));
+                broken(format!("the answer has the id {}", answer.header("request-id")));
             }
             if streams {
                 check_events(id, answer, &mut broken);
             } else if answer.is_complete && !answer.text().ends_with(&format!("answers {id}")) {
-                broken(format!("another body: {}", answer.text()));
+                broken(format!("unexpected body: {}", answer.text()));
             }
             report.complete += u64::from(answer.is_complete);
         }
         503 | 429 | 408 | 421 if !repeatable && runs > 0 => {
-            broken(format!("status {} though it ran", answer.status()));
+            broken(format!("status {}, but the request ran", answer.status()));
         }
-        status @ (400 | 401 | 404 | 413) => broken(format!("status {status} of a proper request")),
+        status @ (400 | 401 | 404 | 413) => broken(format!("status {status} for a valid request")),
         _ => {}
     }
 }
 
-/// Events of a stream are its own, in order, none missing; a whole one has all of them.
+/// Checks that the events of a stream belong to the request, in order and without gaps, and that a complete stream has
+/// all of them.
 fn check_events(id: &str, answer: &HttpMessage, broken: &mut impl FnMut(String)) {
     let text = answer.text();
     let data: Vec<&str> = text.lines().filter_map(|line| line.strip_prefix("data: ")).collect();
@@ -214,6 +221,6 @@
         }
     }
     if answer.is_complete && data.len() as u64 != EVENTS {
-        broken(format!("{} events of a stream that looks whole", data.len()));
+        broken(format!("{} events in a complete stream", data.len()));
     }
 }
--- a/standins/src/serving_path/soak_notices.rs
+++ b/standins/src/serving_path/soak_notices.rs
@@ -1,4 +1,5 @@
-//! What runners say of themselves in the course of a randomized run, at moments of its seed.
+//! Notices that runners send during a randomized run, at times generated from its seed: that they are leaving, and
+//! their rate limits.
 
 use std::thread;
 use std::time::{Duration, Instant};
@@ -8,24 +9,26 @@
 
 use super::runners::Runner;
 use super::site::Site;
-use super::soak::{HALLS, LATER_FAULTS};
+use super::soak::{HALLS, SEED_OFFSET};
 
-/// When runners begin to leave, in milliseconds of the run.
-const LEAVES_AT: std::ops::Range<u64> = 0..1500;
-/// When runners begin to name a rate, name another one, and name none any more, in milliseconds of the run.
-const RATES_AT: [std::ops::Range<u64>; 3] = [0..1000, 1000..2500, 2500..6000];
-/// Rates that they name.
+/// Time at which a runner begins to announce that it is leaving, in milliseconds since the start of the run.
+const LEAVING_AT_MS: std::ops::Range<u64> = 0..1500;
+/// Times at which a runner announces a rate limit, another one, and none any more, in milliseconds since the start of
+/// the run.
+const RATES_AT_MS: [std::ops::Range<u64>; 3] = [0..1000, 1000..2500, 2500..6000];
+/// Rate limits that runners announce, in requests per second.
 const RATES: [&str; 4] = ["0.5", "1", "3", "12.5"];
-/// When runners that left are born again, in milliseconds.
-const BORN_AGAIN: u64 = 1;
+/// `born` time of the new incarnations of runners, in milliseconds.
+const NEW_BORN_MS: u64 = 1;
 
-/// One runner of each service leaves: each of its answers says so from some moment on, and its entry never.
-pub(super) fn let_runners_leave(seed: u64, time: Duration, site: &Site) {
-    let mut rng = StdRng::seed_from_u64(seed + 3 * LATER_FAULTS);
+/// Lets one runner of each service announce that it is leaving: from some time on in each answer, but never in its
+/// store entry.
+pub(super) fn announce_leaving(seed: u64, time: Duration, site: &Site) {
+    let mut rng = StdRng::seed_from_u64(seed + 3 * SEED_OFFSET);
     let mut leaving: Vec<(u64, &Runner)> = site
         .services()
         .iter()
-        .map(|(_, runners)| (rng.random_range(LEAVES_AT), &runners[rng.random_range(0..2)]))
+        .map(|(_, runners)| (rng.random_range(LEAVING_AT_MS), &runners[rng.random_range(0..2)]))
         .collect();
     leaving.sort_by_key(|(at, _)| *at);
     let began = Instant::now();
@@ -36,21 +39,21 @@
     }
 }
 
-/// One runner of each service names a rate, another one later, and none in the end.
-pub(super) fn let_runners_name_rates(seed: u64, time: Duration, site: &Site) {
-    let mut rng = StdRng::seed_from_u64(seed + 5 * LATER_FAULTS);
-    let mut words: Vec<(u64, &Runner, Option<&str>)> = Vec::new();
+/// Lets one runner of each service announce a rate limit, later another one, and finally none.
+pub(super) fn announce_rates(seed: u64, time: Duration, site: &Site) {
+    let mut rng = StdRng::seed_from_u64(seed + 5 * SEED_OFFSET);
+    let mut notices: Vec<(u64, &Runner, Option<&str>)> = Vec::new();
     for (_, runners) in site.services() {
         let runner = &runners[rng.random_range(0..2)];
-        for (index, at) in RATES_AT.into_iter().enumerate() {
+        for (index, at) in RATES_AT_MS.into_iter().enumerate() {
             let rate = RATES[rng.random_range(0..RATES.len())];
-            let is_last = index + 1 == RATES_AT.len();
-            words.push((rng.random_range(at), runner, (!is_last).then_some(rate)));
+            let is_last = index + 1 == RATES_AT_MS.len();
+            notices.push((rng.random_range(at), runner, (!is_last).then_some(rate)));
         }
     }
-    words.sort_by_key(|(at, ..)| *at);
+    notices.sort_by_key(|(at, ..)| *at);
     let began = Instant::now();
-    for (at, runner, rate) in words {
+    for (at, runner, rate) in notices {
         let at = Duration::from_millis(at);
         if at > time {
             return;
@@ -60,14 +63,14 @@
     }
 }
 
-/// Those that left come back under their ids, as other lifetimes.
-pub(super) fn come_back(site: &Site) {
+/// Ends the notices of all runners and lets them return with the same ids, as new incarnations.
+pub(super) fn restart_runners(site: &Site) {
     for (service, runners) in site.services() {
         for (runner, hall) in runners.iter().zip(HALLS) {
             runner.set_leaving(false);
             runner.set_rate(None);
             let mut entry = runner.entry(service, hall, "ready");
-            entry["born"] = serde_json::json!(BORN_AGAIN);
+            entry["born"] = serde_json::json!(NEW_BORN_MS);
             site.store.put(&format!("servers/{}", runner.id), &entry);
         }
     }
--- a/standins/src/serving_path/stop_soak.rs
+++ b/standins/src/serving_path/stop_soak.rs
@@ -1,11 +1,12 @@
-//! A randomized run of planned stops in series, with requests whose time is longer than the grace of a stop.
+//! Randomized test run with repeated planned stops, and requests whose deadlines are longer than the grace period of a
+//! stop.
 //!
-//! VMs are told to stop, some with further signals amid it, and start again, independently of each other, so that
-//! stops overlap; the configuration changes meanwhile, and runners are silent, slow, full or lose inputs. Nothing is
-//! killed, paused or cut: what a VM has read it has to answer. Callers keep their connections until they are closed,
-//! and some read late.
+//! VMs are stopped, some with further signals during the stop, and started again, independently of each other, so that
+//! stops overlap. Meanwhile the configuration changes, and runners hang, are slow or full, or lose inputs. No process is
+//! killed or paused and no connection is cut, so a VM has to answer each request that it has read. Callers keep their
+//! connections open until the VM closes them, and some read their answers late.
 
-// A fixture that can't be set up fails its run.
+// A failed setup fails the run.
 #![allow(clippy::expect_used)]
 
 use std::net::{SocketAddr, TcpStream};
@@ -22,40 +23,40 @@
 use super::callers::Call;
 use super::runners::{Behavior, Runner};
 use super::site::{HOST, Site, Vm, default_configuration};
-use super::soak::{Answered, KINDS, LATER_FAULTS, Report, Size};
+use super::soak::{AnsweredRequest, KINDS, Report, SEED_OFFSET, Size};
 use super::soak_checks::check_answer;
 
-/// Times of a stop.
+/// Settings of a stop: notice and grace period.
 const STOP: &str = "stop: {notice_ms: 300, grace_s: 2}\n";
-/// Time after the signal within which a VM has to end by itself.
+/// Time after the signal within which a VM process has to end by itself.
 const GRACE: Duration = Duration::from_secs(2);
-/// Time that requests have, in milliseconds: some stops and starts.
-const TIME_MS: u64 = 8000;
-/// Time of a VM between two stops, in milliseconds.
-const UP: std::ops::Range<u64> = 100..2500;
-/// Pause between two signals amid a stop, in milliseconds.
-const SIGNAL_PAUSE: std::ops::Range<u64> = 20..600;
-/// Pause between two changes of what runners do, in milliseconds.
-const ACT_PAUSE: std::ops::Range<u64> = 20..150;
-/// How long runners are silent, in milliseconds: up to twice the grace.
-const SILENT: std::ops::Range<u64> = 200..4000;
-/// How late some callers read, in milliseconds.
-const LATE: std::ops::Range<u64> = 50..900;
-/// Bytes of a large answer: more than the buffers of a connection hold.
-const LARGE: usize = 16 << 20;
-
-/// A VM and what it logged before each of its ends.
-struct Member {
+/// Deadline of requests, in milliseconds: long enough for several stops and starts.
+const DEADLINE_MS: u64 = 8000;
+/// Time between two stops of a VM, in milliseconds.
+const UPTIME_MS: std::ops::Range<u64> = 100..2500;
+/// Pause between two signals during a stop, in milliseconds.
+const SIGNAL_PAUSE_MS: std::ops::Range<u64> = 20..600;
+/// Pause between two changes of the runners' behavior, in milliseconds.
+const BEHAVIOR_PAUSE_MS: std::ops::Range<u64> = 20..150;
+/// How long runners hang, in milliseconds: up to twice the grace period.
+const HANG_MS: std::ops::Range<u64> = 200..4000;
+/// Delay with which some callers read their answers, in milliseconds.
+const READ_DELAY_MS: std::ops::Range<u64> = 50..900;
+/// Size of a large answer, in bytes: more than the socket buffers of a connection hold.
+const LARGE_ANSWER_BYTES: usize = 16 << 20;
+
+/// A VM, and its logs up to each of its stops.
+struct StoppedVm {
     vm: Mutex<Vm>,
     logs: Mutex<Vec<String>>,
     address: SocketAddr,
 }
 
-/// Plays one run.
+/// Runs stops for `time`, then the checks.
 pub fn run(seed: u64, time: Duration, size: Size) -> Report {
     let site = Site::start();
     site.store.put("op/config", &long_configuration(2));
-    let members: Vec<Member> = (0..size.vms).map(|number| start(&site, seed, number)).collect();
+    let members: Vec<StoppedVm> = (0..size.vms).map(|number| start(&site, seed, number)).collect();
     let (over, sent) = (AtomicBool::new(false), AtomicU64::new(0));
     let (answered, report) = (Mutex::new(Vec::new()), Mutex::new(Report::default()));
     thread::scope(|scope| {
@@ -65,30 +66,31 @@
         }
         for caller in 0..size.callers {
             let (members, over, sent, answered) = (&members, &over, &sent, &answered);
-            scope.spawn(move || call(seed, caller, members, over, sent, answered));
+            scope.spawn(move || send_requests(seed, caller, members, over, sent, answered));
         }
-        let (site, over_acts) = (&site, &over);
-        scope.spawn(move || change_runners(seed, site, over_acts));
+        let (site, over_behaviors) = (&site, &over);
+        scope.spawn(move || change_runners(seed, site, over_behaviors));
         thread::sleep(time);
         over.store(true, Ordering::Relaxed);
     });
     let answered = answered.into_inner().unwrap_or_else(PoisonError::into_inner);
     let mut report = report.into_inner().unwrap_or_else(PoisonError::into_inner);
     report.requests = sent.into_inner();
-    let logs: Vec<String> = members.iter().map(Member::all_logs).collect();
+    let logs: Vec<String> = members.iter().map(StoppedVm::all_logs).collect();
     for one in &answered {
         check_answer(&site, one, &mut report);
-        check_last_word(one, &logs[one.vm], &mut report);
+        check_is_answered(one, &logs[one.vm], &mut report);
     }
     report
 }
 
-fn start(site: &Site, seed: u64, number: usize) -> Member {
+fn start(site: &Site, seed: u64, number: usize) -> StoppedVm {
     let vm = site.start_vm(&format!("stops-{seed}-{number}"), STOP);
-    Member { address: vm.callers, vm: Mutex::new(vm), logs: Mutex::default() }
+    StoppedVm { address: vm.callers, vm: Mutex::new(vm), logs: Mutex::default() }
 }
 
-impl Member {
+impl StoppedVm {
+    /// The logs of all starts of the VM.
     fn all_logs(&self) -> String {
         let last = self.vm.lock().unwrap_or_else(PoisonError::into_inner).log();
         let mut logs = self.logs.lock().unwrap_or_else(PoisonError::into_inner);
@@ -97,32 +99,32 @@
     }
 }
 
-/// The usual configuration with requests that have longer than a stop.
+/// The default configuration with request timeouts that are longer than a stop.
 fn long_configuration(version: u64) -> serde_json::Value {
     let mut cfg = default_configuration(version);
     for route in cfg["routes"].as_array_mut().expect("routes") {
-        route["timeout_ms"] = json!(TIME_MS);
+        route["timeout_ms"] = json!(DEADLINE_MS);
         route["target_latency_ms"] = json!(1500);
     }
     cfg
 }
 
-/// Tells a VM to stop and starts it again, over and over.
+/// Stops a VM and starts it again until the run is over.
 fn stop_and_start(
     seed: u64,
     number: usize,
-    member: &Member,
+    member: &StoppedVm,
     over: &AtomicBool,
     report: &Mutex<Report>,
 ) {
-    let mut rng = StdRng::seed_from_u64(seed * 1000 + number as u64 + 6 * LATER_FAULTS);
+    let mut rng = StdRng::seed_from_u64(seed * 1000 + number as u64 + 6 * SEED_OFFSET);
     while !over.load(Ordering::Relaxed) {
-        thread::sleep(Duration::from_millis(rng.random_range(UP)));
+        thread::sleep(Duration::from_millis(rng.random_range(UPTIME_MS)));
         let mut vm = member.vm.lock().unwrap_or_else(PoisonError::into_inner);
         let signalled = Instant::now();
         vm.signal("-TERM");
         for _ in 0..rng.random_range(0..3) {
-            thread::sleep(Duration::from_millis(rng.random_range(SIGNAL_PAUSE)));
+            thread::sleep(Duration::from_millis(rng.random_range(SIGNAL_PAUSE_MS)));
             vm.signal(["-TERM", "-HUP", "-INT"][rng.random_range(0..3)]);
         }
         let code = vm.wait_exit();
@@ -132,7 +134,9 @@
         report.faults += 1;
         report.restarts += 1;
         if code != Some(0) || took > GRACE {
-            report.violations.push(format!("VM {number} ended with {code:?} after {took:?}"));
+            report
+                .violations
+                .push(format!("VM {number} ended with exit code {code:?} after {took:?}"));
         }
         drop(report);
         vm.restart();
@@ -141,15 +145,15 @@
 }
 
 /// Sends requests on connections that are kept until the VM closes them.
-fn call(
+fn send_requests(
     seed: u64,
     caller: u64,
-    members: &[Member],
+    members: &[StoppedVm],
     over: &AtomicBool,
     sent: &AtomicU64,
-    answered: &Mutex<Vec<Answered>>,
+    answered: &Mutex<Vec<AnsweredRequest>>,
 ) {
-    let mut rng = StdRng::seed_from_u64(seed * 1000 + caller + 7 * LATER_FAULTS);
+    let mut rng = StdRng::seed_from_u64(seed * 1000 + caller + 7 * SEED_OFFSET);
     while !over.load(Ordering::Relaxed) {
         let vm = rng.random_range(0..members.len());
         let Ok(stream) = TcpStream::connect(members[vm].address) else {
@@ -162,13 +166,13 @@
             let number = sent.fetch_add(1, Ordering::Relaxed);
             let kind = rng.random_range(0..KINDS.len());
             let id = format!("stops-{seed}-{number}");
-            let late = Duration::from_millis(rng.random_range(LATE));
+            let late = Duration::from_millis(rng.random_range(READ_DELAY_MS));
             let late = if rng.random_bool(0.3) { late } else { Duration::ZERO };
             let at = Instant::now();
             let answer = long_call(kind, &id).send_on_and_read_after(&mut wire, late);
             let closes = |answer: &super::HttpMessage| answer.header("connection") == "close";
             is_open = answer.as_ref().is_some_and(|answer| answer.is_complete && !closes(answer));
-            let one = Answered { id, kind, vm, sent: at, answer };
+            let one = AnsweredRequest { id, kind, vm, sent: at, answer };
             answered.lock().unwrap_or_else(PoisonError::into_inner).push(one);
         }
     }
@@ -177,7 +181,7 @@
 fn long_call(kind: usize, id: &str) -> Call {
     let path = KINDS[kind].0;
     let call = Call::new("POST", HOST, path, id)
-        .with_header("Deadline-Milliseconds", &TIME_MS.to_string())
+        .with_header("Deadline-Milliseconds", &DEADLINE_MS.to_string())
         .body(b"a body");
     if path == "/chain/" {
         call.with_header("Pieces", "1,2").with_header("Piece-Key", "k")
@@ -186,13 +190,13 @@
     }
 }
 
-/// Lets runners be silent, slow or full, or lose inputs, and the configuration change.
+/// Lets runners hang, be slow or full, or lose inputs, and changes the configuration.
 fn change_runners(seed: u64, site: &Site, over: &AtomicBool) {
-    let mut rng = StdRng::seed_from_u64(seed + 8 * LATER_FAULTS);
+    let mut rng = StdRng::seed_from_u64(seed + 8 * SEED_OFFSET);
     let mut version = 2;
     while !over.load(Ordering::Relaxed) {
-        thread::sleep(Duration::from_millis(rng.random_range(ACT_PAUSE)));
-        let silent = Behavior::Hang(Duration::from_millis(rng.random_range(SILENT)));
+        thread::sleep(Duration::from_millis(rng.random_range(BEHAVIOR_PAUSE_MS)));
+        let silent = Behavior::Hang(Duration::from_millis(rng.random_range(HANG_MS)));
         let slow = Behavior::SlowStream(5, Duration::from_millis(rng.random_range(10..600)));
         let pick = |rng: &mut StdRng, runners: &[Runner]| runners[rng.random_range(0..2)].clone();
         match rng.random_range(0..8) {
@@ -202,7 +206,9 @@
             3 => pick(&mut rng, &site.engines).queue_behaviors(&[slow]),
             4 => pick(&mut rng, &site.pool).queue_behaviors(&[Behavior::Decline]),
             5 => pick(&mut rng, &site.engines).queue_behaviors(&[Behavior::InputGone]),
-            6 => pick(&mut rng, &site.plain).queue_behaviors(&[Behavior::Large(LARGE)]),
+            6 => {
+                pick(&mut rng, &site.plain).queue_behaviors(&[Behavior::Large(LARGE_ANSWER_BYTES)])
+            }
             _ => {
                 version += 1;
                 site.store.put("op/config", &long_configuration(version));
@@ -214,29 +220,31 @@
     }
 }
 
-/// A request that a VM has read has an answer; one that breaks off is a stream whose end the VM has told of.
-fn check_last_word(one: &Answered, log: &str, report: &mut Report) {
+/// Checks that a VM has answered each request that it has read (its log has a line about the request), and that an
+/// incomplete answer is a stream whose end the VM has logged.
+fn check_is_answered(one: &AnsweredRequest, log: &str, report: &mut Report) {
     let (path, _, streams) = KINDS[one.kind];
-    let of_it = format!("request={}", one.id);
-    let lines: Vec<&str> = log.lines().filter(|line| has_word(line, &of_it)).collect();
+    let request_field = format!("request={}", one.id);
+    let lines: Vec<&str> = log.lines().filter(|line| has_word(line, &request_field)).collect();
     let mut broken = |what: &str| {
         let last = lines.last().copied().unwrap_or("no line");
         report.violations.push(format!("{path} {}: {what}; {last}", one.id));
     };
     match &one.answer {
-        None if !lines.is_empty() => broken("read, and no answer"),
-        Some(answer) if !answer.is_complete && !streams => broken("its answer is cut"),
+        None if !lines.is_empty() => broken("the VM read the request but sent no answer"),
+        Some(answer) if !answer.is_complete && !streams => broken("the answer is incomplete"),
         Some(answer) if !answer.is_complete => {
             let told =
                 |line: &&str| line.contains("closed by the stop") || line.contains("outcome=cut");
             if !lines.iter().any(told) {
-                broken("a stream is cut without a word");
+                broken("a stream is incomplete without a log line");
             }
         }
         None | Some(_) => {}
     }
 }
 
+/// Whether a line has a word, delimited by spaces.
 fn has_word(line: &str, word: &str) -> bool {
     line.split(' ').any(|other| other == word)
 }
--- a/tests/path.rs
+++ b/tests/path.rs
@@ -82,8 +82,8 @@
         (caller_request("check", 5000).body(&big), 413, "body-too-large", "1048576"),
     ];
 
-    for (caller_request, status, reason, detail) in cases {
-        let reply = caller_request.send(to).expect("an answer");
+    for (request, status, reason, detail) in cases {
+        let reply = request.send(to).expect("an answer");
         assert_eq!((reply.status, reply.outcome.as_str()), (status, "not-run"), "{detail}");
         assert_eq!(reply.body["reason"], reason);
         let told = reply.body["detail"].as_str().unwrap_or_default();
