--- a/tests/rates.rs
+++ b/tests/rates.rs
@@ -99,7 +99,7 @@
             });
             targets.iter().all(|target| knows_rate(vm, target))
         });
-        targets[0].clear_acts();
+        targets[0].clear_script();
     }
 }
 
--- a/tests/serving.rs
+++ b/tests/serving.rs
@@ -98,7 +98,7 @@
         assert_eq!(answer.status(), expected, "{act:?}");
         assert_eq!(site.runs(&id), 1, "{act:?}");
         // The runner that got no request still has its act queued.
-        site.plain.iter().for_each(|runner| runner.clear_acts());
+        site.plain.iter().for_each(|runner| runner.clear_script());
     }
 }
 
@@ -145,7 +145,7 @@
             answer.is_complete && answer.text().ends_with(&format!("answers {id}")),
             "{answer:?}"
         );
-        site.plain.iter().for_each(|runner| runner.clear_acts());
+        site.plain.iter().for_each(|runner| runner.clear_script());
     }
 }
 
--- a/tests/serving_streams.rs
+++ b/tests/serving_streams.rs
@@ -61,7 +61,7 @@
     let site = Site::start();
     let vm = site.start_vm("again", "");
     for (number, engine) in site.engines.iter().enumerate() {
-        site.engines.iter().for_each(|other| other.clear_acts());
+        site.engines.iter().for_each(|other| other.clear_script());
         engine.queue_behaviors(&[Behavior::BreakStream(3), Behavior::BreakStream(3)]);
         site.engines[1 - number]
             .queue_behaviors(&[Behavior::StreamFromFirst(5), Behavior::StreamFromFirst(5)]);
@@ -262,7 +262,7 @@
         let answer = send_expecting_answer(&chain(&id), &vm);
 
         assert_eq!((answer.status(), site.runs(&id)), (200, 1), "{answer:?}");
-        site.engines.iter().for_each(|engine| engine.clear_acts());
+        site.engines.iter().for_each(|engine| engine.clear_script());
         // The VM has removed the target; the next entry adds it again.
         let mut entry = site.engines[replaced].entry("engine", "hall-a", "ready");
         entry["sequence"] = json!(number + 2);
