--- /dev/null
+++ b/standins/src/serving_path/behavior.rs
@@ -0,0 +1,80 @@
+//! Behaviors of the stand-in runners, faults included.
+
+use std::time::Duration;
+
+/// How a runner handles a request.
+#[derive(Debug, Clone, PartialEq)]
+pub enum Behavior {
+    /// It sends a complete answer.
+    Answer,
+    /// It sends a complete answer with a body of so many bytes.
+    Large(usize),
+    /// It runs the request and answers 500.
+    Fail,
+    /// It answers 503 without running the request.
+    Decline,
+    /// It answers 503 without running the request, with this `Retry-After` value in seconds.
+    DeclineFor(&'static str),
+    /// It answers 421, as a different instance at the same address.
+    Misdirected,
+    /// It runs the request and closes the connection without an answer.
+    Lose,
+    /// It sends half of the body, then closes the connection.
+    CutBody,
+    /// It sends a complete answer with the id of another request.
+    Cross,
+    /// It sends a complete answer, and the same one again 2 ms later.
+    Extra,
+    /// It sends bytes that are not HTTP.
+    Garbage,
+    /// It sends a success without the `Response-Signature` header.
+    Unsigned,
+    /// It sends a success with a `Content-Encoding`.
+    Encoded,
+    /// It sends an answer without a length, which the end of the connection delimits.
+    Unframed,
+    /// It runs the request and answers after this time.
+    Hang(Duration),
+    /// It streams events up to this number.
+    Stream(u64),
+    /// It streams events up to this number from the first on, ignoring `Last-Event-Id`.
+    StreamFromFirst(u64),
+    /// It streams events up to this number and closes the connection in the middle of the next one.
+    BreakStream(u64),
+    /// It streams events up to this number, with a pause after each.
+    SlowStream(u64, Duration),
+    /// It answers that an input is gone, without running the request.
+    InputGone,
+    /// It has no room for the last piece of a call, and runs the others for this long.
+    NoRoomForLast(Duration),
+}
+
+impl Behavior {
+    /// Whether the runner sends an immediate answer that callers accept as its own. Only the headers of such an answer
+    /// (leaving, rate) count.
+    pub(super) fn answers_at_once(&self) -> bool {
+        match self {
+            Behavior::Misdirected
+            | Behavior::Lose
+            | Behavior::Cross
+            | Behavior::Garbage
+            | Behavior::Unsigned
+            | Behavior::Encoded
+            | Behavior::Hang(_) => false,
+            Behavior::Answer
+            | Behavior::Large(_)
+            | Behavior::Fail
+            | Behavior::Decline
+            | Behavior::DeclineFor(_)
+            | Behavior::CutBody
+            | Behavior::Extra
+            | Behavior::Unframed
+            | Behavior::Stream(_)
+            | Behavior::StreamFromFirst(_)
+            | Behavior::BreakStream(_)
+            | Behavior::SlowStream(..)
+            | Behavior::InputGone
+            | Behavior::NoRoomForLast(_) => true,
+        }
+    }
+}
--- /dev/null
+++ b/standins/src/serving_path/crashing.rs
@@ -0,0 +1,224 @@
+//! Stand-in runners that crash on a certain request and restart after a while, as a new incarnation.
+
+use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
+use std::sync::{Arc, Mutex, PoisonError};
+use std::thread::{sleep, spawn};
+use std::time::{Duration, SystemTime, UNIX_EPOCH};
+
+use serde_json::{Value, json};
+
+use super::runners::{Behavior, Runner};
+use super::store::Store;
+use super::{HttpConnection, HttpMessage};
+
+/// Interval between attempts to bind the same port again.
+const BIND_RETRY_INTERVAL: Duration = Duration::from_millis(5);
+/// Polling interval while the port closes.
+const CLOSE_POLL_INTERVAL: Duration = Duration::from_micros(100);
+
+/// The instance id with which a runner restarts.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum RestartId {
+    /// A new id.
+    NewId,
+    /// The same id; only the `born` time of the entry tells the incarnations apart.
+    SameId,
+}
+
+/// The request that makes a runner crash.
+#[derive(Debug, Clone, PartialEq, Eq)]
+pub enum CrashTrigger {
+    /// A request with this body.
+    Body(Vec<u8>),
+    /// A call with a piece that has this key.
+    PieceKey(String),
+}
+
+/// How a runner crashes and restarts.
+#[derive(Debug, Clone)]
+pub struct CrashingRunnerConfig {
+    /// The request that makes it crash.
+    pub trigger: CrashTrigger,
+    /// Time from the start of such a request until the crash.
+    pub crash_delay: Duration,
+    /// Time from the crash until the restart.
+    pub downtime: Duration,
+    /// The id with which it restarts.
+    pub restart_id: RestartId,
+    /// How it handles other requests.
+    pub default_behavior: Behavior,
+}
+
+struct State {
+    /// The current incarnation; `None` while the runner is down.
+    incarnation: Option<Runner>,
+    /// Whether its port is open for connections.
+    is_listening: bool,
+    /// Connections of the current incarnation, to be closed by a crash.
+    open: Vec<TcpStream>,
+    /// Number of incarnations so far.
+    incarnation_count: u64,
+    /// Bodies of the requests that all incarnations received.
+    received_bodies: Vec<Vec<u8>>,
+}
+
+/// A runner that crashes on a certain request; clones share its state.
+#[derive(Clone)]
+pub struct CrashingRunner {
+    name: String,
+    service: String,
+    address: SocketAddr,
+    config: CrashingRunnerConfig,
+    store: Store,
+    state: Arc<Mutex<State>>,
+}
+
+impl CrashingRunner {
+    /// Starts a runner of a service and writes its store entry.
+    pub fn start(
+        name: &str,
+        service: &str,
+        config: CrashingRunnerConfig,
+        store: &Store,
+    ) -> std::io::Result<Self> {
+        let listener = TcpListener::bind("127.0.0.1:0")?;
+        let state = State {
+            incarnation: None,
+            is_listening: true,
+            open: Vec::new(),
+            incarnation_count: 0,
+            received_bodies: Vec::new(),
+        };
+        let fragile = CrashingRunner {
+            name: name.to_owned(),
+            service: service.to_owned(),
+            address: listener.local_addr()?,
+            config,
+            store: store.clone(),
+            state: Arc::new(Mutex::new(state)),
+        };
+        // The entry is written before this returns, so that tests can rely on it.
+        let (serving, first) = (fragile.clone(), fragile.begin_incarnation());
+        spawn(move || serving.run(listener, first));
+        Ok(fragile)
+    }
+
+    /// Number of crashes so far.
+    pub fn crashes(&self) -> u64 {
+        self.with(|state| {
+            state.incarnation_count.saturating_sub(u64::from(state.incarnation.is_some()))
+        })
+    }
+
+    /// Number of requests with this body that all incarnations received.
+    pub fn requests_with_body(&self, body: &[u8]) -> usize {
+        self.with(|state| state.received_bodies.iter().filter(|seen| *seen == body).count())
+    }
+
+    fn with<R>(&self, f: impl FnOnce(&mut State) -> R) -> R {
+        f(&mut self.state.lock().unwrap_or_else(PoisonError::into_inner))
+    }
+
+    /// Serves one incarnation after the other.
+    fn run(&self, first_listener: TcpListener, first: Runner) {
+        let (mut listener, mut runner) = (first_listener, first);
+        loop {
+            self.accept(&listener, &runner);
+            drop(listener);
+            self.with(|state| state.is_listening = false);
+            sleep(self.config.downtime);
+            listener = loop {
+                match TcpListener::bind(self.address) {
+                    Ok(listener) => break listener,
+                    Err(_) => sleep(BIND_RETRY_INTERVAL),
+                }
+            };
+            runner = self.begin_incarnation();
+        }
+    }
+
+    /// Begins the next incarnation and writes its store entry.
+    fn begin_incarnation(&self) -> Runner {
+        let number = self.with(|state| state.incarnation_count);
+        let id = |number: u64| match self.config.restart_id {
+            RestartId::NewId => format!("{}-{number}", self.name),
+            RestartId::SameId => self.name.clone(),
+        };
+        let runner =
+            Runner::unserved(&id(number), self.address, self.config.default_behavior.clone());
+        self.with(|state| {
+            state.incarnation_count += 1;
+            state.incarnation = Some(runner.clone());
+            state.is_listening = true;
+        });
+        if self.config.restart_id == RestartId::NewId && number > 0 {
+            self.store.remove(&format!("servers/{}", id(number - 1)));
+        }
+        self.store.put(&format!("servers/{}", runner.id), &self.entry(&runner));
+        runner
+    }
+
+    /// The store entry, with the time at which the incarnation began.
+    fn entry(&self, runner: &Runner) -> Value {
+        let born = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+        let mut entry = runner.entry(&self.service, "hall-a", "ready");
+        entry["born"] = json!(u64::try_from(born.as_millis()).unwrap_or(u64::MAX));
+        entry
+    }
+
+    /// Accepts connections until the incarnation ends.
+    fn accept(&self, listener: &TcpListener, runner: &Runner) {
+        for stream in listener.incoming().flatten() {
+            let is_up = self.with(|state| {
+                state.open.extend(stream.try_clone());
+                state.incarnation.is_some()
+            });
+            if !is_up {
+                return;
+            }
+            let (serving, runner) = (self.clone(), runner.clone());
+            spawn(move || serving.serve(HttpConnection::new(stream), &runner));
+        }
+    }
+
+    fn serve(&self, mut wire: HttpConnection, runner: &Runner) {
+        while let Some(req) = wire.read() {
+            self.with(|state| state.received_bodies.push(req.body.clone()));
+            if self.is_fatal(&req, runner) {
+                self.crash();
+                return;
+            }
+            if !runner.answer(&mut wire, &req) {
+                return;
+            }
+        }
+    }
+
+    /// Whether a request makes the runner crash; waits for the crash delay if so.
+    fn is_fatal(&self, req: &HttpMessage, runner: &Runner) -> bool {
+        let is_fatal = match &self.config.trigger {
+            CrashTrigger::Body(body) => req.body == *body,
+            CrashTrigger::PieceKey(key) => req.text().contains(&format!("\"{key}\"")),
+        };
+        let fatal = is_fatal && req.header("expected-instance") == runner.id;
+        if fatal {
+            sleep(self.config.crash_delay);
+        }
+        fatal
+    }
+
+    /// Ends the incarnation: closes its port first, waking the accepting thread with a connection of its own, then all
+    /// its connections.
+    fn crash(&self) {
+        if self.with(|state| state.incarnation.take()).is_none() {
+            return;
+        }
+        drop(TcpStream::connect(self.address));
+        while self.with(|state| state.is_listening) {
+            sleep(CLOSE_POLL_INTERVAL);
+        }
+        for stream in self.with(|state| std::mem::take(&mut state.open)) {
+            drop(stream.shutdown(Shutdown::Both));
+        }
+    }
+}
--- /dev/null
+++ b/standins/src/serving_path/runners.rs
@@ -0,0 +1,429 @@
+//! Stand-in runners, the processes that execute requests: plain services, engines that stream events, and pools
+//! that compute pieces of stages. A script tells them how to handle the next requests.
+
+use std::net::{SocketAddr, TcpListener};
+use std::sync::atomic::AtomicU64;
+use std::sync::{Arc, Mutex, PoisonError};
+use std::thread::sleep;
+use std::time::{Duration, Instant};
+
+use serde_json::{Value, json};
+
+pub use super::behavior::Behavior;
+use super::{HttpConnection, HttpMessage, response_bytes, serve_connections};
+
+/// A request that a runner received, with the notices that its answer carried.
+#[derive(Debug, Clone)]
+pub struct ReceivedRequest {
+    /// Request id.
+    pub id: String,
+    /// Time of receipt.
+    pub at: Instant,
+    /// Whether an immediate answer of the runner's own announced that the runner is leaving.
+    pub leaves: bool,
+    /// Time for which the answer asked for no further requests (`Retry-After`).
+    pub left_alone: Option<Duration>,
+    /// Rate limit in force at that time (`Server-Limit`), in requests per second.
+    pub rate: Option<f64>,
+    /// Whether the runner sent an immediate answer of its own.
+    pub answered_at_once: bool,
+}
+
+/// A result that a runner made.
+#[derive(Debug, Clone)]
+pub struct StageResult {
+    /// Handle that names the result.
+    pub handle: String,
+    /// When the call arrived.
+    pub called: Instant,
+    /// When the result was computed.
+    pub at: Instant,
+    /// Whether the caller had closed the connection before the answer, so that nobody learns the handle.
+    pub caller_gone: bool,
+}
+
+/// What a runner recorded and how it behaves.
+#[derive(Default)]
+pub(super) struct State {
+    /// Requests and calls that it received, complete.
+    seen: Vec<HttpMessage>,
+    /// Ids of the requests that it ran.
+    ran: Vec<String>,
+    /// Requests and calls that it received, in order.
+    received: Vec<ReceivedRequest>,
+    /// Behaviors for the next requests, in order.
+    pub(super) script: Vec<Behavior>,
+    /// Behavior once the script is empty.
+    usual: Option<Behavior>,
+    /// Handles whose release it was told, with the time.
+    pub(super) released: Vec<(String, Instant)>,
+    /// Results that it computed.
+    pub(super) made: Vec<StageResult>,
+    /// Number of release calls that it will lose: it closes the connection without an answer and frees nothing.
+    pub(super) releases_to_lose: usize,
+    /// How long the next call of pieces waits in the queue, as if behind another VM's call.
+    pub(super) queue_delay: Duration,
+    /// Number of calls of pieces that wait in the queue.
+    pub(super) waiting: usize,
+    /// Number of calls of pieces that are running.
+    pub(super) running_calls: usize,
+    /// Whether it answers requests for its report with 404.
+    pub(super) has_no_report: bool,
+    /// Computed pieces: request id, stage number, piece number.
+    pub(super) pieces: Vec<(String, u64, u64)>,
+    /// Number of pieces in each call.
+    pub(super) calls: Vec<usize>,
+    /// Streams whose reader was gone before their end.
+    aborted_streams: u64,
+    /// Number of open connections.
+    open: u64,
+    /// Whether each answer announces that the runner is leaving (`Server-Leaving`).
+    leaves: bool,
+    /// Rate limit that each answer announces: the value of `Server-Limit`.
+    rate: Option<String>,
+    /// A further header of each answer.
+    extra_header: Option<(&'static str, String)>,
+}
+
+impl State {
+    /// Records a request and the notices that its answer will carry.
+    pub(super) fn receive(&mut self, req: &HttpMessage, behavior: &Behavior) {
+        let left_alone = match behavior {
+            Behavior::DeclineFor(seconds) => seconds.parse().ok().map(Duration::from_secs_f64),
+            _ => None,
+        };
+        let id = req.header("request-id").to_owned();
+        let answered_at_once = behavior.answers_at_once();
+        let leaves = self.leaves && answered_at_once;
+        let rate = self.rate.as_deref().and_then(|rate| rate.parse().ok());
+        let at = Instant::now();
+        self.received.push(ReceivedRequest { id, at, leaves, left_alone, rate, answered_at_once });
+        self.seen.push(req.clone());
+    }
+}
+
+/// A running stand-in runner; clones share its state.
+#[derive(Clone)]
+pub struct Runner {
+    /// Address on which it listens.
+    pub address: SocketAddr,
+    /// Instance id.
+    pub id: String,
+    state: Arc<Mutex<State>>,
+    pub(super) next_handle: Arc<AtomicU64>,
+}
+
+impl Runner {
+    /// Starts a runner on a free port that handles requests as `usual` when its script is empty.
+    pub fn start(id: &str, usual: Behavior) -> std::io::Result<Self> {
+        let listener = TcpListener::bind("127.0.0.1:0")?;
+        let runner = Runner::unserved(id, listener.local_addr()?, usual);
+        let serving = runner.clone();
+        serve_connections(listener, move |wire| {
+            serving.with(|state| state.open += 1);
+            serving.serve(wire);
+            serving.with(|state| state.open -= 1);
+        });
+        Ok(runner)
+    }
+
+    /// A runner whose connections the caller of this function accepts and serves.
+    pub(super) fn unserved(id: &str, address: SocketAddr, usual: Behavior) -> Self {
+        let state = State { usual: Some(usual), ..State::default() };
+        Runner {
+            address,
+            id: id.to_owned(),
+            state: Arc::new(Mutex::new(state)),
+            next_handle: Arc::default(),
+        }
+    }
+
+    /// The store entry of the runner, without cold start time.
+    pub fn entry(&self, service: &str, zone: &str, state: &str) -> Value {
+        json!({"service": service, "address": self.address.to_string(), "zone": zone,
+            "version": "v1", "slots": 4, "state": state, "cold_remaining_ms": 0, "sequence": 1})
+    }
+
+    /// Appends behaviors for the next requests; after them it behaves as usual again.
+    pub fn queue_behaviors(&self, behaviors: &[Behavior]) {
+        self.with(|state| state.script.extend_from_slice(behaviors));
+    }
+
+    /// Sets whether each answer announces that the runner is leaving.
+    pub fn set_leaving(&self, leaves: bool) {
+        self.with(|state| state.leaves = leaves);
+    }
+
+    /// Sets the rate limit that each answer announces; `None` for none.
+    pub fn set_rate(&self, rate: Option<&str>) {
+        self.with(|state| state.rate = rate.map(str::to_owned));
+    }
+
+    /// Adds this header to each answer; it replaces an earlier one.
+    pub fn set_extra_header(&self, name: &'static str, value: &str) {
+        self.with(|state| state.extra_header = Some((name, value.to_owned())));
+    }
+
+    /// The largest number of requests and calls received after `since` within any interval of length `span`.
+    pub fn most_within(&self, span: Duration, since: Instant) -> usize {
+        let received = self.with(|state| state.received.clone());
+        let later: Vec<Instant> =
+            received.iter().map(|one| one.at).filter(|at| *at > since).collect();
+        let within = |first: &Instant| {
+            later.iter().filter(|at| (*first..*first + span).contains(at)).count()
+        };
+        later.iter().map(within).max().unwrap_or(0)
+    }
+
+    /// Clears the script.
+    pub fn clear_script(&self) {
+        self.with(|state| state.script.clear());
+    }
+
+    /// Ids of the requests that it ran, in order.
+    pub fn ran(&self) -> Vec<String> {
+        self.with(|state| state.ran.clone())
+    }
+
+    /// Number of requests and calls received after `after`.
+    pub fn received_after(&self, after: Instant) -> usize {
+        self.with(|state| state.received.iter().filter(|one| one.at > after).count())
+    }
+
+    /// Requests and calls that it received, in order, without their bodies.
+    pub fn received(&self) -> Vec<ReceivedRequest> {
+        self.with(|state| state.received.clone())
+    }
+
+    /// Requests and calls that it received, in order, complete. Release calls and requests for its report are not
+    /// among them.
+    pub fn messages(&self) -> Vec<HttpMessage> {
+        self.with(|state| state.seen.clone())
+    }
+
+    /// Pieces that it computed: request id, stage number, piece number.
+    pub fn pieces(&self) -> Vec<(String, u64, u64)> {
+        self.with(|state| state.pieces.clone())
+    }
+
+    /// Results that it computed.
+    pub fn made(&self) -> Vec<StageResult> {
+        self.with(|state| state.made.clone())
+    }
+
+    /// Lets the next call of pieces wait in the queue for `time`, as if behind another VM's call.
+    pub fn delay_next_call(&self, time: Duration) {
+        self.with(|state| state.queue_delay = time);
+    }
+
+    /// Sets whether it answers requests for its report; otherwise it answers 404.
+    pub fn set_reporting(&self, reports: bool) {
+        self.with(|state| state.has_no_report = !reports);
+    }
+
+    /// Lets it lose the next `count` release calls: no answer, and nothing is released.
+    pub fn lose_releases(&self, count: usize) {
+        self.with(|state| state.releases_to_lose = count);
+    }
+
+    /// Handles that it was told to release.
+    pub fn released(&self) -> Vec<String> {
+        self.timed_releases().into_iter().map(|(handle, _)| handle).collect()
+    }
+
+    /// Handles that it was told to release, with the time of each release call.
+    pub fn timed_releases(&self) -> Vec<(String, Instant)> {
+        self.with(|state| state.released.clone())
+    }
+
+    /// Number of open connections.
+    pub fn open_connections(&self) -> u64 {
+        self.with(|state| state.open)
+    }
+
+    /// Number of streams whose reader was gone before their end.
+    pub fn aborted_streams(&self) -> u64 {
+        self.with(|state| state.aborted_streams)
+    }
+
+    pub(super) fn with<R>(&self, f: impl FnOnce(&mut State) -> R) -> R {
+        f(&mut self.state.lock().unwrap_or_else(PoisonError::into_inner))
+    }
+
+    fn serve(&self, mut wire: HttpConnection) {
+        while let Some(req) = wire.read() {
+            if !self.answer(&mut wire, &req) {
+                return;
+            }
+        }
+    }
+
+    /// Answers a request; false if the connection is to end.
+    pub(super) fn answer(&self, wire: &mut HttpConnection, req: &HttpMessage) -> bool {
+        match req.path_and_query() {
+            "/stage-run" => self.run_pieces(wire, req),
+            "/stage-free" => self.release(wire, req),
+            "/report" => self.report(wire),
+            _ => self.run(wire, req),
+        }
+    }
+
+    /// Runs a request with the next behavior of the script.
+    fn run(&self, wire: &mut HttpConnection, req: &HttpMessage) -> bool {
+        let id = req.header("request-id").to_owned();
+        let expected = req.header("expected-instance").to_owned();
+        let behavior = self.with(|state| {
+            let next = (!state.script.is_empty()).then(|| state.script.remove(0));
+            let behavior = next.or(state.usual.clone()).unwrap_or(Behavior::Answer);
+            state.receive(req, &behavior);
+            behavior
+        });
+        let behavior = if expected == self.id { behavior } else { Behavior::Misdirected };
+        let not_run = matches!(
+            behavior,
+            Behavior::Decline
+                | Behavior::DeclineFor(_)
+                | Behavior::Misdirected
+                | Behavior::InputGone
+        );
+        if !not_run {
+            self.with(|state| state.ran.push(id.clone()));
+        }
+        self.respond(wire, &behavior, &id, req)
+    }
+
+    /// An answer that includes the runner's notices.
+    pub(super) fn reply(&self, status: &str, headers: &[(&str, &str)], body: &[u8]) -> Vec<u8> {
+        let notices = self.notices();
+        let notices = notices.iter().map(|(name, value)| (*name, value.as_str()));
+        let headers: Vec<(&str, &str)> = headers.iter().copied().chain(notices).collect();
+        response_bytes(status, &headers, body)
+    }
+
+    /// Headers of the runner's notices: leaving, rate limit, and the extra one.
+    fn notices(&self) -> Vec<(&'static str, String)> {
+        self.with(|state| {
+            let leaving = state.leaves.then(|| ("Server-Leaving", "1".to_owned()));
+            let rate = state.rate.clone().map(|rate| ("Server-Limit", rate));
+            leaving.into_iter().chain(rate).chain(state.extra_header.clone()).collect()
+        })
+    }
+
+    /// Answers a request according to a behavior; false if the connection is to end.
+    fn respond(
+        &self,
+        wire: &mut HttpConnection,
+        behavior: &Behavior,
+        id: &str,
+        req: &HttpMessage,
+    ) -> bool {
+        let body = format!("{} answers {id}", self.id);
+        let receipt = format!("sig-{}", self.id);
+        let own = [("Request-Id", id), ("Response-Signature", receipt.as_str())];
+        let whole = self.reply("200 OK", &own, body.as_bytes());
+        match behavior {
+            Behavior::Answer => wire.write(&whole),
+            Behavior::Large(bytes) => {
+                let large = "x".repeat(bytes.saturating_sub(body.len())) + &body;
+                wire.write(&self.reply("200 OK", &own, large.as_bytes()))
+            }
+            Behavior::Fail => wire.write(&self.reply("500 Oops", &own, b"failed")),
+            Behavior::Decline => wire.write(&self.reply("503 Full", &[("Not-Executed", "1")], b"")),
+            Behavior::DeclineFor(seconds) => {
+                let refusal = [("Not-Executed", "1"), ("Retry-After", *seconds)];
+                wire.write(&self.reply("503 Full", &refusal, b""))
+            }
+            Behavior::InputGone => {
+                wire.write(&self.reply("409 Gone", &[("Not-Executed", "1")], b""))
+            }
+            Behavior::Misdirected => {
+                wire.write(&self.reply("421 Other", &[("Instance-Id", "i-other")], b""))
+            }
+            Behavior::Lose => false,
+            Behavior::CutBody => {
+                wire.write(&whole[..whole.len() - body.len() / 2]);
+                false
+            }
+            Behavior::Cross => {
+                let other = [("Request-Id", "another"), ("Response-Signature", "sig-x")];
+                wire.write(&self.reply("200 OK", &other, b"of another request"))
+            }
+            Behavior::Extra => {
+                let written = wire.write(&whole);
+                sleep(Duration::from_millis(2));
+                written && wire.write(&whole)
+            }
+            Behavior::Garbage => {
+                wire.write(b"\x00\x01 this is no answer\r\n\r\n");
+                false
+            }
+            Behavior::Unsigned => {
+                wire.write(&self.reply("200 OK", &[("Request-Id", id)], b"unsigned"))
+            }
+            Behavior::Encoded => {
+                let coded = [own[0], own[1], ("Content-Encoding", "gzip")];
+                wire.write(&self.reply("200 OK", &coded, b"coded"))
+            }
+            Behavior::Unframed => {
+                let head = format!(
+                    "HTTP/1.1 200 OK\r\nRequest-Id: {id}\r\nResponse-Signature: {receipt}\r\n\r\n"
+                );
+                wire.write(head.as_bytes());
+                wire.write(body.as_bytes());
+                false
+            }
+            Behavior::Hang(time) | Behavior::NoRoomForLast(time) => {
+                sleep(*time);
+                wire.write(&whole)
+            }
+            Behavior::Stream(events) => self.stream(wire, id, req, *events, None, Duration::ZERO),
+            Behavior::StreamFromFirst(events) => {
+                let fresh = HttpMessage::default();
+                self.stream(wire, id, &fresh, *events, None, Duration::ZERO)
+            }
+            Behavior::BreakStream(after) => {
+                self.stream(wire, id, req, u64::MAX, Some(*after), Duration::ZERO)
+            }
+            Behavior::SlowStream(events, pause) => {
+                self.stream(wire, id, req, *events, None, *pause)
+            }
+        }
+    }
+
+    /// Streams events up to number `last`, from the one after `Last-Event-Id`; with `break_after`, breaks off in the
+    /// middle of the event after that number.
+    fn stream(
+        &self,
+        wire: &mut HttpConnection,
+        id: &str,
+        req: &HttpMessage,
+        last: u64,
+        break_after: Option<u64>,
+        pause: Duration,
+    ) -> bool {
+        let first = req.header("last-event-id").parse::<u64>().map_or(1, |event| event + 1);
+        let notices = self.notices();
+        let notices = notices.iter().map(|(name, value)| format!("{name}: {value}\r\n"));
+        let notices = notices.collect::<String>();
+        let head = format!(
+            "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\nContent-Type: text/event-stream\r\n\
+             Request-Id: {id}\r\nResponse-Signature: sig-{}\r\n{}\r\n",
+            self.id, notices
+        );
+        let mut sent = wire.write(head.as_bytes());
+        for number in first..=last {
+            if break_after.is_some_and(|after| number > after) {
+                wire.write(b"8\r\nid: 99\nd\r\n");
+                return false;
+            }
+            let event = format!("id: {number}\ndata: {id}/{number}\n\n");
+            sent = sent && wire.write(format!("{:x}\r\n{event}\r\n", event.len()).as_bytes());
+            if !sent {
+                self.with(|state| state.aborted_streams += 1);
+                return false;
+            }
+            sleep(pause);
+        }
+        wire.write(b"0\r\n\r\n")
+    }
+}
--- /dev/null
+++ b/standins/src/serving_path/soak.rs
@@ -0,0 +1,375 @@
+//! Randomized test run of the serving path under external faults, and its report.
+//!
+//! The faults: links to the store that delay or drop bytes, in one or both directions, or are reset; VM processes that
+//! are paused, killed and restarted, or sent SIGHUP; a store that refuses calls, doesn't answer or compacts its history;
+//! runners that lose, truncate, mix up, corrupt or refuse answers, announce only in answers that they are leaving, ask
+//! for a pause or for a rate limit; a request that crashes each runner that runs it; halls that are evacuated and
+//! restored; runners with cold starts; and changes of the configuration in between.
+
+// A failed setup fails the run.
+#![allow(clippy::expect_used)]
+
+use std::net::SocketAddr;
+use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
+use std::sync::{Mutex, PoisonError};
+use std::thread;
+use std::time::{Duration, Instant};
+
+use rand::rngs::StdRng;
+use rand::{RngExt, SeedableRng};
+
+use super::HttpMessage;
+use super::callers::Call;
+use super::crashing::{CrashTrigger, CrashingRunner, CrashingRunnerConfig, RestartId};
+use super::faulty_link::{FaultyLink, LinkMode};
+use super::runners::{Behavior, Runner};
+use super::site::{HOST, Site, Vm, default_configuration};
+use super::soak_checks::{check_answer, check_crashes, check_notices, check_rates, check_results};
+use super::soak_notices::{announce_leaving, announce_rates, restart_runners};
+use super::store::StoreMode;
+
+/// Pause after each fault, in milliseconds.
+const FAULT_PAUSE: std::ops::Range<u64> = 80..500;
+/// Halls of the runners: the first runner of each service is in the first hall, the second one in the other.
+pub(super) const HALLS: [&str; 2] = ["hall-a", "hall-b"];
+/// Seed offset between the independent random generators of a run. A further generator with its own multiple of the
+/// offset leaves the faults of the others as they are for a given seed.
+pub(super) const SEED_OFFSET: u64 = 1 << 32;
+/// Remaining cold start times that runners report, in milliseconds.
+const COLD: std::ops::Range<u64> = 100..1500;
+/// Time within which the VMs have to recover after the last fault.
+const RECOVERY: Duration = Duration::from_secs(8);
+
+/// Number of runners that crash on a fatal request.
+const CRASHING_RUNNERS: usize = 3;
+/// Body of a fatal request.
+const FATAL: &[u8] = b"fatal";
+/// `Retry-After` values with which runners refuse requests, in seconds.
+const RETRY_AFTER_S: [&str; 3] = ["0.3", "1.5", "2.5"];
+/// Probability that a fault comes with such a refusal.
+const REFUSAL_PROBABILITY: f64 = 0.3;
+
+/// Pause between two fatal requests, in milliseconds.
+const FATAL_PAUSE: std::ops::Range<u64> = 20..200;
+
+/// Kinds of requests: path, whether the request may run more than once, whether the answer is a stream.
+pub(super) const KINDS: [(&str, bool, bool); 5] = [
+    ("/repeat/", true, false),
+    ("/once/", false, false),
+    ("/stream/", false, true),
+    ("/resumed/", true, true),
+    ("/chain/", false, true),
+];
+
+/// Size of a run.
+#[derive(Debug, Clone, Copy)]
+pub struct Size {
+    /// Number of VMs.
+    pub vms: usize,
+    /// Number of concurrent callers.
+    pub callers: u64,
+}
+
+impl Default for Size {
+    fn default() -> Self {
+        Size { vms: 3, callers: 4 }
+    }
+}
+
+/// Result of a run.
+#[derive(Debug, Default)]
+pub struct Report {
+    /// Number of requests sent, without those that probe for crashes and recovery.
+    pub requests: u64,
+    /// Number of requests with a complete successful answer.
+    pub complete: u64,
+    /// Number of faults injected.
+    pub faults: u64,
+    /// Number of VM restarts among the faults.
+    pub restarts: u64,
+    /// Number of answers of runners with the notice that they are leaving or with a `Retry-After`.
+    pub notices: usize,
+    /// Number of requests that reached runners while a rate limit was in force, from VMs that knew of it.
+    pub rate_limited: usize,
+    /// Number of stage results that have to be released, see `check_results`.
+    pub results: usize,
+    /// Descriptions of the checks that failed.
+    pub violations: Vec<String>,
+}
+
+/// A request that was sent, and its answer.
+pub(super) struct AnsweredRequest {
+    pub(super) id: String,
+    pub(super) kind: usize,
+    /// Index of the VM that received the request.
+    pub(super) vm: usize,
+    pub(super) sent: Instant,
+    pub(super) answer: Option<HttpMessage>,
+}
+
+/// A restart or a pause of a VM.
+pub(super) struct Interruption {
+    pub(super) vm: usize,
+    pub(super) at: Instant,
+    /// Whether the process ended.
+    pub(super) is_end: bool,
+}
+
+/// Runs the faults of a seed for `time`, then the checks.
+pub fn run(seed: u64, time: Duration, size: Size) -> Report {
+    let site = Site::start_in(HALLS);
+    let links: Vec<FaultyLink> =
+        (0..size.vms).map(|_| FaultyLink::start(site.store.address).expect("a link")).collect();
+    let mut vms: Vec<Vm> = links
+        .iter()
+        .enumerate()
+        .map(|(number, link)| {
+            let name = format!("soak-{seed}-{number}");
+            Vm::start(&name, "hall-a", link.address, "stop: {notice_ms: 200, grace_s: 3}\n")
+        })
+        .collect();
+    let fragile = start_crashing_runners(seed, &site);
+    vms.iter().for_each(|vm| site.wait_for_all_runners(vm));
+    let addresses: Vec<SocketAddr> = vms.iter().map(|vm| vm.callers).collect();
+    let over = AtomicBool::new(false);
+    let sent = AtomicU64::new(0);
+    let answered = Mutex::new(Vec::new());
+    let mut report = Report::default();
+    let mut interruptions = Vec::new();
+    thread::scope(|scope| {
+        for caller in 0..size.callers {
+            let (addresses, over, sent, answered) = (&addresses, &over, &sent, &answered);
+            scope.spawn(move || {
+                let mut rng = StdRng::seed_from_u64(seed * 1000 + caller);
+                while !over.load(Ordering::Relaxed) {
+                    let number = sent.fetch_add(1, Ordering::Relaxed);
+                    let one = send_request(&mut rng, addresses, seed, number);
+                    answered.lock().unwrap_or_else(PoisonError::into_inner).push(one);
+                }
+            });
+        }
+        let (addresses, ended) = (&addresses, &over);
+        scope.spawn(move || send_fatal_requests(seed, addresses, ended));
+        let site = &site;
+        scope.spawn(move || announce_leaving(seed, time, site));
+        scope.spawn(move || announce_rates(seed, time, site));
+        let faults = Faults { seed, time, site, links: &links };
+        interruptions = inject_faults(&faults, &mut vms, &mut report);
+        over.store(true, Ordering::Relaxed);
+    });
+    let answered = answered.into_inner().unwrap_or_else(PoisonError::into_inner);
+    report.requests = sent.load(Ordering::Relaxed);
+    for one in &answered {
+        check_answer(&site, one, &mut report);
+    }
+    check_crashes(&fragile, &vms, &mut report);
+    check_notices(&site, &answered, &interruptions, &mut report);
+    check_rates(&site, &answered, &interruptions, &mut report);
+    restart_runners(&site);
+    if !recovers(&addresses, seed) {
+        report
+            .violations
+            .push(format!("not every VM serves requests within {RECOVERY:?} after the last fault"));
+    }
+    check_results(&site, &interruptions, &mut report);
+    report
+}
+
+/// Starts the runners of the service `fragile`; every other one keeps its id when it restarts.
+fn start_crashing_runners(seed: u64, site: &Site) -> Vec<CrashingRunner> {
+    let start = |number: usize| {
+        let config = CrashingRunnerConfig {
+            trigger: CrashTrigger::Body(FATAL.to_vec()),
+            crash_delay: Duration::from_millis(10),
+            downtime: Duration::from_millis(150),
+            restart_id: if number.is_multiple_of(2) { RestartId::SameId } else { RestartId::NewId },
+            default_behavior: Behavior::Answer,
+        };
+        let name = format!("i-fragile-{seed}-{number}");
+        CrashingRunner::start(&name, "fragile", config, &site.store).expect("a runner starts")
+    };
+    (0..CRASHING_RUNNERS).map(start).collect()
+}
+
+/// Sends fatal requests and harmless ones to the service `fragile`, at random VMs.
+fn send_fatal_requests(seed: u64, addresses: &[SocketAddr], over: &AtomicBool) {
+    let mut rng = StdRng::seed_from_u64(seed + 2 * SEED_OFFSET);
+    let mut number = 0;
+    while !over.load(Ordering::Relaxed) {
+        number += 1;
+        let is_fatal = rng.random_bool(0.5);
+        let body = if is_fatal { FATAL } else { b"a body".as_slice() };
+        let call = Call::new("POST", HOST, "/fragile/", &format!("fragile-{seed}-{number}"))
+            .with_header("Deadline-Milliseconds", "1000")
+            .body(body);
+        call.send(addresses[rng.random_range(0..addresses.len())]);
+        thread::sleep(Duration::from_millis(rng.random_range(FATAL_PAUSE)));
+    }
+}
+
+/// Sends a random request to a random VM.
+fn send_request(
+    rng: &mut StdRng,
+    addresses: &[SocketAddr],
+    seed: u64,
+    number: u64,
+) -> AnsweredRequest {
+    let kind = rng.random_range(0..KINDS.len());
+    let id = format!("soak-{seed}-{number}");
+    let mut call = Call::new("POST", HOST, KINDS[kind].0, &id)
+        .with_header("Deadline-Milliseconds", "1500")
+        .body(b"a body");
+    if KINDS[kind].0 == "/chain/" {
+        call = call.with_header("Pieces", "1,2").with_header("Piece-Key", "k");
+    }
+    let (vm, sent) = (rng.random_range(0..addresses.len()), Instant::now());
+    let answer = call.send(addresses[vm]);
+    if answer.is_none() {
+        // The VM may be restarting.
+        thread::sleep(Duration::from_millis(20));
+    }
+    AnsweredRequest { id, kind, vm, sent, answer }
+}
+
+/// Parameters of the faults: their seed, their duration and what they affect.
+struct Faults<'a> {
+    seed: u64,
+    time: Duration,
+    site: &'a Site,
+    links: &'a [FaultyLink],
+}
+
+/// Injects faults until their time is over; returns the interruptions of VMs.
+fn inject_faults(faults: &Faults<'_>, vms: &mut [Vm], report: &mut Report) -> Vec<Interruption> {
+    let Faults { seed, time, site, links } = *faults;
+    let mut rng = StdRng::seed_from_u64(seed);
+    let mut availability_rng = StdRng::seed_from_u64(seed + SEED_OFFSET);
+    let mut refusal_rng = StdRng::seed_from_u64(seed + 4 * SEED_OFFSET);
+    let mut interruptions = Vec::new();
+    let end = Instant::now() + time;
+    let mut version = 1;
+    while Instant::now() < end {
+        report.faults += 1;
+        let vm = rng.random_range(0..vms.len());
+        match rng.random_range(0..12) {
+            0 => site.store.set_mode(StoreMode::Unavailable),
+            1 => site.store.set_mode(StoreMode::Unresponsive),
+            2 => site.store.compact_history(),
+            3 => links[vm].set(LinkMode::Blackhole),
+            4 => links[vm].set(LinkMode::Reset),
+            5 => links[vm].set(LinkMode::OneWay),
+            6 => links[vm].set(LinkMode::Delayed(Duration::from_millis(150))),
+            7 => {
+                version += 1;
+                site.store.put("op/config", &default_configuration(version));
+            }
+            8 => {
+                pause(&vms[vm], Duration::from_millis(rng.random_range(50..900)));
+                interruptions.push(Interruption { vm, at: Instant::now(), is_end: false });
+            }
+            9 => {
+                report.restarts += 1;
+                vms[vm].restart();
+                interruptions.push(Interruption { vm, at: Instant::now(), is_end: true });
+            }
+            10 => vms[vm].signal("-HUP"),
+            _ => inject_runner_faults(&mut rng, site),
+        }
+        inject_runner_faults(&mut rng, site);
+        change_availability(&mut availability_rng, site);
+        refuse_next(&mut refusal_rng, site);
+        thread::sleep(Duration::from_millis(rng.random_range(FAULT_PAUSE)));
+        if rng.random_bool(0.4) {
+            site.store.set_mode(StoreMode::Normal);
+            links.iter().for_each(|link| link.set(LinkMode::Normal));
+        }
+    }
+    site.store.set_mode(StoreMode::Normal);
+    links.iter().for_each(|link| link.set(LinkMode::Normal));
+    HALLS.iter().for_each(|hall| site.end_evacuation(hall));
+    for runner in site.plain.iter().chain(&site.engines).chain(&site.pool) {
+        runner.clear_script();
+    }
+    interruptions
+}
+
+/// With some probability, lets a runner refuse its next request with a `Retry-After`.
+fn refuse_next(rng: &mut StdRng, site: &Site) {
+    let (service, runner) = (rng.random_range(0..3), rng.random_range(0..2));
+    let seconds = RETRY_AFTER_S[rng.random_range(0..RETRY_AFTER_S.len())];
+    if rng.random_bool(REFUSAL_PROBABILITY) {
+        site.services()[service].1[runner].queue_behaviors(&[Behavior::DeclineFor(seconds)]);
+    }
+}
+
+/// Evacuates a hall, ends an evacuation, or lets a runner report a cold start.
+fn change_availability(rng: &mut StdRng, site: &Site) {
+    let index = rng.random_range(0..HALLS.len());
+    match rng.random_range(0..6) {
+        0 => site.evacuate(HALLS[index]),
+        1 | 2 => site.end_evacuation(HALLS[index]),
+        3 => {
+            let (service, runners) = site.services()[rng.random_range(0..3)];
+            let cold = Duration::from_millis(rng.random_range(COLD));
+            site.register_runner(&runners[index], service, HALLS[index], cold);
+        }
+        _ => {}
+    }
+}
+
+/// Pauses a VM's process.
+fn pause(vm: &Vm, time: Duration) {
+    vm.signal("-STOP");
+    thread::sleep(time);
+    vm.signal("-CONT");
+}
+
+/// Sets a fault for the next request of one runner of each service.
+fn inject_runner_faults(rng: &mut StdRng, site: &Site) {
+    let pick = |rng: &mut StdRng, runners: &[Runner]| runners[rng.random_range(0..2)].clone();
+    let time = Duration::from_millis(rng.random_range(100..900));
+    let plain = [
+        Behavior::Lose,
+        Behavior::CutBody,
+        Behavior::Cross,
+        Behavior::Extra,
+        Behavior::Garbage,
+        Behavior::Unsigned,
+        Behavior::Encoded,
+        Behavior::Unframed,
+        Behavior::Decline,
+        Behavior::Fail,
+        Behavior::Hang(time),
+    ];
+    let engines = [
+        Behavior::BreakStream(2),
+        Behavior::InputGone,
+        Behavior::Decline,
+        Behavior::Lose,
+        Behavior::Cross,
+    ];
+    let pool = [Behavior::Lose, Behavior::Decline, Behavior::InputGone, Behavior::Hang(time)];
+    pick(rng, &site.plain).queue_behaviors(&[plain[rng.random_range(0..plain.len())].clone()]);
+    pick(rng, &site.engines)
+        .queue_behaviors(&[engines[rng.random_range(0..engines.len())].clone()]);
+    pick(rng, &site.pool).queue_behaviors(&[pool[rng.random_range(0..pool.len())].clone()]);
+}
+
+/// Whether every VM serves again within [`RECOVERY`].
+fn recovers(addresses: &[SocketAddr], seed: u64) -> bool {
+    let end = Instant::now() + RECOVERY;
+    let serves = |address: SocketAddr, number: usize| {
+        let call = Call::new("GET", HOST, "/repeat/", &format!("soak-{seed}-after-{number}"))
+            .with_header("Deadline-Milliseconds", "1000");
+        call.send(address).is_some_and(|answer| answer.status() == 200)
+    };
+    let mut number = 0;
+    while Instant::now() < end {
+        number += addresses.len();
+        if addresses.iter().enumerate().all(|(index, at)| serves(*at, number + index)) {
+            return true;
+        }
+        thread::sleep(Duration::from_millis(50));
+    }
+    false
+}
--- a/tests/path.rs
+++ b/tests/request_path.rs
@@ -1,6 +1,7 @@
-//! A request's way from a caller over four targets and back, with real processes.
+//! The path of a request from its caller through four stages and back, the checks of its input, and the operations
+//! pages and the command-line tool, with real processes.
 
-// A helper that can't go on fails its test.
+// A failing `expect` in a helper fails the test.
 #![allow(clippy::expect_used)]
 
 mod support;
@@ -10,13 +11,14 @@
 use std::time::Duration;
 
 use serde_json::Value;
-use support::{agent, ask, get_json, usual_fleet, wait_until};
+use support::{agent, caller_request, get_json, usual_fleet, wait_until};
 
 #[test]
-fn answers_whole_over_four_stages() {
+fn a_request_with_four_stages_gets_a_whole_answer() {
     let fleet = usual_fleet(1);
 
-    let reply = ask("check", 5000).repeatable().send(fleet.vms[0].callers).expect("an answer");
+    let reply =
+        caller_request("check", 5000).repeatable().send(fleet.vms[0].callers).expect("an answer");
 
     assert_eq!((reply.status, reply.outcome.as_str()), (200, "whole"));
     let stages = reply.body["stages"].as_array().expect("stages").len();
@@ -29,10 +31,10 @@
 }
 
 #[test]
-fn streams_every_token_and_the_outcome() {
+fn a_stream_contains_every_token_and_the_outcome() {
     let fleet = usual_fleet(1);
 
-    let ask = ask("check", 5000).repeatable().header("accept", "text/event-stream");
+    let ask = caller_request("check", 5000).repeatable().header("accept", "text/event-stream");
     let reply = ask.send(fleet.vms[0].callers).expect("an answer");
 
     assert_eq!((reply.status, reply.outcome.as_str()), (200, "streaming"));
@@ -45,60 +47,60 @@
 }
 
 #[test]
-fn refuses_bad_input_with_its_place_and_runs_nothing() {
+fn invalid_input_is_refused_with_its_location_and_not_run() {
     let fleet = usual_fleet(1);
     let to = fleet.vms[0].callers;
     let big = format!("\"{}\"", "x".repeat(2 << 20));
     let cases = [
-        (ask("check", 5000).body("{\"a\":"), 400, "bad-request", "line 1"),
-        (ask("nothing", 5000), 404, "unknown-service", "nothing"),
+        (caller_request("check", 5000).body("{\"a\":"), 400, "bad-request", "line 1"),
+        (caller_request("nothing", 5000), 404, "unknown-service", "nothing"),
         (
-            ask("check", 5000).header("saddlerail-priority", "high"),
+            caller_request("check", 5000).header("saddlerail-priority", "high"),
             400,
             "bad-request",
             "background",
         ),
         (
-            ask("check", 5000).header("saddlerail-colour", "red"),
+            caller_request("check", 5000).header("saddlerail-colour", "red"),
             400,
             "bad-request",
             "saddlerail-colour",
         ),
         (
-            ask("check", 5000).header("saddlerail-repeatable", "maybe"),
+            caller_request("check", 5000).header("saddlerail-repeatable", "maybe"),
             400,
             "bad-request",
             "yes or no",
         ),
         (
-            ask("check", 5000).header("saddlerail-request-id", "a b"),
+            caller_request("check", 5000).header("saddlerail-request-id", "a b"),
             400,
             "bad-request",
             "request id",
         ),
-        (ask("check", 0), 400, "bad-request", "saddlerail-deadline-ms"),
-        (ask("check", 99_999_999), 400, "bad-request", "saddlerail-deadline-ms"),
-        (ask("check", 5000).body(&big), 413, "body-too-large", "1048576"),
+        (caller_request("check", 0), 400, "bad-request", "saddlerail-deadline-ms"),
+        (caller_request("check", 99_999_999), 400, "bad-request", "saddlerail-deadline-ms"),
+        (caller_request("check", 5000).body(&big), 413, "body-too-large", "1048576"),
     ];
 
-    for (ask, status, reason, detail) in cases {
-        let reply = ask.send(to).expect("an answer");
+    for (request, status, reason, detail) in cases {
+        let reply = request.send(to).expect("an answer");
         assert_eq!((reply.status, reply.outcome.as_str()), (status, "not-run"), "{detail}");
         assert_eq!(reply.body["reason"], reason);
         let told = reply.body["detail"].as_str().unwrap_or_default();
         assert!(told.contains(detail), "{told}");
     }
-    let mut no_deadline = ask("check", 1);
+    let mut no_deadline = caller_request("check", 1);
     no_deadline.headers.pop();
     assert_eq!(no_deadline.send(to).expect("an answer").status, 400);
-    let mut no_customer = ask("check", 100);
+    let mut no_customer = caller_request("check", 100);
     no_customer.headers[0].1 = "nobody".to_owned();
     assert_eq!(no_customer.send(to).expect("an answer").status, 403);
     assert!(fleet.records().is_empty());
 }
 
 #[test]
-fn slow_heads_and_idle_connections_end_and_others_are_served() {
+fn slow_and_idle_connections_are_closed_and_others_are_served() {
     let mut fleet = support::Fleet::start(&support::usual_pools());
     assert!(fleet.apply(&fleet.catalogue(support::SERVICES)).status.success());
     let vm = fleet.start_vm("hall-a", "limits: {head_ms: 300, body_ms: 300}\n");
@@ -113,12 +115,12 @@
           saddlerail-deadline-ms: 1000\r\ncontent-length: 100\r\n\r\n{",
     )
     .expect("head");
-    let served = ask("hold", 2000).repeatable().send(to).expect("an answer");
+    let served = caller_request("hold", 2000).repeatable().send(to).expect("an answer");
 
     assert_eq!(served.outcome, "whole");
     for mut connection in idle.into_iter().chain([slow]) {
         connection.set_read_timeout(Some(Duration::from_secs(10))).expect("set");
-        // Closed by the daemon, with or without a last word.
+        // The daemon closes the connection, with or without an error response.
         let _ = connection.read_to_end(&mut Vec::new()).expect("the end within the wait");
     }
     let mut answer = [0; 12];
@@ -127,10 +129,10 @@
 }
 
 #[test]
-fn operations_page_tells_health_metrics_state_and_decisions() {
+fn operations_pages_show_health_metrics_and_decisions() {
     let fleet = usual_fleet(2);
     let id = "explained-1";
-    let ask = ask("check", 5000).repeatable().header("saddlerail-request-id", id);
+    let ask = caller_request("check", 5000).repeatable().header("saddlerail-request-id", id);
     ask.send(fleet.vms[1].callers).expect("an answer");
 
     let page = |path: &str| {
@@ -141,20 +143,20 @@
     assert_eq!(page("/ready"), "ready\n");
     let metrics = page("/metrics");
     assert!(metrics.contains("saddlerail_requests_total"), "{metrics}");
-    wait_until("the record is whole", || {
+    wait_until("the record is complete", || {
         let records = get_json(fleet.vms[1].operations, "/explain/explained-1").expect("JSON");
         records[0]["outcome"] == "whole"
     });
-    // The tool asks the first VM, which finds the record at the second.
-    let told = fleet.tool(&["explain", id]);
+    // The tool queries the first VM, which gets the record from the second.
+    let told = fleet.run_cli(&["explain", id]);
     let text = String::from_utf8_lossy(&told.stdout).into_owned();
     assert!(told.status.success() && text.matches("answered").count() == 4, "{text}");
-    assert!(!fleet.tool(&["explain", "no-such-id"]).status.success());
+    assert!(!fleet.run_cli(&["explain", "no-such-id"]).status.success());
 }
 
-/// A reader that closes the pipe early, such as `head`, is no failure of the tool.
+/// The tool must not fail if the reader of its output closes the pipe early, as `head` does.
 #[test]
-fn the_tool_ends_quietly_when_nobody_reads() {
+fn the_tool_succeeds_when_its_output_is_closed() {
     let fleet = usual_fleet(1);
     let mut tool = std::process::Command::new(env!("CARGO_BIN_EXE_saddlerail"))
         .args(["state", "--vm", &fleet.vms[0].operations.to_string()])
