--- a/components/fleet/src/peer.rs
+++ b/components/fleet/src/peer.rs
@@ -32,7 +32,7 @@
     /// and hold their inputs.
     pub late: f64,
     /// Pieces that earlier stages will submit.
-    pub coming: f64,
+    pub incoming: f64,
     /// Pieces that the pool can make per second.
     pub rate: f64,
     /// When this report was received.
@@ -43,7 +43,7 @@
     /// Time until the pool has made all pieces that are queued or announced now. Late pieces count: without
     /// them a part with a thousand late pieces looked idle, while other parts were idle.
     pub fn drain_time(&self) -> Duration {
-        self.time_for(self.queue.total() as f64 + self.late + self.coming)
+        self.time_for(self.queue.total() as f64 + self.late + self.incoming)
     }
 
     /// Expected time from submission to result of a piece that is submitted in `begin` from now and has `ahead`
@@ -58,16 +58,16 @@
     }
 }
 
-/// State of a peer that was heard.
+/// State of a peer that sent at least one message.
 #[derive(Debug)]
 pub struct PeerVm {
     /// Incarnation of its process.
     pub incarnation: u64,
     /// The entry that it sent of itself.
     pub entry: Option<VmEntry>,
-    /// When it was last heard.
+    /// When its last message arrived.
     pub heard: Instant,
-    /// Whether the link to it was lost since it was last heard, so that its process may have ended.
+    /// Whether the link to it was lost since its last message, so that its process may have ended.
     pub lost: bool,
     /// Whether a link that this VM dialled is open.
     pub linked: bool,
@@ -76,17 +76,17 @@
     /// Revision of the store up to which it knows every change.
     pub as_of: u64,
     /// Whether it watches the store itself and the store answers it.
-    pub watches: bool,
+    pub watches_store: bool,
     /// Version of the configuration that it has in force.
     pub configuration: u64,
     /// Load of each pool whose calls it fills.
     pub pools: HashMap<String, PoolLoad>,
     /// Pieces of its requests that are not submitted yet, for each pool.
-    pub coming: HashMap<String, f64>,
+    pub incoming: HashMap<String, f64>,
 }
 
 impl PeerVm {
-    /// A peer of which nothing is known except when it was heard.
+    /// A peer of which nothing is known except when its last message arrived.
     pub fn new(heard: Instant) -> Self {
         PeerVm {
             incarnation: 0,
@@ -96,10 +96,10 @@
             linked: false,
             draining: false,
             as_of: 0,
-            watches: false,
+            watches_store: false,
             configuration: 0,
             pools: HashMap::new(),
-            coming: HashMap::new(),
+            incoming: HashMap::new(),
         }
     }
 
@@ -114,7 +114,7 @@
         }
     }
 
-    /// Whether it was heard within [`PEER_TIMEOUT`] and its link was not lost since.
+    /// Whether it sent a message within [`PEER_TIMEOUT`] and its link was not lost since.
     pub fn is_fresh(&self, now: Instant) -> bool {
         !self.lost && now.saturating_duration_since(self.heard) <= PEER_TIMEOUT
     }
--- a/components/routing/src/api.rs
+++ b/components/routing/src/api.rs
@@ -23,7 +23,7 @@
     pub customer: &'a CustomerName,
     /// Priority class of the request.
     pub priority: Priority,
-    /// Whether the request was refused before and returns at the time told.
+    /// Whether the request was refused before and returns at the announced time.
     pub returning: bool,
     /// Deadline of the whole request.
     pub deadline: Instant,
@@ -111,7 +111,7 @@
     /// The call failed after something was sent.
     Failed,
     /// Cancelled by this VM, which is no evidence about the target.
-    GivenUp,
+    Abandoned,
 }
 
 /// State of one target, for the dump on the operations page.
--- a/daemon/src/requests.rs
+++ b/daemon/src/requests.rs
@@ -21,8 +21,7 @@
     /// Checks service and customer against the configuration in force and opens a journal record.
     pub(crate) fn begin_request(&mut self, req: BeginRequest) -> Result<BegunRequest, Refusal> {
         let Some(configuration) = self.history.current().cloned() else {
-            let refusal =
-                Refusal::not_run(Reason::NoConfiguration, "no configuration has been received yet");
+            let refusal = Refusal::not_run(Reason::NoConfiguration, "no revision is known yet");
             return Err(refusal.with_retry_after(NO_CONFIGURATION_RETRY_AFTER));
         };
         let Some(service) = configuration.catalogue.services.get(&req.service) else {
@@ -105,7 +104,7 @@
             (grant.slot, stage_request.service.clone(), stage.name.clone());
         if reply.send(Ok(Granted { grant, attempt })).is_err() {
             // The thread no longer waits, so the slot is released to the next request.
-            let end = CallEnd::GivenUp;
+            let end = CallEnd::Abandoned;
             let updates =
                 self.router.release(slot, (&service, &stage), end, Duration::ZERO, None, now);
             self.apply_wait_updates(updates);
--- a/gateway/src/http_endpoints.rs
+++ b/gateway/src/http_endpoints.rs
@@ -74,13 +74,13 @@
     let Some(digest) = path.strip_prefix(RELEASE).and_then(RequestDigest::parse) else {
         return (
             StatusCode::BAD_REQUEST,
-            "expected a request digest of 32 hexadecimal digits\n".to_owned(),
+            "expected a content of 32 hexadecimal digits\n".to_owned(),
         );
     };
     if stored_refusals::release(app, digest) {
         (StatusCode::OK, "released\n".to_owned())
     } else {
-        (StatusCode::NOT_FOUND, "no crashes are recorded for this request\n".to_owned())
+        (StatusCode::NOT_FOUND, "nothing is known of it\n".to_owned())
     }
 }
 
@@ -141,7 +141,7 @@
     let entry = |(lifetime, limit, heard): (&Lifetime, RateLimit, Instant)| {
         let target = shared.targets.get(&lifetime.target);
         let held = target.and_then(|target| target.rate_limited_until);
-        let account = target.map(|target| shared.account_owner_known(&target.service, now));
+        let account = target.map(|target| shared.bucket_owner_known(&target.service, now));
         json!({
             "account_at": account.map(|owner| owner_name(&owner)),
             "held_ms": held.map(|until| until.saturating_duration_since(now).as_millis() as u64),
