--- a/tests/stops.rs
+++ b/tests/stops.rs
@@ -11,7 +11,9 @@
 use std::time::{Duration, Instant};
 
 use serde_json::json;
-use support::{CallerRequest, Fleet, Reply, StopOnDrop, agent, caller_request, usual_fleet, wait_until};
+use support::{
+    CallerRequest, Fleet, Reply, StopOnDrop, agent, caller_request, usual_fleet, wait_until,
+};
 
 /// A balancer: asks each VM for its readiness and sends a request to one that is ready; a
 /// connection that is refused goes to the next.
