--- a/tests/random_scenarios.rs
+++ b/tests/random_scenarios.rs
@@ -13,11 +13,11 @@
 #[test]
 fn inputs_are_kept_while_a_call_waits_at_a_busy_worker() {
     for seed in QUEUED_CALL_SEEDS {
-        let scene = QueuedCallScenario::generate(seed);
+        let scenario = QueuedCallScenario::generate(seed);
 
-        let calls = scene.count_calls(&format!("turn-{seed}"));
+        let calls = scenario.count_calls(&format!("turn-{seed}"));
 
-        assert_eq!(calls, 2, "each stage is called once; seed {seed}: {scene:?}");
+        assert_eq!(calls, 2, "each stage is called once; seed {seed}: {scenario:?}");
     }
 }
 
@@ -26,10 +26,10 @@
 #[test]
 fn results_are_released_once_when_a_vm_fails() {
     for seed in RESULT_SEEDS {
-        let scene = ResultReleaseScenario::generate(seed);
+        let scenario = ResultReleaseScenario::generate(seed);
 
-        let told = scene.run(&format!("result-{seed}"));
+        let releases = scenario.run(&format!("result-{seed}"));
 
-        assert!(scene.is_satisfied_by(&told), "seed {seed}: {scene:?} {told:?}");
+        assert!(scenario.is_satisfied_by(&releases), "seed {seed}: {scenario:?} {releases:?}");
     }
 }
