--- a/tests/evacuation.rs
+++ b/tests/evacuation.rs
@@ -11,7 +11,9 @@
 use standins::fleet::wait_until;
 use standins::serving_path::faulty_link::{FaultyLink, LinkMode};
 use standins::serving_path::runners::{Behavior, Runner};
-use standins::serving_path::site::{SETTLE_TIME, Site, Vm, default_configuration, get, post, send_expecting_answer};
+use standins::serving_path::site::{
+    SETTLE_TIME, Site, Vm, default_configuration, get, post, send_expecting_answer,
+};
 use standins::serving_path::store::StoreMode;
 
 /// Upper bound for an answer that is given without waiting.
--- a/tests/fatal_requests.rs
+++ b/tests/fatal_requests.rs
@@ -13,7 +13,9 @@
 
 use standins::fleet::wait_until;
 use standins::serving_path::callers::Call;
-use standins::serving_path::crashing::{CrashTrigger, CrashingRunner, CrashingRunnerConfig, RestartId};
+use standins::serving_path::crashing::{
+    CrashTrigger, CrashingRunner, CrashingRunnerConfig, RestartId,
+};
 use standins::serving_path::runners::Behavior;
 use standins::serving_path::site::{SETTLE_TIME, Site, Vm, post, send_expecting_answer};
 use standins::serving_path::store::{Store, StoreMode};
@@ -221,12 +223,8 @@
 
 #[test]
 fn requests_that_only_shared_a_crashed_engine_are_not_quarantined() {
-    let case = Case::start_with(
-        "fatal-beside",
-        RestartId::NewId,
-        Behavior::SlowStream(5, OTHER_PAUSE),
-        3,
-    );
+    let case =
+        Case::start_with("fatal-beside", RestartId::NewId, Behavior::SlowStream(5, OTHER_PAUSE), 3);
     let callers: Vec<_> = (0..OTHER_CALLERS)
         .map(|caller| {
             let at = case.vms[caller % case.vms.len()].callers;
--- a/tests/halls.rs
+++ b/tests/halls.rs
@@ -53,7 +53,8 @@
 
     let served = caller_request("check", 5000).repeatable().send(cut_off).expect("an answer");
     let once = caller_request("hold", 5000).send(cut_off).expect("an answer");
-    let with_own_id = caller_request("hold", 5000).once("cut-off").send(cut_off).expect("an answer");
+    let with_own_id =
+        caller_request("hold", 5000).once("cut-off").send(cut_off).expect("an answer");
 
     assert_eq!((served.outcome.as_str(), once.outcome.as_str()), ("whole", "whole"));
     assert_eq!(
--- a/tests/rates.rs
+++ b/tests/rates.rs
@@ -17,7 +17,9 @@
 use standins::fleet::wait_until;
 use standins::serving_path::callers::Call;
 use standins::serving_path::runners::{Behavior, Runner};
-use standins::serving_path::site::{Site, Vm, default_configuration, get, post, send_expecting_answer};
+use standins::serving_path::site::{
+    Site, Vm, default_configuration, get, post, send_expecting_answer,
+};
 
 /// VMs of a fleet.
 const VMS: usize = 3;
@@ -110,8 +112,8 @@
     numbers
         .map(|number: usize| {
             let status =
-            send_expecting_answer(&call(&format!("{name}-{number}")), &vms[number % vms.len()])
-                .status();
+                send_expecting_answer(&call(&format!("{name}-{number}")), &vms[number % vms.len()])
+                    .status();
             thread::sleep(PAUSE);
             status
         })
@@ -260,7 +262,9 @@
 
     let started = site.start_vm("starts-rate", "");
 
-    wait_until("a VM that starts knows the rate", || !started.state_list("targets_rates").is_empty());
+    wait_until("a VM that starts knows the rate", || {
+        !started.state_list("targets_rates").is_empty()
+    });
     assert_eq!(started.state_list("targets_rates")[0]["per_s"], 1.0);
 }
 
--- a/tests/result_release.rs
+++ b/tests/result_release.rs
@@ -13,7 +13,9 @@
 use standins::fleet::wait_until;
 use standins::serving_path::HttpMessage;
 use standins::serving_path::runners::{Behavior, Runner};
-use standins::serving_path::site::{SETTLE_TIME, Site, Vm, default_configuration, post, send_expecting_answer};
+use standins::serving_path::site::{
+    SETTLE_TIME, Site, Vm, default_configuration, post, send_expecting_answer,
+};
 
 /// Two linked VMs: the owner of the pool and the requester, which is the other one.
 struct Pair {
--- a/tests/serving.rs
+++ b/tests/serving.rs
@@ -12,7 +12,9 @@
 use standins::serving_path::HttpMessage;
 use standins::serving_path::callers::Call;
 use standins::serving_path::runners::{Behavior, Runner};
-use standins::serving_path::site::{HOST, SETTLE_TIME, Site, Vm, default_configuration, event_ids, get, post, send_expecting_answer};
+use standins::serving_path::site::{
+    HOST, SETTLE_TIME, Site, Vm, default_configuration, event_ids, get, post, send_expecting_answer,
+};
 use standins::serving_path::store::StoreMode;
 
 #[test]
--- a/tests/serving_streams.rs
+++ b/tests/serving_streams.rs
@@ -11,7 +11,9 @@
 use standins::fleet::wait_until;
 use standins::serving_path::HttpMessage;
 use standins::serving_path::runners::{Behavior, Runner};
-use standins::serving_path::site::{Site, Vm, default_configuration, event_ids, post, send_expecting_answer};
+use standins::serving_path::site::{
+    Site, Vm, default_configuration, event_ids, post, send_expecting_answer,
+};
 
 #[test]
 fn streams_are_passed_on_and_a_truncated_one_is_recognizable() {
@@ -192,7 +194,9 @@
     let address = vms[requester].callers;
     let call = post("/chain/", "c-1").with_header("Pieces", "1,1").with_header("Piece-Key", "k");
     let asked = thread::spawn(move || call.send(address));
-    wait_until("a worker executes the piece", || site.pool.iter().any(|r| !r.messages().is_empty()));
+    wait_until("a worker executes the piece", || {
+        site.pool.iter().any(|r| !r.messages().is_empty())
+    });
 
     drop(vms.remove(owner));
 
--- a/tests/stops.rs
+++ b/tests/stops.rs
@@ -11,7 +11,9 @@
 use std::time::{Duration, Instant};
 
 use serde_json::json;
-use support::{CallerRequest, Fleet, Reply, StopOnDrop, agent, caller_request, usual_fleet, wait_until};
+use support::{
+    CallerRequest, Fleet, Reply, StopOnDrop, agent, caller_request, usual_fleet, wait_until,
+};
 
 /// A load balancer that probes the readiness of each VM and sends a request to one that is ready. If a connection is
 /// refused, it tries the next VM.
