--- a/standins/src/serving_path/scenarios.rs
+++ b/standins/src/serving_path/scenarios.rs
@@ -39,7 +39,8 @@
 /// Time of the fault after the engines have received the requests, in milliseconds. Releases of the first stage's
 /// results are in transit then.
 const FAULT_DELAY_MS: std::ops::Range<u64> = 0..6;
-/// Factor of `fault_delay` after the first call for a piece, for [`Fault::OwnerKilledAtWork`]: two calls of 20 ms run in that time.
+/// Factor by which `fault_delay` is longer for [`Fault::OwnerKilledAtWork`], where it begins with the first call for a
+/// piece: two calls of 20 ms run in that time.
 const AT_WORK_FACTOR: u32 = 10;
 /// Longest time in which an answer reaches the owner, and from there the VM of the request, in milliseconds.
 const TRANSIT_MS: i64 = 20;
--- a/standins/src/serving_path/soak.rs
+++ b/standins/src/serving_path/soak.rs
@@ -1,8 +1,8 @@
 //! Randomized test run of the serving path under external faults, and its report.
 //!
 //! The faults: links to the store that delay or drop bytes, in one or both directions, or are reset; VM processes that
-//! are paused, killed and restarted, or sent SIGHUP; a store that refuses calls, doesn't answer or compacts its history;
-//! runners that lose, truncate, mix up, corrupt or refuse answers, announce only in answers that they are leaving, ask
+//! are paused, killed and restarted, or sent SIGHUP; a store that refuses calls, doesn't answer or
+//! compacts its history; runners that lose, truncate, mix up, corrupt or refuse answers, announce only in answers that they are leaving, ask
 //! for a pause or for a rate limit; a request that crashes each runner that runs it; halls that are evacuated and
 //! restored; runners with cold starts; and changes of the configuration in between.
 
--- a/standins/src/serving_path/soak_checks.rs
+++ b/standins/src/serving_path/soak_checks.rs
@@ -12,8 +12,8 @@
 
 /// Number of crashes after which a request is quarantined.
 const CRASHES: u64 = 3;
-/// Further crashes that are tolerated, per restart of a VM and once more: attempts of a request that is under way again,
-/// and attempts at a VM that has restarted and is not linked to its peers yet.
+/// Further crashes that are tolerated, per restart of a VM and once more: attempts of a request that is under way
+/// again, and attempts at a VM that has restarted and is not linked to its peers yet.
 const TOLERATED_CRASHES: u64 = 2;
 /// Number of events in a complete stream.
 const EVENTS: u64 = 5;
--- a/standins/src/serving_path/stop_soak.rs
+++ b/standins/src/serving_path/stop_soak.rs
@@ -2,8 +2,8 @@
 //! stop.
 //!
 //! VMs are stopped, some with further signals during the stop, and started again, independently of each other, so that
-//! stops overlap. Meanwhile the configuration changes, and runners hang, are slow or full, or lose inputs. No process is
-//! killed or paused and no connection is cut, so a VM has to answer each request that it has read. Callers keep their
+//! stops overlap. Meanwhile the configuration changes, and runners hang, are slow or full, or lose inputs. No process
+//! is killed or paused and no connection is cut, so a VM has to answer each request that it has read. Callers keep their
 //! connections open until the VM closes them, and some read their answers late.
 
 // A failed setup fails the run.
