--- a/components/target_calls/src/call.rs
+++ b/components/target_calls/src/call.rs
@@ -245,10 +245,7 @@
     let body: AnswerBody = serde_json::from_slice(&bytes)
         .map_err(|e| may_have_run(format!("the answer can't be read: {e}")))?;
     if body.attempt != attempt.as_str() {
-        return Err(CallFailure::Crossed(format!(
-            "the answer names attempt {}",
-            body.attempt
-        )));
+        return Err(CallFailure::Crossed(format!("the answer names attempt {}", body.attempt)));
     }
     Ok(PlainAnswer { output: body.output.get().as_bytes().to_vec(), cost: body.cost })
 }
