--- a/components/intent/src/entry.rs
+++ b/components/intent/src/entry.rs
@@ -1,5 +1,5 @@
-//! Entries: how requests of callers are matched by host and path, and the limits, latency goals and
-//! services that apply to them.
+//! Entries: routes that match the requests of callers by host and path, with the limits, latency
+//! goals and services that apply to them.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -26,10 +26,11 @@
     pub weight: u32,
 }
 
-/// A stage of work that a pool does in pieces before a request can run.
+/// A stage of work that must be done before a request can run. The request states the number of
+/// pieces of each stage, and a pool runs the pieces in batches.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct EntryStage {
-    /// Service whose pool runs the pieces.
+    /// Service that has the pool.
     pub pool: ServiceName,
     /// Indexes of the stages whose results it needs, all lower than its own index.
     pub needs: Vec<usize>,
@@ -50,11 +51,12 @@
     pub streams: bool,
     /// Whether a request may run more than once; for a stream, whether it may be resumed.
     pub repeatable: bool,
-    /// Maximum time for which a request is held.
+    /// Time from the arrival of a request to its deadline, unless the caller asks for less.
     pub max_duration: Duration,
-    /// Time within which an answer, or the first event of a stream, has its full value.
+    /// Time from the arrival of a request within which its answer, or the first event of a stream,
+    /// should be sent. A later one is worth less to the caller.
     pub latency_goal: Duration,
-    /// Maximum pause between two events of a stream that counts as in time.
+    /// Maximum pause between two events for a stream to count as in time; `None` if not set.
     pub max_event_gap: Option<Duration>,
     /// Urgency of its requests; 0 is the most urgent.
     pub urgency: u8,
@@ -107,23 +109,23 @@
         let mut shares = self.shares.iter();
         let found = shares.find(|share| {
             let weight = u64::from(share.weight);
-            let here = point < weight;
+            let selected = point < weight;
             point = point.saturating_sub(weight);
-            here
+            selected
         });
         found.or(self.shares.first()).map(|share| &share.service)
     }
 
-    /// Indexes of the stages that have pieces and whose results no other stage with pieces needs;
-    /// `pieces` holds the number of pieces of each stage.
+    /// Indexes of the stages that have pieces and whose results no other stage with pieces needs.
+    /// `pieces` holds the number of pieces of each stage, by the index of the stage.
     pub fn last_stages(&self, pieces: &[u32]) -> Vec<usize> {
-        let has = |index: usize| pieces.get(index).is_some_and(|count| *count > 0);
+        let has_pieces = |index: usize| pieces.get(index).is_some_and(|count| *count > 0);
         let needed = |index: usize| {
             self.stages
                 .iter()
                 .enumerate()
-                .any(|(other, stage)| has(other) && stage.needs.contains(&index))
+                .any(|(other, stage)| has_pieces(other) && stage.needs.contains(&index))
         };
-        (0..self.stages.len()).filter(|index| has(*index) && !needed(*index)).collect()
+        (0..self.stages.len()).filter(|index| has_pieces(*index) && !needed(*index)).collect()
     }
 }
--- a/components/intent/src/lib.rs
+++ b/components/intent/src/lib.rs
@@ -42,7 +42,7 @@
     entries: HashMap<String, Vec<Arc<Entry>>>,
 }
 
-/// Error: an intent is inconsistent and cannot be applied.
+/// Error for an intent that is inconsistent and cannot be applied.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct InvalidIntent {
     /// The entry at fault, as `entry NAME`.
@@ -71,16 +71,17 @@
         for entry in entries {
             by_host.entry(entry.host.clone()).or_default().push(Arc::new(entry));
         }
-        for of_host in by_host.values_mut() {
-            of_host.sort_by_key(|entry| std::cmp::Reverse(entry.path_prefix.len()));
+        // Longest prefix first, so that the first match in `entry` is the most specific one.
+        for host_entries in by_host.values_mut() {
+            host_entries.sort_by_key(|entry| std::cmp::Reverse(entry.path_prefix.len()));
         }
         Ok(Intent { version, bounds, services, customers, entries: by_host })
     }
 
     /// The entry of the host with the longest prefix of the path.
     pub fn entry(&self, host: &str, path: &str) -> Option<&Arc<Entry>> {
-        let of_host = self.entries.get(host)?;
-        of_host.iter().find(|entry| path.starts_with(&entry.path_prefix))
+        let host_entries = self.entries.get(host)?;
+        host_entries.iter().find(|entry| path.starts_with(&entry.path_prefix))
     }
 
     /// All entries, in unspecified order.
--- a/components/intent/src/service.rs
+++ b/components/intent/src/service.rs
@@ -4,7 +4,8 @@
 
 use ids::ServiceName;
 
-/// A pool whose targets run pieces in batches, several pieces to a call. All values are per target.
+/// A pool whose targets run the pieces of stages in batches: each call runs several pieces. All
+/// values are per target.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct PoolSpec {
     /// Maximum number of calls that run concurrently.
@@ -13,15 +14,15 @@
     pub queue: u32,
     /// Maximum number of pieces in a call.
     pub batch: usize,
-    /// Approximate time of a call, without its pieces.
+    /// Approximate fixed time of a call, to which its pieces add.
     pub call: Duration,
     /// Approximate time that each piece adds to a call.
     pub piece: Duration,
-    /// Space for results, in bytes.
+    /// Space in which results are kept, in bytes.
     pub room_bytes: u64,
     /// Time for which a result is kept after its call.
     pub result_life: Duration,
-    /// Bytes per second at which a target fetches inputs; `None` if unknown.
+    /// Rate at which inputs are fetched, in bytes per second; `None` if unknown.
     pub link: Option<u64>,
 }
 
@@ -30,7 +31,7 @@
 pub struct EngineSpec {
     /// Number of requests that run concurrently.
     pub slots: u32,
-    /// Number of tokens that fit in a target's memory, those in use and those cached.
+    /// Number of tokens that fit in memory, both those in use and those cached.
     pub memory_tokens: u64,
 }
 
--- a/components/intent/src/target.rs
+++ b/components/intent/src/target.rs
@@ -1,4 +1,5 @@
-//! Targets: back ends of a service, each in one lifetime, that is from one start to the end.
+//! Targets: the back-end processes of a service. A lifetime of a target lasts from one start of its
+//! process to the end of that process.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -30,10 +31,10 @@
     /// Time until which this VM sends it nothing because its request rate is used up. Never part
     /// of a registration.
     pub rate_limited_until: Option<Instant>,
-    /// Interval between two requests of all VMs together, if the target announces a rate limit in its
-    /// answers.
+    /// Interval between two requests of all VMs together, if the target announces a rate limit in
+    /// its answers.
     pub request_interval: Option<Duration>,
-    /// Remaining time for which the target was cold when it wrote its registration. A cold target
+    /// Time for which the target would still be cold when it wrote its registration. A cold target
     /// handles few requests.
     pub cold_start_remaining: Duration,
 }
--- a/components/intent/tests/entries.rs
+++ b/components/intent/tests/entries.rs
@@ -1,4 +1,5 @@
-//! Tests that entries are matched by host and longest prefix, are checked, and split by weight.
+//! Tests of entries: match by host and longest path prefix, validation, split by weight, and last
+//! stages.
 
 // A failed `unwrap` in a fixture fails its test.
 #![allow(clippy::unwrap_used)]
