--- a/components/membership/src/advert.rs
+++ b/components/membership/src/advert.rs
@@ -1,11 +1,12 @@
-//! Gossip messages: the advert and heartbeat in which a VM describes itself, and digest entries.
+//! Parts of gossip messages: adverts and heartbeats, in which a VM describes itself, and entries of
+//! digests, which state how new the information is that a VM has of the others.
 
 use std::net::SocketAddr;
 
 use ids::{HallName, Incarnation, Revision, TargetName, VmName};
 use serde::Serialize;
 
-/// CRC-32 of the name of a VM or target, used instead of the name to keep messages small.
+/// CRC-32 of the name of a VM or target, sent instead of the name to keep messages small.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize)]
 pub struct NameHash(pub u32);
 
@@ -21,7 +22,7 @@
     }
 }
 
-/// Description that one VM sends of itself.
+/// A VM's description of itself, which the other VMs pass on.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct Advert {
     /// Name of the VM.
@@ -43,7 +44,7 @@
     pub vm: NameHash,
     /// When its process started.
     pub incarnation: Incarnation,
-    /// Sequence number, increased with each round.
+    /// Sequence number within the incarnation, increased with each gossip round.
     pub sequence: u64,
     /// Revision of the configuration in force at the VM.
     pub revision: Revision,
@@ -51,7 +52,7 @@
     pub draining: bool,
     /// Calls in flight from the VM, by target.
     pub loads: Vec<(NameHash, u32)>,
-    /// Targets that told this VM themselves that they are leaving.
+    /// Targets that announced to this VM directly that they are leaving.
     pub leaving: Vec<TargetName>,
 }
 
@@ -62,7 +63,7 @@
     }
 }
 
-/// Version that a peer knows of one VM.
+/// Newest version of one VM's heartbeat that the sender of a digest knows.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct DigestEntry {
     /// Hash of the VM's name.
@@ -77,7 +78,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum AdvertAge {
-    /// The last update came within a few rounds.
+    /// The last update was received within the last few rounds.
     Fresh,
     /// The last update is older: the VM may be stopped, stalled or unreachable.
     Stale,
--- a/components/membership/src/lib.rs
+++ b/components/membership/src/lib.rs
@@ -1,7 +1,7 @@
 //! Gossip membership: what a VM knows of the other VMs of the fleet.
 //!
-//! Each VM describes itself under an increasing sequence number. Updates spread by exchanges with a
-//! few random partners; see `docs/design/membership.md`.
+//! Each VM describes itself under an increasing sequence number. In each round it exchanges digests
+//! and updates with a few random partners; see `docs/design/membership.md`.
 
 mod advert;
 mod pacer;
--- a/components/membership/src/pacer.rs
+++ b/components/membership/src/pacer.rs
@@ -9,10 +9,10 @@
 const MIN_INTERVAL: Duration = Duration::from_millis(500);
 /// Maximum time between two rounds; bounds how late the failure of a VM is detected.
 const MAX_INTERVAL: Duration = Duration::from_secs(5);
-/// Weight of a new round in the mean number of bytes.
+/// Weight of a new round in the exponential moving average of the bytes per round.
 const MEAN_WEIGHT: f64 = 0.2;
 
-/// Computes the interval between rounds from the mean number of bytes of a round.
+/// Computes the interval between rounds from the mean number of bytes per round.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct RoundPacer {
     mean_round_bytes: f64,
--- a/components/membership/src/roster.rs
+++ b/components/membership/src/roster.rs
@@ -1,4 +1,4 @@
-//! Roster: the adverts of the other VMs, their merging by version, and the gossip built from them.
+//! Roster: the newest known adverts of the other VMs, and the gossip messages built from them.
 
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
@@ -30,17 +30,19 @@
 /// Adverts of the other VMs: of all VMs in the own hall, and of some in other halls.
 #[derive(Debug)]
 pub struct Roster {
+    /// This VM.
     own: NameHash,
+    /// Data hall of this VM.
     hall: HallName,
     adverts: BTreeMap<NameHash, Entry>,
 }
 
-/// Updates that a peer with a given digest lacks.
+/// Updates that the sender of a digest lacks.
 #[derive(Debug, Default)]
 pub struct Delta {
-    /// Full adverts of VMs that the peer does not know in this incarnation.
+    /// Full adverts of VMs that it does not know in their current incarnation.
     pub adverts: Vec<Advert>,
-    /// Heartbeats of VMs that the peer knows in this incarnation.
+    /// Heartbeats of VMs that it knows in their current incarnation.
     pub heartbeats: Vec<Heartbeat>,
 }
 
@@ -50,8 +52,8 @@
         Roster { own: NameHash::of_vm(own), hall, adverts: BTreeMap::new() }
     }
 
-    /// Stores an advert if it is newer than the known one. Ignores the own advert, and new VMs of
-    /// other halls beyond the maximum.
+    /// Stores an advert if it is newer than the known one. Ignores this VM's own advert, and those
+    /// of new VMs of other halls beyond `MAX_FAR_VMS`.
     pub fn merge(&mut self, advert: Advert, now: Instant) {
         if advert.beat.vm == self.own {
             return;
@@ -67,8 +69,8 @@
     /// Applies a heartbeat if it is newer and its VM is known in the same incarnation.
     pub fn merge_heartbeat(&mut self, beat: Heartbeat, now: Instant) {
         let Some(entry) = self.adverts.get_mut(&beat.vm) else { return };
-        let same = entry.advert.beat.incarnation == beat.incarnation;
-        if same && beat.sequence > entry.advert.beat.sequence {
+        let same_incarnation = entry.advert.beat.incarnation == beat.incarnation;
+        if same_incarnation && beat.sequence > entry.advert.beat.sequence {
             entry.advert.beat = beat;
             entry.updated_at = now;
         }
@@ -76,12 +78,12 @@
 
     /// Digest of the roster: the version known of each VM.
     pub fn digest(&self) -> Vec<DigestEntry> {
-        let of = |beat: &Heartbeat| DigestEntry {
+        let entry_of = |beat: &Heartbeat| DigestEntry {
             vm: beat.vm,
             incarnation: beat.incarnation,
             sequence: beat.sequence,
         };
-        self.adverts.values().map(|e| of(&e.advert.beat)).collect()
+        self.adverts.values().map(|e| entry_of(&e.advert.beat)).collect()
     }
 
     /// Updates for a peer that sent the digest `known`.
@@ -108,9 +110,9 @@
         interval: Duration,
         now: Instant,
     ) -> impl Iterator<Item = (&Advert, AdvertAge)> {
-        let limit = (interval * STALE_ROUNDS).max(MIN_STALE_AGE);
+        let max_fresh_age = (interval * STALE_ROUNDS).max(MIN_STALE_AGE);
         self.adverts.values().map(move |entry| {
-            let stale = now.saturating_duration_since(entry.updated_at) > limit;
+            let stale = now.saturating_duration_since(entry.updated_at) > max_fresh_age;
             (&entry.advert, if stale { AdvertAge::Stale } else { AdvertAge::Fresh })
         })
     }
@@ -120,7 +122,7 @@
         self.all(interval, now).filter(|(_, age)| *age == AdvertAge::Fresh).map(|(a, _)| a)
     }
 
-    /// Removes adverts that have had no update for a long time.
+    /// Removes adverts that have had no update for `FORGET_AFTER`.
     pub fn remove_expired(&mut self, now: Instant) {
         self.adverts.retain(|_, e| now.saturating_duration_since(e.updated_at) < FORGET_AFTER);
     }
@@ -161,7 +163,7 @@
         sums
     }
 
-    /// Whether this VM is one of the `count` VMs of its hall that read the platform for all others:
+    /// Whether this VM is one of the `count` VMs that read the platform for all VMs of its hall:
     /// those with the lowest name hashes among the fresh VMs that are not draining.
     pub fn reads_platform(&self, count: usize, interval: Duration, now: Instant) -> bool {
         let fresh = self.fresh(interval, now);
--- a/components/membership/tests/roster.rs
+++ b/components/membership/tests/roster.rs
@@ -64,22 +64,22 @@
 #[test]
 fn sends_full_adverts_of_unknown_vms_and_heartbeats_of_known_ones() {
     let now = Instant::now();
-    let (mut knows, mut asks) = (roster(), roster());
-    knows.merge(advert("vm-1", "hall-a", 1, 5), now);
-    let first = knows.delta_for(&asks.digest());
+    let (mut informed, mut uninformed) = (roster(), roster());
+    informed.merge(advert("vm-1", "hall-a", 1, 5), now);
+    let first = informed.delta_for(&uninformed.digest());
     assert_eq!((first.adverts.len(), first.heartbeats.len()), (1, 0));
 
-    first.adverts.into_iter().for_each(|a| asks.merge(a, now));
-    let same = knows.delta_for(&asks.digest());
+    first.adverts.into_iter().for_each(|a| uninformed.merge(a, now));
+    let same = informed.delta_for(&uninformed.digest());
     assert_eq!((same.adverts.len(), same.heartbeats.len()), (0, 0));
 
-    knows.merge(advert("vm-1", "hall-a", 1, 6), now);
-    let newer = knows.delta_for(&asks.digest());
+    informed.merge(advert("vm-1", "hall-a", 1, 6), now);
+    let newer = informed.delta_for(&uninformed.digest());
     assert_eq!((newer.adverts.len(), newer.heartbeats.len()), (0, 1));
 
     // A restarted VM may have other addresses, so its full advert is sent.
-    knows.merge(advert("vm-1", "hall-a", 2, 1), now);
-    let restarted = knows.delta_for(&asks.digest());
+    informed.merge(advert("vm-1", "hall-a", 2, 1), now);
+    let restarted = informed.delta_for(&uninformed.digest());
     assert_eq!((restarted.adverts.len(), restarted.heartbeats.len()), (1, 0));
 }
 
