--- a/components/routing/src/api.rs
+++ b/components/routing/src/api.rs
@@ -27,8 +27,8 @@
     pub returning: bool,
     /// Deadline of the whole request.
     pub deadline: Instant,
-    /// Targets already tried. The adaptive policy does not choose them again, a baseline only if
-    /// no other target is usable.
+    /// Targets already tried. The adaptive policy does not choose them again; the baseline policies
+    /// do so only if no other target is usable.
     pub exclude: Vec<TargetKey>,
     /// Hash of the prompt's prefix, if the call has one.
     pub prefix: Option<u64>,
@@ -39,7 +39,9 @@
 pub struct Slot {
     /// The target.
     pub target: TargetKey,
+    /// The lane in which the slot was granted.
     pub(crate) lane: LaneKey,
+    /// Priority class of the call.
     pub(crate) class: Priority,
 }
 
@@ -87,7 +89,7 @@
     Refused(SlotRefusal),
 }
 
-/// The end of the wait of a queued request.
+/// How the wait of a queued request ended.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum WaitUpdate {
     /// A slot is granted; the target can be called now.
--- a/components/routing/src/choice.rs
+++ b/components/routing/src/choice.rs
@@ -21,9 +21,10 @@
     FirstInOrder,
 }
 
-/// A prefix's home target gets the call up to this multiple of the mean load.
+/// Maximum load of a prefix's home target, as a multiple of the mean load, at which it gets the
+/// call. The home target is likely to have the prefix cached.
 const AFFINITY_BOUND: f64 = 1.25;
-/// Load per slot up to which a prefix's home target always gets the call.
+/// Load per slot up to which a prefix's home target gets the call whatever the mean load is.
 const AFFINITY_FREE_LOAD: f64 = 0.5;
 
 /// Key and state of a target that may be chosen.
@@ -52,6 +53,7 @@
     Some((key, format!("{place}, load {load:.2}, less of two from {}", among.len())))
 }
 
+/// Returns the less loaded of two random candidates, with its load.
 fn less_loaded_of_two(
     among: &[Candidate<'_>],
     now: Instant,
@@ -62,13 +64,15 @@
         return None;
     }
     let first = rng.random_range(0..count);
+    // Differs from `first` if there are at least two candidates.
     let second = (first + rng.random_range(0..count.max(2) - 1) + 1) % count;
     let load = |index: usize| (among[index].0, among[index].1.load(now));
     let (a, b) = (load(first), load(second));
     Some(if b.1 < a.1 { b } else { a })
 }
 
-/// Home target of the prefix by rendezvous hashing, with its load, if that is within the bounds.
+/// Home target of the prefix, that is the first by rendezvous hashing, and its load. `None` if the
+/// load exceeds the bounds.
 fn home_of(among: &[Candidate<'_>], prefix: u64, now: Instant) -> Option<(TargetKey, f64)> {
     let (key, home) = among.iter().max_by_key(|(_, t)| rendezvous(prefix, t.name.as_str()))?;
     let total: f64 = among.iter().map(|(_, t)| t.load(now)).sum();
--- a/components/routing/src/ejection.rs
+++ b/components/routing/src/ejection.rs
@@ -9,11 +9,11 @@
 const FIRST_EJECTION: Duration = Duration::from_secs(1);
 /// Maximum duration of an ejection; bounds the recovery time of a pool that failed as a whole.
 const MAX_EJECTION: Duration = Duration::from_secs(4);
-/// Weight of a new sample in the mean latency ratio.
+/// Weight of a new sample in the mean latency ratio, which is call time divided by unloaded time.
 const RATIO_WEIGHT: f64 = 0.2;
 /// A target whose latency ratio exceeds this multiple of the median of its lane is ejected.
 pub(crate) const SLOW_VS_MEDIAN: f64 = 4.0;
-/// Minimum number of calls before a target's latency ratio is used.
+/// Minimum number of answered calls before a target's latency ratio is used.
 const MIN_CALLS: u32 = 5;
 /// Maximum share of the targets of a lane that may be ejected when one is ejected for slowness.
 pub(crate) const MAX_EJECTED_SHARE: f64 = 0.34;
@@ -21,8 +21,11 @@
 /// Health of one target as this VM sees it.
 #[derive(Debug, Clone, Copy, Default)]
 pub(crate) struct Health {
+    /// Consecutive failures and declined calls.
     failures: u32,
+    /// Answered calls since the last ejection.
     calls: u32,
+    /// Mean latency ratio of these calls.
     ratio: f64,
     ejected_until: Option<Instant>,
     consecutive_ejections: u32,
--- a/components/routing/src/feedback.rs
+++ b/components/routing/src/feedback.rs
@@ -13,7 +13,7 @@
 use crate::target::{LoadReport, TargetKey};
 use crate::times::StageTimes;
 
-/// Share of its allowance that must be in use at a target for its limit to rise.
+/// Share of a target's allowance that must be in use for its limit to rise.
 const FILLED_SHARE: f64 = 0.8;
 
 impl Router {
@@ -94,9 +94,9 @@
             let mut ratios: Vec<f64> = states.clone().filter_map(|t| t.health.ratio()).collect();
             ratios.sort_by(f64::total_cmp);
             let median = ratios.get(ratios.len().saturating_sub(1) / 2).copied().unwrap_or(ratio);
-            let out = states.filter(|t| !t.health.is_usable(now)).count();
-            let room = (out + 1) as f64 <= MAX_EJECTED_SHARE * lane.targets.len() as f64;
-            ratios.len() > 1 && ratio > SLOW_VS_MEDIAN * median && room
+            let ejected = states.filter(|t| !t.health.is_usable(now)).count();
+            let below_cap = (ejected + 1) as f64 <= MAX_EJECTED_SHARE * lane.targets.len() as f64;
+            ratios.len() > 1 && ratio > SLOW_VS_MEDIAN * median && below_cap
         };
         let slow = self.lanes.values().filter(|l| l.targets.contains(&key)).any(slow_in);
         if slow && let Some(target) = self.targets.get_mut(key) {
--- a/components/routing/src/grants.rs
+++ b/components/routing/src/grants.rs
@@ -41,12 +41,13 @@
         if candidates.is_empty() {
             candidates.extend(self.fallback_candidate(lane, allowed(), now));
         }
-        let (key, why) = choice::choose(&candidates, &self.hall, prefix, now, &mut self.rng)?;
-        self.take_slot(Slot { target: key, lane: lane_key, class }, why)
+        let (key, reason) = choice::choose(&candidates, &self.hall, prefix, now, &mut self.rng)?;
+        self.take_slot(Slot { target: key, lane: lane_key, class }, reason)
     }
 
-    /// Selects a target when none has room: the best of them, if this VM has no call in flight in
-    /// the lane. So no VM is shut out of a lane, even if all its targets are ejected.
+    /// Selects a target when none has room and this VM has no call in flight in the lane: the one
+    /// whose ejection ends first, or the least loaded of those that are not ejected. So no VM is
+    /// shut out of a lane, even if all its targets are ejected.
     fn fallback_candidate<'a>(
         &self,
         lane: &Lane,
@@ -59,8 +60,9 @@
         }
         let staying = allowed.filter(|(_, t)| !t.leaving);
         staying.min_by(|(_, a), (_, b)| {
-            let out = |t: &TargetState| t.health.ejected_until().filter(|until| *until > now);
-            out(a).cmp(&out(b)).then_with(|| a.load(now).total_cmp(&b.load(now)))
+            let ejection_end =
+                |t: &TargetState| t.health.ejected_until().filter(|until| *until > now);
+            ejection_end(a).cmp(&ejection_end(b)).then_with(|| a.load(now).total_cmp(&b.load(now)))
         })
     }
 
@@ -71,7 +73,8 @@
         Some(Grant { slot, name: target.name.clone(), address: target.address, reason })
     }
 
-    /// Selects a target by a baseline policy, which has no limits and no queue.
+    /// Selects a target by a baseline policy, which has no limits and no queue. Round robin ignores
+    /// ejections as well.
     pub(crate) fn baseline_slot(
         &mut self,
         lane_key: LaneKey,
@@ -93,21 +96,22 @@
                     || self.targets.get(*key).is_some_and(|t| t.health.is_usable(now))
             })
             .collect();
-        let fresh = usable.iter().filter(|key| !req.exclude.contains(key)).copied();
-        let fresh: Vec<TargetKey> = fresh.collect();
-        let among = if fresh.is_empty() { &usable } else { &fresh };
+        let untried = usable.iter().filter(|key| !req.exclude.contains(key)).copied();
+        let untried: Vec<TargetKey> = untried.collect();
+        let among = if untried.is_empty() { &usable } else { &untried };
         if among.is_empty() {
             return refused;
         }
-        let (index, why) = match self.policy {
+        let (index, reason) = match self.policy {
             Policy::FirstInOrder => (0, "first in order"),
             Policy::RoundRobin | Policy::Adaptive => (self.next_turn % among.len(), "in turn"),
         };
         self.next_turn = self.next_turn.wrapping_add(1);
         let slot = Slot { target: among[index], lane: lane_key, class: req.priority };
-        self.take_slot(slot, why.to_owned()).map_or(refused, SlotAnswer::Granted)
+        self.take_slot(slot, reason.to_owned()).map_or(refused, SlotAnswer::Granted)
     }
 
+    /// Counts a grant to the customer in the lane.
     pub(crate) fn record_grant(&mut self, lane: LaneKey, customer: &CustomerName, class: Priority) {
         let share = self.shares.get(customer).copied().unwrap_or(1);
         if let Some(lane) = self.lanes.get_mut(lane) {
@@ -115,12 +119,14 @@
         }
     }
 
+    /// Grants free slots to waiting requests of all lanes.
     pub(crate) fn serve_all_lanes(&mut self, now: Instant) -> Vec<WaitUpdate> {
         let lanes = self.lanes.iter().filter(|(_, lane)| lane.len() > 0);
         let lanes: Vec<LaneKey> = lanes.map(|(key, _)| key).collect();
         self.serve(&lanes, now)
     }
 
+    /// Grants free slots to waiting requests of the lanes that contain the target.
     pub(crate) fn serve_lanes_of(&mut self, target: TargetKey, now: Instant) -> Vec<WaitUpdate> {
         let lanes = self.lanes.iter();
         let lanes = lanes.filter(|(_, l)| l.len() > 0 && l.targets.contains(&target));
@@ -132,9 +138,9 @@
     /// the most urgent one is served first.
     fn serve(&mut self, lanes: &[LaneKey], now: Instant) -> Vec<WaitUpdate> {
         let mut updates = Vec::new();
-        let mut open = lanes.to_vec();
-        while let Some((index, waiting)) = self.most_urgent(&open) {
-            let lane_key = open[index];
+        let mut remaining = lanes.to_vec();
+        while let Some((index, waiting)) = self.most_urgent(&remaining) {
+            let lane_key = remaining[index];
             match self.grant_from(lane_key, waiting.priority, &waiting.exclude, waiting.prefix, now)
             {
                 Some(grant) => {
@@ -144,12 +150,13 @@
                     self.record_grant(lane_key, &waiting.customer, waiting.priority);
                     updates.push(WaitUpdate::Granted(waiting.id, grant));
                 }
-                None => drop(open.swap_remove(index)),
+                None => drop(remaining.swap_remove(index)),
             }
         }
         updates
     }
 
+    /// Returns the first request to serve of all the lanes, and the index of its lane.
     fn most_urgent(&self, lanes: &[LaneKey]) -> Option<(usize, Waiting)> {
         let heads = lanes.iter().enumerate().filter_map(|(index, key)| {
             let head = self.lanes.get(*key)?.head()?;
--- a/components/routing/src/lane.rs
+++ b/components/routing/src/lane.rs
@@ -1,4 +1,5 @@
-//! Lane: the queue of requests that wait for a slot at one set of targets, with its scheduling.
+//! Lane: a set of targets and the queue of the requests that wait for their slots. It decides which
+//! request is served next and estimates how long a new one would wait.
 
 use std::collections::{BTreeMap, HashMap};
 use std::time::{Duration, Instant};
@@ -20,21 +21,22 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct WaitId(pub u64);
 
-/// Minimum share of the slot time for the least urgent class that waits, so that long work
-/// finishes.
+/// Floor of the least urgent class that waits: its minimum share of the slot time, so that long
+/// work finishes.
 const FLOOR_SHARE: f64 = 0.05;
-/// Maximum slot time that this class can save up, in calls of its own.
+/// Maximum credit that this class can accumulate, as a multiple of the mean time of its calls.
 const MAX_FLOOR_CALLS: f64 = 2.0;
 
-/// Weight of one request in the share of refused requests that return.
+/// Weight of one request in the moving average of the share of refused requests that return.
 const RETURN_RATE_WEIGHT: f64 = 0.05;
 
-/// A queue ordered by class, then by the customer that was served least for its share, then by the
-/// latest start time.
+/// A set of targets and its queue. The queue is ordered by class, then by the customer that was
+/// served least for its share, then by the latest start time.
 #[derive(Debug, Default)]
 pub(crate) struct Lane {
     pub(crate) targets: Vec<TargetKey>,
     classes: BTreeMap<Priority, HashMap<CustomerName, CustomerQueue>>,
+    /// Number of requests that wait.
     len: usize,
     /// Slot time credited to the least urgent class for grants to other classes, in seconds.
     floor_credit: f64,
@@ -43,7 +45,7 @@
     /// Virtual time: the start tag of the customer served last.
     virtual_time: f64,
     pub(crate) usage: Usage,
-    /// Share of the refused requests that return at the announced time.
+    /// Moving average of the share of refused requests that return at the announced time.
     return_rate: f64,
 }
 
@@ -132,7 +134,7 @@
         classes.flat_map(HashMap::into_values).flat_map(CustomerQueue::into_waiting).collect()
     }
 
-    /// Expected wait of a new request, with `slots` slots in all.
+    /// Expected wait of a new request if the lane has `slots` slots.
     pub(crate) fn expected_wait(
         &self,
         customer: &CustomerName,
@@ -171,7 +173,7 @@
         self.classes.get(&class).map_or(0, |c| c.values().map(CustomerQueue::len).sum())
     }
 
-    /// Whether the least urgent class that waits has enough credit for the next grant.
+    /// Whether the least urgent class that waits has enough credit to get the next grant.
     pub(crate) fn floor_is_due(&self) -> bool {
         self.least_urgent().is_some_and(|class| self.floor_credit >= self.hold_seconds(class))
     }
@@ -184,8 +186,8 @@
         if granted == least {
             self.floor_credit = (self.floor_credit - hold).max(0.0);
         } else {
-            let most = MAX_FLOOR_CALLS * self.hold_seconds(least);
-            self.floor_credit = (self.floor_credit + FLOOR_SHARE * hold).min(most);
+            let max_credit = MAX_FLOOR_CALLS * self.hold_seconds(least);
+            self.floor_credit = (self.floor_credit + FLOOR_SHARE * hold).min(max_credit);
         }
     }
 
--- a/components/routing/src/lib.rs
+++ b/components/routing/src/lib.rs
@@ -1,6 +1,9 @@
 //! Routing decisions of a VM that accepts requests: which target runs a call, how many calls a
 //! target gets, in which order requests wait, when a request is refused and when a call is retried.
 //!
+//! A slot is the capacity of a target for one call at a time. A lane is a set of targets with the
+//! queue of the requests that wait for their slots.
+//!
 //! The state is plain data, and the time is passed in by the caller; the daemon's runtime calls the
 //! functions from one thread. `docs/design/routing.md` compares the alternatives.
 
--- a/components/routing/src/limit.rs
+++ b/components/routing/src/limit.rs
@@ -11,8 +11,8 @@
 const DECLINED_FACTOR: f64 = 0.7;
 /// Minimum time between two decreases, so that one burst counts once.
 const DECREASE_INTERVAL: Duration = Duration::from_millis(100);
-/// Minimum time between two decreases for a load report. A late report repeats the same queue, so
-/// this is longer.
+/// Minimum time between two decreases for load reports. It is longer, as late reports show the same
+/// queue several times.
 const REPORT_DECREASE_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Feedback of an ended call for the limit of its target.
@@ -29,6 +29,7 @@
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Limit {
     value: f64,
+    /// Upper bound of the limit.
     slots: f64,
     last_decrease: Option<Instant>,
 }
@@ -43,8 +44,8 @@
         self.value
     }
 
-    /// Adjusts the limit after a call that ended. It rises only if `filled`, that is if the target
-    /// was used up to the limit.
+    /// Adjusts the limit after a call that ended. It rises only if `filled`, that is if this VM
+    /// used most of its allowance at the target.
     pub(crate) fn update(&mut self, signal: Signal, filled: bool, now: Instant) {
         match signal {
             Signal::Declined => self.decrease(DECLINED_FACTOR, DECREASE_INTERVAL, now),
--- a/components/routing/src/plans.rs
+++ b/components/routing/src/plans.rs
@@ -1,4 +1,5 @@
-//! Lane of each stage, for the newest configuration and for older ones that requests still use.
+//! Plans: the lane of each stage, for the newest configuration and for older ones that requests
+//! still use.
 
 use std::collections::{BTreeMap, HashMap, HashSet};
 
@@ -42,15 +43,15 @@
             for (index, stage) in service.stages.iter().enumerate() {
                 let shares =
                     stage.split.iter().enumerate().map(|(n, s)| (Some(n), Some(&s.select)));
-                for (number, select) in shares.chain(std::iter::once((None, None))) {
+                for (share, select) in shares.chain(std::iter::once((None, None))) {
                     let allowed = catalogue
                         .targets_of(stage)
                         .filter(|t| select.is_none_or(|select| select.matches(&t.labels)));
                     let targets: Vec<TargetKey> =
                         allowed.filter_map(|t| by_name.get(&t.name).copied()).collect();
-                    let make = || new_lane(targets.clone());
-                    let lane = *self.lane_of.entry(targets.clone()).or_insert_with(make);
-                    plan.lanes.insert((service.name.clone(), index, number), lane);
+                    let new_lane_key = || new_lane(targets.clone());
+                    let lane = *self.lane_of.entry(targets.clone()).or_insert_with(new_lane_key);
+                    plan.lanes.insert((service.name.clone(), index, share), lane);
                 }
             }
         }
@@ -68,6 +69,7 @@
         plan.lanes.get(&(req.service.name.clone(), stage, share)).copied()
     }
 
+    /// Counts the start of a request.
     pub(crate) fn begin(&mut self, revision: Revision) {
         if let Some(plan) = self.by_revision.get_mut(&revision) {
             plan.active_requests += 1;
--- a/components/routing/src/queue.rs
+++ b/components/routing/src/queue.rs
@@ -1,5 +1,5 @@
 //! Queue of one customer's requests of one class in a lane, and the scheduled returns of its
-//! refused requests.
+//! refused requests, that is the times at which their callers were told to retry.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::{Duration, Instant};
@@ -9,7 +9,7 @@
 use crate::lane::WaitId;
 use crate::target::TargetKey;
 
-/// Time after its scheduled return at which a refused request is no longer expected.
+/// Time after its scheduled return from which a refused request is no longer expected.
 const RETURN_GRACE: Duration = Duration::from_millis(500);
 /// Maximum number of scheduled returns kept. Further refused requests get the time of the last
 /// one plus one gap.
@@ -23,11 +23,14 @@
     pub(crate) priority: Priority,
     /// Latest time at which the stage can start and still meet the deadline.
     pub(crate) start_by: Instant,
-    /// Whether the request returns after a refusal, at the announced time; such requests go before the
-    /// customer's others.
+    /// Whether the request returns after a refusal, at the announced time. Such requests are served
+    /// before the customer's others.
     pub(crate) returning: bool,
+    /// Targets already tried, which are not chosen again.
     pub(crate) exclude: Vec<TargetKey>,
+    /// Hash of the prompt's prefix, if the call has one.
     pub(crate) prefix: Option<u64>,
+    /// When the request was queued.
     pub(crate) since: Instant,
 }
 
@@ -98,12 +101,13 @@
         time
     }
 
-    /// Removes the first scheduled return as a request has returned; returns whether there was one.
+    /// Removes the earliest scheduled return because a request returned; returns whether there was
+    /// one.
     pub(crate) fn record_return(&mut self) -> bool {
         self.scheduled_returns.pop_front().is_some()
     }
 
-    /// Removes the scheduled returns that were missed; returns how many.
+    /// Removes the scheduled returns that were missed; returns their number.
     pub(crate) fn remove_missed_returns(&mut self, now: Instant) -> usize {
         let missed = self.scheduled_returns.partition_point(|time| *time + RETURN_GRACE < now);
         self.scheduled_returns.drain(..missed).count()
--- a/components/routing/src/retry.rs
+++ b/components/routing/src/retry.rs
@@ -16,6 +16,7 @@
 #[derive(Debug, Clone, Copy)]
 pub struct RetryBudget {
     available: f64,
+    /// When retries were last added for the time that passed.
     last: Instant,
 }
 
--- a/components/routing/src/router.rs
+++ b/components/routing/src/router.rs
@@ -30,18 +30,25 @@
 #[derive(Debug)]
 pub struct Router {
     pub(crate) policy: Policy,
+    /// Data hall of this VM.
     pub(crate) hall: HallName,
     pub(crate) rng: SmallRng,
     pub(crate) targets: SlotMap<TargetKey, TargetState>,
+    /// Targets of the newest configuration.
     pub(crate) by_name: BTreeMap<TargetName, TargetKey>,
     pub(crate) lanes: SlotMap<LaneKey, Lane>,
     pub(crate) plans: Plans,
+    /// Share of each customer in the newest configuration.
     pub(crate) shares: HashMap<CustomerName, u32>,
     pub(crate) times: HashMap<(ServiceName, StageName), StageTimes>,
     pub(crate) budget: RetryBudget,
+    /// Id of the next request that is queued.
     pub(crate) next_wait: u64,
+    /// Round-robin counter of the baseline policy.
     pub(crate) next_turn: usize,
+    /// Name of this VM.
     pub(crate) own: VmName,
+    /// VMs among which the targets' slots are divided, this one included.
     pub(crate) sharers: Vec<Sharer>,
     /// Number of VMs that have calls in flight, this one included.
     pub(crate) busy_vms: usize,
@@ -141,8 +148,8 @@
         let waits: Vec<(LaneKey, Duration)> = lanes
             .filter_map(|key| Some((key, self.expected_wait_in(self.lanes.get(key)?, req, now))))
             .collect();
-        let waiting: Duration = waits.iter().map(|(_, wait)| *wait).sum();
-        let needed = waiting + self.expected_time_from(req.service, 0, now);
+        let total_wait: Duration = waits.iter().map(|(_, wait)| *wait).sum();
+        let needed = total_wait + self.expected_time_from(req.service, 0, now);
         let longest = waits.into_iter().max_by_key(|(_, wait)| *wait);
         if admission::fits(needed, left) {
             return Ok(());
@@ -255,9 +262,9 @@
                 retry_after: self.schedule_return(lane_key, req, earliest, now),
             });
         }
-        let full = MAX_QUEUED_PER_SLOT * self.slots_of(lane, req.priority, now);
+        let max_queued = MAX_QUEUED_PER_SLOT * self.slots_of(lane, req.priority, now);
         let retry_after = admission::retry_after(wait, Duration::ZERO);
-        (lane.len() as f64 >= full).then_some(SlotRefusal::QueueFull { retry_after })
+        (lane.len() as f64 >= max_queued).then_some(SlotRefusal::QueueFull { retry_after })
     }
 
     fn enqueue(
@@ -316,7 +323,7 @@
         updates
     }
 
-    /// Sets the leaving mark of every target.
+    /// Sets for every target whether it is leaving, that is whether it gets no new calls.
     pub fn set_leaving(&mut self, is_leaving: impl Fn(&TargetName) -> bool) {
         for target in self.targets.values_mut() {
             target.leaving = is_leaving(&target.name);
@@ -334,8 +341,8 @@
 
     fn assign_slots(&mut self) {
         for target in self.targets.values_mut() {
-            let of = (&target.name, &target.hall, target.slots);
-            target.assigned = shares::assigned_slots(of, &self.own, &self.sharers);
+            let slots_of_target = (&target.name, &target.hall, target.slots);
+            target.assigned = shares::assigned_slots(slots_of_target, &self.own, &self.sharers);
         }
     }
 
@@ -389,14 +396,14 @@
         }
         let mut point = self.rng.random_range(0..total);
         stage.split.iter().position(|share| {
-            let here = point < share.weight;
+            let selected = point < share.weight;
             point = point.saturating_sub(share.weight);
-            here
+            selected
         })
     }
 
-    /// Expected time of the stages from `first` on, with a safety margin. Stages with no fresh
-    /// estimate count as 0.
+    /// Expected time of the stages from index `first` on, with a safety margin. Stages with no
+    /// fresh estimate count as 0.
     fn expected_time_from(&self, service: &Service, first: usize, now: Instant) -> Duration {
         let estimate = |stage: &Stage| {
             let times = self.times.get(&(service.name.clone(), stage.name.clone()))?;
@@ -429,11 +436,13 @@
         usable.map(|t| t.allowance(class, self.busy_vms, now)).sum::<f64>().max(1.0)
     }
 
-    /// Time until the first ejected target of the lane gets a call again.
+    /// Time until the first ejected target of the lane may get calls again, at least
+    /// `MIN_RETRY_AFTER`.
     fn next_probe(&self, lane: &Lane, now: Instant) -> Duration {
-        let untils =
+        let ejection_ends =
             lane.targets.iter().filter_map(|key| self.targets.get(*key)?.health.ejected_until());
-        let wait = untils.min().map_or(Duration::ZERO, |u| u.saturating_duration_since(now));
+        let wait =
+            ejection_ends.min().map_or(Duration::ZERO, |end| end.saturating_duration_since(now));
         wait.max(admission::MIN_RETRY_AFTER)
     }
 }
--- a/components/routing/src/shares.rs
+++ b/components/routing/src/shares.rs
@@ -1,7 +1,7 @@
 //! Division of the slots of a target among the VMs that may use it.
 //!
 //! Each VM computes the same division from the same list of VMs. So together they send a target as
-//! much as it can run, without coordination. Slots that others leave idle may be borrowed.
+//! many calls as it can run, without coordination. Slots that others leave idle may be borrowed.
 
 use ids::{HallName, TargetName, VmName};
 
@@ -27,14 +27,15 @@
         return 0;
     }
     let count = u32::try_from(among().count()).unwrap_or(u32::MAX);
-    // The remainder goes to the first VMs by rendezvous hashing, which differ between targets.
-    let place = |vm: &VmName| (place_of(target, vm), vm.clone());
-    let own_place = place(own);
-    let before = among().filter(|vm| place(vm) < own_place).count();
-    let rest = slots % count;
-    slots / count + u32::from(before < rest as usize)
+    // The remainder goes to the first VMs in the order of rendezvous hashing, which differs between
+    // targets.
+    let rank = |vm: &VmName| (rendezvous(target, vm), vm.clone());
+    let own_rank = rank(own);
+    let before = among().filter(|vm| rank(vm) < own_rank).count();
+    let remainder = slots % count;
+    slots / count + u32::from(before < remainder as usize)
 }
 
-fn place_of(target: &TargetName, vm: &VmName) -> u64 {
+fn rendezvous(target: &TargetName, vm: &VmName) -> u64 {
     hashing::combine(hashing::hash_text(target.as_str()), hashing::hash_text(vm.as_str()))
 }
--- a/components/routing/src/target.rs
+++ b/components/routing/src/target.rs
@@ -15,7 +15,8 @@
     pub struct TargetKey;
 }
 
-/// Half a slot: allowances are rounded to whole calls, so that fractions even out over the targets.
+/// Half a slot. Allowances are rounded to the nearest number of calls with it, so that fractions
+/// even out over the targets.
 pub(crate) const HALF_SLOT: f64 = 0.5;
 /// Share of a target's limit that background work does not borrow.
 const BACKGROUND_RESERVE: f64 = 0.25;
@@ -38,14 +39,18 @@
     pub(crate) hall: HallName,
     pub(crate) address: SocketAddr,
     pub(crate) slots: u32,
+    /// Calls in flight from this VM.
     pub(crate) in_flight: u32,
+    /// Calls in flight from other VMs, as last reported by them.
     pub(crate) by_peers: u32,
     /// Slots assigned to this VM.
     pub(crate) assigned: u32,
     pub(crate) limit: Limit,
     pub(crate) health: Health,
     pub(crate) leaving: bool,
+    /// Last load report and when it was received.
     report: Option<(LoadReport, Instant)>,
+    /// Calls sent by this VM.
     pub(crate) calls: u64,
 }
 
@@ -78,8 +83,8 @@
     /// of the slots that others leave idle, which `busy` VMs may borrow.
     ///
     /// Background work holds its slots long, and the counts of other VMs are about a second old.
-    /// So it leaves a part of the slots that look idle, and its own share shrinks to the free
-    /// slots, though not below one, where other VMs already use more than theirs.
+    /// So it does not borrow a part of the slots that look idle. Where other VMs already use more
+    /// than their shares, its own share shrinks to the free slots, but not below one.
     pub(crate) fn allowance(&self, class: Priority, busy: usize, now: Instant) -> f64 {
         let limit = self.limit.value();
         let assigned = f64::from(self.assigned) * limit / f64::from(self.slots);
@@ -95,6 +100,7 @@
         own + idle.max(0.0) / busy.max(1) as f64
     }
 
+    /// Whether this VM may send another call of the class.
     pub(crate) fn has_room(&self, class: Priority, busy: usize, now: Instant) -> bool {
         let allowance = self.allowance(class, busy, now);
         !self.leaving && f64::from(self.in_flight) + HALF_SLOT <= allowance
--- a/components/routing/src/times.rs
+++ b/components/routing/src/times.rs
@@ -1,14 +1,14 @@
-//! Running estimates of how long the calls of a stage take.
+//! Moving averages of the times that the calls of a stage take, and their unloaded baseline.
 
 use std::time::{Duration, Instant};
 
 /// Weight of a new sample in the mean and in the mean deviation.
 const MEAN_WEIGHT: f64 = 0.1;
-/// Weight in the baseline of a sample below it.
-const DOWN_WEIGHT: f64 = 0.2;
-/// Weight in the baseline of a sample above it; small, so that the baseline stays near the
-/// unloaded time under load.
-const UP_WEIGHT: f64 = 0.005;
+/// Weight of a new sample in the baseline if it is below the baseline.
+const BASELINE_DOWN_WEIGHT: f64 = 0.2;
+/// Weight of a new sample in the baseline if it is above the baseline; small, so that the baseline
+/// stays near the unloaded time under load.
+const BASELINE_UP_WEIGHT: f64 = 0.005;
 
 /// Number of mean deviations added to the mean for the expected time of a stage.
 const DEVIATIONS: f64 = 2.0;
@@ -19,7 +19,9 @@
     mean: f64,
     /// Mean absolute deviation from the mean.
     deviation: f64,
+    /// Estimate of the call time at a target without load.
     baseline: f64,
+    /// When the last sample was recorded.
     last: Instant,
 }
 
@@ -33,7 +35,8 @@
         let seconds = took.as_secs_f64();
         self.deviation += MEAN_WEIGHT * ((seconds - self.mean).abs() - self.deviation);
         self.mean += MEAN_WEIGHT * (seconds - self.mean);
-        let weight = if seconds < self.baseline { DOWN_WEIGHT } else { UP_WEIGHT };
+        let weight =
+            if seconds < self.baseline { BASELINE_DOWN_WEIGHT } else { BASELINE_UP_WEIGHT };
         self.baseline += weight * (seconds - self.baseline);
         self.last = now;
     }
--- a/components/routing/src/usage.rs
+++ b/components/routing/src/usage.rs
@@ -8,11 +8,13 @@
 const HOLD_WEIGHT: f64 = 0.1;
 /// Time constant over which usage is averaged, in seconds.
 const WINDOW_SECONDS: f64 = 5.0;
-/// Standard deviations above the mean usage of more urgent classes that are kept free for them.
+/// Number of standard deviations above the mean usage of a more urgent class that are kept free for
+/// it. The standard deviation is estimated as the square root of the mean.
 const HEADROOM_DEVIATIONS: f64 = 1.0;
-/// Share of the slots released while an urgent call can wait that is counted as available to it.
+/// Share of the slot releases expected within the slack of an urgent call that counts as available
+/// to it.
 const COUNTED_RELEASES: f64 = 0.2;
-/// Weight of a new sample in the mean time for which a call could wait.
+/// Weight of a new sample in the mean slack, that is the time for which a call can wait.
 const SLACK_WEIGHT: f64 = 0.05;
 /// Minimum share of the slots assumed for a class, however many the more urgent classes use.
 const MIN_SHARE: f64 = 0.05;
@@ -23,10 +25,11 @@
     in_flight: u32,
     /// Mean time for which a call holds its slot, in seconds.
     hold: Option<f64>,
-    /// Mean time for which a call could wait before its latest start, in seconds.
+    /// Mean time from the request of a slot to the latest start of the call, in seconds.
     slack: Option<f64>,
-    /// Slot time used, in seconds, with exponential decay over the window.
+    /// Slot time used by calls that ended, in seconds, with exponential decay over the window.
     held: f64,
+    /// When `held` was last updated.
     last: Option<Instant>,
 }
 
@@ -66,7 +69,7 @@
         self.classes[class as usize].hold.map(Duration::from_secs_f64)
     }
 
-    /// Records how long a call could wait before its latest start.
+    /// Records how long a call can wait before its latest start.
     pub(crate) fn record_slack(&mut self, class: Priority, slack: Duration) {
         let seconds = slack.as_secs_f64();
         let mean = self.classes[class as usize].slack.get_or_insert(seconds);
@@ -74,7 +77,7 @@
     }
 
     /// Slots to keep free for classes more urgent than this one: their mean usage plus a
-    /// deviation, less their calls in flight and the slots that are released in time anyway.
+    /// deviation, less their calls in flight and the slots expected to be released in time.
     pub(crate) fn headroom(&self, class: Priority, now: Instant) -> f64 {
         let releases = self.releases();
         let needed = |usage: &ClassUsage| {
@@ -88,10 +91,10 @@
 
     /// Expected number of slots released per second.
     fn releases(&self) -> f64 {
-        let of = |usage: &ClassUsage| {
+        let releases_of = |usage: &ClassUsage| {
             usage.hold.map_or(0.0, |hold| f64::from(usage.in_flight) / hold.max(1e-3))
         };
-        self.classes.iter().map(of).sum()
+        self.classes.iter().map(releases_of).sum()
     }
 
     /// Part of `slots` that the more urgent classes leave on average, with a minimum share.
--- a/components/routing/tests/decisions.rs
+++ b/components/routing/tests/decisions.rs
@@ -161,8 +161,9 @@
 
     assert_eq!(order[0], urgent[0]);
     assert!(order[..5].iter().all(|id| !background.contains(id)), "{order:?}");
-    let places: Vec<usize> = (0..order.len()).filter(|p| background.contains(&order[*p])).collect();
-    assert!((1..=4).contains(&places.len()), "at places {places:?}");
+    let positions: Vec<usize> =
+        (0..order.len()).filter(|p| background.contains(&order[*p])).collect();
+    assert!((1..=4).contains(&positions.len()), "at positions {positions:?}");
 }
 
 #[test]
@@ -307,16 +308,16 @@
 #[test]
 fn calls_an_unreachable_target_only_as_a_probe() {
     let mut fixture = Fixture::new(&[("dead", "hall-a", 4), ("t2", "hall-a", 4)]);
-    let mut tries = 0;
+    let mut calls = 0;
     for _ in 0..1000 {
         let grant = fixture.grant();
         fixture.now += 10 * MS;
         let dead = grant.name.as_str() == "dead";
-        tries += usize::from(dead);
+        calls += usize::from(dead);
         let end = if dead { CallEnd::Unreachable } else { CallEnd::Answered };
         fixture.release(grant.slot, end, 5 * MS);
     }
-    assert!((1..=5).contains(&tries), "{tries} calls in ten seconds");
+    assert!((1..=5).contains(&calls), "{calls} calls in ten seconds");
 }
 
 #[test]
@@ -434,17 +435,17 @@
             .map(|(i, hall)| sharer(&format!("vm-{i}"), &format!("hall-{hall}")))
             .collect();
         let now = Instant::now();
-        let mut dealt: BTreeMap<String, u32> = BTreeMap::new();
+        let mut assigned: BTreeMap<String, u32> = BTreeMap::new();
         for own in &sharers {
             let mut router = Router::new(Policy::Adaptive, own.clone(), 1, now);
             router.apply(FIRST, &catalogue(&declared), now);
             router.set_sharers(sharers.clone());
             for target in router.dump(now) {
-                *dealt.entry(target.name.to_string()).or_default() += target.dealt;
+                *assigned.entry(target.name.to_string()).or_default() += target.dealt;
             }
         }
         for (name, slots) in &targets {
-            prop_assert_eq!(dealt[name], *slots);
+            prop_assert_eq!(assigned[name], *slots);
         }
     }
 
@@ -457,13 +458,13 @@
         let mut fixture = Fixture::new(&[("t1", "hall-a", 2), ("t2", "hall-b", 2)]);
         let mut held: Vec<Slot> = Vec::new();
         let mut waiting: HashSet<WaitId> = HashSet::new();
-        for (what, which) in steps {
-            fixture.now += MS * u32::from(which);
+        for (event, value) in steps {
+            fixture.now += MS * u32::from(value);
             let mut updates = Vec::new();
-            match what % 6 {
+            match event % 6 {
                 0 | 1 => {
-                    let class = Priority::ALL[usize::from(which) % 3];
-                    match fixture.ask("small", class, MS * u32::from(which) * 20) {
+                    let class = Priority::ALL[usize::from(value) % 3];
+                    match fixture.ask("small", class, MS * u32::from(value) * 20) {
                         SlotAnswer::Granted(grant) => {
                             prop_assert!(["t1", "t2"].contains(&grant.name.as_str()));
                             held.push(grant.slot);
@@ -473,13 +474,13 @@
                     }
                 }
                 2 | 3 if !held.is_empty() => {
-                    let slot = held.swap_remove(usize::from(which) % held.len());
+                    let slot = held.swap_remove(usize::from(value) % held.len());
                     let ends = [CallEnd::Answered, CallEnd::Failed, CallEnd::Declined];
                     updates =
-                        fixture.release(slot, ends[usize::from(which) % 3], MS * u32::from(which));
+                        fixture.release(slot, ends[usize::from(value) % 3], MS * u32::from(value));
                 }
                 4 => {
-                    fixture.router.set_peer_loads(|_| u32::from(which) % 4, 1);
+                    fixture.router.set_peer_loads(|_| u32::from(value) % 4, 1);
                 }
                 _ => updates = fixture.router.tick(fixture.now),
             }
