--- a/components/routing/src/admission.rs
+++ b/components/routing/src/admission.rs
@@ -7,7 +7,8 @@
 pub(crate) const MIN_RETRY_AFTER: Duration = Duration::from_millis(50);
 /// Maximum time after which a caller is told to retry.
 const MAX_RETRY_AFTER: Duration = Duration::from_secs(30);
-/// Age from which an estimate of a stage's time is ignored, so that a new request refreshes it.
+/// Age from which an estimate of a stage's time is ignored, so that a request is admitted and
+/// refreshes it.
 pub(crate) const ESTIMATE_TTL: Duration = Duration::from_secs(1);
 /// Factor on the expected time of stages, since they slow down as a burst begins.
 pub(crate) const TIME_MARGIN: f64 = 1.15;
--- a/components/routing/src/lane.rs
+++ b/components/routing/src/lane.rs
@@ -98,10 +98,10 @@
         slots: f64,
         now: Instant,
     ) -> Instant {
-        let sharing = self.other_customers(customer, class) + 1;
+        let customers = self.other_customers(customer, class) + 1;
         let left = self.usage.slots_left_for(class, slots, now);
         let hold = self.usage.mean_hold(class).unwrap_or_default();
-        let gap = admission::wait_behind(sharing as f64, left, hold);
+        let gap = admission::wait_behind(customers as f64, left, hold);
         self.queue(class, customer).schedule_return(earliest, gap)
     }
 
@@ -203,6 +203,7 @@
         hold.map_or(1.0, |hold| hold.as_secs_f64().max(1e-3))
     }
 
+    /// Class to serve next: the least urgent one if its floor is due, else the most urgent one.
     fn next_class(&self) -> Option<Priority> {
         if self.floor_is_due() {
             return self.least_urgent();
@@ -210,6 +211,8 @@
         Priority::ALL.into_iter().find(|class| self.waiting(*class) > 0)
     }
 
+    /// Customer to serve next: the one with the lowest start tag, then the one whose first request
+    /// must start earliest.
     fn next_customer(&self, class: Priority) -> Option<CustomerName> {
         let heads = self.classes.get(&class)?.iter();
         let heads = heads.filter_map(|(name, queue)| Some((name, queue.head()?)));
@@ -220,6 +223,8 @@
         first.map(|(name, _)| name.clone())
     }
 
+    /// Start tag of the customer, at least the virtual time, so that a customer without requests
+    /// accumulates no claim to slots.
     fn start_tag(&self, customer: &CustomerName) -> f64 {
         self.start_tags.get(customer).copied().unwrap_or(0.0).max(self.virtual_time)
     }
--- a/components/routing/src/plans.rs
+++ b/components/routing/src/plans.rs
@@ -10,7 +10,8 @@
 use crate::lane::LaneKey;
 use crate::target::TargetKey;
 
-/// Service, index of the stage, and index of the traffic share if the stage's traffic is split.
+/// Service, index of the stage, and index of the traffic share. The last is `None` for the lane of
+/// all targets of the stage, by which admission is decided also if the stage's traffic is split.
 type StageIndex = (ServiceName, usize, Option<usize>);
 
 /// The lanes of one configuration.
--- a/components/routing/src/router.rs
+++ b/components/routing/src/router.rs
@@ -196,15 +196,17 @@
         {
             lane.record_return(req.customer, req.priority);
         }
-        let after = self.expected_time_from(req.service, req.stage, now);
+        let needed = self.expected_time_from(req.service, req.stage, now);
         let left = req.deadline.saturating_duration_since(now);
-        if !admission::fits(after, left) {
-            let retry_after = admission::retry_after(after, left);
+        if !admission::fits(needed, left) {
+            let retry_after = admission::retry_after(needed, left);
             return SlotAnswer::Refused(SlotRefusal::TooLate { retry_after });
         }
-        self.slot_or_queue(lane_key, req, req.deadline.checked_sub(after).unwrap_or(now), now)
+        self.slot_or_queue(lane_key, req, req.deadline.checked_sub(needed).unwrap_or(now), now)
     }
 
+    /// Grants a slot of the lane, queues the request, or refuses it. `start_by` is the latest time
+    /// at which the call can start and still meet the deadline.
     fn slot_or_queue(
         &mut self,
         lane_key: LaneKey,
--- a/components/routing/src/usage.rs
+++ b/components/routing/src/usage.rs
@@ -28,8 +28,8 @@
     /// Mean time from the request of a slot to the latest start of the call, in seconds.
     slack: Option<f64>,
     /// Slot time used by calls that ended, in seconds, with exponential decay over the window.
-    held: f64,
-    /// When `held` was last updated.
+    slot_seconds: f64,
+    /// When `slot_seconds` was last updated.
     last: Option<Instant>,
 }
 
@@ -37,7 +37,7 @@
     /// Mean number of slots in use, computed from the calls that ended.
     fn mean(&self, now: Instant) -> f64 {
         let age = self.last.map_or(0.0, |at| now.saturating_duration_since(at).as_secs_f64());
-        self.held * (-age / WINDOW_SECONDS).exp() / WINDOW_SECONDS
+        self.slot_seconds * (-age / WINDOW_SECONDS).exp() / WINDOW_SECONDS
     }
 }
 
@@ -60,7 +60,7 @@
         let Some(seconds) = took.map(|took| took.as_secs_f64()) else { return };
         let hold = usage.hold.get_or_insert(seconds);
         *hold += HOLD_WEIGHT * (seconds - *hold);
-        usage.held = usage.mean(now) * WINDOW_SECONDS + seconds;
+        usage.slot_seconds = usage.mean(now) * WINDOW_SECONDS + seconds;
         usage.last = Some(now);
     }
 
