--- a/components/eligibility/src/backoffs.rs
+++ b/components/eligibility/src/backoffs.rs
@@ -7,14 +7,14 @@
 
 use crate::Lifetime;
 
-/// Ends of the backoffs that targets asked of this VM, by lifetime. A backoff continues if the target's entry lapses
-/// and comes back within the lifetime.
+/// Ends of the backoffs that targets asked of this VM, by lifetime. A backoff continues if the
+/// target's entry in the store lapses and comes back within the lifetime.
 #[derive(Debug, Default)]
 pub struct Backoffs(HashMap<Lifetime, Instant>);
 
 impl Backoffs {
-    /// Records a backoff. The longest of several applies, since they may come from answers of which one overtook the
-    /// other. Returns whether the target's backoff got longer.
+    /// Records a backoff. The longest of several applies, since answers can arrive out of order.
+    /// Returns whether the target's backoff got longer.
     pub fn record(&mut self, lifetime: Lifetime, until: Instant) -> bool {
         let known = self.0.get(&lifetime).copied();
         let is_longer = known.is_none_or(|known| until > known);
--- a/components/eligibility/src/change_log.rs
+++ b/components/eligibility/src/change_log.rs
@@ -1,4 +1,5 @@
-//! Log of changes in the order in which they became known, with cursors by which each peer is sent each change once.
+//! Log of changes in the order in which they became known, with cursors by which each peer is sent
+//! each change once.
 
 use std::collections::VecDeque;
 
--- a/components/eligibility/src/departures.rs
+++ b/components/eligibility/src/departures.rs
@@ -1,8 +1,8 @@
-//! Lifetimes of targets that announced in an answer that they are leaving. The platform's store may report the same
-//! much later, or not at all while it is unreachable.
+//! Lifetimes of targets that announced in an answer that they are leaving. The platform's store may
+//! report the same much later, or not at all while it is unreachable.
 //!
-//! Announcements from all sources are merged. Within a lifetime none is revoked, whichever arrives first. A later
-//! lifetime of the same target starts without any.
+//! Announcements from all sources are merged. Within a lifetime none is revoked, whichever arrives
+//! first. A later lifetime of the same target starts without any.
 
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
@@ -12,11 +12,11 @@
 
 use crate::change_log::{ChangeCursor, ChangeLog};
 
-/// Time for which a departure is kept after its last announcement. It is the longest lease that the store grants, so
-/// that the entry of a target that ended has lapsed by then.
+/// Time for which a departure is kept after its last announcement. It is the longest lease that the
+/// store grants, so that the entry of a target that ended has lapsed by then.
 const DEPARTURE_TTL: Duration = Duration::from_secs(600);
-/// Most departures that are kept; the oldest are evicted. It is five times the number of targets of the largest
-/// fleet, at about 100 bytes each.
+/// Most departures that are kept; the oldest are evicted. It is five times the number of targets of
+/// the largest fleet, at about 100 bytes each.
 const MAX_DEPARTURES: usize = 4096;
 
 /// One lifetime of a target, from its start to its end, as the target identifies it.
@@ -43,7 +43,8 @@
     pub announced_at: Instant,
 }
 
-/// Departures that targets announced in answers, in addition to those in their entries in the store.
+/// Departures that targets announced in answers, in addition to those in their entries in the
+/// store.
 #[derive(Debug, Default)]
 pub struct Departures {
     /// When each lifetime last announced its departure.
@@ -53,8 +54,8 @@
 }
 
 impl Departures {
-    /// Records that a target announced its departure at `announced_at`. Returns whether it is the first announcement of
-    /// its lifetime.
+    /// Records that a target announced its departure at `announced_at`. Returns whether it is the
+    /// first announcement of its lifetime. An announcement older than `DEPARTURE_TTL` is ignored.
     pub fn record(&mut self, lifetime: Lifetime, announced_at: Instant, now: Instant) -> bool {
         if is_old(announced_at, now) {
             return false;
--- a/components/eligibility/src/halls.rs
+++ b/components/eligibility/src/halls.rs
@@ -1,4 +1,5 @@
-//! Eligibility of a target for new work, from the state of its data hall and from what the target announced.
+//! Eligibility of a target for new work, from the state of its data hall and from what the target
+//! announced.
 
 use std::collections::BTreeSet;
 use std::time::Instant;
@@ -38,8 +39,8 @@
 }
 
 impl Halls {
-    /// Returns the eligibility of a target. Decisions of operators and announcements of the target take precedence over
-    /// what this VM observes.
+    /// Returns the eligibility of a target. Decisions of operators and announcements of the target
+    /// take precedence over what this VM observes.
     pub fn eligibility(&self, target: &Target, now: Instant) -> Eligibility {
         match () {
             () if target.leaving => Eligibility::Leaving,
@@ -53,8 +54,8 @@
         }
     }
 
-    /// Returns when a target may be sent new work: now, or when both its backoff and its rate limit allow it. `None` if
-    /// it is leaving or evacuated, so that no time is known.
+    /// Returns when a target may be sent new work: now, or when both its backoff and its rate limit
+    /// allow it. `None` if it is leaving or evacuated, so that no time is known.
     pub fn opens_at(&self, target: &Target, now: Instant) -> Option<Instant> {
         match self.eligibility(target, now) {
             Eligibility::Open | Eligibility::HallUnreachable => Some(now),
--- a/components/eligibility/src/lib.rs
+++ b/components/eligibility/src/lib.rs
@@ -1,8 +1,8 @@
-//! Decides whether a target may be sent new work now. Every selection of a target uses it, whether for a request, a
-//! resumed stream, a piece or a retry.
+//! Decides whether a target may be sent new work now. Every selection of a target uses it, whether
+//! for a request, a resumed stream, a piece of a batched stage or a retry.
 //!
-//! It does not affect work in progress, which finishes at its target, or results stored at a target, which may still
-//! be fetched.
+//! It does not affect work in progress, which finishes at its target, or results stored at a
+//! target, which may still be fetched.
 
 mod backoffs;
 mod change_log;
--- a/components/eligibility/src/rates.rs
+++ b/components/eligibility/src/rates.rs
@@ -1,9 +1,10 @@
 //! Rate limits that targets announce in their answers, and the one that applies to each target.
 //!
-//! Answers overtake each other. A limit falls, rises, and ends with an answer that announces none. An answer was
-//! produced at some time between the sending of its call and the receipt of its head. It therefore supersedes the
-//! limits that were received before its call was sent, and no others. Of the limits that remain, the lowest applies.
-//! Merging observations is commutative and idempotent, so all VMs with the same observations get the same result.
+//! Answers can arrive out of order. A limit can fall and rise, and it ends with an answer that
+//! announces none. An answer was produced at some time between the sending of its call and the
+//! receipt of its head. It therefore supersedes the limits that were received before its call was
+//! sent, and no others. Of the limits that remain, the lowest applies. Merging observations is
+//! commutative and idempotent, so all VMs with the same observations get the same result.
 
 use std::collections::{BTreeMap, HashMap};
 use std::time::{Duration, Instant};
@@ -13,17 +14,21 @@
 use crate::Lifetime;
 use crate::change_log::{ChangeCursor, ChangeLog};
 
-/// Time for which the observations of a lifetime are kept after its last answer. It must exceed the time for
-/// which targets need a limit, and the time that a target goes without a request because of its limit.
+/// Time for which the observations of a lifetime are kept after its last answer. It must exceed the
+/// time for which targets need a limit, and the time that a target goes without a request because
+/// of its limit.
 const RATE_TTL: Duration = Duration::from_secs(600);
-/// Most changes that are kept for peers; the oldest are dropped. One for each target of the largest fleet.
+/// Most changes that are kept for peers; the oldest are dropped. One for each target of the largest
+/// fleet.
 const MAX_CHANGES: usize = 1024;
-/// Number of units in one request per second. Rates are stored and compared in thousandths of a request.
+/// Units in one request per second. Rates are stored in thousandths of a request per second, since
+/// integers can be compared exactly and used as map keys.
 const UNITS_PER_REQUEST: f64 = 1000.0;
-/// Lowest rate limit, in requests per second. A target that announces less still gets a request every twenty
-/// seconds, since only its answers tell when the limit ends.
+/// Lowest rate limit, in requests per second. A target that announces less still gets a request
+/// every twenty seconds, since only its answers tell when the limit ends.
 const MIN_PER_S: f64 = 0.05;
-/// Highest rate limit, in requests per second. A target that announces more is effectively unlimited.
+/// Highest rate limit, in requests per second. A target that announces more is effectively
+/// unlimited.
 const MAX_PER_S: f64 = 1e6;
 
 /// Requests per second that a target accepts from all VMs together.
@@ -33,8 +38,8 @@
 }
 
 impl RateLimit {
-    /// Creates a limit from requests per second, clamped to the lowest and highest limit. `None` if `per_s` is negative
-    /// or not a number.
+    /// Creates a limit from requests per second, clamped to the lowest and highest limit. `None` if
+    /// `per_s` is negative or not a number.
     pub fn new(per_s: f64) -> Option<Self> {
         let is_rate = per_s >= 0.0;
         let per_s = per_s.clamp(MIN_PER_S, MAX_PER_S);
@@ -63,12 +68,14 @@
 pub struct RateObservations {
     /// When the latest answered call was sent.
     latest_sent: Option<Instant>,
-    /// Limits that may still apply, and when each was last received; none was received before `latest_sent`.
+    /// Limits that may still apply, and when each was last received; none was received before
+    /// `latest_sent`.
     limits: BTreeMap<RateLimit, Instant>,
 }
 
 impl RateObservations {
-    /// Creates observations from the values of [`RateObservations::latest_sent`] and [`RateObservations::limits`].
+    /// Creates observations from the values of [`RateObservations::latest_sent`] and
+    /// [`RateObservations::limits`].
     pub fn from_parts(
         latest_sent: Option<Instant>,
         limits: impl Iterator<Item = (RateLimit, Instant)>,
@@ -135,10 +142,11 @@
     pub now: Option<RateLimit>,
 }
 
+/// Observations of one lifetime, by source.
 #[derive(Debug, Default)]
 struct TargetRates {
-    /// From answers to this VM. Only these are sent to peers; otherwise two VMs could keep an outdated limit alive by
-    /// sending it back and forth.
+    /// From answers to this VM. Only these are sent to peers; otherwise two VMs could keep an
+    /// outdated limit alive by sending it back and forth.
     own: RateObservations,
     /// From answers to this VM and from the peers' own observations.
     all: RateObservations,
@@ -155,7 +163,8 @@
 }
 
 impl RateLimits {
-    /// Records the observation from an answer to this VM; returns the change of the limit that applies, if any.
+    /// Records the observation from an answer to this VM; returns the change of the limit that
+    /// applies, if any.
     pub fn record(
         &mut self,
         lifetime: Lifetime,
@@ -163,7 +172,7 @@
     ) -> Option<RateChange> {
         let rates = self.known.entry(lifetime.clone()).or_default();
         rates.own.record(observation);
-        let change = rates.change(|all| all.record(observation))?;
+        let change = rates.update_all(|all| all.record(observation))?;
         if self.changes.len() >= MAX_CHANGES {
             self.changes.drop_first();
         }
@@ -177,7 +186,7 @@
         lifetime: Lifetime,
         observations: &RateObservations,
     ) -> Option<RateChange> {
-        self.known.entry(lifetime).or_default().change(|all| all.merge(observations))
+        self.known.entry(lifetime).or_default().update_all(|all| all.merge(observations))
     }
 
     /// Stops requests from this VM to a target until `until`, because its limit is used up.
@@ -192,8 +201,8 @@
         self.known.get(&Lifetime::from(target))?.held_until
     }
 
-    /// Returns this VM's own observations of the lifetimes whose limit changed after a cursor, and the cursor after
-    /// these.
+    /// Returns this VM's own observations of the lifetimes whose limit changed after a cursor, and
+    /// the cursor after these.
     pub fn changes_after(
         &self,
         cursor: ChangeCursor,
@@ -222,12 +231,12 @@
 
     /// Returns the lifetimes to which a limit applies, the limit, and when it was last received.
     pub fn all(&self) -> impl Iterator<Item = (&Lifetime, RateLimit, Instant)> {
-        let first = |(lifetime, rates)| {
+        let lowest_limit = |(lifetime, rates)| {
             let rates: &TargetRates = rates;
             let (limit, at) = rates.all.limits().next()?;
             Some((lifetime, limit, at))
         };
-        self.known.iter().filter_map(first)
+        self.known.iter().filter_map(lowest_limit)
     }
 
     /// Removes the lifetimes whose observations are too old.
@@ -237,9 +246,10 @@
 }
 
 impl TargetRates {
-    fn change(&mut self, apply: impl FnOnce(&mut RateObservations)) -> Option<RateChange> {
+    /// Applies an update to all observations; returns the change of the limit that applies, if any.
+    fn update_all(&mut self, update: impl FnOnce(&mut RateObservations)) -> Option<RateChange> {
         let before = self.all.limit();
-        apply(&mut self.all);
+        update(&mut self.all);
         let now = self.all.limit();
         let is_change = before != now;
         if is_change {
--- a/components/eligibility/src/token_buckets.rs
+++ b/components/eligibility/src/token_buckets.rs
@@ -1,24 +1,24 @@
 //! Token buckets that enforce the rate limit which a target announced for all VMs together.
 //!
-//! One VM holds the bucket of a target, and the others ask that VM for permits to send one request each. A bucket
-//! refills at the limit, whoever asks. A new bucket starts with a debt, so that a VM that takes it over from another
-//! one does not grant the same permits again.
+//! One VM holds the bucket of a target, and the others ask that VM for permits to send one request
+//! each. A bucket refills at the limit, whoever asks. A new bucket starts with a debt, so that a VM
+//! that takes it over from another one does not grant the same permits again.
 
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
 
 use crate::{Lifetime, RateLimit};
 
-/// Permits that a bucket accumulates, so that bursts of requests can use what the target allows. This constant part
-/// serves low rates, [`BURST_TIME`] high ones.
+/// Permits that a bucket accumulates, so that bursts of requests can use what the target allows.
+/// This constant part serves low rates, [`BURST_TIME`] high ones.
 const BURST: f64 = 2.0;
 /// Time over which a bucket accumulates permits at its rate, in addition to [`BURST`].
 const BURST_TIME: Duration = Duration::from_millis(250);
-/// Time for which a new bucket grants nothing. Another VM may still hold the target's bucket, or no VM has asked for
-/// a permit yet. A silent peer is considered gone after the same time.
+/// Time for which a new bucket grants nothing. Another VM may still hold the target's bucket, or no
+/// VM has asked for a permit yet. A silent peer is considered gone after the same time.
 const HANDOVER: Duration = Duration::from_secs(1);
-/// Time after which an unused bucket is removed. A bucket that is created again starts with its debt, so the next
-/// request has to wait.
+/// Time after which an unused bucket is removed. A bucket that is created again starts with its
+/// debt, so the next request has to wait.
 const IDLE_TTL: Duration = Duration::from_secs(60);
 
 /// Decision on a permit to send one request.
@@ -26,13 +26,14 @@
 pub enum PermitDecision {
     /// It may be sent after this time. The permit is reserved for it.
     Granted(Duration),
-    /// It may not be sent in the time that it can wait. Another attempt after this time may succeed.
+    /// It may not be sent in the time that it can wait. Another attempt after this time may
+    /// succeed.
     Denied(Duration),
 }
 
 #[derive(Debug)]
 struct TokenBucket {
-    /// Permits that are left; negative if some were granted in advance.
+    /// Permits that are available; negative if some were granted in advance.
     permits: f64,
     refilled_at: Instant,
 }
@@ -45,7 +46,7 @@
         self.refilled_at = now;
     }
 
-    /// Returns the time until one whole permit is left.
+    /// Returns the time until one whole permit is available.
     fn wait(&self, limit: RateLimit) -> Duration {
         Duration::from_secs_f64((1.0 - self.permits).max(0.0) / limit.per_s())
     }
@@ -73,14 +74,15 @@
         PermitDecision::Granted(wait)
     }
 
-    /// Counts a request that is sent without a permit; returns the time until the next permit is left.
+    /// Counts a request that is sent without a permit; returns the time until the next permit is
+    /// available.
     pub fn consume(&mut self, lifetime: &Lifetime, limit: RateLimit, now: Instant) -> Duration {
         let bucket = self.refilled(lifetime, limit, now);
         bucket.permits -= 1.0;
         bucket.wait(limit)
     }
 
-    /// Returns the time until a permit is left.
+    /// Returns the time until a permit is available.
     pub fn wait(&mut self, lifetime: &Lifetime, limit: RateLimit, now: Instant) -> Duration {
         self.refilled(lifetime, limit, now).wait(limit)
     }
--- a/components/eligibility/tests/cold.rs
+++ b/components/eligibility/tests/cold.rs
@@ -1,5 +1,5 @@
-//! A cold target never gets more requests than its bound, from fleets of any size whose VMs all know each other and
-//! from fleets that are partitioned into two halves.
+//! A cold target never gets more requests than its bound, from fleets of any size whose VMs all
+//! know each other and from fleets that are partitioned into two halves.
 
 use std::time::{Duration, Instant};
 
@@ -14,7 +14,8 @@
     (bound.per_s * bound.overshoot + bound.slack) as usize
 }
 
-/// The senders for a target among some VMs, as each VM determines them: the first ones by rendezvous hashing.
+/// The senders for a target among some VMs, as each VM determines them: the first ones by
+/// rendezvous hashing.
 fn senders(target: u64, vms: &[u64], count: usize) -> Vec<u64> {
     let mut ranked = vms.to_vec();
     ranked.sort_by_key(|vm| std::cmp::Reverse(hashing::combine(target, *vm)));
@@ -76,8 +77,8 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(64))]
 
-    /// Every VM sends as much as it may to the cold targets of a restored hall. No target gets more than the bound in
-    /// any second, even if the fleet is partitioned into two halves.
+    /// Every VM sends as much as it may to the cold targets of a restored hall. No target gets more
+    /// than the bound in any second, even if the fleet is partitioned into two halves.
     #[test]
     fn no_second_exceeds_the_bound(
         vms in 1_usize..400,
--- a/components/eligibility/tests/departures.rs
+++ b/components/eligibility/tests/departures.rs
@@ -1,4 +1,5 @@
-//! Merging of departures and backoffs that targets announce; the result does not depend on their order.
+//! Merging of departures and backoffs that targets announce; the result does not depend on their
+//! order.
 
 // A fixture that can't be set up fails its test.
 #![allow(clippy::unwrap_used)]
--- a/components/eligibility/tests/rates.rs
+++ b/components/eligibility/tests/rates.rs
@@ -1,5 +1,5 @@
-//! Merging of the rate limits that targets announce: the result does not depend on the order, and the latest
-//! announcement applies.
+//! Merging of the rate limits that targets announce: the result does not depend on the order, and
+//! the latest announcement applies.
 
 // A fixture that can't be set up fails its test.
 #![allow(clippy::unwrap_used)]
@@ -133,16 +133,16 @@
         prop_assert_eq!(&merged(&one), &peer);
     }
 
-    /// A target announces changing limits. The limit that a VM derives is never above the one that the target announced
-    /// in its latest answer.
+    /// A target announces changing limits. The limit that a VM derives is never above the one that
+    /// the target announced in its latest answer.
     #[test]
     fn limit_is_never_above_the_latest_announced_one(
         announcements in announcements(),
         changes in proptest::collection::vec(proptest::option::of(1u8..5), 6),
     ) {
         let start = Instant::now();
-        // The limit that the target announces at each time. An answer is produced between the sending of its call and
-        // the receipt of the answer.
+        // The limit that the target announces at each time. An answer is produced between the
+        // sending of its call and the receipt of the answer.
         let announced = |at: u64| changes[(at / 100).min(5) as usize];
         let mut rates = RateObservations::default();
         let mut last = None;
--- a/components/eligibility/tests/token_buckets.rs
+++ b/components/eligibility/tests/token_buckets.rs
@@ -1,4 +1,5 @@
-//! Token buckets grant no more permits than the rate limit allows, whoever asks, and nearly all of these.
+//! Token buckets grant no more permits than the rate limit allows, whoever asks, and nearly all of
+//! these.
 
 // A fixture that can't be set up fails its test.
 #![allow(clippy::unwrap_used)]
@@ -77,8 +78,8 @@
     assert_eq!(buckets.wait(&lifetime(), rate(1.0), now), Duration::from_secs(2));
 }
 
-/// When each VM begins to hold the bucket, and until when it is asked. For a while it is still asked by VMs that have
-/// not learned of the next holder.
+/// When each VM begins to hold the bucket, and until when it is asked. For a while it is still
+/// asked by VMs that have not learned of the next holder.
 fn holders(pauses: &[u64]) -> Vec<(Duration, Duration)> {
     let mut begins = vec![Duration::ZERO];
     for pause in pauses {
@@ -92,8 +93,8 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(64))]
 
-    /// VMs ask in any order while the bucket is handed over from one VM to the next. After each handover some VMs ask
-    /// the previous holder for a while.
+    /// VMs ask in any order while the bucket is handed over from one VM to the next. After each
+    /// handover some VMs ask the previous holder for a while.
     #[test]
     fn target_never_gets_more_than_it_tolerates_and_nearly_its_full_rate(
         per_s in 0.2f64..60.0,
@@ -124,7 +125,8 @@
 
         let most = most_within(WINDOW, &sent);
         prop_assert!(most <= tolerated(per_s), "{most} sent, {} tolerated", tolerated(per_s));
-        // Each handover costs the debt of a new bucket and the permits accumulated in the previous one.
+        // Each handover costs the debt of a new bucket and the permits accumulated in the previous
+        // one.
         let handed_over = handovers.len() as f64;
         let held = LOAD.as_secs_f64() - 1.0 - handed_over;
         let allowed = (per_s * held.max(0.0) * 0.85 - handed_over - 2.0).max(0.0);
