--- a/components/eligibility/tests/cold.rs
+++ b/components/eligibility/tests/cold.rs
@@ -41,9 +41,9 @@
 
 #[test]
 fn target_with_a_very_low_bound_still_gets_one_request() {
-    let least = ColdBound { per_s: 0.5, overshoot: 1.0, slack: 0.0 };
+    let very_low = ColdBound { per_s: 0.5, overshoot: 1.0, slack: 0.0 };
 
-    assert_eq!(cold_share(least, 59, 90), ColdShare { senders: 1, per_sender: 1 });
+    assert_eq!(cold_share(very_low, 59, 90), ColdShare { senders: 1, per_sender: 1 });
 }
 
 #[test]
@@ -64,14 +64,14 @@
 #[test]
 fn requests_sent_just_before_it_became_cold_count() {
     let now = Instant::now();
-    let mut warming = ColdState::default();
-    warming.set_share(2);
-    (0..2).for_each(|_| warming.record_request(now));
+    let mut state = ColdState::default();
+    state.set_share(2);
+    (0..2).for_each(|_| state.record_request(now));
 
-    warming.set_remaining(SECOND * 3, now + Duration::from_millis(300));
+    state.set_remaining(SECOND * 3, now + Duration::from_millis(300));
 
-    assert!(!warming.may_send(now + Duration::from_millis(900)));
-    assert!(warming.may_send(now + Duration::from_millis(1200)));
+    assert!(!state.may_send(now + Duration::from_millis(900)));
+    assert!(state.may_send(now + Duration::from_millis(1200)));
 }
 
 proptest! {
@@ -89,31 +89,32 @@
         let all: Vec<u64> = (0..vms as u64).map(|vm| hashing::combine(seed, vm)).collect();
         let halves: Vec<&[u64]> =
             if split { all.chunks(vms.div_ceil(2)).collect() } else { vec![&all] };
-        let begin = Instant::now();
+        let start = Instant::now();
         for target in 0..cold as u64 {
             let mut arrivals = Vec::new();
             for half in &halves {
                 let ColdShare { senders: count, per_sender } = cold_share(BOUND, half.len(), 90);
                 for vm in senders(target, half, count) {
-                    arrivals.extend(sends(per_sender, begin, hashing::combine(vm, target)));
+                    arrivals.extend(arrival_times(per_sender, start, hashing::combine(vm, target)));
                 }
             }
             arrivals.sort_unstable();
-            prop_assert!(fullest_second(&arrivals) <= tolerated(BOUND));
+            prop_assert!(most_in_one_second(&arrivals) <= tolerated(BOUND));
         }
     }
 }
 
-/// Arrival times of the requests of a VM that has one to send every few milliseconds.
-fn sends(per_sender: u32, begin: Instant, seed: u64) -> Vec<Instant> {
-    let mut warming = ColdState::default();
-    warming.set_remaining(SECOND * 3, begin);
-    warming.set_share(per_sender);
+/// Arrival times at a cold target of the requests of a VM that has one to send every 5 ms. Each
+/// takes up to 100 ms to arrive.
+fn arrival_times(per_sender: u32, start: Instant, seed: u64) -> Vec<Instant> {
+    let mut state = ColdState::default();
+    state.set_remaining(SECOND * 3, start);
+    state.set_share(per_sender);
     let mut arrivals = Vec::new();
     for step in 0..600_u64 {
-        let at = begin + Duration::from_millis(step * 5);
-        if warming.may_send(at) {
-            warming.record_request(at);
+        let at = start + Duration::from_millis(step * 5);
+        if state.may_send(at) {
+            state.record_request(at);
             let delay = Duration::from_millis(hashing::combine(seed, step) % 100);
             arrivals.push(at + delay);
         }
@@ -121,7 +122,8 @@
     arrivals
 }
 
-fn fullest_second(arrivals: &[Instant]) -> usize {
+/// The most arrivals that fall within one second.
+fn most_in_one_second(arrivals: &[Instant]) -> usize {
     let within = |first: Instant| {
         let of_second = arrivals.iter().filter(|at| (first..first + SECOND).contains(at));
         of_second.count()
--- a/components/eligibility/tests/departures.rs
+++ b/components/eligibility/tests/departures.rs
@@ -71,13 +71,13 @@
     for born in 1..MANY {
         departures.record(lifetime(Some(born)), now, now);
     }
-    let (then, cursor) = departures.changes_after(cursor);
+    let (second, cursor) = departures.changes_after(cursor);
     let (nothing, _) = departures.changes_after(cursor);
 
     assert_eq!(first.len(), 1);
-    assert_eq!(then.len(), departures.all().count(), "evicted departures are not sent");
-    assert!(then.len() < MANY as usize);
-    assert_eq!(then.last().unwrap().lifetime, lifetime(Some(MANY - 1)));
+    assert_eq!(second.len(), departures.all().count(), "evicted departures are not sent");
+    assert!(second.len() < MANY as usize);
+    assert_eq!(second.last().unwrap().lifetime, lifetime(Some(MANY - 1)));
     assert!(nothing.is_empty());
     assert_eq!(departures.announced_at(&target(Some(0))), None);
 }
--- a/components/eligibility/tests/halls.rs
+++ b/components/eligibility/tests/halls.rs
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn only_open_and_out_of_reach_targets_are_allowed() {
+fn only_open_targets_and_those_in_unreachable_halls_are_allowed() {
     let allowed = [
         (Eligibility::Open, true),
         (Eligibility::HallUnreachable, true),
--- a/components/eligibility/tests/rates.rs
+++ b/components/eligibility/tests/rates.rs
@@ -58,17 +58,22 @@
 #[test]
 fn answer_supersedes_limits_received_before_its_call_was_sent() {
     let start = Instant::now();
-    let named = observation(start, Some(1.0), 0, 10);
+    let announced = observation(start, Some(1.0), 0, 10);
 
-    let later = merged(&[named, observation(start, None, 20, 30)]);
-    let overtaken = merged(&[named, observation(start, None, 5, 30)]);
-    let raised = merged(&[named, observation(start, Some(4.0), 20, 30)]);
-    let either = merged(&[named, observation(start, Some(4.0), 5, 30)]);
+    // The call of each concurrent answer was sent before the first limit was received.
+    let ended = merged(&[announced, observation(start, None, 20, 30)]);
+    let ended_concurrently = merged(&[announced, observation(start, None, 5, 30)]);
+    let raised = merged(&[announced, observation(start, Some(4.0), 20, 30)]);
+    let raised_concurrently = merged(&[announced, observation(start, Some(4.0), 5, 30)]);
 
-    assert_eq!(later.limit(), None);
-    assert_eq!(overtaken.limit(), Some(rate(1.0)), "it is unknown which answer is the later one");
+    assert_eq!(ended.limit(), None);
+    assert_eq!(
+        ended_concurrently.limit(),
+        Some(rate(1.0)),
+        "it is unknown which answer is the later one"
+    );
     assert_eq!(raised.limit(), Some(rate(4.0)));
-    assert_eq!(either.limit(), Some(rate(1.0)));
+    assert_eq!(raised_concurrently.limit(), Some(rate(1.0)));
 }
 
 #[test]
@@ -116,10 +121,10 @@
     ) {
         let start = Instant::now();
         let observations = |announcements: &Announcements| -> Vec<RateObservation> {
-            let of = |(limit, sent, took): &(Option<u8>, u64, u64)| {
+            let observe = |(limit, sent, took): &(Option<u8>, u64, u64)| {
                 observation(start, limit.map(f64::from), *sent, sent + took)
             };
-            announcements.iter().map(of).collect()
+            announcements.iter().map(observe).collect()
         };
         let (one, other) = (observations(&announcements), observations(&shuffled));
         let (here, there) = other.split_at(split.index(other.len()));
@@ -147,14 +152,17 @@
         let mut rates = RateObservations::default();
         let mut last = None;
         for (_, sent, took) in announcements {
-            let given = sent + took / 2;
-            let limit = announced(given).map(f64::from);
+            let produced_at = sent + took / 2;
+            let limit = announced(produced_at).map(f64::from);
             rates.record(observation(start, limit, sent, sent + took));
-            last = last.max(Some((given, announced(given))));
+            last = last.max(Some((produced_at, announced(produced_at))));
         }
 
         let expected = last.and_then(|(_, limit)| limit).map(|limit| rate(f64::from(limit)));
         let limit = rates.limit();
-        prop_assert!(expected.is_none() || limit.is_some_and(|limit| Some(limit) <= expected), "{limit:?} {expected:?}");
+        prop_assert!(
+            expected.is_none() || limit.is_some_and(|limit| Some(limit) <= expected),
+            "limit {limit:?}, announced in the latest answer {expected:?}"
+        );
     }
 }
--- a/components/eligibility/tests/support/mod.rs
+++ b/components/eligibility/tests/support/mod.rs
@@ -8,7 +8,7 @@
 use ids::{HallName, ServiceName, TargetName};
 use intent::Target;
 
-/// Returns a target in a hall that has announced nothing.
+/// Returns a target in the given hall. The target has announced nothing.
 pub fn target(hall: &str) -> Target {
     Target {
         id: TargetName::new("t").unwrap(),
--- a/components/eligibility/tests/token_buckets.rs
+++ b/components/eligibility/tests/token_buckets.rs
@@ -13,7 +13,7 @@
 /// Window in which the requests to a target are counted.
 const WINDOW: Duration = Duration::from_secs(4);
 /// Time for which requests arrive.
-const LOAD: Duration = Duration::from_secs(40);
+const LOAD_TIME: Duration = Duration::from_secs(40);
 /// Time for which two VMs may both hold a bucket after one became silent or a link was lost.
 const OVERLAP: Duration = Duration::from_secs(1);
 
@@ -74,19 +74,20 @@
 
     assert_eq!(buckets.consume(&lifetime(), rate(1.0), now), Duration::from_secs(3));
     assert_eq!(buckets.wait(&lifetime(), rate(1.0), now), Duration::from_secs(3));
-    buckets.remove_expired(now + LOAD * 2);
+    buckets.remove_expired(now + LOAD_TIME * 2);
     assert_eq!(buckets.wait(&lifetime(), rate(1.0), now), Duration::from_secs(2));
 }
 
-/// When each VM begins to hold the bucket, and until when it is asked. For a while it is still
-/// asked by VMs that have not learned of the next holder.
-fn holders(pauses: &[u64]) -> Vec<(Duration, Duration)> {
+/// When each VM begins to hold the bucket, and until when it is asked. After a handover it is still
+/// asked for a while by VMs that have not learned of the next holder. `handovers` gives the
+/// milliseconds from one handover to the next.
+fn holders(handovers: &[u64]) -> Vec<(Duration, Duration)> {
     let mut begins = vec![Duration::ZERO];
-    for pause in pauses {
+    for handover in handovers {
         let last = begins[begins.len() - 1];
-        begins.push(last + Duration::from_millis(*pause));
+        begins.push(last + Duration::from_millis(*handover));
     }
-    let ends = begins.iter().skip(1).map(|next| *next + OVERLAP).chain([LOAD * 2]);
+    let ends = begins.iter().skip(1).map(|next| *next + OVERLAP).chain([LOAD_TIME * 2]);
     begins.iter().copied().zip(ends).collect()
 }
 
@@ -98,24 +99,26 @@
     #[test]
     fn target_never_gets_more_than_it_tolerates_and_nearly_its_full_rate(
         per_s in 0.2f64..60.0,
-        pauses in proptest::collection::vec(1u64..2000, 64),
+        gaps in proptest::collection::vec(1u64..2000, 64),
         handovers in proptest::collection::vec(1000u64..15_000, 0..8),
-        patience in 0u64..500,
+        max_wait_ms in 0u64..500,
     ) {
         let start = Instant::now();
-        let (limit, within) = (rate(per_s), Duration::from_millis(patience));
+        let (limit, within) = (rate(per_s), Duration::from_millis(max_wait_ms));
         let holders = holders(&handovers);
-        let mut buckets: Vec<TokenBuckets> = holders.iter().map(|_| TokenBuckets::default()).collect();
+        let mut buckets: Vec<TokenBuckets> =
+            holders.iter().map(|_| TokenBuckets::default()).collect();
         let mut sent = Vec::new();
         // Requests arrive at twice the rate limit.
-        let mean = Duration::from_secs_f64(0.5 / per_s);
+        let mean_gap = Duration::from_secs_f64(0.5 / per_s);
         let (mut at, mut asked) = (Duration::ZERO, 0);
-        while at < LOAD {
-            at += mean.mul_f64(pauses[asked % pauses.len()] as f64 / 1000.0);
+        while at < LOAD_TIME {
+            at += mean_gap.mul_f64(gaps[asked % gaps.len()] as f64 / 1000.0);
             asked += 1;
-            let asks = |(begin, end): &(Duration, Duration)| (*begin..*end).contains(&at);
-            let held: Vec<usize> = (0..holders.len()).filter(|n| asks(&holders[*n])).collect();
-            let holder = held[asked % held.len()];
+            let is_asked = |(begin, end): &(Duration, Duration)| (*begin..*end).contains(&at);
+            let current: Vec<usize> =
+                (0..holders.len()).filter(|n| is_asked(&holders[*n])).collect();
+            let holder = current[asked % current.len()];
             let decision = buckets[holder].acquire(&lifetime(), limit, within, start + at);
             if let PermitDecision::Granted(wait) = decision {
                 sent.push(start + at + wait);
@@ -128,8 +131,8 @@
         // Each handover costs the debt of a new bucket and the permits accumulated in the previous
         // one.
         let handed_over = handovers.len() as f64;
-        let held = LOAD.as_secs_f64() - 1.0 - handed_over;
-        let allowed = (per_s * held.max(0.0) * 0.85 - handed_over - 2.0).max(0.0);
-        prop_assert!(sent.len() as f64 >= allowed, "{} of {allowed}", sent.len());
+        let held_s = LOAD_TIME.as_secs_f64() - 1.0 - handed_over;
+        let expected = (per_s * held_s.max(0.0) * 0.85 - handed_over - 2.0).max(0.0);
+        prop_assert!(sent.len() as f64 >= expected, "{} sent, {expected} expected", sent.len());
     }
 }
