--- a/components/quarantine/src/crash.rs
+++ b/components/quarantine/src/crash.rs
@@ -8,15 +8,15 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct LifetimeHash(pub u64);
 
-/// One lifetime of a target, as far as VMs can tell lifetimes apart: by what the target reports, and by the ends
-/// that were known.
+/// One lifetime of a target. VMs tell lifetimes apart by the id and start time that the target
+/// reports, and by the number of its ends that they know.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Lifetime {
     /// Id and start time that the target reported, possibly for an earlier lifetime.
     pub lifetime_hash: LifetimeHash,
-    /// Number of ends known for this hash when the request was sent. A target that accepts requests after its end
-    /// is another lifetime, even if its new start time is not known yet. While the platform's store is unavailable,
-    /// the new start time does not arrive at all.
+    /// Number of ends known for this hash when the request was sent. A target that accepts requests
+    /// after its end is another lifetime, even if its new start time is not known yet. While the
+    /// platform's store is unavailable, the new start time does not arrive at all.
     pub ends_before: u32,
 }
 
@@ -35,32 +35,33 @@
     }
 }
 
-/// The end of a target's lifetime while it ran a request. VMs exchange these. Merging them is idempotent and does
-/// not depend on their order.
+/// The end of a target's lifetime while it ran a request. VMs exchange these. Merging them is
+/// idempotent and does not depend on their order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct Crash {
     /// Digest of the request.
     pub digest: RequestDigest,
     /// The lifetime that ended.
     pub lifetime: Lifetime,
-    /// Whether the crash no longer counts, because the request completed elsewhere or an operator released it. Once
-    /// set, it stays set.
+    /// Whether the crash no longer counts, because the request completed elsewhere or an operator
+    /// released it. Once set, it stays set.
     pub cleared: bool,
 }
 
 /// Most lifetimes that are kept for one request; more than any crash limit that operators may set.
 const MAX_LIFETIMES: usize = 16;
 
-/// The crashes of one request.
+/// The crashes of one request: each lifetime that ended, and whether its crash no longer counts.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct Crashes(Vec<(Lifetime, bool)>);
 
 impl Crashes {
-    /// Merges one crash; returns false if it changes nothing.
+    /// Merges one crash; returns false if it changes nothing. At [`MAX_LIFETIMES`] the new crash
+    /// replaces one that no longer counts; if all count, the new one is dropped.
     pub(crate) fn merge(&mut self, lifetime: Lifetime, cleared: bool) -> bool {
-        if let Some((_, known)) = self.0.iter_mut().find(|(known, _)| *known == lifetime) {
-            let newly_cleared = cleared && !*known;
-            *known |= cleared;
+        if let Some((_, was_cleared)) = self.0.iter_mut().find(|(known, _)| *known == lifetime) {
+            let newly_cleared = cleared && !*was_cleared;
+            *was_cleared |= cleared;
             return newly_cleared;
         }
         if self.0.len() >= MAX_LIFETIMES {
--- a/components/quarantine/src/lib.rs
+++ b/components/quarantine/src/lib.rs
@@ -1,8 +1,9 @@
 //! Quarantine of requests that crash every target which runs them.
 //!
-//! Callers retry such a request under a new id and at any VM, so neither the calls for one request id nor the failures of
-//! one target reveal it. This crate decides which submissions are the same request, which crashes count as evidence,
-//! and which requests are refused. It is plain state without I/O; each call gets the current time.
+//! Callers retry such a request under a new id and at any VM, so neither the calls for one request
+//! id nor the failures of one target reveal it. This crate decides which submissions are the same
+//! request, which crashes count as evidence, and which requests are refused. It is plain state
+//! without I/O; each call gets the current time.
 
 mod crash;
 mod recent_completions;
--- a/components/quarantine/src/recent_completions.rs
+++ b/components/quarantine/src/recent_completions.rs
@@ -7,14 +7,17 @@
 
 /// Most completions that are remembered, which takes 80 KB. The oldest is evicted first.
 const MAX_COMPLETIONS: usize = 2048;
-/// Time for which a completion is remembered. It is longer than the time limits of requests, so that a request that
-/// is sent repeatedly is always present, and short enough that one which starts to crash targets is not exempt.
+/// Time for which a completion is remembered. It is longer than the time limits of requests, so
+/// that a request that is sent repeatedly is always present, and short enough that one which starts
+/// to crash targets is not exempt.
 const TTL: Duration = Duration::from_secs(30);
 
 /// Requests that recently completed at this VM.
 #[derive(Debug, Default)]
 pub(crate) struct RecentCompletions {
+    /// When each request last completed.
     at: HashMap<RequestDigest, Instant>,
+    /// All completions, the earliest first.
     order: VecDeque<(Instant, RequestDigest)>,
 }
 
--- a/components/quarantine/src/table.rs
+++ b/components/quarantine/src/table.rs
@@ -1,9 +1,10 @@
-//! Records of requests that crashed targets, of those that are refused, and of the changes that VMs exchange.
+//! The quarantine table: requests that crashed targets, which of them are refused, and the changes
+//! that VMs send to each other.
 //!
-//! A request that crashed enough targets is refused at all VMs. An inference engine runs dozens of requests at once,
-//! and all of them fail when it crashes. The one that caused the crash differs from these bystanders by completions:
-//! a bystander does not meet several crashes without completing before, between or after them, and one completion
-//! at any VM clears it.
+//! A request that crashed enough targets is refused at all VMs. An inference engine runs dozens of
+//! requests at once, and all of them fail when it crashes. The one that caused the crash differs
+//! from the others, the bystanders, by completions: a bystander does not meet several crashes
+//! without completing before, between or after them, and one completion at any VM clears it.
 
 use std::collections::{HashMap, VecDeque};
 use std::time::{Duration, Instant};
@@ -12,13 +13,15 @@
 use crate::recent_completions::RecentCompletions;
 use crate::{Crash, Lifetime, LifetimeHash, RequestDigest};
 
-/// Most requests that are kept. The one with the fewest crashes is evicted first, and of several such the oldest. An
-/// engine that crashes has 64 requests in progress.
+/// Most requests that are kept. The one with the fewest crashes is evicted first, and of several
+/// such the oldest. An engine has 64 requests in progress when it crashes, and each of them gets a
+/// record.
 const MAX_RECORDS: usize = 1024;
-/// Most changes that are kept for VMs that link later. All changes of the kept records fit, with room to spare.
+/// Most changes that are kept for VMs that link later. All changes of the kept records fit, with
+/// room to spare.
 const MAX_CHANGES: usize = 4096;
-/// A lost connection counts as a crash if the end of its target becomes known within this time. It is three
-/// heartbeats of a target's entry, after which the platform removes the entry.
+/// A lost connection counts as a crash if the end of its target becomes known within this time. It
+/// is three heartbeats of a target's entry, after which the platform removes the entry.
 const LOSS_TTL: Duration = Duration::from_secs(6);
 /// Most lost connections that are kept until the state of their target is known.
 const MAX_LOSSES: usize = 1024;
@@ -26,7 +29,7 @@
 /// When a request is refused, and for how long.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Rules {
-    /// Crashed lifetimes from which on a request is refused.
+    /// Number of lifetimes that a request must have crashed to be refused.
     pub crashes: usize,
     /// How long it is refused after its last crash or its last retry, whichever is later.
     pub duration: Duration,
@@ -109,8 +112,8 @@
         Lifetime { lifetime_hash, ends_before }
     }
 
-    /// Records that the connection to a target was lost during a request. It counts as a crash if the target's end
-    /// becomes known in time.
+    /// Records that the connection to a target was lost during a request. It counts as a crash if
+    /// the target's end becomes known in time.
     pub fn connection_lost(&mut self, digest: RequestDigest, lifetime: Lifetime, now: Instant) {
         let is_old = |loss: &Loss| now.saturating_duration_since(loss.at) > LOSS_TTL;
         while self.losses.front().is_some_and(is_old) || self.losses.len() >= MAX_LOSSES {
@@ -124,11 +127,14 @@
         self.end_lifetimes(|other| *other == lifetime, now)
     }
 
-    /// Records that a target with this lifetime hash is gone, whichever its lifetime; returns the crashes that are new.
+    /// Records that a target with this lifetime hash is gone, whichever its lifetime; returns the
+    /// crashes that are new.
     pub fn target_gone(&mut self, lifetime_hash: LifetimeHash, now: Instant) -> Vec<Crash> {
         self.end_lifetimes(|lifetime| lifetime.lifetime_hash == lifetime_hash, now)
     }
 
+    /// Records that the lifetimes which `has_ended` selects have ended; returns the crashes that
+    /// are new.
     fn end_lifetimes(&mut self, has_ended: impl Fn(&Lifetime) -> bool, now: Instant) -> Vec<Crash> {
         let is_old = |loss: &Loss| now.saturating_duration_since(loss.at) > LOSS_TTL;
         let (ended, others) = self.losses.drain(..).partition(|loss| has_ended(&loss.lifetime));
@@ -194,7 +200,8 @@
         (!left.is_zero()).then_some(left)
     }
 
-    /// Counts that this VM refused a request. Each refusal extends the time for which it is refused.
+    /// Counts that this VM refused a request. Each refusal extends the time for which it is
+    /// refused.
     pub fn note_refusal(&mut self, digest: &RequestDigest, now: Instant) {
         if let Some(record) = self.records.get_mut(digest) {
             record.refused += 1;
@@ -203,7 +210,8 @@
         }
     }
 
-    /// Restarts the time for which a request is refused, because its entry in the store was renewed.
+    /// Restarts the time for which a request is refused, because its entry in the store was
+    /// renewed.
     pub fn renew(&mut self, digest: &RequestDigest, now: Instant) {
         if let Some(record) = self.records.get_mut(digest) {
             record.last = now;
@@ -232,7 +240,8 @@
         refused
     }
 
-    /// Returns the number of requests with at least one crash that counts, refused or not. Most are bystanders.
+    /// Returns the number of requests with at least one crash that counts, refused or not. Most are
+    /// bystanders.
     pub fn suspect_count(&self) -> usize {
         let counts = |record: &&Record| record.crashes.counted().next().is_some();
         self.records.values().filter(counts).count()
@@ -248,10 +257,10 @@
 
     /// Removes records and ends that are older than the rules' duration.
     pub fn remove_expired(&mut self, now: Instant) {
-        let lasts = self.rules.duration;
-        self.ends.retain(|_, ends| now.saturating_duration_since(ends.last) < lasts);
+        let duration = self.rules.duration;
+        self.ends.retain(|_, ends| now.saturating_duration_since(ends.last) < duration);
         let before = self.records.len();
-        self.records.retain(|_, record| now.saturating_duration_since(record.last) < lasts);
+        self.records.retain(|_, record| now.saturating_duration_since(record.last) < duration);
         if self.records.len() < before {
             let known = &self.records;
             self.changes_dropped += self.changes.len() as u64;
@@ -282,9 +291,9 @@
         if !self.records.contains_key(&crash.digest) {
             self.evict_least_suspect();
         }
-        let new =
+        let new_record =
             || Record { crashes: Crashes::default(), last: now, refused: 0, unwritten: false };
-        let record = self.records.entry(crash.digest).or_insert_with(new);
+        let record = self.records.entry(crash.digest).or_insert_with(new_record);
         if !record.crashes.merge(crash.lifetime, crash.cleared) {
             return false;
         }
@@ -303,6 +312,8 @@
         true
     }
 
+    /// Makes room for one more record, if there is none, by removing the one with the fewest
+    /// crashes.
     fn evict_least_suspect(&mut self) {
         if self.records.len() < MAX_RECORDS {
             return;
--- a/components/quarantine/tests/request_digest.rs
+++ b/components/quarantine/tests/request_digest.rs
@@ -1,4 +1,4 @@
-//! Which attempts count as the same request, and the encodings of a digest.
+//! Which submissions count as the same request, and the encodings of a digest.
 
 use quarantine::{RequestDigest, RequestParts};
 
--- a/components/quarantine/tests/table.rs
+++ b/components/quarantine/tests/table.rs
@@ -1,5 +1,5 @@
-//! Which requests are refused, independent of the order in which VMs learn of crashes. Without network and with
-//! simulated time.
+//! Which requests are refused, whatever the order in which VMs learn of crashes. The tests use
+//! simulated time and no network.
 
 use std::time::{Duration, Instant};
 
@@ -61,11 +61,11 @@
 
 #[test]
 fn lost_connection_alone_is_not_a_crash() {
-    let (mut vm, cut, now) = (vm(), digest(0), Instant::now());
+    let (mut vm, request, now) = (vm(), digest(0), Instant::now());
 
-    (1..=5).for_each(|lifetime_hash| vm.connection_lost(cut, lifetime(lifetime_hash), now));
+    (1..=5).for_each(|lifetime_hash| vm.connection_lost(request, lifetime(lifetime_hash), now));
 
-    assert_eq!(vm.refused_for(&cut, now), None);
+    assert_eq!(vm.refused_for(&request, now), None);
     assert!(vm.changes_after(CrashCursor::default()).0.is_empty());
     let late = now + Duration::from_secs(7);
     assert!(
@@ -193,8 +193,8 @@
     prop::collection::vec((any::<u8>(), 0..5usize, 0..6usize, 0..4usize), 1..120)
 }
 
-/// Five VMs, linked in a ring, and four targets. Request 0 crashes whatever target runs it. The others fail if they
-/// are in progress at that target and complete otherwise.
+/// Five VMs, linked in a ring, and four targets. Request 0 crashes whatever target runs it. The
+/// others fail if they are in progress at that target and complete otherwise.
 struct Fleet {
     vms: Vec<Quarantine>,
     /// Number of restarts of each target.
@@ -297,7 +297,7 @@
 
         steps.into_iter().for_each(|step| fleet.step(step));
 
-        assert_eq!(fleet.late_sends, 0, "{} ended", fleet.crashes);
+        assert_eq!(fleet.late_sends, 0, "sends of request 0 after {} crashes", fleet.crashes);
     }
 
     #[test]
