--- a/components/selection/src/choice.rs
+++ b/components/selection/src/choice.rs
@@ -26,7 +26,8 @@
 /// Size of a call to an inference engine.
 #[derive(Debug, Clone, Default)]
 pub struct CallSize {
-    /// Prefixes of the prompt, shortest first, as [`prefix_chain`](crate::prefix_chain) returns them.
+    /// Prefixes of the prompt, shortest first, each with its hash and its length in tokens, as
+    /// [`prefix_chain`](crate::prefix_chain) returns them.
     pub chain: Vec<(u64, u64)>,
     /// Length of the prompt in tokens.
     pub prompt_tokens: u64,
--- a/components/selection/src/cost.rs
+++ b/components/selection/src/cost.rs
@@ -1,5 +1,5 @@
-//! Cost of a call at each candidate target, from load, hall and recent failures, and for inference engines from
-//! the tokens to process.
+//! Cost of a call at each candidate target, from load, hall and recent failures, and for inference
+//! engines from the tokens to process.
 //!
 //! The unit is one slot in use, or for engines one request in progress.
 
@@ -9,20 +9,20 @@
 use crate::targets::Targets;
 
 /// Cost of a call to another hall, as a fraction of a slot in use.
-const OTHER_HALL: f64 = 0.25;
-/// Prompt tokens that cost as much as one request in progress. Such a request slows each step of the engine by a
-/// few hundredths, which over an answer is the time to process so many tokens. With a lower value, nearly
-/// idle engines process fewer shared prefixes again, but a deployment of busy ones performs worse.
+const OTHER_HALL_COST: f64 = 0.25;
+/// Prompt tokens that cost as much as one request in progress. Such a request slows each step of
+/// the engine by a few hundredths, which over an answer is the time to process so many tokens. With
+/// 40, nearly idle engines process a tenth fewer shared prompt tokens again, but a deployment of
+/// busy ones scores 0.015 lower.
 const TOKENS_PER_REQUEST: f64 = 120.0;
-/// Weight of a token that the target still has to process for other calls, relative to one of this call. It costs
-/// waiting time, but no repeated work.
+/// Weight of a token that the target still has to process for other calls, relative to one of this
+/// call. It costs waiting time, but no repeated work.
 const QUEUED_WEIGHT: f64 = 0.3;
 /// Tokens that cost as much as fetching one megabyte of inputs from another hall.
 const TOKENS_PER_REMOTE_MB: f64 = 500.0;
-/// Fraction of a prompt's shared tokens that is assumed to be cached at its home, the target to which rendezvous
-/// hashing assigns it.
+/// Fraction of a prompt's shared tokens that is assumed to be cached at its home, the target to
+/// which rendezvous hashing assigns it.
 const HOME_CACHED: f64 = 1.0;
-/// Bytes in a megabyte.
 const BYTES_PER_MB: f64 = 1e6;
 /// Cost of a target that fails all its calls, in requests in progress.
 const FAILURE_COST: f64 = 200.0;
@@ -31,23 +31,24 @@
     /// Returns the target with the lowest cost.
     pub(crate) fn cheapest(
         &self,
-        among: &[TargetKey],
-        wanted: &SelectionRequest<'_>,
+        candidates: &[TargetKey],
+        request: &SelectionRequest<'_>,
         now: Instant,
     ) -> Option<TargetKey> {
-        let home = self.prompt_home(among, wanted);
-        let costs = among.iter().map(|key| (*key, self.cost(*key, home, wanted, now)));
+        let home = self.prompt_home(candidates, request);
+        let costs = candidates.iter().map(|key| (*key, self.cost(*key, home, request, now)));
         costs.min_by(|(_, a), (_, b)| a.total_cmp(b)).map(|(key, _)| key)
     }
 
-    /// Returns the home of a call's prompt. It is computed once for all candidates: a selection among 240 targets
-    /// takes 7 us, and 1,151 us if each candidate computes it (`saddlerail-load choice`).
+    /// Returns the home of a call's prompt. It is computed once for all candidates, so that a
+    /// selection among 240 targets takes 7 us; computed for each candidate, it takes 1,151 us
+    /// (`saddlerail-load choice`).
     pub(crate) fn prompt_home(
         &self,
-        among: &[TargetKey],
-        wanted: &SelectionRequest<'_>,
+        candidates: &[TargetKey],
+        request: &SelectionRequest<'_>,
     ) -> Option<TargetKey> {
-        self.home(among, wanted.size?)
+        self.home(candidates, request.size?)
     }
 
     /// Returns the cost of a call at the target `key`; `home` is the home of its prompt.
@@ -55,38 +56,47 @@
         &self,
         key: TargetKey,
         home: Option<TargetKey>,
-        wanted: &SelectionRequest<'_>,
+        request: &SelectionRequest<'_>,
         now: Instant,
     ) -> f64 {
-        let known = &self.arena[key];
-        let calls = known.total_calls(now);
-        let failure_cost = known.failure_rate * FAILURE_COST;
-        match wanted.size {
+        let state = &self.arena[key];
+        let calls = state.total_calls(now);
+        let failure_cost = state.failure_rate * FAILURE_COST;
+        match request.size {
             None => {
-                let remote = if known.target.hall == self.own_hall { 0.0 } else { OTHER_HALL };
-                let utilization = (calls + 1.0) / f64::from(known.target.slots);
-                // Below one call per slot nothing waits, so the load outweighs the hall only above that.
-                utilization.max(remote) + remote + known.failure_rate
+                let remote = if state.target.hall == self.own_hall { 0.0 } else { OTHER_HALL_COST };
+                let utilization = (calls + 1.0) / f64::from(state.target.slots);
+                // Nothing waits below one call per slot, so the hall outweighs the load at low
+                // utilization.
+                utilization.max(remote) + remote + state.failure_rate
             }
             Some(size) => {
                 let cached_fraction = if home == Some(key) { HOME_CACHED } else { 0.0 };
                 let shared = shared_tokens(size) as f64 * cached_fraction;
-                let unread = (known.uncached_tokens(size) as f64 - shared).max(0.0);
-                let remote: u64 =
-                    size.inputs.iter().filter(|(h, _)| *h != known.target.hall).map(|i| i.1).sum();
+                let unread = (state.uncached_tokens(size) as f64 - shared).max(0.0);
+                let remote: u64 = size
+                    .inputs
+                    .iter()
+                    .filter(|(hall, _)| *hall != state.target.hall)
+                    .map(|input| input.1)
+                    .sum();
                 let tokens = unread
-                    + known.total_unread(now) as f64 * QUEUED_WEIGHT
+                    + state.total_unread(now) as f64 * QUEUED_WEIGHT
                     + remote as f64 / BYTES_PER_MB * TOKENS_PER_REMOTE_MB;
                 tokens / TOKENS_PER_REQUEST + calls + failure_cost
             }
         }
     }
 
-    /// Returns the target to which rendezvous hashing assigns the shared prefix of the prompt; `None` if it has none.
-    pub(crate) fn home(&self, among: &[TargetKey], size: &CallSize) -> Option<TargetKey> {
-        let shared = size.chain.len().checked_sub(2)?;
-        let (start, _) = size.chain[shared];
-        among.iter().copied().max_by_key(|key| hashing::combine(start, self.arena[*key].id_hash))
+    /// Returns the target to which rendezvous hashing assigns the shared prefix of the prompt;
+    /// `None` if it has none.
+    pub(crate) fn home(&self, candidates: &[TargetKey], size: &CallSize) -> Option<TargetKey> {
+        let last_shared = size.chain.len().checked_sub(2)?;
+        let (prefix_hash, _) = size.chain[last_shared];
+        candidates
+            .iter()
+            .copied()
+            .max_by_key(|key| hashing::combine(prefix_hash, self.arena[*key].id_hash))
     }
 }
 
--- a/components/selection/src/prefix_cache.rs
+++ b/components/selection/src/prefix_cache.rs
@@ -1,13 +1,15 @@
-//! Estimate of the prompt prefixes that an engine has in its cache, from the prompts that this VM sent to it.
+//! Estimate of the prompt prefixes that an engine has in its cache, from the prompts that this VM
+//! sent to it.
 
 use std::collections::HashMap;
 use std::time::Instant;
 
-/// The prefixes of a prompt, shortest first: for each, the hash of its parts and its length in tokens.
+/// The prefixes of a prompt, shortest first: for each, the hash of its parts and its length in
+/// tokens.
 pub type Chain = Vec<(u64, u64)>;
 
-/// Returns the prefixes of a prompt for `model`, shortest first. `parts` gives the id and the number of tokens
-/// of each part of the prompt.
+/// Returns the prefixes of a prompt for `model`, shortest first. `parts` gives the id and the
+/// number of tokens of each part of the prompt.
 pub fn prefix_chain(model: &str, parts: impl Iterator<Item = (u64, u32)>) -> Chain {
     let mut hash = hashing::hash_text(model);
     let mut tokens = 0;
@@ -23,8 +25,10 @@
 /// Prompt prefixes that were sent to one target. The least recently used ones are evicted first.
 #[derive(Debug, Default)]
 pub(crate) struct PrefixCache {
-    /// By hash of the prefix: when it was last used, and the tokens that it adds to the next shorter one.
+    /// By hash of the prefix: when it was last used, and the tokens that it adds to the next
+    /// shorter one.
     cached: HashMap<u64, (Instant, u64)>,
+    /// Sum of these tokens over all cached prefixes.
     tokens: u64,
 }
 
@@ -35,8 +39,8 @@
         known.last().map_or(0, |(_, tokens)| *tokens)
     }
 
-    /// Records that the prompt was sent to a target whose cache holds `memory` tokens.
-    pub(crate) fn record(&mut self, chain: &[(u64, u64)], memory: u64, now: Instant) {
+    /// Records that the prompt was sent to a target whose cache holds `capacity_tokens` tokens.
+    pub(crate) fn record(&mut self, chain: &[(u64, u64)], capacity_tokens: u64, now: Instant) {
         let mut before = 0;
         for (hash, tokens) in chain {
             let own = tokens - before;
@@ -45,9 +49,11 @@
                 self.tokens += own;
             }
         }
-        while self.tokens > memory {
+        while self.tokens > capacity_tokens {
             let oldest = self.cached.iter().min_by_key(|(_, (at, _))| *at).map(|(hash, _)| *hash);
-            let Some((_, own)) = oldest.and_then(|hash| self.cached.remove(&hash)) else { return };
+            let Some((_, own)) = oldest.and_then(|hash| self.cached.remove(&hash)) else {
+                return;
+            };
             self.tokens -= own;
         }
     }
--- a/components/selection/src/retry_budget.rs
+++ b/components/selection/src/retry_budget.rs
@@ -14,14 +14,16 @@
     pub window: Duration,
 }
 
-/// Fraction of the fleet's budget that the VMs use. The rest covers what they can't know of each other, such as a
-/// VM that restarted and lost its counts or one that just joined.
+/// Fraction of the fleet's budget that the VMs use. The rest covers what they can't know of each
+/// other, such as a VM that restarted and lost its counts or one that just joined.
 const USED_FRACTION: f64 = 0.5;
 
 /// This VM's part of the fleet's retry budget for one service.
 #[derive(Debug, Default)]
 pub struct FleetRetryBudget {
+    /// Times of the requests from callers within the window.
     requests: VecDeque<Instant>,
+    /// Times of the retries within the window.
     retries: VecDeque<Instant>,
 }
 
@@ -31,22 +33,23 @@
         self.requests.push_back(now);
     }
 
-    /// Takes one retry from the budget and returns true, or returns false if none is left. The fleet's slack is
-    /// divided equally among `vms` VMs.
+    /// Takes one retry from the budget and returns true, or returns false if none is left. The
+    /// fleet's slack is divided equally among `vms` VMs.
     pub fn try_take(&mut self, rules: &FleetRetryRules, vms: usize, now: Instant) -> bool {
-        forget(&mut self.requests, rules.window, now);
-        forget(&mut self.retries, rules.window, now);
+        remove_expired(&mut self.requests, rules.window, now);
+        remove_expired(&mut self.retries, rules.window, now);
         let shared = rules.slack / vms.max(1) as f64;
         let allowed = USED_FRACTION * (rules.ratio * self.requests.len() as f64 + shared);
-        let left = (self.retries.len() as f64) + 1.0 <= allowed;
-        if left {
+        let is_left = (self.retries.len() as f64) + 1.0 <= allowed;
+        if is_left {
             self.retries.push_back(now);
         }
-        left
+        is_left
     }
 }
 
-fn forget(times: &mut VecDeque<Instant>, window: Duration, now: Instant) {
+/// Removes the times that are older than the window; `times` are in ascending order.
+fn remove_expired(times: &mut VecDeque<Instant>, window: Duration, now: Instant) {
     while times.front().is_some_and(|at| now.saturating_duration_since(*at) > window) {
         times.pop_front();
     }
--- a/components/selection/src/target_state.rs
+++ b/components/selection/src/target_state.rs
@@ -1,7 +1,8 @@
-//! What this VM knows of one target: its load, its recent failures, the prompt prefixes that it has probably
-//! cached, and whether it is cold.
+//! What this VM knows of one target: its load, its recent failures, the prompt prefixes that it has
+//! probably cached, and whether it is cold.
 //!
-//! The load comes from three sources: calls of this VM, reports of peers, and reports of the target itself.
+//! The load comes from three sources: calls of this VM, reports of peers, and reports of the target
+//! itself.
 
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
@@ -14,7 +15,8 @@
 
 /// Time for which a target's own load report is used.
 const TARGET_LOAD_TTL: Duration = Duration::from_millis(1500);
-/// Time for which a peer's load report is used. Peers send one with each heartbeat; an older one is ignored.
+/// Time for which a peer's load report is used. Peers send one with each heartbeat; an older one is
+/// ignored.
 const PEER_LOAD_TTL: Duration = Duration::from_millis(1500);
 /// Time for which a target is ejected at first; it doubles with each further consecutive failure.
 const INITIAL_EJECTION: Duration = Duration::from_millis(500);
@@ -54,6 +56,7 @@
     pub(crate) unread: u64,
     /// Latest load report of each peer, by the peer's number.
     peers: HashMap<u64, PeerLoad>,
+    /// Latest load report of the target itself.
     load: Option<TargetLoad>,
     /// Consecutive failures.
     failures: u32,
@@ -82,17 +85,17 @@
     }
 
     /// Records the end of a call from this VM.
-    pub(crate) fn record_outcome(&mut self, end: TargetOutcome, now: Instant) {
+    pub(crate) fn record_outcome(&mut self, outcome: TargetOutcome, now: Instant) {
         self.calls = self.calls.saturating_sub(1);
         let failed = matches!(
-            end,
+            outcome,
             TargetOutcome::OwnFailure | TargetOutcome::Failed | TargetOutcome::Unreachable
         );
-        if end != TargetOutcome::Abandoned {
+        if outcome != TargetOutcome::Abandoned {
             self.failure_rate +=
                 FAILURE_RATE_WEIGHT * (f64::from(u8::from(failed)) - self.failure_rate);
         }
-        match end {
+        match outcome {
             TargetOutcome::Answered => self.recover(),
             TargetOutcome::Unreachable => self.record_failure(1, now),
             TargetOutcome::Failed => self.record_failure(FAILURES_TO_EJECT, now),
@@ -126,6 +129,7 @@
         self.ejected_until = None;
     }
 
+    /// Counts a failure; ejects the target from the `to_eject`th consecutive one on.
     fn record_failure(&mut self, to_eject: u32, now: Instant) {
         self.failures += 1;
         if let Some(beyond) = self.failures.checked_sub(to_eject) {
@@ -134,8 +138,8 @@
         }
     }
 
-    /// Returns the calls in progress from all VMs. The count of this VM is exact. Those of others arrive late, from
-    /// the peers and from the target; the higher sum is used.
+    /// Returns the calls in progress from all VMs: the exact count of this VM plus those that peers
+    /// reported, or the target's own report if that is higher. Both kinds of report arrive late.
     pub(crate) fn total_calls(&self, now: Instant) -> f64 {
         let peers: u32 = self.fresh_peers(now).map(|peer| peer.calls).sum();
         let reported = self
--- a/components/selection/src/targets.rs
+++ b/components/selection/src/targets.rs
@@ -41,8 +41,8 @@
         }
     }
 
-    /// Adds a target or updates its description. If it is a later lifetime under the same id, the state of the
-    /// earlier one is dropped.
+    /// Adds a target or updates its description. If it is a later lifetime under the same id, the
+    /// state of the earlier one is dropped.
     pub fn upsert(&mut self, target: Target, now: Instant) {
         if self.get(&target.id).is_some_and(|known| target.is_other_lifetime_than(known)) {
             self.remove(&target.id);
@@ -65,37 +65,37 @@
     /// Removes a target and returns its description.
     pub fn remove(&mut self, id: &TargetName) -> Option<Target> {
         let key = self.by_id.remove(id)?;
-        let known = self.arena.remove(key)?;
-        if let Some(keys) = self.by_service.get_mut(&known.target.service) {
+        let state = self.arena.remove(key)?;
+        if let Some(keys) = self.by_service.get_mut(&state.target.service) {
             keys.retain(|other| *other != key);
         }
         // Another target may have taken over its address.
-        if self.by_address.get(&known.target.address) == Some(&key) {
-            self.by_address.remove(&known.target.address);
+        if self.by_address.get(&state.target.address) == Some(&key) {
+            self.by_address.remove(&state.target.address);
         }
-        Some(known.target)
+        Some(state.target)
     }
 
     /// Returns the targets of a service.
     pub fn of_service(&self, service: &ServiceName) -> impl Iterator<Item = &Target> {
         let keys = self.by_service.get(service).map(Vec::as_slice).unwrap_or_default();
-        keys.iter().filter_map(|key| self.arena.get(*key)).map(|known| &known.target)
+        keys.iter().filter_map(|key| self.arena.get(*key)).map(|state| &state.target)
     }
 
     /// Returns the service of a target.
     pub fn service_of(&self, id: &TargetName) -> Option<&ServiceName> {
-        self.arena.get(*self.by_id.get(id)?).map(|known| &known.target.service)
+        self.arena.get(*self.by_id.get(id)?).map(|state| &state.target.service)
     }
 
     /// Returns a target by its id.
     pub fn get(&self, id: &TargetName) -> Option<&Target> {
-        self.arena.get(*self.by_id.get(id)?).map(|known| &known.target)
+        self.arena.get(*self.by_id.get(id)?).map(|state| &state.target)
     }
 
     /// Returns the target that listens at an address.
     pub fn at_address(&self, address: SocketAddr) -> Option<&Target> {
         let key = self.by_address.get(&address)?;
-        self.arena.get(*key).map(|known| &known.target)
+        self.arena.get(*key).map(|state| &state.target)
     }
 
     /// Returns the hall of the target that listens at an address.
@@ -103,8 +103,8 @@
         self.at_address(address).map(|target| &target.hall)
     }
 
-    /// Returns the hall of the target to which rendezvous hashing assigns the prompt's shared prefix, among the
-    /// targets that may be sent requests now.
+    /// Returns the hall of the target to which rendezvous hashing assigns the prompt's shared
+    /// prefix, among the targets that may be sent requests now.
     pub fn home_hall(
         &self,
         service: &ServiceName,
@@ -113,8 +113,8 @@
     ) -> Option<HallName> {
         let keys = self.by_service.get(service)?;
         let open = |key: &TargetKey| self.is_open(&self.arena[*key], now);
-        let among: Vec<TargetKey> = keys.iter().copied().filter(open).collect();
-        Some(self.arena[self.home(&among, size)?].target.hall.clone())
+        let candidates: Vec<TargetKey> = keys.iter().copied().filter(open).collect();
+        Some(self.arena[self.home(&candidates, size)?].target.hall.clone())
     }
 
     /// Sets the state of the halls.
@@ -122,23 +122,24 @@
         self.halls = halls;
     }
 
-    /// Treats all targets of a hall as cold, since they may have become cold without having reported it yet.
-    /// `cold_time` gives for how long targets of a service are cold.
+    /// Treats all targets of a hall as cold, since they may have become cold without having
+    /// reported it yet. `cold_time` gives for how long targets of a service are cold.
     pub fn assume_cold(
         &mut self,
         hall: &HallName,
         cold_time: impl Fn(&ServiceName) -> Option<Duration>,
         now: Instant,
     ) {
-        for known in self.arena.values_mut().filter(|known| known.target.hall == *hall) {
-            if let Some(time) = cold_time(&known.target.service) {
-                known.cold_state.assume_cold(time, now);
+        for state in self.arena.values_mut().filter(|state| state.target.hall == *hall) {
+            if let Some(time) = cold_time(&state.target.service) {
+                state.cold_state.assume_cold(time, now);
             }
         }
     }
 
-    /// Recomputes how many requests per second this VM may send to each cold target. `share` computes it from the
-    /// target and the number of targets of its service. Returns the number of cold targets.
+    /// Recomputes how many requests per second this VM may send to each cold target. `share`
+    /// computes it from the target and the number of targets of its service. Returns the number of
+    /// cold targets.
     pub fn update_cold_shares(
         &mut self,
         share: impl Fn(&Target, usize) -> u32,
@@ -147,8 +148,8 @@
         let by_service = &self.by_service;
         let share =
             |target: &Target| share(target, by_service.get(&target.service).map_or(0, Vec::len));
-        let cold = self.arena.values_mut().filter(|known| known.cold_state.is_cold(now));
-        cold.map(|known| known.cold_state.set_share(share(&known.target))).count()
+        let cold = self.arena.values_mut().filter(|state| state.cold_state.is_cold(now));
+        cold.map(|state| state.cold_state.set_share(share(&state.target))).count()
     }
 
     /// Returns the number of targets of a service.
@@ -156,8 +157,8 @@
         self.by_service.get(service).map_or(0, Vec::len)
     }
 
-    /// Whether a service has targets but none of them accepts requests: all are leaving or in halls that operators
-    /// took out of service.
+    /// Whether a service has targets but none of them accepts requests: all are leaving or in halls
+    /// that operators took out of service.
     pub fn is_closed(&self, service: &ServiceName, now: Instant) -> bool {
         self.count_of(service) > 0 && self.opens_at(service, now).is_none()
     }
@@ -171,18 +172,18 @@
             .collect()
     }
 
-    /// Returns the earliest time at which some target of a service may be sent requests: now, or when the first
-    /// backoff or rate limit ends. `None` if no such time is known.
+    /// Returns the earliest time at which some target of a service may be sent requests: now, or
+    /// when the first backoff or rate limit ends. `None` if no such time is known.
     pub fn opens_at(&self, service: &ServiceName, now: Instant) -> Option<Instant> {
         let targets = self.of_service(service);
         targets.filter_map(|target| self.halls.opens_at(target, now)).min()
     }
 
-    /// Updates the state that a target announced in its answers: departure, backoff and rate limit. Returns false
-    /// if the target is unknown.
+    /// Updates the state that a target announced in its answers: departure, backoff and rate limit.
+    /// Returns false if the target is unknown.
     pub fn update_announced(&mut self, announced: &Target) -> bool {
-        let known = self.by_id.get(&announced.id).and_then(|key| self.arena.get_mut(*key));
-        let Some(TargetState { target, .. }) = known else { return false };
+        let state = self.by_id.get(&announced.id).and_then(|key| self.arena.get_mut(*key));
+        let Some(TargetState { target, .. }) = state else { return false };
         target.leaving |= announced.leaving;
         target.backoff_until = announced.backoff_until.max(target.backoff_until);
         target.rate_limited_until = announced.rate_limited_until;
@@ -190,18 +191,19 @@
         true
     }
 
-    /// Returns the addresses of at most `most` targets of a hall, starting at another one with each call.
-    pub fn sample_of_hall(&mut self, hall: &HallName, most: usize) -> Vec<SocketAddr> {
-        let of_hall = self.arena.values().filter(|known| known.target.hall == *hall);
-        let all: Vec<SocketAddr> = of_hall.map(|known| known.target.address).collect();
+    /// Returns the addresses of at most `max_count` targets of a hall, starting at another one with
+    /// each call.
+    pub fn sample_of_hall(&mut self, hall: &HallName, max_count: usize) -> Vec<SocketAddr> {
+        let of_hall = self.arena.values().filter(|state| state.target.hall == *hall);
+        let all: Vec<SocketAddr> = of_hall.map(|state| state.target.address).collect();
         self.turn = self.turn.wrapping_add(1);
         let first = self.turn % all.len().max(1);
-        all.iter().cycle().skip(first).take(most.min(all.len())).copied().collect()
+        all.iter().cycle().skip(first).take(max_count.min(all.len())).copied().collect()
     }
 
     /// Returns the targets of a hall.
     pub fn of_hall(&self, hall: &HallName) -> impl Iterator<Item = &Target> {
-        let targets = self.arena.values().map(|known| &known.target);
+        let targets = self.arena.values().map(|state| &state.target);
         targets.filter(move |target| target.hall == *hall)
     }
 
@@ -217,96 +219,97 @@
 
     /// Selects a target and counts the call there. The caller must report the end of the call with
     /// [`Targets::record_outcome`].
-    pub fn pick(&mut self, wanted: &SelectionRequest<'_>, now: Instant) -> Option<Pick> {
-        let keys = self.by_service.get(wanted.service)?;
-        let untried = keys.iter().copied().filter(|key| !wanted.exclude.contains(key));
+    pub fn pick(&mut self, request: &SelectionRequest<'_>, now: Instant) -> Option<Pick> {
+        let keys = self.by_service.get(request.service)?;
+        let untried = keys.iter().copied().filter(|key| !request.exclude.contains(key));
         let allowed: Vec<TargetKey> =
             untried.filter(|key| self.is_allowed(&self.arena[*key], now)).collect();
         let open = |key: &TargetKey| self.is_open(&self.arena[*key], now);
-        let mut among: Vec<TargetKey> = allowed.iter().copied().filter(open).collect();
-        if among.is_empty() {
-            among = allowed;
+        let mut candidates: Vec<TargetKey> = allowed.iter().copied().filter(open).collect();
+        if candidates.is_empty() {
+            candidates = allowed;
         }
         let chosen = match self.policy {
-            Policy::Adaptive => self.cheapest(&among, wanted, now),
-            Policy::RoundRobin => among.get(self.turn % among.len().max(1)).copied(),
+            Policy::Adaptive => self.cheapest(&candidates, request, now),
+            Policy::RoundRobin => candidates.get(self.turn % candidates.len().max(1)).copied(),
             Policy::FirstInOrder => {
-                among.iter().copied().min_by_key(|key| self.arena[*key].target.id.clone())
+                candidates.iter().copied().min_by_key(|key| self.arena[*key].target.id.clone())
             }
         }?;
         self.turn = self.turn.wrapping_add(1);
-        let home = self.prompt_home(&among, wanted);
-        let cost = self.cost(chosen, home, wanted, now);
-        let known = &mut self.arena[chosen];
-        let unread = wanted.size.map_or(0, |size| known.uncached_tokens(size));
-        known.calls += 1;
-        known.cold_state.record_request(now);
-        known.unread += unread;
-        if let Some(size) = wanted.size {
-            known.prefix_cache.record(&size.chain, size.memory_tokens, now);
+        let home = self.prompt_home(&candidates, request);
+        let cost = self.cost(chosen, home, request, now);
+        let state = &mut self.arena[chosen];
+        let unread = request.size.map_or(0, |size| state.uncached_tokens(size));
+        state.calls += 1;
+        state.cold_state.record_request(now);
+        state.unread += unread;
+        if let Some(size) = request.size {
+            state.prefix_cache.record(&size.chain, size.memory_tokens, now);
         }
         Some(Pick {
             key: chosen,
-            target: known.target.clone(),
+            target: state.target.clone(),
             unread_tokens: unread,
             cost,
-            candidates: among.len(),
-            load_age: known.load_age(now),
+            candidates: candidates.len(),
+            load_age: state.load_age(now),
         })
     }
 
     /// Records that the target has processed the prompt of a call.
     pub fn record_prompt_read(&mut self, key: TargetKey, unread: u64) {
-        if let Some(known) = self.arena.get_mut(key) {
-            known.unread = known.unread.saturating_sub(unread);
+        if let Some(state) = self.arena.get_mut(key) {
+            state.unread = state.unread.saturating_sub(unread);
         }
     }
 
     /// Records the end of a call.
-    pub fn record_outcome(&mut self, key: TargetKey, end: TargetOutcome, now: Instant) {
-        if let Some(known) = self.arena.get_mut(key) {
-            known.record_outcome(end, now);
+    pub fn record_outcome(&mut self, key: TargetKey, outcome: TargetOutcome, now: Instant) {
+        if let Some(state) = self.arena.get_mut(key) {
+            state.record_outcome(outcome, now);
         }
     }
 
     /// Records that a call was given up because the target did not answer.
     pub fn record_timeout(&mut self, key: TargetKey, now: Instant) {
-        if let Some(known) = self.arena.get_mut(key) {
-            known.record_timeout(now);
+        if let Some(state) = self.arena.get_mut(key) {
+            state.record_timeout(now);
         }
     }
 
     /// Records a load report of a target.
     pub fn record_target_load(&mut self, key: TargetKey, running: u32, waiting: u32, now: Instant) {
-        if let Some(known) = self.arena.get_mut(key) {
-            known.record_target_load(running, waiting, now);
+        if let Some(state) = self.arena.get_mut(key) {
+            state.record_target_load(running, waiting, now);
         }
     }
 
-    /// Records the calls that a peer has in progress: by target, their number and unprocessed prompt tokens.
+    /// Records the calls that a peer has in progress: by target, their number and unprocessed
+    /// prompt tokens.
     pub fn record_peer_load(&mut self, peer: u64, loads: &[(TargetName, u32, u64)], now: Instant) {
         for (id, calls, unread) in loads {
-            if let Some(known) = self.by_id.get(id).and_then(|key| self.arena.get_mut(*key)) {
-                known.record_peer_load(peer, *calls, *unread, now);
+            if let Some(state) = self.by_id.get(id).and_then(|key| self.arena.get_mut(*key)) {
+                state.record_peer_load(peer, *calls, *unread, now);
             }
         }
     }
 
     /// Returns this VM's calls in progress: by target, their number and unprocessed prompt tokens.
     pub fn own_load(&self) -> impl Iterator<Item = (&TargetName, u32, u64)> {
-        let busy = self.arena.values().filter(|known| known.calls > 0);
-        busy.map(|known| (&known.target.id, known.calls, known.unread))
+        let busy = self.arena.values().filter(|state| state.calls > 0);
+        busy.map(|state| (&state.target.id, state.calls, state.unread))
     }
 
     /// Whether a target may be sent a request if no better one is left.
-    fn is_allowed(&self, known: &TargetState, now: Instant) -> bool {
-        self.halls.eligibility(&known.target, now).is_allowed() && known.cold_state.may_send(now)
+    fn is_allowed(&self, state: &TargetState, now: Instant) -> bool {
+        self.halls.eligibility(&state.target, now).is_allowed() && state.cold_state.may_send(now)
     }
 
     /// Whether a target may be sent a request without restriction.
-    fn is_open(&self, known: &TargetState, now: Instant) -> bool {
-        self.halls.eligibility(&known.target, now) == Eligibility::Open
-            && known.cold_state.may_send(now)
-            && !known.is_ejected(now)
+    fn is_open(&self, state: &TargetState, now: Instant) -> bool {
+        self.halls.eligibility(&state.target, now) == Eligibility::Open
+            && state.cold_state.may_send(now)
+            && !state.is_ejected(now)
     }
 }
--- a/components/selection/tests/choice.rs
+++ b/components/selection/tests/choice.rs
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn own_hall_is_preferred_until_its_slots_are_full() {
+fn own_hall_is_preferred_at_low_load() {
     let now = Instant::now();
     let mut targets = targets(&[("near", "a"), ("far", "b")]);
 
@@ -134,8 +134,8 @@
             inputs: Vec::new(),
             memory_tokens: 100_000,
         };
-        let wanted = SelectionRequest { service: &service(), exclude: &[], size: Some(&size) };
-        homes.push(name(&targets.pick(&wanted, now).unwrap()).to_owned());
+        let request = SelectionRequest { service: &service(), exclude: &[], size: Some(&size) };
+        homes.push(name(&targets.pick(&request, now).unwrap()).to_owned());
     }
 
     homes.dedup();
@@ -154,8 +154,8 @@
     };
     let mut unread = |id: u64, at: Instant| {
         let size = size(id);
-        let wanted = SelectionRequest { service: &service(), exclude: &[], size: Some(&size) };
-        targets.pick(&wanted, at).unwrap().unread_tokens
+        let request = SelectionRequest { service: &service(), exclude: &[], size: Some(&size) };
+        targets.pick(&request, at).unwrap().unread_tokens
     };
 
     assert_eq!(unread(1, now), 60);
@@ -167,31 +167,31 @@
 #[test]
 fn fleet_stays_within_the_retry_budget_in_every_window() {
     let rules = FleetRetryRules { ratio: 0.2, slack: 54.0, window: Duration::from_secs(10) };
-    let begin = Instant::now();
+    let start = Instant::now();
     let vms = 6;
     let mut budgets: Vec<FleetRetryBudget> =
         (0..vms).map(|_| FleetRetryBudget::default()).collect();
-    let mut repeats: Vec<Duration> = Vec::new();
+    let mut retries: Vec<Duration> = Vec::new();
     let mut requests: Vec<Duration> = Vec::new();
     for step in 0..3000 {
         let at = Duration::from_millis(step * 10);
         let budget = &mut budgets[step as usize % vms];
-        budget.record_request(begin + at);
+        budget.record_request(start + at);
         requests.push(at);
         // Every call fails, and each VM retries as often as its budget allows.
-        while budget.try_take(&rules, vms, begin + at) {
-            repeats.push(at);
+        while budget.try_take(&rules, vms, start + at) {
+            retries.push(at);
         }
     }
 
-    for end in repeats.iter().copied() {
+    for end in retries.iter().copied() {
         let in_window = |times: &[Duration]| {
             times.iter().filter(|at| **at <= end && end - **at < rules.window).count() as f64
         };
         let allowed = rules.ratio * in_window(&requests) + rules.slack;
-        assert!(in_window(&repeats) <= allowed, "at {end:?}");
+        assert!(in_window(&retries) <= allowed, "at {end:?}");
     }
-    assert!(!repeats.is_empty());
+    assert!(!retries.is_empty());
 }
 
 #[test]
@@ -333,20 +333,20 @@
     let until = now + Duration::from_secs(1);
     let mut targets = targets(&[("near", "a"), ("far", "b")]);
     let id = |name: &str| TargetName::new(name).unwrap();
-    let wanted = SelectionRequest { service: &service(), exclude: &[], size: None };
+    let request = SelectionRequest { service: &service(), exclude: &[], size: None };
 
     assert!(targets.update_announced(&announcing("near", true, None)));
-    let other = targets.pick(&wanted, now).unwrap();
+    let other = targets.pick(&request, now).unwrap();
     targets.update_announced(&announcing("far", false, Some(until)));
     // An answer without a backoff does not cancel one that was announced before.
     targets.update_announced(&announcing("far", false, None));
-    let none = targets.pick(&wanted, now);
+    let none = targets.pick(&request, now);
 
     assert_eq!(other.target.id, id("far"));
     assert!(none.is_none());
     assert_eq!(targets.opens_at(&service(), now), Some(until));
     assert!(!targets.is_closed(&service(), now));
-    assert_eq!(targets.pick(&wanted, until).unwrap().target.id, id("far"));
+    assert_eq!(targets.pick(&request, until).unwrap().target.id, id("far"));
     targets.update_announced(&announcing("far", true, None));
     assert!(targets.is_closed(&service(), until));
     assert!(!targets.update_announced(&announcing("unknown", true, None)));
