--- a/components/quarantine/src/table.rs
+++ b/components/quarantine/src/table.rs
@@ -58,6 +58,7 @@
 #[derive(Debug, Clone, Copy)]
 struct Ends {
     count: u32,
+    /// When the last of them became known.
     last: Instant,
 }
 
@@ -83,7 +84,10 @@
 pub struct Quarantine {
     rules: Rules,
     records: HashMap<RequestDigest, Record>,
+    /// Lost connections to targets that are not known to have ended, the earliest first.
     losses: VecDeque<Loss>,
+    /// Known ends of targets, from which [`Quarantine::current_lifetime`] tells a later lifetime
+    /// apart.
     ends: HashMap<LifetimeHash, Ends>,
     completions: RecentCompletions,
     /// Crashes in the order in which they became known.
--- a/components/quarantine/tests/table.rs
+++ b/components/quarantine/tests/table.rs
@@ -199,6 +199,7 @@
     vms: Vec<Quarantine>,
     /// Number of restarts of each target.
     restarts: [u64; 4],
+    /// VM, request and target of each request in progress.
     in_progress: Vec<(usize, RequestDigest, usize)>,
     now: Instant,
     crashes: usize,
@@ -229,7 +230,7 @@
     fn step(&mut self, (kind, vm, request, target): Step) {
         match kind % 4 {
             0 | 1 => self.send(vm, request, target),
-            2 => self.finish(target),
+            2 => self.complete_requests(target),
             _ => self.heartbeat(),
         }
     }
@@ -245,11 +246,13 @@
             // A change travels half round the ring and needs one heartbeat per link.
             let is_known = self.third_crash.is_some_and(|at| self.now > at + PROPAGATION * 3);
             self.late_sends += usize::from(is_known);
-            self.end(target);
+            self.crash_target(target);
         }
     }
 
-    fn end(&mut self, target: usize) {
+    /// Crashes a target: the connections of all requests in progress there are lost, and their VMs
+    /// learn of its end.
+    fn crash_target(&mut self, target: usize) {
         let lifetime = self.lifetime(target);
         let (ended, others) = self.in_progress.drain(..).partition(|(_, _, at)| *at == target);
         self.in_progress = others;
@@ -267,8 +270,8 @@
         }
     }
 
-    /// All requests in progress at a target complete.
-    fn finish(&mut self, target: usize) {
+    /// Completes all requests in progress at a target.
+    fn complete_requests(&mut self, target: usize) {
         let (done, others) = self.in_progress.drain(..).partition(|(_, _, at)| *at == target);
         self.in_progress = others;
         let done: Vec<(usize, RequestDigest, usize)> = done;
--- a/components/selection/src/prefix_cache.rs
+++ b/components/selection/src/prefix_cache.rs
@@ -51,9 +51,7 @@
         }
         while self.tokens > capacity_tokens {
             let oldest = self.cached.iter().min_by_key(|(_, (at, _))| *at).map(|(hash, _)| *hash);
-            let Some((_, own)) = oldest.and_then(|hash| self.cached.remove(&hash)) else {
-                return;
-            };
+            let Some((_, own)) = oldest.and_then(|hash| self.cached.remove(&hash)) else { return };
             self.tokens -= own;
         }
     }
