--- a/components/quarantine/tests/table.rs
+++ b/components/quarantine/tests/table.rs
@@ -1,5 +1,5 @@
-//! Which requests are refused, independent of the order in which VMs learn of crashes. Without network and with
-//! simulated time.
+//! Which requests are refused, whatever the order in which VMs learn of crashes. The tests use
+//! simulated time and no network.
 
 use std::time::{Duration, Instant};
 
@@ -61,11 +61,11 @@
 
 #[test]
 fn lost_connection_alone_is_not_a_crash() {
-    let (mut vm, cut, now) = (vm(), digest(0), Instant::now());
+    let (mut vm, request, now) = (vm(), digest(0), Instant::now());
 
-    (1..=5).for_each(|lifetime_hash| vm.connection_lost(cut, lifetime(lifetime_hash), now));
+    (1..=5).for_each(|lifetime_hash| vm.connection_lost(request, lifetime(lifetime_hash), now));
 
-    assert_eq!(vm.refused_for(&cut, now), None);
+    assert_eq!(vm.refused_for(&request, now), None);
     assert!(vm.changes_after(CrashCursor::default()).0.is_empty());
     let late = now + Duration::from_secs(7);
     assert!(
@@ -193,12 +193,13 @@
     prop::collection::vec((any::<u8>(), 0..5usize, 0..6usize, 0..4usize), 1..120)
 }
 
-/// Five VMs, linked in a ring, and four targets. Request 0 crashes whatever target runs it. The others fail if they
-/// are in progress at that target and complete otherwise.
+/// Five VMs, linked in a ring, and four targets. Request 0 crashes whatever target runs it. The
+/// others fail if they are in progress at that target and complete otherwise.
 struct Fleet {
     vms: Vec<Quarantine>,
     /// Number of restarts of each target.
     restarts: [u64; 4],
+    /// VM, request and target of each request in progress.
     in_progress: Vec<(usize, RequestDigest, usize)>,
     now: Instant,
     crashes: usize,
@@ -229,7 +230,7 @@
     fn step(&mut self, (kind, vm, request, target): Step) {
         match kind % 4 {
             0 | 1 => self.send(vm, request, target),
-            2 => self.finish(target),
+            2 => self.complete_requests(target),
             _ => self.heartbeat(),
         }
     }
@@ -245,11 +246,13 @@
             // A change travels half round the ring and needs one heartbeat per link.
             let is_known = self.third_crash.is_some_and(|at| self.now > at + PROPAGATION * 3);
             self.late_sends += usize::from(is_known);
-            self.end(target);
+            self.crash_target(target);
         }
     }
 
-    fn end(&mut self, target: usize) {
+    /// Crashes a target: the connections of all requests in progress there are lost, and their VMs
+    /// learn of its end.
+    fn crash_target(&mut self, target: usize) {
         let lifetime = self.lifetime(target);
         let (ended, others) = self.in_progress.drain(..).partition(|(_, _, at)| *at == target);
         self.in_progress = others;
@@ -267,8 +270,8 @@
         }
     }
 
-    /// All requests in progress at a target complete.
-    fn finish(&mut self, target: usize) {
+    /// Completes all requests in progress at a target.
+    fn complete_requests(&mut self, target: usize) {
         let (done, others) = self.in_progress.drain(..).partition(|(_, _, at)| *at == target);
         self.in_progress = others;
         let done: Vec<(usize, RequestDigest, usize)> = done;
@@ -297,7 +300,7 @@
 
         steps.into_iter().for_each(|step| fleet.step(step));
 
-        assert_eq!(fleet.late_sends, 0, "{} ended", fleet.crashes);
+        assert_eq!(fleet.late_sends, 0, "sends of request 0 after {} crashes", fleet.crashes);
     }
 
     #[test]
