--- a/components/caller_request/src/lib.rs
+++ b/components/caller_request/src/lib.rs
@@ -1,6 +1,6 @@
 //! Parses the path and headers of a caller's HTTP request.
 //!
-//! A request that can't be accepted is refused with the reason `bad_request`; it has not run.
+//! A request that can't be accepted is refused with [`Reason::BadRequest`]; it has not run.
 
 use std::time::{Duration, Instant};
 
@@ -18,11 +18,12 @@
 const PRIORITY: &str = "saddlerail-priority";
 /// Header that says whether the request's calls may run more than once.
 const REPEATABLE: &str = "saddlerail-repeatable";
-/// Header that says whether the request was refused before and is repeated at the time it was given.
+/// Header that says whether this is the retry of a refused request, sent at the time that the
+/// refusal gave.
 const RETURNING: &str = "saddlerail-returning";
 /// Header that names the prefix of the prompt.
 const PROMPT_PREFIX: &str = "saddlerail-prompt-prefix";
-/// Path of requests to services, without the service's name.
+/// Prefix of the path of a request; the name of the service follows it.
 pub const SERVICES_PATH: &str = "/v1/services/";
 
 /// A caller's request without its body.
@@ -40,7 +41,7 @@
     pub priority: Option<Priority>,
     /// Whether the request's calls may run more than once.
     pub repeatable: bool,
-    /// Whether the request was refused before and is repeated at the time it was given.
+    /// Whether this is the retry of a refused request, sent at the time that the refusal gave.
     pub returning: bool,
     /// Whether the caller accepts a stream.
     pub wants_stream: bool,
@@ -57,14 +58,15 @@
 /// # Errors
 /// `BadRequest` if the given id is not a valid name.
 pub fn request_id(headers: &HeaderMap) -> Result<(RequestId, bool), Refusal> {
-    match text(headers, REQUEST_ID_HEADER)? {
+    match header_text(headers, REQUEST_ID_HEADER)? {
         Some(id) => RequestId::new(id).map(|id| (id, true)).map_err(bad_request),
         None => Ok((RequestId::generate(), false)),
     }
 }
 
 /// Parses the path and headers of a request that arrived at `arrived`. The pair is the result of
-/// [`request_id`].
+/// [`request_id`]; a deadline of more than `longest_deadline_ms` is
+/// refused.
 ///
 /// # Errors
 /// `BadRequest` for the first path or header that can't be accepted, with what was expected.
@@ -86,11 +88,12 @@
         has_caller_id,
         service,
         customer,
-        priority: text(headers, PRIORITY)?.map(parse_priority).transpose()?,
+        priority: header_text(headers, PRIORITY)?.map(parse_priority).transpose()?,
         repeatable: yes_or_no(headers, REPEATABLE)?,
         returning: yes_or_no(headers, RETURNING)?,
-        wants_stream: text(headers, "accept")?.is_some_and(|a| a.contains("text/event-stream")),
-        prefix: text(headers, PROMPT_PREFIX)?.map(str::to_owned),
+        wants_stream: header_text(headers, "accept")?
+            .is_some_and(|a| a.contains("text/event-stream")),
+        prefix: header_text(headers, PROMPT_PREFIX)?.map(str::to_owned),
         arrived,
         deadline: arrived + Duration::from_millis(deadline_ms),
     })
@@ -104,21 +107,25 @@
     Refusal::not_run(Reason::BadRequest, format!("header {name}: {problem}"))
 }
 
-fn text<'a>(headers: &'a HeaderMap, name: &str) -> Result<Option<&'a str>, Refusal> {
+/// Returns the value of a header; `None` if it is missing.
+fn header_text<'a>(headers: &'a HeaderMap, name: &str) -> Result<Option<&'a str>, Refusal> {
     let value = headers.get(name).map(|v| v.to_str());
     value.transpose().map_err(|_| bad_header(name, "expected printable ASCII"))
 }
 
+/// Returns the value of a header, or an error that says what it should hold if it is missing.
 fn required<'a>(headers: &'a HeaderMap, name: &str, expected: &str) -> Result<&'a str, Refusal> {
-    text(headers, name)?.ok_or_else(|| bad_header(name, &format!("missing, expected {expected}")))
+    header_text(headers, name)?
+        .ok_or_else(|| bad_header(name, &format!("missing, expected {expected}")))
 }
 
-fn deadline_ms(headers: &HeaderMap, longest: u64) -> Result<u64, Refusal> {
-    let expected = format!("1 to {longest} milliseconds from now");
+/// Returns the milliseconds until the deadline, which must be 1 to `longest_ms`.
+fn deadline_ms(headers: &HeaderMap, longest_ms: u64) -> Result<u64, Refusal> {
+    let expected = format!("1 to {longest_ms} milliseconds from now");
     let value = required(headers, DEADLINE, &expected)?;
     let invalid = || bad_header(DEADLINE, &format!("expected {expected}, found \"{value}\""));
     let millis: u64 = value.parse().map_err(|_| invalid())?;
-    if (1..=longest).contains(&millis) { Ok(millis) } else { Err(invalid()) }
+    if (1..=longest_ms).contains(&millis) { Ok(millis) } else { Err(invalid()) }
 }
 
 fn parse_priority(value: &str) -> Result<Priority, Refusal> {
@@ -130,7 +137,7 @@
 
 /// A header with the value `yes` or `no`; `no` if it is missing.
 fn yes_or_no(headers: &HeaderMap, name: &str) -> Result<bool, Refusal> {
-    match text(headers, name)? {
+    match header_text(headers, name)? {
         Some("yes") => Ok(true),
         Some("no") | None => Ok(false),
         Some(other) => Err(bad_header(name, &format!("expected yes or no, found \"{other}\""))),
--- a/components/caller_request/tests/parse.rs
+++ b/components/caller_request/tests/parse.rs
@@ -1,4 +1,5 @@
-//! Any request head is either accepted with values within bounds, or refused as a bad request with a reason.
+//! Any request head is either accepted with values within bounds, or refused as a bad request with
+//! details.
 
 // A test fails if its setup fails.
 #![allow(clippy::expect_used)]
--- a/components/settings/src/lib.rs
+++ b/components/settings/src/lib.rs
@@ -18,9 +18,9 @@
     pub hall: HallName,
     /// Listening address for callers.
     pub callers: SocketAddr,
-    /// Listening address for the links of other daemons.
+    /// Listening address for connections from the daemons of other VMs (peers).
     pub peers: SocketAddr,
-    /// Address of the peer link that is announced to other daemons, if it differs from `peers`.
+    /// Address for peers that is announced to other daemons, if it differs from `peers`.
     #[serde(default)]
     pub peers_advertised: Option<SocketAddr>,
     /// Listening address for operators, metrics scrapers and the load balancer's health checks.
@@ -174,8 +174,8 @@
     Ok(cfg)
 }
 
-/// Location of `key` for error messages: the first line that starts with the key's last part,
-/// then the key; only the key if there is no such line.
+/// Location of `key` for error messages, as `LINE: KEY`: the first line that starts with the last
+/// part of the key. Only the key if there is no such line.
 fn key_location(text: &str, key: &str) -> String {
     let last = key.rsplit('.').next().unwrap_or(key);
     let is_key_line = |line: &str| line.trim_start().starts_with(&format!("{last}:"));
