--- a/components/platform_interface/src/callers.rs
+++ b/components/platform_interface/src/callers.rs
@@ -21,7 +21,7 @@
 pub struct CallerHead {
     /// Id of the request.
     pub id: Option<RequestId>,
-    /// For how long the caller waits, from when it sent the request.
+    /// Time for which the caller waits, counted from when it sent the request.
     pub left: Option<Duration>,
     /// The customer's key.
     pub key: Option<String>,
@@ -35,7 +35,7 @@
     pub last_event: Option<u64>,
     /// Number of pieces of each stage.
     pub pieces: Vec<u32>,
-    /// Secret that is passed to the workers of the first pieces.
+    /// Secret that is passed to the workers of stages that need no results of other stages.
     pub piece_key: Option<String>,
 }
 
--- a/components/platform_interface/src/calls.rs
+++ b/components/platform_interface/src/calls.rs
@@ -1,4 +1,8 @@
 //! Calls to targets, and what their answers prove about whether the request ran.
+//!
+//! Before a request runs at a target, its stages may have to run. A stage consists of pieces, which
+//! the targets of a pool, its workers, run in batches. A worker keeps the result of a piece under a
+//! handle, by which other workers and targets fetch it, until the result is released.
 
 use std::time::Duration;
 
@@ -45,7 +49,8 @@
     Answered,
     /// The answer belongs to another request, or names none.
     OtherRequest,
-    /// The answer can't come from a target as it is: a success without a signature, or an encoded body.
+    /// The answer is not a target's or was altered on the way: a success without a signature, or
+    /// any answer whose body is encoded.
     Invalid,
 }
 
@@ -121,15 +126,16 @@
 }
 
 impl WorkerReport {
-    /// Whether every call that had reached the worker has started. A report without a running call does not
-    /// show this for a call that was sent before the report was requested: either the report is older than
-    /// the call, or the call has ended.
+    /// Whether every call that the worker had when it made the report has started. A report without
+    /// a running call proves nothing about a call that was sent before the report was requested: the
+    /// call may have reached the worker after it made the report, or may have ended already.
     pub fn all_calls_started(&self) -> bool {
         self.is_running && self.waiting == 0
     }
 }
 
-/// A request to a target that this system makes by itself, such as a call to a pool or for a report.
+/// A request to a target that this system makes by itself, such as a call to a pool or for a
+/// report.
 #[derive(Debug, Clone)]
 pub struct OwnCall {
     /// HTTP method.
@@ -149,8 +155,8 @@
     pub call_headers: fn(&HeaderMap, &CallHead<'_>) -> HeaderMap,
     /// Reads the head of an answer to the request with the given id.
     pub read_head: fn(&response::Parts, &RequestId) -> AnswerHead,
-    /// Returns the names of an answer's headers that the adapter does not know. The target may be signalling
-    /// something there that this system ignores.
+    /// Returns the names of an answer's headers that the adapter does not know. The target may be
+    /// signalling something there that this system ignores.
     pub unknown_headers: fn(&response::Parts) -> Vec<String>,
     /// Returns the headers of the answer to the caller, given those of the target's answer.
     pub answer_headers: fn(&HeaderMap) -> HeaderMap,
@@ -158,7 +164,7 @@
     pub pool_call: fn(&TargetName, &[PieceCall]) -> OwnCall,
     /// Reads the answer to such a call: the outcomes of its pieces, in order.
     pub read_pool_answer: fn(&[u8]) -> errors::Result<Vec<PieceAnswer>>,
-    /// Builds a call for a worker's report.
+    /// Builds a call that requests a worker's report.
     pub report: fn(&TargetName) -> OwnCall,
     /// Reads a worker's report.
     pub read_report: fn(&[u8]) -> errors::Result<WorkerReport>,
--- a/components/platform_interface/src/intents.rs
+++ b/components/platform_interface/src/intents.rs
@@ -1,5 +1,5 @@
-//! The operators' intent, the targets' entries and evacuations: their keys in the store, and how their
-//! values are read.
+//! The operators' intent (the configuration that they want in force), the targets' entries and the
+//! evacuations of data halls: their keys in the store, and how their values are read.
 
 use ids::HallName;
 use intent::{Intent, Target};
--- a/components/platform_interface/src/store.rs
+++ b/components/platform_interface/src/store.rs
@@ -63,7 +63,8 @@
 pub enum Freshness {
     /// The current one.
     Current,
-    /// One that may be slightly out of date, which costs the store less. The answer gives its revision.
+    /// One that may be slightly out of date, which costs the store less. The answer gives its
+    /// revision.
     MayBeStale,
 }
 
