--- a/components/target_calls/src/call.rs
+++ b/components/target_calls/src/call.rs
@@ -1,4 +1,4 @@
-//! Calls of stages at targets over HTTP, and how their failures are classified.
+//! Calls to targets over HTTP that run a stage, and how failures of the calls are classified.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -15,7 +15,7 @@
 
 /// Header that carries the attempt id, in calls and answers.
 pub const ATTEMPT_HEADER: &str = "x-attempt-id";
-/// Header in which a target reports its load as `running/queued`.
+/// Header in which a target reports its load as `RUNNING/WAITING`, in calls.
 pub const LOAD_HEADER: &str = "x-load";
 /// Header with the value `true` on answers of a target that is leaving.
 pub const LEAVING_HEADER: &str = "x-leaving";
@@ -31,11 +31,11 @@
 /// Largest answer of a stage that is read, in bytes.
 const MAX_ANSWER_BYTES: u64 = 16 << 20;
 /// Idle connections that are kept open to one target.
-const MAX_IDLE_PER_TARGET: usize = 16;
+const MAX_IDLE_CONNECTIONS_PER_TARGET: usize = 16;
 /// Idle connections that are kept open to all targets together.
-const MAX_IDLE: usize = 256;
+const MAX_IDLE_CONNECTIONS: usize = 256;
 
-/// A call of a stage.
+/// A call that runs a stage at a target.
 #[derive(Debug, Clone)]
 pub struct CallRequest<'a> {
     /// Address of the target.
@@ -50,7 +50,8 @@
     pub left: Duration,
     /// Priority, for engines that support it.
     pub priority: Priority,
-    /// Whether a connection that carried another call may be used again.
+    /// Whether the call may use a connection that carried another call. If not, the call is known
+    /// not to have run when its new connection can't be opened.
     pub reuse: bool,
     /// Number of the last token that the caller has, to resume a stream.
     pub last_token: Option<u64>,
@@ -107,13 +108,18 @@
 /// Client for calls to targets, with a pool of connections for the calls that may reuse one.
 #[derive(Debug, Clone)]
 pub struct TargetClient {
+    /// Keeps idle connections and uses them again.
     pooled: Agent,
+    /// Opens a new connection for each call.
     fresh: Agent,
 }
 
 impl Default for TargetClient {
     fn default() -> Self {
-        TargetClient { pooled: agent(MAX_IDLE_PER_TARGET, MAX_IDLE), fresh: agent(0, 0) }
+        TargetClient {
+            pooled: agent(MAX_IDLE_CONNECTIONS_PER_TARGET, MAX_IDLE_CONNECTIONS),
+            fresh: agent(0, 0),
+        }
     }
 }
 
@@ -133,25 +139,25 @@
 impl TargetClient {
     /// Calls a stage and reads the complete answer.
     pub fn call(&self, req: &CallRequest<'_>) -> CallOutcome<PlainAnswer> {
-        let (rx, status) = match self.send(req, "application/json") {
+        let (response, status) = match self.send(req, "application/json") {
             Ok(answered) => answered,
             Err(failed) => return failed,
         };
-        CallOutcome { result: read_plain(rx, req.attempt), status }
+        CallOutcome { result: read_plain(response, req.attempt), status }
     }
 
     /// Calls a stage and opens the stream of tokens that it answers with.
     pub fn open_stream(&self, req: &CallRequest<'_>) -> CallOutcome<TokenStream> {
-        let (rx, status) = match self.send(req, "text/event-stream") {
+        let (response, status) = match self.send(req, "text/event-stream") {
             Ok(answered) => answered,
             Err(failed) => return failed,
         };
-        let is_stream = rx
+        let is_stream = response
             .headers()
             .get("content-type")
             .is_some_and(|v| v.as_bytes().starts_with(b"text/event-stream"));
         let result = if is_stream {
-            Ok(TokenStream::new(rx.into_body(), req.attempt.clone(), req.last_token))
+            Ok(TokenStream::new(response.into_body(), req.attempt.clone(), req.last_token))
         } else {
             Err(CallFailure::MayHaveRun("answered with something that is no stream".to_owned()))
         };
@@ -185,13 +191,13 @@
         }
         write_tracking::reset();
         let result = call.config().timeout_global(Some(req.left)).build().send(req.input);
-        let rx = result.map_err(|e| CallOutcome {
+        let response = result.map_err(|e| CallOutcome {
             result: Err(failure_of(&e)),
             status: TargetStatus::default(),
         })?;
-        let status = status_of(&rx);
-        match check_head(&rx, req.attempt) {
-            Ok(()) => Ok((rx, status)),
+        let status = status_of(&response);
+        match check_head(&response, req.attempt) {
+            Ok(()) => Ok((response, status)),
             Err(failure) => Err(CallOutcome { result: Err(failure), status }),
         }
     }
@@ -206,27 +212,27 @@
     }
 }
 
-fn header<'a>(rx: &'a Response<Body>, name: &str) -> Option<&'a str> {
-    rx.headers().get(name).and_then(|v| v.to_str().ok())
+fn header<'a>(response: &'a Response<Body>, name: &str) -> Option<&'a str> {
+    response.headers().get(name).and_then(|v| v.to_str().ok())
 }
 
 /// Reads a target's status from the headers of its answer.
-fn status_of(rx: &Response<Body>) -> TargetStatus {
-    let load = header(rx, LOAD_HEADER).and_then(|v| {
+fn status_of(response: &Response<Body>) -> TargetStatus {
+    let load = header(response, LOAD_HEADER).and_then(|v| {
         let (running, queued) = v.split_once('/')?;
         Some((running.parse().ok()?, queued.parse().ok()?))
     });
-    TargetStatus { load, leaving: header(rx, LEAVING_HEADER) == Some("true") }
+    TargetStatus { load, leaving: header(response, LEAVING_HEADER) == Some("true") }
 }
 
-/// Checks the attempt id and status of an answer. With 429 or 503 the target did not run the call; with
-/// any other status but 200 it may have run.
-fn check_head(rx: &Response<Body>, attempt: &AttemptId) -> Result<(), CallFailure> {
-    let answered = header(rx, ATTEMPT_HEADER).unwrap_or("none");
+/// Checks the attempt id and status of an answer. With 429 or 503 the target did not run the call;
+/// with any other status but 200 it may have run.
+fn check_head(response: &Response<Body>, attempt: &AttemptId) -> Result<(), CallFailure> {
+    let answered = header(response, ATTEMPT_HEADER).unwrap_or("none");
     if answered != attempt.as_str() {
         return Err(CallFailure::Crossed(format!("the answer names attempt {answered}")));
     }
-    match rx.status().as_u16() {
+    match response.status().as_u16() {
         200 => Ok(()),
         status @ (429 | 503) => Err(CallFailure::Declined(format!("answered {status}"))),
         status => Err(CallFailure::MayHaveRun(format!("answered {status}"))),
@@ -234,9 +240,12 @@
 }
 
 /// Reads the body of a complete answer and checks that it names the attempt.
-fn read_plain(mut rx: Response<Body>, attempt: &AttemptId) -> Result<PlainAnswer, CallFailure> {
+fn read_plain(
+    mut response: Response<Body>,
+    attempt: &AttemptId,
+) -> Result<PlainAnswer, CallFailure> {
     let may_have_run = |problem: String| CallFailure::MayHaveRun(problem);
-    let bytes = rx
+    let bytes = response
         .body_mut()
         .with_config()
         .limit(MAX_ANSWER_BYTES)
--- a/components/target_calls/src/lib.rs
+++ b/components/target_calls/src/lib.rs
@@ -1,6 +1,7 @@
 //! HTTP client for targets: calls to stages, streams of tokens, and orders to engines.
 //!
-//! A failed call says whether it may have run at the target, which decides whether it may be repeated.
+//! A failed call says whether it may have run at the target, which decides whether it may be
+//! repeated.
 
 mod call;
 mod order;
--- a/components/target_calls/src/order.rs
+++ b/components/target_calls/src/order.rs
@@ -1,5 +1,7 @@
-//! Orders to engines: the condition that an engine should be in, such as its model and version. A fencing
-//! token keeps a VM whose lease has expired from giving further orders.
+//! Orders to engines: the condition that an engine should be in, such as its model and version.
+//!
+//! The VM that holds a lease gives the orders. Each order carries the fencing token of that lease, so
+//! that a target can refuse the orders of a VM whose lease has expired.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -8,8 +10,8 @@
 use serde::{Deserialize, Serialize};
 use ureq::Agent;
 
-/// Timeout of an order. A new holder of the lease waits this long before its first order to a target that
-/// does not check fences, so that no order of the previous holder is still on its way.
+/// Timeout of an order. A new holder of the lease waits this long before its first order to a target
+/// that does not check fencing tokens, so that no order of the previous holder is still on its way.
 pub const ORDER_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// A condition and the fencing token under which it was ordered.
@@ -28,7 +30,8 @@
     Taken,
     /// The target has seen a higher fencing token, so this VM no longer holds the lease.
     Fenced,
-    /// The target may have accepted the order or not; its condition shows which.
+    /// It is not known whether the target accepted the order; its condition shows it. Holds the
+    /// status or error that came in place of an answer.
     Unknown(String),
 }
 
@@ -51,17 +54,19 @@
 impl OrderClient {
     /// Returns the condition that a target is in; `None` if it gives no readable answer.
     pub fn condition(&self, target: SocketAddr) -> Option<Order> {
-        let mut rx = self.agent.get(format!("http://{target}/v1/condition")).call().ok()?;
-        serde_json::from_slice(&rx.body_mut().read_to_vec().ok()?).ok()
+        let mut response = self.agent.get(format!("http://{target}/v1/condition")).call().ok()?;
+        serde_json::from_slice(&response.body_mut().read_to_vec().ok()?).ok()
     }
 
     /// Sends an order to a target.
     pub fn send(&self, target: SocketAddr, order: &Order) -> OrderResult {
         let json = serde_json::to_vec(order).unwrap_or_default();
         match self.agent.post(format!("http://{target}/v1/orders")).send(json) {
-            Ok(rx) if rx.status() == 200 => OrderResult::Taken,
-            Ok(rx) if rx.status() == 409 => OrderResult::Fenced,
-            Ok(rx) => OrderResult::Unknown(format!("unexpected status {}", rx.status())),
+            Ok(response) if response.status() == 200 => OrderResult::Taken,
+            Ok(response) if response.status() == 409 => OrderResult::Fenced,
+            Ok(response) => {
+                OrderResult::Unknown(format!("unexpected status {}", response.status()))
+            }
             Err(e) => OrderResult::Unknown(e.to_string()),
         }
     }
--- a/components/target_calls/src/stream.rs
+++ b/components/target_calls/src/stream.rs
@@ -36,10 +36,12 @@
     token: String,
 }
 
-/// Reads the tokens of an attempt in order. A gap, a repetition or another attempt's token is a failure.
+/// Reads the tokens of an attempt in order. A gap, a repetition or another attempt's token is a
+/// failure.
 pub struct TokenStream {
     lines: BufReader<BodyReader<'static>>,
     attempt: AttemptId,
+    /// Number of the last token that was read; 0 before the first.
     last: u64,
 }
 
@@ -67,8 +69,8 @@
     /// Waits for the next event.
     ///
     /// # Errors
-    /// `Crossed` for another attempt's token. `MayHaveRun` if the stream ends early, can't be parsed, or has
-    /// a gap or a repetition.
+    /// `Crossed` for another attempt's token. `MayHaveRun` if the stream ends early, can't be parsed,
+    /// or has a gap or a repetition.
     pub fn next_event(&mut self) -> Result<StreamEvent, CallFailure> {
         let broken = |problem: String| CallFailure::MayHaveRun(problem);
         let event = self.read_event()?;
--- a/components/target_calls/tests/stream.rs
+++ b/components/target_calls/tests/stream.rs
@@ -1,4 +1,5 @@
-//! Whatever bytes a target sends, tokens are returned in order, and an end only if the stream is complete.
+//! Whatever bytes a target sends, tokens are returned in order, and an end only if the stream is
+//! complete.
 
 // A test fails if its setup fails.
 #![allow(clippy::expect_used)]
