--- a/components/caller_request/src/lib.rs
+++ b/components/caller_request/src/lib.rs
@@ -65,8 +65,7 @@
 }
 
 /// Parses the path and headers of a request that arrived at `arrived`. The pair is the result of
-/// [`request_id`]; a deadline of more than `longest_deadline_ms` is
-/// refused.
+/// [`request_id`]. A deadline of more than `longest_deadline_ms` is refused.
 ///
 /// # Errors
 /// `BadRequest` for the first path or header that can't be accepted, with what was expected.
--- a/components/platform_interface/src/callers.rs
+++ b/components/platform_interface/src/callers.rs
@@ -19,7 +19,7 @@
 /// `None`, 0 or empty.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct CallerHead {
-    /// Id of the request.
+    /// Id of the request; a caller's retry of the same request has a new one.
     pub id: Option<RequestId>,
     /// Time for which the caller waits, counted from when it sent the request.
     pub left: Option<Duration>,
--- a/components/platform_interface/src/calls.rs
+++ b/components/platform_interface/src/calls.rs
@@ -127,8 +127,8 @@
 
 impl WorkerReport {
     /// Whether every call that the worker had when it made the report has started. A report without
-    /// a running call proves nothing about a call that was sent before the report was requested: the
-    /// call may have reached the worker after it made the report, or may have ended already.
+    /// a running call proves nothing about a call that was sent before the report was requested:
+    /// the call may have reached the worker after it made the report, or may have ended already.
     pub fn all_calls_started(&self) -> bool {
         self.is_running && self.waiting == 0
     }
--- a/components/target_calls/src/order.rs
+++ b/components/target_calls/src/order.rs
@@ -1,7 +1,7 @@
 //! Orders to engines: the condition that an engine should be in, such as its model and version.
 //!
-//! The VM that holds a lease gives the orders. Each order carries the fencing token of that lease, so
-//! that a target can refuse the orders of a VM whose lease has expired.
+//! The VM that holds a lease gives the orders. Each order carries the fencing token of that lease,
+//! so that a target can refuse the orders of a VM whose lease has expired.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -10,8 +10,9 @@
 use serde::{Deserialize, Serialize};
 use ureq::Agent;
 
-/// Timeout of an order. A new holder of the lease waits this long before its first order to a target
-/// that does not check fencing tokens, so that no order of the previous holder is still on its way.
+/// Timeout of an order. A new holder of the lease waits this long before its first order to a
+/// target that does not check fencing tokens, so that no order of the previous holder is still on
+/// its way.
 pub const ORDER_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// A condition and the fencing token under which it was ordered.
@@ -30,8 +31,8 @@
     Taken,
     /// The target has seen a higher fencing token, so this VM no longer holds the lease.
     Fenced,
-    /// It is not known whether the target accepted the order; its condition shows it. Holds the
-    /// status or error that came in place of an answer.
+    /// It is not known whether the target accepted the order; its condition shows it. The text
+    /// describes the unexpected status or the error.
     Unknown(String),
 }
 
--- a/components/target_calls/src/stream.rs
+++ b/components/target_calls/src/stream.rs
@@ -41,7 +41,7 @@
 pub struct TokenStream {
     lines: BufReader<BodyReader<'static>>,
     attempt: AttemptId,
-    /// Number of the last token that was read; 0 before the first.
+    /// Number of the last token that was read, or that the caller had before; 0 if there is none.
     last: u64,
 }
 
@@ -69,8 +69,8 @@
     /// Waits for the next event.
     ///
     /// # Errors
-    /// `Crossed` for another attempt's token. `MayHaveRun` if the stream ends early, can't be parsed,
-    /// or has a gap or a repetition.
+    /// `Crossed` for another attempt's token. `MayHaveRun` if the stream ends early, can't be
+    /// parsed, or has a gap or a repetition.
     pub fn next_event(&mut self) -> Result<StreamEvent, CallFailure> {
         let broken = |problem: String| CallFailure::MayHaveRun(problem);
         let event = self.read_event()?;
