--- a/components/batching/src/pool.rs
+++ b/components/batching/src/pool.rs
@@ -161,8 +161,8 @@
         let jobs = &self.jobs;
         let (gone, left): (Vec<QueuedPiece>, Vec<QueuedPiece>) =
             self.waiting.iter().partition(|waiting| {
-                let until = jobs.get(waiting.job).map(|job| job.submission.until);
-                opens.is_none_or(|opens| until.is_none_or(|until| until <= opens))
+                let deadline = jobs.get(waiting.job).map(|job| job.submission.deadline);
+                opens.is_none_or(|opens| deadline.is_none_or(|deadline| deadline <= opens))
             });
         self.waiting = left;
         gone.iter().filter_map(|waiting| self.finish(waiting, PieceOutcome::Failed)).collect()
--- a/components/batching/src/submission.rs
+++ b/components/batching/src/submission.rs
@@ -38,13 +38,13 @@
     /// Numbers of the pieces.
     pub pieces: Vec<u32>,
     /// Secret of the request, for stages that need no results.
-    pub key: Option<String>,
+    pub piece_key: Option<String>,
     /// Results that each piece needs.
     pub inputs: Vec<String>,
     /// Size of all inputs together, in bytes.
     pub input_bytes: u64,
     /// Time after which the results are useless.
-    pub until: Instant,
+    pub deadline: Instant,
     /// Time after which the results are late.
     pub due: Instant,
     /// Urgency; 0 is the most urgent.
--- a/components/batching/tests/unavailable_workers.rs
+++ b/components/batching/tests/unavailable_workers.rs
@@ -38,7 +38,7 @@
 fn only_pieces_whose_time_ends_before_a_worker_is_available_fail() {
     let now = Instant::now();
     let mut pool = pool(&[leaving("m", "a"), left_alone("n", "a", now + CALL * 2)]);
-    let short = Submission { until: now + CALL, ..submission("short", 2, now + CALL) };
+    let short = Submission { deadline: now + CALL, ..submission("short", 2, now + CALL) };
     pool.submit(short, now);
     pool.submit(submission("long", 3, now + CALL * 4), now);
 
--- a/gateway/src/inbound_links.rs
+++ b/gateway/src/inbound_links.rs
@@ -204,7 +204,7 @@
         from_dialer::Kind::Submit(submit) => {
             let number = submit.job;
             if let Some((pool, submission)) = decode_submission(submit) {
-                let until = submission.until;
+                let until = submission.deadline;
                 let sink = Sink::Peer(PeerSink { tx: tx.clone(), number, lease_link, until });
                 let job = submissions::submit(app, &pool, submission, sink);
                 jobs.insert(number, (pool, job));
--- a/gateway/src/outbound_links.rs
+++ b/gateway/src/outbound_links.rs
@@ -106,7 +106,7 @@
         news: UnboundedSender<PieceEvent>,
     ) -> u64 {
         let job = self.next_number();
-        let expiry = ResultExpiry { until: submission.until, life };
+        let expiry = ResultExpiry { until: submission.deadline, life };
         let waiting = PendingJob { news, of, expiry, left: submission.pieces.len() };
         self.jobs.borrow_mut().insert(job, waiting);
         let millis = |at: Instant| u32::try_from(left(at).as_millis()).unwrap_or(u32::MAX);
@@ -117,10 +117,10 @@
             content: submission.digest.map(|c| c.to_bytes().to_vec()).unwrap_or_default(),
             stage: submission.stage,
             pieces: submission.pieces.clone(),
-            key: submission.key.clone().unwrap_or_default(),
+            key: submission.piece_key.clone().unwrap_or_default(),
             inputs: submission.inputs.clone(),
             input_bytes: submission.input_bytes,
-            left_ms: millis(submission.until),
+            left_ms: millis(submission.deadline),
             slack_ms: i32::try_from(millis(submission.due)).unwrap_or(i32::MAX),
             urgency: u32::from(submission.urgency),
             result_bytes: submission.result_bytes,
--- a/gateway/src/pool_calls.rs
+++ b/gateway/src/pool_calls.rs
@@ -246,8 +246,8 @@
                 request: submission.request.clone(),
                 stage: submission.stage,
                 piece: *piece,
-                left: submission.until.saturating_duration_since(now),
-                key: submission.key.clone(),
+                left: submission.deadline.saturating_duration_since(now),
+                key: submission.piece_key.clone(),
                 inputs: submission.inputs.clone(),
             })
         };
--- a/gateway/src/stages.rs
+++ b/gateway/src/stages.rs
@@ -396,7 +396,7 @@
         |need: &usize| ctx.entry.stages[*need].result_bytes * u64::from(runs[*need].pieces);
     let input_bytes = stage.needs.iter().map(bytes_of).sum();
     let preferred_hall = preferred_hall_for(ctx, runs, index, &inputs);
-    let key = inputs.is_empty().then(|| ctx.head.piece_key.clone()).flatten();
+    let piece_key = inputs.is_empty().then(|| ctx.head.piece_key.clone()).flatten();
     runs[index].submissions += 1;
     let attempt = StageAttempt {
         stage: u32::try_from(index).unwrap_or(u32::MAX),
@@ -407,10 +407,10 @@
         digest: Some(ctx.digest.for_stage(attempt.stage)),
         stage: attempt.stage,
         pieces: runs[index].missing(),
-        key,
+        piece_key,
         inputs,
         input_bytes,
-        until: ctx.deadline,
+        deadline: ctx.deadline,
         due: stage_due(ctx, runs, index),
         urgency: ctx.urgency,
         result_bytes: stage.result_bytes,
