--- a/components/batching/src/pool.rs
+++ b/components/batching/src/pool.rs
@@ -268,7 +268,7 @@
 
     /// Releases results without a request asking for it: those completed after nobody waited for them,
     /// and spare ones at workers whose room is scarce.
-    pub fn release_orphans(&mut self) -> Vec<PendingRelease> {
+    pub fn release_queued(&mut self) -> Vec<PendingRelease> {
         let orphans = std::mem::take(&mut self.orphans);
         self.release(orphans)
     }
--- a/components/batching/tests/pool.rs
+++ b/components/batching/tests/pool.rs
@@ -166,7 +166,7 @@
 
     assert!(pool.call_ended(call.key, made(2), now).is_empty());
 
-    let told = pool.release_orphans();
+    let told = pool.release_queued();
     assert_eq!(told.len(), 1);
     assert_eq!(told[0].handles.len(), 2);
     assert!(pool.is_idle());
@@ -329,10 +329,10 @@
     pool.call_ended(call.key, made(2), now);
 
     pool.release_if_scarce(&["127.0.0.1:9/0".to_owned()]);
-    let while_room = pool.release_orphans();
+    let while_room = pool.release_queued();
     pool.submit(sized("second", 1), now);
     pool.next_call(now).unwrap();
-    let when_scarce = pool.release_orphans();
+    let when_scarce = pool.release_queued();
 
     assert!(while_room.is_empty(), "400 of 1,000 bytes are used");
     assert_eq!(when_scarce.len(), 1, "600 of 1,000 bytes are used");
--- a/gateway/src/pool_calls.rs
+++ b/gateway/src/pool_calls.rs
@@ -31,7 +31,7 @@
     loop {
         let next = app.hub.with(|shared, now| {
             let pool = shared.pools.get_mut(pool)?;
-            Some((pool.next_call(now)?, pool.release_orphans()))
+            Some((pool.next_call(now)?, pool.release_queued()))
         });
         let Some((call, orphans)) = next else { break };
         let permit = permits::for_pool_call(app, &call.target);
@@ -142,7 +142,7 @@
         app.hub.with(|shared, now| shared.target_replaced(&call.target, now));
     }
     let (finished, orphans) = app.hub.with(|shared, now| match shared.pools.get_mut(&pool) {
-        Some(pool) => (pool.call_ended(call.key, end, now), pool.release_orphans()),
+        Some(pool) => (pool.call_ended(call.key, end, now), pool.release_queued()),
         None => (Vec::new(), Vec::new()),
     });
     releases::reclaim(&app, &pool, orphans);
--- a/gateway/src/releases.rs
+++ b/gateway/src/releases.rs
@@ -199,7 +199,7 @@
         let pools = shared.pools.iter_mut();
         let release = |(name, pool): (&ServiceName, &mut Pool)| {
             pool.release_if_scarce(handles);
-            (name.clone(), pool.release_orphans())
+            (name.clone(), pool.release_queued())
         };
         pools.map(release).collect::<Vec<_>>()
     });
