--- a/components/batching/src/completion.rs
+++ b/components/batching/src/completion.rs
@@ -5,37 +5,38 @@
 
 use platform_interface::calls::PieceAnswer;
 
-use crate::pool::{ActiveCall, Pool, QueuedPiece};
+use crate::pool::{ActiveCall, PendingPiece, Pool};
 use crate::submission::{CallEnd, CallKey, Finished, JobKey, PieceOutcome};
 use crate::worker::WorkerKey;
 
 /// Maximum number of failed attempts of a piece.
 const MAX_PIECE_ATTEMPTS: u32 = 4;
-/// Lower bound of the fraction of room that is used, however often a worker had none.
+/// Lower bound of [`Pool::room_fraction`], however often a result found no room.
 const MIN_ROOM_FRACTION: f64 = 0.6;
-/// Decrease of the fraction when a worker had no room for a result.
+/// Decrease of [`Pool::room_fraction`] when a worker had no room for a result.
 const ROOM_DECREASE: f64 = 0.03;
-/// Missing room is attributed to unknown results if it exceeds the size of this many results, which is
-/// more than errors in the estimated sizes explain.
-const FOREIGN_PIECES: u64 = 2;
-/// Increase of the fraction with each call that found room. One call in ten without room is tolerated.
+/// Errors in the estimated result sizes explain missing room for at most this many results. Room
+/// missing beyond that is attributed to results unknown to this owner.
+const MAX_SIZE_ERROR_RESULTS: u64 = 2;
+/// Increase of [`Pool::room_fraction`] with each call that found room. It is a tenth of the
+/// decrease, so that one call in ten may find no room.
 const ROOM_INCREASE: f64 = 0.003;
 
 impl Pool {
-    /// Records that the target of a call has fetched its inputs; returns the submissions whose inputs
-    /// are no longer needed.
+    /// Records that the target of a call has fetched its inputs; returns the submissions whose
+    /// inputs are no longer needed.
     pub fn inputs_fetched(&mut self, key: CallKey) -> Vec<JobKey> {
         let Some(call) = self.calls.get_mut(key) else { return Vec::new() };
-        let mut over = Vec::new();
-        for waiting in call.pieces.iter_mut().filter(|waiting| !waiting.fetched) {
-            waiting.fetched = true;
-            let Some(job) = self.jobs.get_mut(waiting.job) else { continue };
+        let mut fetched_jobs = Vec::new();
+        for pending in call.pieces.iter_mut().filter(|pending| !pending.fetched) {
+            pending.fetched = true;
+            let Some(job) = self.jobs.get_mut(pending.job) else { continue };
             job.unfetched -= 1;
             if job.unfetched == 0 && !job.submission.inputs.is_empty() {
-                over.push(waiting.job);
+                fetched_jobs.push(pending.job);
             }
         }
-        over
+        fetched_jobs
     }
 
     /// Records the end of a call; returns the finished pieces.
@@ -43,15 +44,15 @@
         let Some(call) = self.calls.remove(key) else { return Vec::new() };
         let took = now.saturating_duration_since(call.began);
         if matches!(end, CallEnd::Failed | CallEnd::HallUnreachable) {
-            // The worker may have made all of the results.
-            self.results.add_lost(call.worker, call.bytes, now + self.spec.result_life);
+            // The worker may have made all of the results, and nobody knows their handles.
+            self.results.add_lost(call.worker, call.reserved_bytes, now + self.spec.result_life);
         } else {
-            self.free_room(call.worker, call.bytes);
+            self.free_room(call.worker, call.reserved_bytes);
         }
         if let Some(worker) = self.workers.get_mut(call.worker) {
             worker.active_calls = worker.active_calls.saturating_sub(1);
             match end {
-                CallEnd::Answered(_) => worker.record_answer(took, call.expected),
+                CallEnd::Answered(_) => worker.record_answer(took, call.expected_duration),
                 CallEnd::Full => worker.record_full(now),
                 CallEnd::TargetGone | CallEnd::Failed => worker.record_failure(now),
                 CallEnd::HallUnreachable => {}
@@ -72,12 +73,12 @@
         now: Instant,
     ) -> Vec<Finished> {
         let mut finished = Vec::new();
-        self.learn_room(call, &answers, now);
+        self.update_room_estimates(call, &answers, now);
         let missing = std::iter::repeat(PieceAnswer::Failed);
-        for (waiting, answer) in call.pieces.iter().zip(answers.into_iter().chain(missing)) {
-            let made = match answer {
+        for (pending, answer) in call.pieces.iter().zip(answers.into_iter().chain(missing)) {
+            let outcome = match answer {
                 PieceAnswer::Stored(handle) => {
-                    self.store_result(call.worker, waiting, &handle, now);
+                    self.store_result(call.worker, pending, &handle, now);
                     PieceOutcome::Stored(handle)
                 }
                 PieceAnswer::Late => PieceOutcome::Late,
@@ -86,85 +87,87 @@
                     if let Some(worker) = self.workers.get_mut(call.worker) {
                         worker.record_no_room(now);
                     }
-                    // This does not count as a try: the piece ends with its deadline at the latest.
-                    finished.extend(self.requeue(vec![*waiting], 0));
+                    // This is no failed attempt: the piece ends with its deadline at the latest.
+                    finished.extend(self.requeue(vec![*pending], 0));
                     continue;
                 }
                 PieceAnswer::Failed => {
-                    finished.extend(self.requeue(vec![*waiting], 1));
+                    finished.extend(self.requeue(vec![*pending], 1));
                     continue;
                 }
             };
-            finished.extend(self.finish(waiting, made));
+            finished.extend(self.finish(pending, outcome));
         }
         finished
     }
 
-    /// Updates the room estimates from the answers of a call. Missing room beyond the size of a few
-    /// results is attributed to results that this owner does not know; less than that, to errors in the
-    /// estimated result sizes.
-    fn learn_room(&mut self, call: &ActiveCall, answers: &[PieceAnswer], now: Instant) {
+    /// Updates the estimates of usable room from the answers of a call. Missing room beyond the
+    /// size of a few results is attributed to results unknown to this owner; less than that, to
+    /// errors in the estimated result sizes.
+    fn update_room_estimates(&mut self, call: &ActiveCall, answers: &[PieceAnswer], now: Instant) {
         let count = |is: fn(&PieceAnswer) -> bool| answers.iter().filter(|a| is(a)).count() as u64;
         let no_room = count(|answer| matches!(answer, PieceAnswer::NoRoom));
         if no_room == 0 {
             self.room_fraction = (self.room_fraction + ROOM_INCREASE).min(1.0);
             return;
         }
-        let of_piece = call.bytes / (call.pieces.len() as u64).max(1);
-        let made = count(|answer| matches!(answer, PieceAnswer::Stored(_))) * of_piece;
-        let foreign = self.spec.room_bytes.saturating_sub(call.room_before + made);
-        let life = self.spec.result_life;
+        let piece_bytes = call.reserved_bytes / (call.pieces.len() as u64).max(1);
+        let stored_bytes = count(|answer| matches!(answer, PieceAnswer::Stored(_))) * piece_bytes;
+        let foreign_bytes = self.spec.room_bytes.saturating_sub(call.room_before + stored_bytes);
+        let lifetime = self.spec.result_life;
         match self.workers.get_mut(call.worker) {
-            Some(worker) if foreign > of_piece * FOREIGN_PIECES => {
-                worker.set_foreign(foreign - of_piece, life, now);
+            Some(worker) if foreign_bytes > piece_bytes * MAX_SIZE_ERROR_RESULTS => {
+                worker.set_foreign_room(foreign_bytes - piece_bytes, lifetime, now);
             }
             _ => self.room_fraction = (self.room_fraction - ROOM_DECREASE).max(MIN_ROOM_FRACTION),
         }
     }
 
-    /// Records a result that a worker stores. If its submission is gone, the result is released.
-    fn store_result(&mut self, key: WorkerKey, waiting: &QueuedPiece, handle: &str, now: Instant) {
-        let job = self.jobs.get(waiting.job);
+    /// Records a result that a worker stores. If its submission is gone, the result is queued for
+    /// release.
+    fn store_result(&mut self, key: WorkerKey, pending: &PendingPiece, handle: &str, now: Instant) {
+        let job = self.jobs.get(pending.job);
         if job.is_none() {
-            self.orphans.push(handle.to_owned());
+            self.queued_releases.push(handle.to_owned());
         }
         let bytes = job.map_or(0, |job| job.submission.result_bytes);
         if let Some(worker) = self.workers.get_mut(key) {
             worker.room_used += bytes;
-            let until = now + self.spec.result_life;
-            self.results.add(handle, key, waiting.job, bytes, until);
+            let expires = now + self.spec.result_life;
+            self.results.add(handle, key, pending.job, bytes, expires);
         }
     }
 
-    /// Finishes a piece and removes its submission after the last one; `None` if the submission is gone.
+    /// Finishes a piece and removes its submission after its last one; `None` if the submission is
+    /// gone.
     pub(crate) fn finish(
         &mut self,
-        waiting: &QueuedPiece,
+        pending: &PendingPiece,
         outcome: PieceOutcome,
     ) -> Option<Finished> {
-        let job = self.jobs.get_mut(waiting.job)?;
+        let job = self.jobs.get_mut(pending.job)?;
         job.unfinished -= 1;
-        let finished = Finished { job: waiting.job, piece: waiting.piece, outcome };
+        let finished = Finished { job: pending.job, piece: pending.piece, outcome };
         if job.unfinished == 0 {
-            self.jobs.remove(waiting.job);
+            self.jobs.remove(pending.job);
         }
         Some(finished)
     }
 
-    /// Requeues pieces, adding `cost` to their failed attempts, and finishes those that have no attempts left as
-    /// failed.
-    fn requeue(&mut self, pieces: Vec<QueuedPiece>, cost: u32) -> Vec<Finished> {
-        let mut given_up = Vec::new();
-        for mut waiting in pieces {
-            let Some(job) = self.jobs.get_mut(waiting.job) else { continue };
-            job.unfetched += usize::from(std::mem::take(&mut waiting.fetched));
-            waiting.failed_attempts += cost;
-            if waiting.failed_attempts < MAX_PIECE_ATTEMPTS {
-                self.waiting.push(waiting);
+    /// Requeues pieces, adding `new_failures` to their failed attempts. Finishes those without
+    /// attempts left as failed and returns them.
+    fn requeue(&mut self, pieces: Vec<PendingPiece>, new_failures: u32) -> Vec<Finished> {
+        let mut failed = Vec::new();
+        for mut pending in pieces {
+            let Some(job) = self.jobs.get_mut(pending.job) else { continue };
+            job.unfetched += usize::from(std::mem::take(&mut pending.fetched));
+            pending.failed_attempts += new_failures;
+            if pending.failed_attempts < MAX_PIECE_ATTEMPTS {
+                self.waiting.push(pending);
                 continue;
             }
-            given_up.extend(self.finish(&waiting, PieceOutcome::Failed));
+            failed.extend(self.finish(&pending, PieceOutcome::Failed));
         }
-        given_up
+        failed
     }
 }
--- a/components/batching/src/filling.rs
+++ b/components/batching/src/filling.rs
@@ -4,37 +4,38 @@
 
 use eligibility::Eligibility;
 
-use crate::pool::{ActiveCall, MIN_DURATION, Pool, QueuedPiece};
+use crate::pool::{ActiveCall, MIN_DURATION, PendingPiece, Pool};
 use crate::submission::{Call, JobKey, Order, Submission};
 use crate::worker::{Worker, WorkerKey};
 
-/// Fraction of a call's time that a piece waits for a worker in the hall of its inputs.
-const PREFERRED_HALL_WAIT: f64 = 0.8;
-/// Slack added to a piece for each step of lower urgency, so that long chains of high value precede
-/// short ones of low value. It decides only among pieces that can still be in time. A smaller step lets
-/// more pieces of low urgency with an early due time precede urgent ones.
+/// Longest time that a piece waits for a worker in its preferred hall, as a fraction of a call's
+/// configured time.
+const PREFERRED_HALL_WAIT_FRACTION: f64 = 0.8;
+/// Slack added to a piece for each step of lower urgency, so that requests of high value with many
+/// stages precede requests of low value with few. It decides only among pieces that can still be in
+/// time. A smaller step lets more pieces of low urgency with an early due time precede urgent ones.
 const URGENCY_STEP: Duration = Duration::from_millis(400);
-/// A call that takes longer than this multiple of the expected time, plus [`TIMEOUT_MARGIN`], is given
-/// up and its pieces are requeued.
+/// A call that takes longer than this multiple of the expected time, plus [`TIMEOUT_MARGIN`], is
+/// given up and its pieces are requeued.
 const TIMEOUT_FACTOR: f64 = 2.5;
-/// Time added to the multiple given by [`TIMEOUT_FACTOR`].
+/// Time added to the expected time multiplied by [`TIMEOUT_FACTOR`].
 const TIMEOUT_MARGIN: Duration = Duration::from_millis(250);
-/// After this many failed calls, a piece shares calls only with pieces of its own request: a piece that
-/// crashes every worker must not use up the attempts of others, nor make them look like the cause. Without
-/// this limit all four requests of a call shared all four failed calls of such a piece; with it they
-/// share two (`a_piece_that_fails_its_calls_...`). After a single failed call, most often a worker that
-/// crashed by itself, pieces still share calls.
+/// After this many failed attempts, a piece shares calls only with pieces of its own request: a
+/// piece that crashes every worker must not use up the attempts of others, nor make them look like
+/// the cause. Without this limit, all four requests of a call shared all four failed calls of such
+/// a piece; with it they share two (`a_piece_that_fails_its_calls_...` in `tests/pool.rs`). After a
+/// single failed call, pieces still share calls: most often the worker crashed by itself.
 const ISOLATION_ATTEMPTS: u32 = 2;
 /// Weight of a new call in the moving average of pieces in a call.
 const PIECES_WEIGHT: f64 = 0.2;
-/// Weight of a new call in the moving average of pieces in calls that leave others waiting. Such calls
-/// get smaller because of results that wait to be used, which lasts for some seconds and dozens of
-/// calls.
+/// Weight of a new call in the moving average of pieces in calls that leave others waiting. Such
+/// calls get smaller when results that wait to be used take up room, which lasts for some seconds
+/// and dozens of calls.
 const BACKLOGGED_WEIGHT: f64 = 0.05;
-/// Time, in addition to the transfer, within which a target that starts a call has fetched its inputs:
-/// many times the latency between halls.
+/// Time, in addition to the transfer, within which a target that starts a call has fetched its
+/// inputs: many times the latency between halls.
 const FETCH_MARGIN: Duration = Duration::from_millis(20);
-/// Links that an input crosses: that of its worker and that of the target that fetches it.
+/// Network links that an input crosses: that of its worker and that of the target that fetches it.
 const FETCH_LINKS: f64 = 2.0;
 
 /// Returns the due time by which the pieces of a submission are ordered.
@@ -47,10 +48,10 @@
     due + URGENCY_STEP * u32::from(urgency)
 }
 
-/// Whether a piece may join a call whose first piece is `begun`.
-fn may_share(begun: &QueuedPiece, other: &QueuedPiece) -> bool {
-    let is_isolated = |waiting: &QueuedPiece| waiting.failed_attempts >= ISOLATION_ATTEMPTS;
-    begun.job == other.job || (!is_isolated(begun) && !is_isolated(other))
+/// Whether a piece may join a call whose first piece is `first`.
+fn may_share(first: &PendingPiece, other: &PendingPiece) -> bool {
+    let is_isolated = |piece: &PendingPiece| piece.failed_attempts >= ISOLATION_ATTEMPTS;
+    first.job == other.job || (!is_isolated(first) && !is_isolated(other))
 }
 
 /// Returns the time after which a call is given up.
@@ -81,8 +82,8 @@
         Some(self.start_call(worker, pieces, now))
     }
 
-    /// Returns the next time at which a held piece may go to any worker, or a worker may be called
-    /// again.
+    /// Returns the next time at which a piece that waits for its preferred hall may go to any
+    /// worker, or a worker may be called again.
     pub fn next_wakeup(&self, now: Instant) -> Option<Instant> {
         if self.waiting.is_empty() {
             return None;
@@ -106,24 +107,24 @@
         self.halls.eligibility(&worker.target, now) == Eligibility::Open
     }
 
-    /// Sorts pieces that can still be in time first, by effective due time; late ones follow. Whether a
-    /// piece is late depends on its own due time: with the effective one, less urgent pieces that are
-    /// already late would displace others that are not.
+    /// Sorts the waiting pieces: those that can still be in time first, by effective due time, then
+    /// late ones. Whether a piece is late depends on its own due time: with the effective one, less
+    /// urgent pieces that are already late would displace others that are not.
     fn sort_waiting(&mut self, now: Instant) {
         if self.order == Order::Arrival {
             return;
         }
-        let soonest = now + self.spec.call + self.spec.piece.mul_f64(self.mean_pieces);
+        let earliest_end = now + self.spec.call + self.spec.piece.mul_f64(self.mean_pieces);
         let jobs = &self.jobs;
         self.waiting.sort_by_cached_key(|waiting| {
             let submission = jobs.get(waiting.job).map(|job| &job.submission);
-            let late = submission.is_some_and(|submission| submission.due < soonest);
+            let late = submission.is_some_and(|submission| submission.due < earliest_end);
             (late, submission.map(effective_due_of), waiting.job, waiting.piece)
         });
     }
 
-    /// Returns the worker and the pieces of the call that starts with the first piece for which a worker
-    /// is available.
+    /// Returns the worker and the pieces of the call that starts with the first piece for which a
+    /// worker is available.
     fn choose_call(&self, free: &[WorkerKey], now: Instant) -> Option<(WorkerKey, Vec<usize>)> {
         for (index, waiting) in self.waiting.iter().enumerate() {
             let held = self.hold_until(waiting, now).is_some();
@@ -147,38 +148,38 @@
         None
     }
 
-    /// Returns the indexes of the pieces, from `first` on, that the worker may take, up to a full call
-    /// and the worker's room.
+    /// Returns the indexes of the pieces, from `first` on, that the worker may take, up to a full
+    /// call and the worker's room.
     fn select_pieces(&self, key: WorkerKey, first: usize, now: Instant) -> Vec<usize> {
         let worker = &self.workers[key];
-        // One piece is enough to learn whether a worker that failed has recovered.
-        let most = if worker.last_call_failed() { 1 } else { self.spec.batch };
+        // One piece is enough to find out whether a worker that failed has recovered.
+        let max_pieces = if worker.last_call_failed() { 1 } else { self.spec.batch };
         let mut room = self.usable_room(worker, now);
-        let mut taken = Vec::new();
-        let begun = self.waiting[first];
+        let mut selected = Vec::new();
+        let first_piece = self.waiting[first];
         for (index, waiting) in self.waiting.iter().enumerate().skip(first) {
-            if taken.len() == most {
+            if selected.len() == max_pieces {
                 break;
             }
-            if !may_share(&begun, waiting) {
+            if !may_share(&first_piece, waiting) {
                 continue;
             }
             let Some(job) = self.jobs.get(waiting.job) else { continue };
             let preferred = job.submission.preferred_hall.as_ref();
-            let elsewhere = preferred.is_some_and(|hall| *hall != worker.target.hall);
-            if elsewhere && self.hold_until(waiting, now).is_some() {
+            let in_other_hall = preferred.is_some_and(|hall| *hall != worker.target.hall);
+            if in_other_hall && self.hold_until(waiting, now).is_some() {
                 continue;
             }
             if job.submission.result_bytes <= room {
                 room -= job.submission.result_bytes;
-                taken.push(index);
+                selected.push(index);
             }
         }
-        taken
+        selected
     }
 
-    /// Returns the bytes of room that may be used at a worker. A worker that holds nothing may take a
-    /// result of any size up to its whole room.
+    /// Returns the bytes of a worker's room that new results may use. A worker that holds nothing
+    /// may take a result of any size up to its whole room.
     fn usable_room(&self, worker: &Worker, now: Instant) -> u64 {
         let used = worker.room_used + worker.foreign_room(now);
         if used == 0 {
@@ -188,9 +189,10 @@
         usable.saturating_sub(used)
     }
 
-    /// Returns until when a piece waits for a worker in its preferred hall instead of taking any; `None`
-    /// if it need not wait.
-    fn hold_until(&self, waiting: &QueuedPiece, now: Instant) -> Option<Instant> {
+    /// Returns until when a piece waits for a worker in its preferred hall instead of going to any
+    /// worker; `None` if it need not wait. It waits no longer than until two call times before its
+    /// due time.
+    fn hold_until(&self, waiting: &PendingPiece, now: Instant) -> Option<Instant> {
         let job = self.jobs.get(waiting.job)?;
         let preferred = job.submission.preferred_hall.as_ref()?;
         let mut workers = self.workers.values();
@@ -201,37 +203,49 @@
         {
             return None;
         }
-        let max_wait = self.spec.call.mul_f64(PREFERRED_HALL_WAIT);
-        let by_slack = job.submission.due.checked_sub(self.spec.call * 2)?;
-        let until = (job.submitted + max_wait).min(by_slack);
+        let max_wait = self.spec.call.mul_f64(PREFERRED_HALL_WAIT_FRACTION);
+        let latest = job.submission.due.checked_sub(self.spec.call * 2)?;
+        let until = (job.submitted + max_wait).min(latest);
         (until > now).then_some(until)
     }
 
-    /// Moves the pieces from the queue to a new call at a worker, whose room they reserve.
+    /// Moves waiting pieces to a new call at a worker and reserves room there for their results.
     fn start_call(&mut self, key: WorkerKey, indexes: Vec<usize>, now: Instant) -> Call {
-        let pieces: Vec<QueuedPiece> = indexes.iter().map(|index| self.waiting[*index]).collect();
+        let pieces: Vec<PendingPiece> = indexes.iter().map(|index| self.waiting[*index]).collect();
         for index in indexes.iter().rev() {
             self.waiting.remove(*index);
         }
-        let bytes_of =
-            |w: &QueuedPiece| self.jobs.get(w.job).map_or(0, |j| j.submission.result_bytes);
-        let bytes = pieces.iter().map(bytes_of).sum();
+        let bytes_of = |piece: &PendingPiece| {
+            self.jobs.get(piece.job).map_or(0, |job| job.submission.result_bytes)
+        };
+        let reserved_bytes = pieces.iter().map(bytes_of).sum();
         let count = u32::try_from(pieces.len()).unwrap_or(u32::MAX);
-        let expected = (self.spec.call + self.spec.piece * count).max(MIN_DURATION);
+        let expected_duration = (self.spec.call + self.spec.piece * count).max(MIN_DURATION);
         self.mean_pieces += PIECES_WEIGHT * (f64::from(count) - self.mean_pieces);
-        self.learn_backlogged_pieces(count);
+        self.update_backlogged_pieces(count);
         let fetch_time = self.fetch_time(&pieces);
         let worker = &mut self.workers[key];
         let room_before = worker.room_used;
         worker.active_calls += 1;
-        worker.room_used += bytes;
+        worker.room_used += reserved_bytes;
         let (target, room_used) = (worker.target.clone(), worker.room_used);
         self.reclaim(key);
-        let members = pieces.iter().map(|waiting| (waiting.job, waiting.piece)).collect();
-        let since =
-            pieces.iter().filter_map(|w| self.jobs.get(w.job)).map(|job| job.submitted).min();
-        let waited = since.map_or(Duration::ZERO, |since| now.saturating_duration_since(since));
-        let call = ActiveCall { worker: key, pieces, began: now, expected, bytes, room_before };
+        let members = pieces.iter().map(|piece| (piece.job, piece.piece)).collect();
+        let first_submitted = pieces
+            .iter()
+            .filter_map(|piece| self.jobs.get(piece.job))
+            .map(|job| job.submitted)
+            .min();
+        let waited = first_submitted
+            .map_or(Duration::ZERO, |submitted| now.saturating_duration_since(submitted));
+        let call = ActiveCall {
+            worker: key,
+            pieces,
+            began: now,
+            expected_duration,
+            reserved_bytes,
+            room_before,
+        };
         Call {
             key: self.calls.insert(call),
             target,
@@ -240,27 +254,28 @@
             waited,
             still_waiting: self.waiting.len(),
             fetch_time,
-            timeout: call_timeout(expected),
+            timeout: call_timeout(expected_duration),
         }
     }
 
-    /// Updates the moving average of pieces in calls that leave others waiting. Calls that leave none
-    /// move it back to a full call.
-    fn learn_backlogged_pieces(&mut self, count: u32) {
+    /// Updates the moving average of pieces in calls that leave others waiting, after a call of
+    /// `count` pieces. Calls that leave none move it back towards a full call.
+    fn update_backlogged_pieces(&mut self, count: u32) {
         let full = self.spec.batch as f64;
-        let seen = if self.waiting.is_empty() { full } else { f64::from(count) };
+        let sample = if self.waiting.is_empty() { full } else { f64::from(count) };
         let before = self.backlogged_pieces.unwrap_or(full);
-        self.backlogged_pieces = Some(before + BACKLOGGED_WEIGHT * (seen - before));
+        self.backlogged_pieces = Some(before + BACKLOGGED_WEIGHT * (sample - before));
     }
 
-    /// Returns the time within which a target that starts a call has fetched the inputs of its pieces;
-    /// `None` if there are none or the link speed is unknown.
-    fn fetch_time(&self, pieces: &[QueuedPiece]) -> Option<Duration> {
-        let mut jobs: Vec<JobKey> = pieces.iter().map(|waiting| waiting.job).collect();
+    /// Returns the time within which a target that starts a call has fetched the inputs of its
+    /// pieces; `None` if they have none or the link speed is unknown.
+    fn fetch_time(&self, pieces: &[PendingPiece]) -> Option<Duration> {
+        let mut jobs: Vec<JobKey> = pieces.iter().map(|piece| piece.job).collect();
         jobs.dedup();
         let submissions = jobs.iter().filter_map(|job| self.submission(*job));
         let bytes: u64 = submissions.map(|submission| submission.input_bytes).sum();
-        let time = FETCH_LINKS * bytes as f64 / self.spec.link.filter(|link| *link > 0)? as f64;
-        (bytes > 0).then(|| FETCH_MARGIN + Duration::from_secs_f64(time))
+        let transfer_secs =
+            FETCH_LINKS * bytes as f64 / self.spec.link.filter(|link| *link > 0)? as f64;
+        (bytes > 0).then(|| FETCH_MARGIN + Duration::from_secs_f64(transfer_secs))
     }
 }
--- a/components/batching/src/lib.rs
+++ b/components/batching/src/lib.rs
@@ -1,8 +1,14 @@
-//! Batches the pieces of many requests into the calls of a pool, ordered by slack (the time left until a
-//! piece is due).
+//! Batches the pieces of many requests into the calls of a pool, ordered by slack (the time left
+//! until a piece is due).
 //!
-//! One VM, the owner, does this for a pool on behalf of all VMs. Ownership only improves efficiency: a
-//! piece may be made twice, so two owners at the same time duplicate work but break no guarantee.
+//! A pool is a service whose targets, its workers, run pieces of stages in batches. A submission
+//! has pieces of one stage of one request; a call sends pieces of several submissions to a worker.
+//! The worker stores the results: they use its room (memory for results) until they are released or
+//! expire.
+//!
+//! One VM, the owner, does this for a pool on behalf of all VMs. Ownership only improves
+//! efficiency: a piece may be made twice, so two owners at the same time duplicate work but break
+//! no guarantee.
 
 mod completion;
 mod filling;
--- a/components/batching/src/pool.rs
+++ b/components/batching/src/pool.rs
@@ -15,13 +15,13 @@
 };
 use crate::worker::{Worker, WorkerKey};
 
-/// Fraction of a worker's room above which room is scarce. The rest holds the results of two full calls
-/// on the pools observed so far.
+/// Fraction of a worker's room whose use makes room scarce. The rest holds the results of two full
+/// calls on the pools observed so far.
 const SCARCE_FRACTION: f64 = 0.5;
-/// Lower bound of the pool's configured times, to avoid division by zero.
+/// Lower bound of durations computed from the pool's configuration, to avoid division by zero.
 pub(crate) const MIN_DURATION: Duration = Duration::from_millis(1);
 
-/// A submission with unfinished pieces.
+/// A submission with unfinished pieces, and its progress.
 #[derive(Debug)]
 pub(crate) struct Job {
     pub(crate) submission: Submission,
@@ -35,11 +35,11 @@
 
 /// A piece that waits or is in a call.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct QueuedPiece {
+pub(crate) struct PendingPiece {
     pub(crate) job: JobKey,
     /// Number of the piece in its stage.
     pub(crate) piece: u32,
-    /// Number of attempts that failed.
+    /// Number of failed attempts.
     pub(crate) failed_attempts: u32,
     /// Whether its target has fetched the inputs.
     pub(crate) fetched: bool,
@@ -49,13 +49,14 @@
 #[derive(Debug)]
 pub(crate) struct ActiveCall {
     pub(crate) worker: WorkerKey,
-    pub(crate) pieces: Vec<QueuedPiece>,
+    pub(crate) pieces: Vec<PendingPiece>,
     pub(crate) began: Instant,
     /// Time that it should take by the pool's configuration.
-    pub(crate) expected: Duration,
-    /// Expected size of all results, in bytes.
-    pub(crate) bytes: u64,
-    /// Bytes that other results used at the worker when the call started.
+    pub(crate) expected_duration: Duration,
+    /// Room reserved for its results, in bytes, from their estimated sizes.
+    pub(crate) reserved_bytes: u64,
+    /// Room used by this owner's other calls and results at the worker when the call started, in
+    /// bytes.
     pub(crate) room_before: u64,
 }
 
@@ -68,16 +69,17 @@
     pub(crate) by_id: HashMap<TargetName, WorkerKey>,
     pub(crate) jobs: SlotMap<JobKey, Job>,
     pub(crate) calls: SlotMap<CallKey, ActiveCall>,
-    pub(crate) waiting: Vec<QueuedPiece>,
+    pub(crate) waiting: Vec<PendingPiece>,
     pub(crate) results: Results,
-    /// Handles of results to release without a request asking for it.
-    pub(crate) orphans: Vec<String>,
+    /// Handles of results to release although no request asks for it; see [`Pool::release_queued`].
+    pub(crate) queued_releases: Vec<String>,
     /// Moving average of the pieces in a call.
     pub(crate) mean_pieces: f64,
-    /// Moving average of the pieces in a call that leaves others waiting; `None` before the first call.
+    /// Moving average of the pieces in a call that leaves others waiting; `None` before the first
+    /// call.
     pub(crate) backlogged_pieces: Option<f64>,
-    /// Fraction of the workers' room that may be used. Result sizes are only estimates, so this is
-    /// learned from pieces that found no room.
+    /// Fraction of the workers' room that may be used. Result sizes are only estimates, so the
+    /// fraction is adjusted by whether results found room.
     pub(crate) room_fraction: f64,
     pub(crate) halls: Halls,
 }
@@ -94,7 +96,7 @@
             calls: SlotMap::with_key(),
             waiting: Vec::new(),
             results: Results::default(),
-            orphans: Vec::new(),
+            queued_releases: Vec::new(),
             mean_pieces: 1.0,
             backlogged_pieces: None,
             room_fraction: 1.0,
@@ -107,7 +109,7 @@
         self.spec = spec;
     }
 
-    /// Returns the time after which a result that nobody releases expires.
+    /// Returns the lifetime of a result, after which it expires if nobody releases it.
     pub fn result_life(&self) -> Duration {
         self.spec.result_life
     }
@@ -131,7 +133,7 @@
         }
     }
 
-    /// Sets the state of the halls: only workers in open halls are called.
+    /// Replaces the state of the halls: only workers in open halls are called.
     pub fn set_halls(&mut self, halls: Halls) {
         self.halls = halls;
     }
@@ -148,7 +150,7 @@
         workers.filter_map(|worker| self.halls.opens_at(&worker.target, now)).min()
     }
 
-    /// Finishes the waiting pieces for which no worker opens before their time is over as
+    /// Finishes the waiting pieces for which no worker may be called before their deadline as
     /// [`PieceOutcome::Failed`], regardless of the attempts left, and returns them.
     pub fn fail_unservable(&mut self, now: Instant) -> Vec<Finished> {
         if self.workers.is_empty() {
@@ -159,13 +161,13 @@
             return Vec::new();
         }
         let jobs = &self.jobs;
-        let (gone, left): (Vec<QueuedPiece>, Vec<QueuedPiece>) =
+        let (unservable, left): (Vec<PendingPiece>, Vec<PendingPiece>) =
             self.waiting.iter().partition(|waiting| {
                 let deadline = jobs.get(waiting.job).map(|job| job.submission.deadline);
                 opens.is_none_or(|opens| deadline.is_none_or(|deadline| deadline <= opens))
             });
         self.waiting = left;
-        gone.iter().filter_map(|waiting| self.finish(waiting, PieceOutcome::Failed)).collect()
+        unservable.iter().filter_map(|piece| self.finish(piece, PieceOutcome::Failed)).collect()
     }
 
     /// Returns the submissions that have waiting pieces.
@@ -177,11 +179,11 @@
     }
 
     /// Finishes the waiting pieces of a submission with this outcome and returns them.
-    pub fn finish_waiting(&mut self, job: JobKey, made: &PieceOutcome) -> Vec<Finished> {
-        let (gone, left) = self.waiting.iter().partition(|waiting| waiting.job == job);
+    pub fn finish_waiting(&mut self, job: JobKey, outcome: &PieceOutcome) -> Vec<Finished> {
+        let (removed, left) = self.waiting.iter().partition(|waiting| waiting.job == job);
         self.waiting = left;
-        let gone: Vec<QueuedPiece> = gone;
-        gone.iter().filter_map(|waiting| self.finish(waiting, made.clone())).collect()
+        let removed: Vec<PendingPiece> = removed;
+        removed.iter().filter_map(|piece| self.finish(piece, outcome.clone())).collect()
     }
 
     /// Whether this is the only call in progress at its worker.
@@ -200,17 +202,18 @@
         self.waiting.len()
     }
 
-    /// Queues the pieces of a submission.
+    /// Adds a submission; its pieces wait to be called.
     pub fn submit(&mut self, submission: Submission, now: Instant) -> JobKey {
         let pieces = submission.pieces.clone();
         let (unfinished, unfetched) = (pieces.len(), pieces.len());
         let job = self.jobs.insert(Job { submission, submitted: now, unfinished, unfetched });
-        let waiting = |piece| QueuedPiece { job, piece, failed_attempts: 0, fetched: false };
-        self.waiting.extend(pieces.into_iter().map(waiting));
+        let pending = |piece| PendingPiece { job, piece, failed_attempts: 0, fetched: false };
+        self.waiting.extend(pieces.into_iter().map(pending));
         job
     }
 
-    /// Removes a submission that nobody waits for. Calls in progress are not cancelled.
+    /// Removes a submission that nobody waits for. Calls in progress are not cancelled; their
+    /// results are released when they end.
     pub fn cancel(&mut self, job: JobKey) {
         self.jobs.remove(job);
         self.waiting.retain(|waiting| waiting.job != job);
@@ -221,9 +224,9 @@
         self.jobs.get(job).map(|job| &job.submission)
     }
 
-    /// Releases results; returns the handles to report to each worker. Their room counts as used until
-    /// [`Pool::finish_release`] records that the worker was notified: a call that arrives before
-    /// that message would find no room.
+    /// Releases results; returns the handles to report to each worker. Their room counts as used
+    /// until [`Pool::finish_release`] records that the worker was notified: a call that reaches the
+    /// worker before the notification would find no room.
     pub fn release(&mut self, handles: Vec<String>) -> Vec<PendingRelease> {
         let mut by_worker: HashMap<WorkerKey, (Vec<String>, u64)> = HashMap::new();
         for handle in handles {
@@ -250,8 +253,8 @@
         }
     }
 
-    /// Releases results if room at their workers is scarce, or once it becomes scarce: they are needed
-    /// again only if the pieces made from them fail.
+    /// Queues results for release if room at their workers is scarce, or once it becomes scarce:
+    /// they are needed again only if the pieces made from them fail.
     pub fn release_if_scarce(&mut self, handles: &[String]) {
         let workers: Vec<WorkerKey> =
             handles.iter().filter_map(|handle| self.results.set_spare(handle)).collect();
@@ -260,20 +263,21 @@
 
     /// Queues a worker's spare results for release if its room is scarce.
     pub(crate) fn reclaim(&mut self, key: WorkerKey) {
-        let scarce = (self.spec.room_bytes as f64 * SCARCE_FRACTION) as u64;
-        if self.workers.get(key).is_some_and(|worker| worker.room_used > scarce) {
-            self.orphans.extend(self.results.spare_at(key));
+        let scarce_bytes = (self.spec.room_bytes as f64 * SCARCE_FRACTION) as u64;
+        if self.workers.get(key).is_some_and(|worker| worker.room_used > scarce_bytes) {
+            self.queued_releases.extend(self.results.spare_at(key));
         }
     }
 
-    /// Releases results without a request asking for it: those completed after nobody waited for them,
-    /// and spare ones at workers whose room is scarce.
+    /// Releases the results queued for release although no request asks for it: those made after
+    /// their submission was cancelled, and spare ones at workers whose room is scarce.
     pub fn release_queued(&mut self) -> Vec<PendingRelease> {
-        let orphans = std::mem::take(&mut self.orphans);
-        self.release(orphans)
+        let queued_releases = std::mem::take(&mut self.queued_releases);
+        self.release(queued_releases)
     }
 
-    /// Drops the state of a worker that restarted under the same id: it no longer holds earlier results.
+    /// Drops the worker of this id if the target is a later process of it, which holds none of the
+    /// earlier results.
     fn end_earlier_lifetime(&mut self, target: &Target) {
         let Some(key) = self.by_id.get(&target.id).copied() else { return };
         let known = self.workers.get(key).map(|worker| &worker.target);
--- a/components/batching/src/results.rs
+++ b/components/batching/src/results.rs
@@ -12,13 +12,14 @@
     pub(crate) worker: WorkerKey,
     /// The submission that it belongs to.
     pub(crate) job: JobKey,
+    /// Estimated size.
     pub(crate) bytes: u64,
-    until: Instant,
+    expires: Instant,
     /// Whether it may be released when room is scarce.
     pub(crate) spare: bool,
 }
 
-/// All results made for this owner that still use room.
+/// All results that this owner had made and that still use room.
 #[derive(Debug, Default)]
 pub(crate) struct Results {
     by_handle: HashMap<String, StoredResult>,
@@ -34,9 +35,9 @@
         worker: WorkerKey,
         job: JobKey,
         bytes: u64,
-        until: Instant,
+        expires: Instant,
     ) {
-        let result = StoredResult { worker, job, bytes, until, spare: false };
+        let result = StoredResult { worker, job, bytes, expires, spare: false };
         self.by_handle.insert(handle.to_owned(), result);
     }
 
@@ -51,8 +52,8 @@
     }
 
     /// Records results of a call whose answer was lost: they use room until they expire.
-    pub(crate) fn add_lost(&mut self, worker: WorkerKey, bytes: u64, until: Instant) {
-        self.lost.push((worker, bytes, until));
+    pub(crate) fn add_lost(&mut self, worker: WorkerKey, bytes: u64, expires: Instant) {
+        self.lost.push((worker, bytes, expires));
     }
 
     /// Removes a result that is no longer needed; returns its worker and size.
@@ -75,7 +76,7 @@
 
     /// Removes the expired results; returns their workers and sizes.
     pub(crate) fn expire(&mut self, now: Instant) -> Vec<(WorkerKey, u64)> {
-        let is_expired = |result: &StoredResult| result.until <= now;
+        let is_expired = |result: &StoredResult| result.expires <= now;
         let mut freed: Vec<_> = self
             .by_handle
             .values()
@@ -83,14 +84,14 @@
             .map(|r| (r.worker, r.bytes))
             .collect();
         self.by_handle.retain(|_, result| !is_expired(result));
-        let lost = self.lost.extract_if(.., |(_, _, until)| *until <= now);
+        let lost = self.lost.extract_if(.., |(_, _, expires)| *expires <= now);
         freed.extend(lost.map(|(worker, bytes, _)| (worker, bytes)));
         freed
     }
 
-    /// Removes all results of a worker that is gone.
+    /// Removes all results of a worker that is no longer in the pool.
     pub(crate) fn drop_worker(&mut self, worker: WorkerKey) {
         self.by_handle.retain(|_, result| result.worker != worker);
-        self.lost.retain(|(of, _, _)| *of != worker);
+        self.lost.retain(|(key, _, _)| *key != worker);
     }
 }
--- a/components/batching/src/room_use.rs
+++ b/components/batching/src/room_use.rs
@@ -1,4 +1,5 @@
-//! Breakdown of the room used at a pool's workers, to explain why workers are idle.
+//! Breakdown by use of the room (memory for results) at a pool's workers, to explain why workers
+//! are idle.
 
 use std::collections::HashSet;
 use std::time::Instant;
@@ -6,25 +7,25 @@
 use crate::pool::Pool;
 use crate::worker::WorkerKey;
 
-/// Bytes of room at all available workers of a pool by use, and how many workers are idle.
+/// Bytes of room at all available workers of a pool by use, and the number of idle workers.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct RoomUse {
     /// Total room.
     pub total: u64,
-    /// Expected results of calls in progress.
+    /// Reserved for the results of calls in progress.
     pub at_work: u64,
-    /// Results of submissions that still have unfinished pieces.
+    /// Results of submissions that have unfinished pieces.
     pub incomplete: u64,
-    /// Results that wait to be used.
+    /// Results of finished submissions, which wait to be used.
     pub kept: u64,
     /// Results that may be released when room is scarce.
     pub spare: u64,
-    /// Results that may remain at a worker until they expire: those of failed calls, and those of whose
-    /// release the worker may not know.
+    /// Results that may remain at a worker until they expire: those of failed calls, and released
+    /// ones whose worker may not have been notified.
     pub lost: u64,
     /// Released results whose worker has not confirmed the release.
     pub unconfirmed: u64,
-    /// Results that this VM did not have made.
+    /// Results that are unknown to this owner; an estimate.
     pub foreign: u64,
     /// Workers that are available and have no call in progress.
     pub idle_workers: usize,
@@ -49,7 +50,7 @@
             room.idle_workers += usize::from(worker.active_calls == 0);
         }
         let calls = self.calls.values().filter(|call| available.contains(&call.worker));
-        room.at_work = calls.map(|call| call.bytes).sum();
+        room.at_work = calls.map(|call| call.reserved_bytes).sum();
         for result in self.results.known().filter(|result| available.contains(&result.worker)) {
             *match () {
                 () if result.spare => &mut room.spare,
@@ -58,8 +59,8 @@
             } += result.bytes;
         }
         room.lost = self.results.lost_bytes(|key| available.contains(&key));
-        let named = room.at_work + room.incomplete + room.kept + room.spare + room.lost;
-        room.unconfirmed = used.saturating_sub(named);
+        let accounted = room.at_work + room.incomplete + room.kept + room.spare + room.lost;
+        room.unconfirmed = used.saturating_sub(accounted);
         room
     }
 }
--- a/components/batching/src/submission.rs
+++ b/components/batching/src/submission.rs
@@ -30,22 +30,23 @@
 pub struct Submission {
     /// The request.
     pub request: RequestId,
-    /// Digest that is the same in each submission of the same pieces, also under another request id;
-    /// `None` from a VM of an older build.
+    /// Digest that is the same in each submission of the same pieces, also under another request
+    /// id; `None` if it comes from a VM of an older build.
     pub digest: Option<RequestDigest>,
     /// Index of the stage.
     pub stage: u32,
     /// Numbers of the pieces.
     pub pieces: Vec<u32>,
-    /// Secret of the request, for stages that need no results.
+    /// Secret from the caller that is passed to the workers; only for stages without inputs.
     pub piece_key: Option<String>,
-    /// Results that each piece needs.
+    /// Handles of the results that each piece needs.
     pub inputs: Vec<String>,
     /// Size of all inputs together, in bytes.
     pub input_bytes: u64,
-    /// Time after which the results are useless.
+    /// Deadline of the request: later results are useless and pieces are no longer started.
     pub deadline: Instant,
-    /// Time after which the results are late.
+    /// Time by which the results are wanted. Pieces are ordered by it; later results may still be
+    /// used.
     pub due: Instant,
     /// Urgency; 0 is the most urgent.
     pub urgency: u8,
@@ -64,13 +65,14 @@
     pub target: Target,
     /// The pieces: submission and number.
     pub pieces: Vec<(JobKey, u32)>,
-    /// Bytes of room used at the target by its results and earlier ones, for the log.
+    /// Room used at the target by its results and earlier ones, in bytes, for the log.
     pub room_used: u64,
-    /// Longest time that one of its pieces waited, for the log.
+    /// Longest time that a piece of the call waited, for the log.
     pub waited: Duration,
-    /// Pieces that still wait, for the log.
+    /// Number of pieces of the pool that still wait, for the log.
     pub still_waiting: usize,
-    /// Time from the start of the call at the target until its inputs are fetched; `None` if unknown.
+    /// Time from the start of the call at the target until its inputs are fetched; `None` if
+    /// unknown.
     pub fetch_time: Option<Duration>,
     /// Time after which the call is given up.
     pub timeout: Duration,
@@ -93,7 +95,7 @@
 pub enum CallEnd {
     /// The target answered; one answer for each piece, in order.
     Answered(Vec<PieceAnswer>),
-    /// The target was full and did not take the call.
+    /// The target was full and rejected the call.
     Full,
     /// The target is gone and another one has its address.
     TargetGone,
@@ -108,9 +110,9 @@
 pub enum PieceOutcome {
     /// The result is stored at its worker under this handle.
     Stored(String),
-    /// The time of the piece was over.
+    /// The deadline passed before the piece started.
     Late,
-    /// An input is gone.
+    /// An input no longer exists.
     InputGone,
     /// The piece could not be made.
     Failed,
--- a/components/batching/src/worker.rs
+++ b/components/batching/src/worker.rs
@@ -10,7 +10,7 @@
     pub struct WorkerKey;
 }
 
-/// Weight of a new call's time in the learned slowdown.
+/// Weight of a new call in the moving average [`Worker::slowdown`].
 const SLOWDOWN_WEIGHT: f64 = 0.4;
 /// Backoff after the first failure; doubles with each consecutive failure.
 const INITIAL_BACKOFF: Duration = Duration::from_millis(400);
@@ -18,12 +18,12 @@
 const MAX_BACKOFF: Duration = Duration::from_millis(3200);
 /// Backoff after a worker was full, which happens only when another owner calls it too.
 const FULL_BACKOFF: Duration = Duration::from_millis(60);
-
-/// Backoff after a worker had no room for a result because it stores results of another owner.
+/// Backoff after a worker had no room for a result, for instance because it stores results of
+/// another owner.
 const NO_ROOM_BACKOFF: Duration = Duration::from_millis(120);
 
-/// Room used by results unknown to this owner: those of calls whose answer was lost, and those of a
-/// previous owner.
+/// Estimated room used by results unknown to this owner: those of calls whose answer was lost, and
+/// those of a previous owner. It falls evenly from `bytes` at `since` to zero at `until`.
 #[derive(Debug, Clone, Copy)]
 struct ForeignRoom {
     bytes: u64,
@@ -39,9 +39,10 @@
     pub(crate) active_calls: u32,
     /// Bytes of room used by this owner's calls and results.
     pub(crate) room_used: u64,
-    /// Moving average of the ratio of a call's time to the time expected from the pool's configuration.
+    /// Moving average of the time that calls take, as a multiple of the time expected from the
+    /// pool's configuration.
     pub(crate) slowdown: f64,
-    /// Consecutive failures.
+    /// Number of failed calls since the last answered one.
     failures: u32,
     backoff_until: Option<Instant>,
     foreign: Option<ForeignRoom>,
@@ -68,7 +69,7 @@
 
     /// Returns the calls per second that the worker accepts, from the rate that it advertises.
     pub(crate) fn max_call_rate(&self) -> f64 {
-        self.target.request_interval.map_or(f64::INFINITY, |pause| 1.0 / pause.as_secs_f64())
+        self.target.request_interval.map_or(f64::INFINITY, |interval| 1.0 / interval.as_secs_f64())
     }
 
     /// Returns when the worker may be called again, if it is in backoff.
@@ -101,21 +102,21 @@
         self.backoff_until = Some(now + backoff);
     }
 
-    /// Records that results unknown to this owner use `bytes`. They expire evenly within `life`, the
-    /// lifetime of a result.
-    pub(crate) fn set_foreign(&mut self, bytes: u64, life: Duration, now: Instant) {
-        self.foreign = Some(ForeignRoom { bytes, since: now, until: now + life });
+    /// Records that results unknown to this owner use `bytes`. They are assumed to expire evenly
+    /// within `lifetime`, that of a result.
+    pub(crate) fn set_foreign_room(&mut self, bytes: u64, lifetime: Duration, now: Instant) {
+        self.foreign = Some(ForeignRoom { bytes, since: now, until: now + lifetime });
     }
 
-    /// Returns the bytes that unknown results still use, assuming that they expire at a constant rate.
+    /// Returns the estimated bytes that results unknown to this owner still use.
     pub(crate) fn foreign_room(&self, now: Instant) -> u64 {
         let Some(ForeignRoom { bytes, since, until }) = self.foreign else { return 0 };
-        let life = (until - since).as_secs_f64().max(f64::EPSILON);
-        let left = until.saturating_duration_since(now).as_secs_f64() / life;
-        (bytes as f64 * left) as u64
+        let lifetime_secs = (until - since).as_secs_f64().max(f64::EPSILON);
+        let left_fraction = until.saturating_duration_since(now).as_secs_f64() / lifetime_secs;
+        (bytes as f64 * left_fraction) as u64
     }
 
-    /// Whether the worker's last call failed.
+    /// Whether a call of the worker failed and none was answered since.
     pub(crate) fn last_call_failed(&self) -> bool {
         self.failures > 0
     }
