--- a/components/batching/tests/fetch_time.rs
+++ b/components/batching/tests/fetch_time.rs
@@ -13,21 +13,21 @@
 
 /// Number of pieces of a call.
 const PIECES: u32 = 3;
-/// Expected time of a call with that many pieces.
+/// Time that a call with that many pieces takes by the pool's configuration.
 const CALL_TIME: Duration = Duration::from_millis(230);
-/// Size of the inputs; they take 2 ms over two links.
+/// Size of the inputs in bytes; they take 2 ms over two links.
 const INPUT_BYTES: u64 = 1000;
 /// Upper bound of their expected fetch time.
 const MAX_FETCH_TIME: Duration = Duration::from_millis(50);
 
-fn begin(pool: &mut Pool, now: Instant) -> Call {
+fn submit_and_call(pool: &mut Pool, now: Instant) -> Call {
     let inputs = vec!["127.0.0.1:9/in".to_owned()];
     let base = submission("r", PIECES, now + CALL * 9);
     pool.submit(Submission { inputs, input_bytes: INPUT_BYTES, ..base }, now);
     pool.next_call(now).unwrap()
 }
 
-fn made(call: &Call) -> CallEnd {
+fn all_stored(call: &Call) -> CallEnd {
     let handle = |index| PieceAnswer::Stored(format!("127.0.0.1:9/{index}"));
     CallEnd::Answered((0..call.pieces.len()).map(handle).collect())
 }
@@ -39,10 +39,10 @@
     {
         let now = Instant::now();
         let mut pool = pool(&[worker("m", "a")]);
-        let first = begin(&mut pool, now);
-        pool.call_ended(first.key, end.clone().unwrap_or_else(|| made(&first)), now + took);
+        let first = submit_and_call(&mut pool, now);
+        pool.call_ended(first.key, end.clone().unwrap_or_else(|| all_stored(&first)), now + took);
 
-        let call = begin(&mut pool, now + took + CALL);
+        let call = submit_and_call(&mut pool, now + took + CALL);
 
         assert!(
             call.fetch_time.unwrap() < MAX_FETCH_TIME,
@@ -58,7 +58,7 @@
     let mut pool = pool(&[worker("m", "a")]);
     pool.set_spec(intent::PoolSpec { link: None, ..support::spec() });
 
-    let call = begin(&mut pool, now);
+    let call = submit_and_call(&mut pool, now);
 
     assert_eq!(call.fetch_time, None);
 }
--- a/components/batching/tests/pool.rs
+++ b/components/batching/tests/pool.rs
@@ -1,4 +1,5 @@
-//! Tests of a pool: filling calls by slack within the workers' room, requeueing failed pieces, and releasing results.
+//! Tests of a pool: filling calls by slack within the workers' room, requeueing failed pieces, and
+//! releasing results.
 
 // A fixture that can't be set up must fail its test.
 #![allow(clippy::unwrap_used)]
@@ -15,12 +16,14 @@
 
 mod support;
 
-fn made(count: usize) -> CallEnd {
+/// The end of a call whose `count` pieces all have results.
+fn all_stored(count: usize) -> CallEnd {
     let answer = |index| PieceAnswer::Stored(format!("127.0.0.1:9/{index}"));
     CallEnd::Answered((0..count).map(answer).collect())
 }
 
-fn requests(pool: &Pool, call: &batching::Call) -> Vec<String> {
+/// The request ids of the pieces of a call.
+fn request_ids(pool: &Pool, call: &batching::Call) -> Vec<String> {
     let id = |job| pool.submission(job).map(|s| s.request.to_string()).unwrap_or_default();
     call.pieces.iter().map(|(job, _)| id(*job)).collect()
 }
@@ -34,7 +37,7 @@
 
     let call = pool.next_call(now).unwrap();
 
-    assert_eq!(requests(&pool, &call), ["soon", "soon", "soon", "late"]);
+    assert_eq!(request_ids(&pool, &call), ["soon", "soon", "soon", "late"]);
     assert!(pool.next_call(now).is_none(), "its only worker is busy");
 }
 
@@ -47,7 +50,7 @@
 
     let call = pool.next_call(now).unwrap();
 
-    assert_eq!(requests(&pool, &call), ["soon"; 4]);
+    assert_eq!(request_ids(&pool, &call), ["soon"; 4]);
 }
 
 #[test]
@@ -57,12 +60,12 @@
     let job = pool.submit(submission("r", 3, now + CALL * 4), now);
     let call = pool.next_call(now).unwrap();
 
-    let finished = pool.call_ended(call.key, made(3), now + CALL);
+    let finished = pool.call_ended(call.key, all_stored(3), now + CALL);
 
     let pieces: Vec<u32> = finished.iter().map(|finished| finished.piece).collect();
     assert_eq!(pieces, [0, 1, 2]);
     assert!(finished.iter().all(|f| f.job == job && matches!(f.outcome, PieceOutcome::Stored(_))));
-    assert!(pool.call_ended(call.key, made(3), now + CALL).is_empty(), "a call ends once");
+    assert!(pool.call_ended(call.key, all_stored(3), now + CALL).is_empty(), "a call ends once");
 }
 
 #[test]
@@ -72,24 +75,24 @@
     let large = |id| Submission { result_bytes: 500, ..submission(id, 2, now + CALL * 4) };
     pool.submit(large("first"), now);
     let call = pool.next_call(now).unwrap();
-    pool.call_ended(call.key, made(2), now);
+    pool.call_ended(call.key, all_stored(2), now);
     pool.submit(large("second"), now);
     assert!(pool.next_call(now).is_none(), "no room");
 
-    let told = pool.release(vec!["127.0.0.1:9/0".to_owned(), "unknown".to_owned()]);
-    assert!(pool.next_call(now).is_none(), "the worker has not been told yet");
-    pool.finish_release(&told[0], true, now);
+    let releases = pool.release(vec!["127.0.0.1:9/0".to_owned(), "unknown".to_owned()]);
+    assert!(pool.next_call(now).is_none(), "the worker has not been notified yet");
+    pool.finish_release(&releases[0], true, now);
     let call = pool.next_call(now).unwrap();
 
-    assert_eq!(told.len(), 1);
-    assert_eq!(told[0].handles, ["127.0.0.1:9/0"]);
+    assert_eq!(releases.len(), 1);
+    assert_eq!(releases[0].handles, ["127.0.0.1:9/0"]);
     assert_eq!(call.pieces.len(), 1);
     pool.call_ended(call.key, CallEnd::Failed, now);
     let later = now + Duration::from_secs(5);
     assert_eq!(
         pool.next_call(later).unwrap().pieces.len(),
         1,
-        "one piece, to learn whether the worker has recovered"
+        "one piece, to find out whether the worker has recovered"
     );
 }
 
@@ -123,16 +126,16 @@
 
     let finished = pool.call_ended(call.key, CallEnd::Answered(answers), now);
 
-    let made: Vec<&PieceOutcome> = finished.iter().map(|finished| &finished.outcome).collect();
-    assert_eq!(made, [&PieceOutcome::Late, &PieceOutcome::InputGone]);
+    let outcomes: Vec<&PieceOutcome> = finished.iter().map(|finished| &finished.outcome).collect();
+    assert_eq!(outcomes, [&PieceOutcome::Late, &PieceOutcome::InputGone]);
     assert!(pool.next_call(now).is_none(), "a worker without room is in backoff");
     let again = pool.next_call(now + CALL).unwrap();
     let pieces: Vec<u32> = again.pieces.iter().map(|(_, piece)| *piece).collect();
-    assert_eq!(pieces, [2, 3], "no room, and a missing answer");
+    assert_eq!(pieces, [2, 3], "one found no room, one got no answer");
 }
 
 #[test]
-fn a_full_worker_costs_no_try() {
+fn a_full_worker_uses_up_no_attempt() {
     let mut now = Instant::now();
     let mut pool = pool(&[worker("m", "a")]);
     pool.submit(submission("r", 1, now + CALL * 50), now);
@@ -144,7 +147,7 @@
 }
 
 #[test]
-fn a_worker_without_room_costs_no_try() {
+fn a_worker_without_room_uses_up_no_attempt() {
     let mut now = Instant::now();
     let mut pool = pool(&[worker("m", "a")]);
     pool.submit(submission("r", 1, now + CALL * 50), now);
@@ -164,11 +167,11 @@
     let call = pool.next_call(now).unwrap();
     pool.cancel(job);
 
-    assert!(pool.call_ended(call.key, made(2), now).is_empty());
+    assert!(pool.call_ended(call.key, all_stored(2), now).is_empty());
 
-    let told = pool.release_queued();
-    assert_eq!(told.len(), 1);
-    assert_eq!(told[0].handles.len(), 2);
+    let releases = pool.release_queued();
+    assert_eq!(releases.len(), 1);
+    assert_eq!(releases[0].handles.len(), 2);
     assert!(pool.is_idle());
 }
 
@@ -176,19 +179,19 @@
 fn pieces_wait_for_a_limited_time_for_a_worker_in_the_hall_of_their_inputs() {
     let now = Instant::now();
     let mut pool = pool(&[worker("near", "a"), worker("far", "b")]);
-    let near = Some(HallName::new("a").unwrap());
-    let wants_a =
-        |id| Submission { preferred_hall: near.clone(), ..submission(id, 4, now + CALL * 20) };
-    pool.submit(wants_a("first"), now);
-    pool.submit(wants_a("second"), now);
+    let hall_a = Some(HallName::new("a").unwrap());
+    let preferring_a =
+        |id| Submission { preferred_hall: hall_a.clone(), ..submission(id, 4, now + CALL * 20) };
+    pool.submit(preferring_a("first"), now);
+    pool.submit(preferring_a("second"), now);
 
     let first = pool.next_call(now).unwrap();
     assert_eq!(first.target.id.as_str(), "near");
     assert!(pool.next_call(now).is_none(), "the second waits");
 
-    let look = pool.next_wakeup(now).unwrap();
-    assert!(look > now && look <= now + CALL);
-    assert_eq!(pool.next_call(look).unwrap().target.id.as_str(), "far");
+    let wakeup = pool.next_wakeup(now).unwrap();
+    assert!(wakeup > now && wakeup <= now + CALL);
+    assert_eq!(pool.next_call(wakeup).unwrap().target.id.as_str(), "far");
 }
 
 #[test]
@@ -219,20 +222,21 @@
     let now = Instant::now();
     let mut pool = pool(&[worker("m", "a"), worker("n", "a")]);
     let inputs = vec!["127.0.0.1:9/in".to_owned()];
-    let wants = Submission { inputs, input_bytes: 500_000, ..submission("r", 6, now + CALL * 9) };
-    let job = pool.submit(wants, now);
+    let with_inputs =
+        Submission { inputs, input_bytes: 500_000, ..submission("r", 6, now + CALL * 9) };
+    let job = pool.submit(with_inputs, now);
     let first = pool.next_call(now).unwrap();
     let second = pool.next_call(now).unwrap();
 
-    let early = pool.inputs_fetched(first.key);
-    let over = pool.inputs_fetched(second.key);
+    let after_first = pool.inputs_fetched(first.key);
+    let after_second = pool.inputs_fetched(second.key);
 
     assert!(
         first.fetch_time.is_some_and(|time| time > Duration::from_secs(1)),
-        "a second over two links"
+        "the inputs take a second over two links"
     );
-    assert!(early.is_empty(), "two pieces have not fetched them");
-    assert_eq!(over, [job]);
+    assert!(after_first.is_empty(), "two pieces have not fetched them");
+    assert_eq!(after_second, [job]);
     assert!(pool.inputs_fetched(second.key).is_empty(), "reported once");
 }
 
@@ -241,18 +245,18 @@
     let now = Instant::now();
     let mut pool = pool(&[worker("m", "a"), worker("n", "a")]);
     let inputs = vec!["127.0.0.1:9/in".to_owned()];
-    let wants = Submission { inputs, input_bytes: 1, ..submission("r", 4, now + CALL * 9) };
-    let job = pool.submit(wants, now);
+    let with_inputs = Submission { inputs, input_bytes: 1, ..submission("r", 4, now + CALL * 9) };
+    let job = pool.submit(with_inputs, now);
     let first = pool.next_call(now).unwrap();
-    let over = pool.inputs_fetched(first.key);
+    let after_first = pool.inputs_fetched(first.key);
     pool.call_ended(first.key, CallEnd::Failed, now);
     let second = pool.next_call(now).unwrap();
 
-    let over_again = pool.inputs_fetched(second.key);
+    let after_second = pool.inputs_fetched(second.key);
 
-    assert_eq!(over, [job]);
+    assert_eq!(after_first, [job]);
     assert_eq!(second.pieces.len(), 4);
-    assert_eq!(over_again, [job]);
+    assert_eq!(after_second, [job]);
 }
 
 #[test]
@@ -274,14 +278,14 @@
     pool.submit(sized("more", 3), later);
     let one = pool.next_call(later).unwrap();
     assert_eq!(one.pieces.len(), 4, "an empty worker may use all of its room");
-    pool.call_ended(one.key, made(1), later);
+    pool.call_ended(one.key, all_stored(1), later);
     pool.submit(sized("second", 4), later);
     let next = pool.next_call(later + CALL * 9).unwrap();
     assert_eq!(next.pieces.len(), 3, "970 of 1,000 bytes are used, 220 of them already");
 }
 
 #[test]
-fn workers_of_an_unreachable_hall_get_no_calls_and_a_call_there_costs_no_try() {
+fn workers_of_an_unreachable_hall_get_no_calls_and_a_call_there_uses_up_no_attempt() {
     let now = Instant::now();
     let mut pool = pool(&[worker("m", "a"), worker("n", "b")]);
     let mut halls = Halls::default();
@@ -314,7 +318,7 @@
     let gone: Vec<u32> = finished.iter().map(|finished| finished.piece).collect();
     assert_eq!(gone, [4, 5], "those in a call end with it");
     assert!(finished.iter().all(|finished| finished.outcome == PieceOutcome::InputGone));
-    assert_eq!(pool.call_ended(call.key, made(4), now + CALL).len(), 4);
+    assert_eq!(pool.call_ended(call.key, all_stored(4), now + CALL).len(), 4);
     assert!(pool.is_idle());
 }
 
@@ -326,7 +330,7 @@
         |id, pieces| Submission { result_bytes: 200, ..submission(id, pieces, now + CALL * 9) };
     pool.submit(sized("first", 2), now);
     let call = pool.next_call(now).unwrap();
-    pool.call_ended(call.key, made(2), now);
+    pool.call_ended(call.key, all_stored(2), now);
 
     pool.release_if_scarce(&["127.0.0.1:9/0".to_owned()]);
     let while_room = pool.release_queued();
@@ -346,11 +350,11 @@
     let large = |id| Submission { result_bytes: 500, ..submission(id, 2, now + CALL * 90) };
     pool.submit(large("first"), now);
     let call = pool.next_call(now).unwrap();
-    pool.call_ended(call.key, made(2), now);
+    pool.call_ended(call.key, all_stored(2), now);
     pool.submit(large("second"), now);
-    let told = pool.release(vec!["127.0.0.1:9/0".to_owned()]);
+    let releases = pool.release(vec!["127.0.0.1:9/0".to_owned()]);
 
-    pool.finish_release(&told[0], false, now);
+    pool.finish_release(&releases[0], false, now);
 
     assert!(pool.next_call(now).is_none(), "the result may still be stored");
     assert_eq!(pool.next_call(now + LIFE).unwrap().pieces.len(), 2);
@@ -371,7 +375,7 @@
     assert_eq!(
         pool.next_call(now + LIFE).unwrap().pieces.len(),
         1,
-        "one piece, to learn whether the worker has recovered"
+        "one piece, to find out whether the worker has recovered"
     );
 }
 
@@ -454,12 +458,12 @@
     halls.evacuate(HallName::new("b").unwrap());
     pool.set_halls(halls.clone());
     pool.submit(submission("r", 3, now + CALL * 9), now);
-    let given_up = pool.fail_unservable(now);
+    let failed = pool.fail_unservable(now);
 
     assert!(pool.is_closed(now));
     assert!(pool.next_call(now).is_none());
-    assert_eq!(given_up.len(), 3);
-    assert!(given_up.iter().all(|finished| finished.outcome == PieceOutcome::Failed));
+    assert_eq!(failed.len(), 3);
+    assert!(failed.iter().all(|finished| finished.outcome == PieceOutcome::Failed));
     halls.restore(&HallName::new("b").unwrap());
     pool.set_halls(halls);
     assert!(!pool.is_closed(now));
@@ -505,20 +509,20 @@
         pool.submit(submission(id, 1, now + CALL * 90), now);
     }
 
-    let mut ends: HashMap<String, u32> = HashMap::new();
+    let mut failed_calls: HashMap<String, u32> = HashMap::new();
     while let Some(call) = pool.next_call(now) {
-        let members = requests(&pool, &call);
+        let members = request_ids(&pool, &call);
         now += CALL * 10;
         if members.iter().any(|id| id == "fatal") {
-            members.into_iter().for_each(|id| *ends.entry(id).or_default() += 1);
+            members.into_iter().for_each(|id| *failed_calls.entry(id).or_default() += 1);
             pool.call_ended(call.key, CallEnd::Failed, now);
         } else {
-            pool.call_ended(call.key, made(members.len()), now);
+            pool.call_ended(call.key, all_stored(members.len()), now);
         }
     }
 
-    assert_eq!(ends["fatal"], 4, "all attempts of the piece");
-    assert!(ids[1..].iter().all(|id| ends[*id] == 2), "{ends:?}");
+    assert_eq!(failed_calls["fatal"], 4, "all attempts of the piece");
+    assert!(ids[1..].iter().all(|id| failed_calls[*id] == 2), "{failed_calls:?}");
 }
 
 #[test]
@@ -528,18 +532,18 @@
     let mut pool = pool(&[born(1)]);
     pool.submit(submission("r", 4, now + CALL * 9), now);
     let call = pool.next_call(now).unwrap();
-    pool.call_ended(call.key, made(4), now);
+    pool.call_ended(call.key, all_stored(4), now);
     let handles: Vec<String> = (0..4).map(|index| format!("127.0.0.1:9/{index}")).collect();
     pool.submit(submission("under-way", 4, now + CALL * 9), now);
     let in_progress = pool.next_call(now).unwrap();
 
     pool.set_workers([born(2)].iter());
     let earlier_releases = pool.release(handles);
-    let again = pool.call_ended(in_progress.key, CallEnd::Failed, now);
+    let finished = pool.call_ended(in_progress.key, CallEnd::Failed, now);
     let call = pool.next_call(now).unwrap();
 
     assert!(earlier_releases.is_empty(), "nothing is released at the restarted worker");
-    assert!(again.is_empty(), "the pieces of the call are requeued");
+    assert!(finished.is_empty(), "the pieces of the call are requeued");
     assert_eq!((call.target.born, call.pieces.len()), (Some(2), 4));
     assert_eq!(call.room_used, 40, "only its own results");
 }
--- a/components/batching/tests/queue.rs
+++ b/components/batching/tests/queue.rs
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn the_last_bucket_counts_by_half() {
+fn half_of_the_last_bucket_counts_for_any_slack_within_it() {
     let mut queue = Queue::default();
     (0..10).for_each(|_| queue.add(0, SECOND * 9));
 
--- a/components/batching/tests/unavailable_workers.rs
+++ b/components/batching/tests/unavailable_workers.rs
@@ -1,4 +1,5 @@
-//! Tests of workers that are leaving or ask not to be called, and of pieces that can't be made in time as a result.
+//! Tests of workers that are leaving or ask not to be called, and of pieces that can't be made in
+//! time as a result.
 
 // A fixture that can't be set up must fail its test.
 #![allow(clippy::unwrap_used)]
@@ -12,7 +13,8 @@
 
 mod support;
 
-fn left_alone(id: &str, hall: &str, until: Instant) -> Target {
+/// A worker that asks not to be called until then.
+fn in_backoff(id: &str, hall: &str, until: Instant) -> Target {
     Target { backoff_until: Some(until), ..worker(id, hall) }
 }
 
@@ -24,20 +26,20 @@
 fn a_worker_that_asks_not_to_be_called_is_called_once_that_time_is_over() {
     let now = Instant::now();
     let until = now + CALL;
-    let mut pool = pool(&[left_alone("m", "a", until)]);
+    let mut pool = pool(&[in_backoff("m", "a", until)]);
     pool.submit(submission("r", 1, now + CALL * 4), now);
 
     assert!(pool.next_call(now).is_none());
     assert!(!pool.is_closed(now));
-    assert!(pool.fail_unservable(now).is_empty(), "its time is not over by then");
+    assert!(pool.fail_unservable(now).is_empty(), "its deadline is after that time");
     assert_eq!(pool.next_wakeup(now), Some(until));
     assert_eq!(pool.next_call(until).unwrap().target.id.as_str(), "m");
 }
 
 #[test]
-fn only_pieces_whose_time_ends_before_a_worker_is_available_fail() {
+fn only_pieces_whose_deadline_is_before_a_worker_is_available_fail() {
     let now = Instant::now();
-    let mut pool = pool(&[leaving("m", "a"), left_alone("n", "a", now + CALL * 2)]);
+    let mut pool = pool(&[leaving("m", "a"), in_backoff("n", "a", now + CALL * 2)]);
     let short = Submission { deadline: now + CALL, ..submission("short", 2, now + CALL) };
     pool.submit(short, now);
     pool.submit(submission("long", 3, now + CALL * 4), now);
@@ -52,7 +54,7 @@
 #[test]
 fn a_piece_does_not_wait_for_an_unavailable_worker_in_the_hall_of_its_inputs() {
     let now = Instant::now();
-    let near = |workers: &[Target]| {
+    let called_worker = |workers: &[Target]| {
         let mut pool = pool(workers);
         let hall = Some(HallName::new("a").unwrap());
         pool.submit(Submission { preferred_hall: hall, ..submission("r", 1, now + CALL * 9) }, now);
@@ -68,7 +70,10 @@
     busy.next_call(now).unwrap();
 
     assert!(busy.next_call(now).is_none(), "it waits for the busy worker in its preferred hall");
-    assert_eq!(near(&[leaving("m", "a"), worker("n", "b")]).as_deref(), Some("n"));
+    assert_eq!(called_worker(&[leaving("m", "a"), worker("n", "b")]).as_deref(), Some("n"));
     let until = now + CALL;
-    assert_eq!(near(&[left_alone("m", "a", until), worker("n", "b")]).as_deref(), Some("n"));
+    assert_eq!(
+        called_worker(&[in_backoff("m", "a", until), worker("n", "b")]).as_deref(),
+        Some("n")
+    );
 }
