--- a/components/result_leases/src/lib.rs
+++ b/components/result_leases/src/lib.rs
@@ -1,11 +1,12 @@
 //! Leases on results, kept by the owner: the VM that had the results made.
 //!
-//! A result uses room at its worker until the worker is told to release it, or until it expires. Once
-//! the owner has handed a result to the VM of its request (the holder), the holder releases it. A lease
-//! states until when the owner relies on that. It ends with the holder's process, with a link on which
-//! the result was lost, and with the request's time. Then the owner releases the result itself.
+//! A result uses room at its worker until the worker is told to release it, or until it expires.
+//! Once the owner has handed a result to the VM of its request (the holder), the holder releases
+//! it. A lease states how long the owner relies on that. It ends when the holder's process ends,
+//! when the result turns out to be lost with a link, or [`REQUEST_GRACE`] after the request's end.
+//! Then the owner releases the result itself.
 //!
-//! The module does no I/O and reads no clock: the caller passes the current time.
+//! The crate does no I/O and reads no clock: the caller passes the current time.
 
 use std::collections::{HashMap, HashSet};
 use std::time::{Duration, Instant};
@@ -26,14 +27,14 @@
 pub struct Holder {
     /// The VM.
     pub vm: VmName,
-    /// The incarnation, which identifies the process.
+    /// Number that identifies the process among those of the VM.
     pub incarnation: u64,
 }
 
 /// Why a lease ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum EndReason {
-    /// The request's time is over.
+    /// The time allowed for the request is over.
     RequestOver,
     /// The holder's process ended.
     HolderGone,
@@ -54,15 +55,15 @@
 struct Link {
     holder: Holder,
     is_up: bool,
-    /// When and why its leases end, if known.
+    /// When and why the leases granted through it end, if known.
     ends: Option<(Instant, EndReason)>,
 }
 
 #[derive(Debug)]
 struct Lease {
     link: LinkKey,
-    /// End of the request's time.
-    until: Instant,
+    /// End of the time allowed for the request.
+    request_ends: Instant,
     /// When the result expires at its worker.
     expires: Instant,
 }
@@ -85,26 +86,34 @@
         self.links.insert(Link { holder, is_up: true, ends: None })
     }
 
-    /// Moves the leases on `handles`, all results that the holder has of this owner, to its new link.
-    /// Other results that it was handed on earlier links were lost with them: their leases end.
-    pub fn claimed(&mut self, new: LinkKey, handles: &HashSet<String>, now: Instant) {
-        let Some(holder) = self.links.get(new).map(|link| link.holder.clone()) else { return };
+    /// Records that the holder has the results `handles` after it opened a new link: moves their
+    /// leases to that link. Other results that it was handed on earlier links were lost with them:
+    /// their leases end.
+    pub fn claimed(&mut self, new_link: LinkKey, handles: &HashSet<String>, now: Instant) {
+        let Some(holder) = self.links.get(new_link).map(|link| link.holder.clone()) else { return };
         for handle in handles {
             if let Some(lease) = self.by_handle.get_mut(handle) {
-                lease.link = new;
+                lease.link = new_link;
             }
         }
         for (key, link) in &mut self.links {
-            if key != new && link.holder == holder {
+            if key != new_link && link.holder == holder {
                 link.end_at(now, EndReason::NotHeld);
             }
         }
     }
 
-    /// Adds a lease on a result that is handed to the holder through a link. `until` is the end of the
-    /// request's time; `expires` is the expiry of the result.
-    pub fn granted(&mut self, link: LinkKey, handle: String, until: Instant, expires: Instant) {
-        self.by_handle.insert(handle, Lease { link, until, expires });
+    /// Adds a lease on a result that is handed to the holder through a link. `request_ends` is the
+    /// end of the time allowed for its request, `expires` the time at which the result expires at
+    /// its worker.
+    pub fn granted(
+        &mut self,
+        link: LinkKey,
+        handle: String,
+        request_ends: Instant,
+        expires: Instant,
+    ) {
+        self.by_handle.insert(handle, Lease { link, request_ends, expires });
     }
 
     /// Removes the leases on results that the holder released.
@@ -114,8 +123,8 @@
         }
     }
 
-    /// Removes the leases on results that the owner releases for lack of room; returns those that were
-    /// held, by the holder's link.
+    /// Removes the leases on results that the owner releases for lack of room; returns the handles
+    /// of those that had one, by the link of their holder.
     pub fn reclaimed(&mut self, handles: &[String]) -> HashMap<LinkKey, Vec<String>> {
         let mut held: HashMap<LinkKey, Vec<String>> = HashMap::new();
         for handle in handles {
@@ -126,8 +135,8 @@
         held
     }
 
-    /// Records that a link ended. The holder may be alive and use its results, so that their leases go
-    /// on.
+    /// Records that a link ended. Its leases continue, since the holder may be alive and use its
+    /// results.
     pub fn link_ended(&mut self, link: LinkKey) {
         if let Some(link) = self.links.get_mut(link) {
             link.is_up = false;
@@ -157,7 +166,8 @@
         let end_reason = |lease: &Lease| {
             let link_end = links.get(lease.link).and_then(|link| link.ends);
             let link_end = link_end.filter(|(at, _)| *at <= now).map(|(_, reason)| reason);
-            link_end.or((lease.until + REQUEST_GRACE <= now).then_some(EndReason::RequestOver))
+            link_end
+                .or((lease.request_ends + REQUEST_GRACE <= now).then_some(EndReason::RequestOver))
         };
         let mut ended = Vec::new();
         self.by_handle.retain(|handle, lease| {
@@ -172,7 +182,7 @@
         ended
     }
 
-    /// Removes links that ended and through which nothing is held.
+    /// Removes the links that ended and have no leases.
     fn remove_unused_links(&mut self) {
         let used: HashSet<LinkKey> = self.by_handle.values().map(|lease| lease.link).collect();
         self.links.retain(|key, link| link.is_up || used.contains(&key));
--- a/components/result_leases/tests/histories.rs
+++ b/components/result_leases/tests/histories.rs
@@ -1,7 +1,7 @@
-//! Property test of random histories of two owners and the VMs of requests, without a network: messages
-//! in flight, lost links, processes that end or pause, owners that end. A worker must be told to release
-//! every result within a stated time after its request ended, unless both VMs that knew the result are
-//! gone, and must never be told of a result that a request still uses.
+//! Property test of random histories of two owners and the VMs of requests, without a network:
+//! messages in flight, lost links, processes that end or pause, owners that end. A worker must be
+//! told to release every result within a stated time after its request ended, unless both VMs that
+//! knew the result are gone, and must never be told of a result that a request still uses.
 
 use std::collections::{BTreeMap, BTreeSet, HashSet, VecDeque};
 use std::time::{Duration, Instant};
@@ -11,13 +11,13 @@
 use proptest::{prop_assert_eq, proptest};
 use result_leases::{EndReason, EndedLease, Holder, Leases, LinkKey, REQUEST_GRACE};
 
-/// Simulated time of one step.
+/// Simulated duration of one step.
 const STEP: Duration = Duration::from_millis(100);
 /// Upper bound of the steps that a request takes.
 const REQUEST_STEPS: u64 = 40;
 /// Steps of silence after which each side closes a link.
 const SILENCE_STEPS: u64 = 10;
-/// Steps until the owner knows that a process ended.
+/// Steps until the owners know that a process ended.
 const PROBE_STEPS: u64 = 3;
 /// Steps that a holder needs to open a new link, once both sides run.
 const RECONNECT_STEPS: u64 = 5;
@@ -72,7 +72,7 @@
 /// A holder's connection to an owner.
 struct Connection {
     link: Option<LinkKey>,
-    /// Results handed over and not read yet, with the step at which the request ends.
+    /// Results handed over and not received yet, with the step at which the request ends.
     in_flight: VecDeque<(u64, String)>,
     reconnects_at: u64,
 }
@@ -107,6 +107,7 @@
     }
 }
 
+/// State of a simulated history.
 struct History {
     began: Instant,
     step: u64,
@@ -119,7 +120,7 @@
     released_in_use: Vec<(String, EndReason)>,
     /// Processes that ended, and the step at which the owners know.
     gone: Vec<(u64, Holder)>,
-    /// Results whose owner ended: only their holder knows them.
+    /// Results whose owner ended, so that only their holder knows them.
     orphans: BTreeSet<String>,
     next_number: u64,
 }
@@ -253,20 +254,20 @@
             if connection.link.is_none() && connection.reconnects_at <= step {
                 self.reconnect(owner, index);
             }
-            self.read(owner, index);
+            self.receive(owner, index);
         }
         self.release_ended(index);
     }
 
-    fn read(&mut self, owner: usize, index: usize) {
+    fn receive(&mut self, owner: usize, index: usize) {
         let holder = &mut self.holders[index];
         for (ends, handle) in holder.connections[owner].in_flight.drain(..) {
             holder.held.insert(handle, Held { owner, ends });
         }
     }
 
-    /// Releases the results whose requests ended: their workers are told, and their owners if they are
-    /// connected.
+    /// Releases the results whose requests ended: their workers are told, and their owners if they
+    /// are connected.
     fn release_ended(&mut self, index: usize) {
         let step = self.step;
         let holder = &mut self.holders[index];
@@ -296,12 +297,13 @@
         self.orphans.contains(handle) && paused.any(|holder| holder.held.contains_key(handle))
     }
 
+    /// Results whose worker should have been told to release them by now.
     fn overdue(&self) -> Vec<&String> {
-        let is_over = |(handle, due): &(&String, &u64)| {
+        let is_overdue = |(handle, due): &(&String, &u64)| {
             let is_released = self.released.contains(handle.as_str());
             **due < self.step && !is_released && !self.is_known_only_to_paused(handle)
         };
-        self.due.iter().filter(is_over).map(|(handle, _)| handle).collect()
+        self.due.iter().filter(is_overdue).map(|(handle, _)| handle).collect()
     }
 }
 
@@ -320,8 +322,9 @@
     let is_clean = overdue.is_empty()
         && released_in_use.is_empty()
         && history.leases.iter().all(Leases::is_empty);
-    let left = history.leases.iter().map(Leases::len).sum::<usize>();
-    (!is_clean).then(|| format!("overdue {overdue:?}, in use {released_in_use:?}, leases {left}"))
+    let remaining = history.leases.iter().map(Leases::len).sum::<usize>();
+    (!is_clean)
+        .then(|| format!("overdue {overdue:?}, in use {released_in_use:?}, leases {remaining}"))
 }
 
 /// A VM that pauses after its link was reset keeps its results: the owner must not take over their
