--- a/components/stopping/src/lib.rs
+++ b/components/stopping/src/lib.rs
@@ -1,8 +1,9 @@
 //! Graceful shutdown: which of the requests in work are finished or rejected, and by when.
 //!
-//! A stop begins with a signal. After the grace period the process is killed. Every request that was read is answered
-//! before then: completely, or, as soon as it is known that it can't be served in time, with an error that states
-//! correctly whether it may have run. This crate only decides: the caller passes the times in, and nothing waits here.
+//! A stop begins with a signal, and the process is killed after the grace period. Every request
+//! that was read is answered before then: completely or, as soon as it is known that it can't be
+//! served in time, with an error that states correctly whether it may have run. The crate only
+//! decides; it does no I/O and reads no clock: the caller passes the current time.
 
 mod plan;
 mod response_time;
--- a/components/stopping/src/response_time.rs
+++ b/components/stopping/src/response_time.rs
@@ -2,10 +2,10 @@
 
 use std::time::Duration;
 
-/// A sample counts by the inverse of this in the mean, and by twice the inverse in the deviation: RFC 6298,
-/// section 2.
+/// A new sample has a weight of one over this in the mean and of two over this in the deviation, as
+/// in RFC 6298, section 2.
 const MEAN_DIVISOR: u32 = 8;
-/// Mean deviations by which the upper bound exceeds the mean; few requests take longer.
+/// Number of mean deviations by which the upper bound exceeds the mean; few requests take longer.
 const DEVIATIONS: u32 = 2;
 
 /// Smoothed mean and mean deviation of the response times of one kind of request.
@@ -16,7 +16,7 @@
 }
 
 impl ResponseTime {
-    /// Starts from a first sample.
+    /// Creates an estimate from a first sample.
     pub fn new(sample: Duration) -> Self {
         ResponseTime { mean: sample, deviation: sample / 2 }
     }
@@ -29,7 +29,7 @@
         self.mean = self.mean * (MEAN_DIVISOR - 1) / MEAN_DIVISOR + sample / MEAN_DIVISOR;
     }
 
-    /// A time that few requests exceed.
+    /// Returns a time that few requests exceed.
     pub fn upper_bound(&self) -> Duration {
         self.mean + self.deviation * DEVIATIONS
     }
--- a/components/stopping/tests/plan.rs
+++ b/components/stopping/tests/plan.rs
@@ -1,4 +1,5 @@
-//! Tests of the decisions on requests during a stop, over its times, the number of requests and the VM's cores.
+//! Tests of the schedule of a stop and of the decisions on its requests, for any times, number of
+//! requests and cores.
 
 use std::time::{Duration, Instant};
 
@@ -85,7 +86,8 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(256))]
 
-    /// When the process exits, every request without a begun answer has been answered, and a decision is final.
+    /// When the process exits, every request whose answer had not begun has been decided, and a
+    /// decision to answer never changes.
     #[test]
     fn every_request_is_decided_before_the_process_exits(
         grace_ms in 0u64..60_000,
