--- a/components/store_view/src/lib.rs
+++ b/components/store_view/src/lib.rs
@@ -2,16 +2,16 @@
 //! itself or received from a peer. A lower revision never replaces a higher one.
 
 mod contact;
-mod parts;
 mod stall;
+mod transfer;
 
 use std::collections::{BTreeSet, HashMap};
 
 use bytes::Bytes;
 
 pub use contact::{SILENCE_TIMEOUT, StoreContact};
-pub use parts::{Assembler, Batch, BatchRequest, ItemPart, Position};
 pub use stall::StallDetector;
+pub use transfer::{Assembler, Batch, BatchRequest, ItemPart, Position};
 
 /// State of one key at one revision.
 #[derive(Debug, Clone, PartialEq, Eq)]
--- a/daemon/src/peer_links.rs
+++ b/daemon/src/peer_links.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use ids::Revision;
-use peering::messages::{Announcement, CatalogueReply, CatalogueRequest, Heard, Hello, News};
+use peering::peer::{Announcement, CatalogueReply, CatalogueRequest, Heard, Hello, News};
 use peering::{Peer, PeerClient, PeerServer};
 use prost::Message as _;
 use slog::{Logger, debug, warn};
--- a/daemon/src/peer_messages.rs
+++ b/daemon/src/peer_messages.rs
@@ -4,7 +4,7 @@
 use errors::{Error, Result};
 use ids::{HallName, Incarnation, Revision, TargetName, VmName};
 use membership::{Advert, Delta, DigestEntry, Heartbeat, NameHash};
-use peering::messages as wire;
+use peering::peer as wire;
 
 use crate::configuration::{Configuration, Source};
 
