--- a/components/fleet/src/lib.rs
+++ b/components/fleet/src/lib.rs
@@ -1,8 +1,14 @@
-//! One VM's view of the other VMs: which ones are live, which ones to link to, which one owns each part of a
-//! pool, and which ones watch the platform's store.
+//! One VM's view of the other VMs: which ones are live, which ones to link to, which one owns each
+//! part of a pool, and which ones watch the platform's store.
 //!
-//! The owner of a part collects the pieces that are submitted to it and fills the calls to its workers with them.
-//! This crate holds state only: it does no input or output, and the caller passes the current time in.
+//! A pool is a service whose targets, the workers, run pieces in batches, several pieces to a call.
+//! It is split into parts. The owner of a part is the VM that collects the pieces that are
+//! submitted to the part and fills the calls to its workers with them. The token buckets of each
+//! other service with a rate limit have an owner too, which is chosen like that of a pool with one
+//! part.
+//!
+//! This crate holds state only: it does no input or output, and the caller passes the current time
+//! in.
 
 mod ownership;
 mod peer;
@@ -21,25 +27,26 @@
 pub use spill::{fastest_owner, should_spill};
 pub use split::{Part, Split};
 
-use ownership::Ranking;
+use ownership::RankingCache;
 
 /// Interval between two heartbeats on a link.
 pub const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(200);
-/// A peer that sent nothing for this long gets no work. Several heartbeats in a row may be late.
+/// A peer that sent nothing for this long gets no work. The time is long enough for several
+/// heartbeats in a row to be late.
 pub const PEER_TIMEOUT: Duration = Duration::from_millis(1000);
-/// A peer counts towards the size of the fleet for this long after its last message, since it may have
-/// spent its share of a limit that the fleet divides among its VMs.
+/// A peer counts towards the size of the fleet for this long after its last message, since it may
+/// have spent its share of a limit that the fleet divides among its VMs.
 const PEER_RETENTION: Duration = Duration::from_secs(20);
 /// In a fleet of at most this many VMs, each VM links to all others and watches the store itself.
 pub(crate) const FULL_MESH_MAX_VMS: usize = 10;
-/// A hall may be unreachable if all its linked VMs sent nothing for this long: two and a half heartbeat
-/// intervals.
+/// A hall may be unreachable if all its linked VMs sent nothing for this long: two and a half
+/// heartbeat intervals.
 const HALL_TIMEOUT: Duration = Duration::from_millis(500);
-/// A VM that has just started, or has just lost a peer, waits for this long for a link to a better owner
-/// than itself: time for one dial and one retry.
+/// A VM that has just started, or has just lost a peer, waits for this long for a link to a better
+/// owner than itself: time for one dial and one retry.
 ///
-/// Without the wait, 72 of 295 VMs that had lost power together filled calls of the same 42 workers for
-/// two seconds. On fleets of 6 to 18 VMs the wait makes no difference.
+/// Without the wait, 72 of 295 VMs that had lost power together filled calls of the same 42 workers
+/// for two seconds. On fleets of 6 to 18 VMs the wait makes no difference.
 pub const SETTLE_TIME: Duration = Duration::from_millis(1200);
 
 /// Data halls that can't be reached from this VM.
@@ -48,6 +55,7 @@
 /// What this VM knows of all VMs.
 #[derive(Debug)]
 pub struct Fleet {
+    /// Name of this VM.
     own: VmName,
     own_entry: VmEntry,
     /// Incarnation of this VM's process, which tells it from earlier processes of the same VM.
@@ -56,11 +64,11 @@
     pub peers: HashMap<VmName, PeerVm>,
     /// VMs that the store lists, without this one.
     listed: HashMap<VmName, VmEntry>,
-    ranking: Ranking,
+    ranking_cache: RankingCache,
     /// Addresses whose last dial failed.
     failed_dials: HashSet<SocketAddr>,
-    /// Time of the last event that may leave the VMs with different links: the start, the first VM that the
-    /// store listed, or the loss of a peer.
+    /// Time of the last event that may leave the VMs with different links: the start, the first VM
+    /// that the store listed, or the loss of a peer.
     unsettled_since: Instant,
     /// When a VM last announced that it stops.
     last_stop_notice: Option<Instant>,
@@ -77,7 +85,7 @@
             incarnation,
             peers: HashMap::new(),
             listed: HashMap::new(),
-            ranking: Ranking::default(),
+            ranking_cache: RankingCache::default(),
             failed_dials: HashSet::new(),
             unsettled_since: now,
             last_stop_notice: None,
@@ -100,7 +108,7 @@
         }
         self.failed_dials.remove(&entry.peers);
         self.listed.insert(vm, entry);
-        self.ranking.clear();
+        self.ranking_cache.clear();
     }
 
     /// Records that the store no longer lists a VM.
@@ -108,10 +116,11 @@
         if let Some(entry) = self.listed.remove(vm) {
             self.failed_dials.remove(&entry.peers);
         }
-        self.ranking.clear();
+        self.ranking_cache.clear();
     }
 
-    /// Records that a message of a peer arrived; `linked` says whether this VM has a link to it that it dialled itself.
+    /// Records that a message of a peer arrived; `linked` says whether this VM has an open link to
+    /// it that it dialed itself.
     pub fn record_heard(&mut self, vm: &VmName, linked: bool, now: Instant) {
         let peer = self.peers.entry(vm.clone()).or_insert_with(|| PeerVm::new(now));
         peer.last_heard = now;
@@ -127,10 +136,10 @@
         let Some(peer) = self.peers.get_mut(vm) else { return };
         peer.incarnation = incarnation;
         peer.entry = entry;
-        self.ranking.clear();
+        self.ranking_cache.clear();
     }
 
-    /// Records whether a peer is stopping; returns whether it was not stopping before.
+    /// Records whether a peer is stopping; returns whether it has just begun to stop.
     pub fn record_draining(&mut self, vm: &VmName, draining: bool, now: Instant) -> bool {
         let Some(peer) = self.peers.get_mut(vm) else { return false };
         let newly = draining && !peer.draining;
@@ -156,7 +165,8 @@
         self.failed_dials.insert(address);
     }
 
-    /// Whether another VM may be serving requests. In a large fleet, where not all VMs are linked, this is assumed.
+    /// Whether another VM may be serving requests. In a large fleet, where not all VMs are linked,
+    /// this is assumed.
     pub fn others_serve(&self, now: Instant) -> bool {
         let serves = |peer: &PeerVm| peer.is_fresh(now) && !peer.draining && peer.configuration > 0;
         !self.is_full_mesh() || self.peers.values().any(serves)
@@ -173,7 +183,8 @@
         self.known().map(|(_, entry)| &entry.hall).chain([&self.own_entry.hall]).collect()
     }
 
-    /// Pieces of peers' requests that are not submitted yet and will go to this VM's part of a pool.
+    /// Pieces of peers' requests that are not submitted yet and will go to this VM's part of a
+    /// pool.
     pub fn incoming_pieces(&self, pool: &str, split: &Split, now: Instant) -> f64 {
         let part = split.part_of(&self.own_entry.hall);
         let is_of_part = |peer: &&PeerVm| {
@@ -196,7 +207,7 @@
             peer.linked || now.saturating_duration_since(peer.last_heard) < PEER_RETENTION
         });
         if self.peers.len() != before {
-            self.ranking.clear();
+            self.ranking_cache.clear();
         }
     }
 
@@ -206,7 +217,8 @@
         entry.is_some_and(|entry| self.unreachable_halls.contains(&entry.hall))
     }
 
-    /// Other halls with VMs that sent a message within `PEER_RETENTION`, but none within `HALL_TIMEOUT`.
+    /// Other halls with VMs that sent a message within `PEER_RETENTION`, but none within
+    /// `HALL_TIMEOUT`.
     pub fn silent_halls(&self, now: Instant) -> BTreeSet<HallName> {
         let heard: Vec<(&HallName, bool)> = self
             .peers
@@ -219,23 +231,24 @@
             .filter(|(hall, _)| **hall != self.own_entry.hall)
             .collect();
         let live_halls: BTreeSet<_> =
-            heard.iter().filter(|(_, now)| *now).map(|(h, _)| *h).collect();
+            heard.iter().filter(|(_, is_live)| *is_live).map(|(h, _)| *h).collect();
         heard.iter().map(|(hall, _)| *hall).filter(|h| !live_halls.contains(h)).cloned().collect()
     }
 
     /// Other VMs that the store lists or that sent their entry.
     fn known(&self) -> impl Iterator<Item = (&VmName, &VmEntry)> {
-        let told = self.peers.iter().filter(|(vm, _)| !self.listed.contains_key(*vm));
-        let told = told.filter_map(|(vm, peer)| Some((vm, peer.entry.as_ref()?)));
-        self.listed.iter().chain(told)
+        let unlisted = self.peers.iter().filter(|(vm, _)| !self.listed.contains_key(*vm));
+        let unlisted = unlisted.filter_map(|(vm, peer)| Some((vm, peer.entry.as_ref()?)));
+        self.listed.iter().chain(unlisted)
     }
 
-    /// The entry of a VM, which may be this one.
+    /// The entry of a VM, which may be this one: the one in the store or, if the store lists none,
+    /// the one that the VM sent.
     fn entry_of(&self, vm: &VmName) -> Option<&VmEntry> {
         if *vm == self.own {
             return Some(&self.own_entry);
         }
-        let told = || self.peers.get(vm).and_then(|peer| peer.entry.as_ref());
-        self.listed.get(vm).or_else(told)
+        let sent = || self.peers.get(vm).and_then(|peer| peer.entry.as_ref());
+        self.listed.get(vm).or_else(sent)
     }
 }
--- a/components/fleet/src/ownership.rs
+++ b/components/fleet/src/ownership.rs
@@ -1,7 +1,7 @@
 //! Chooses the owner of each part of a pool, and the VMs that this one links to.
 //!
-//! Every VM ranks all VMs by weighted rendezvous hashing and chooses the best one that it can reach. VMs that know
-//! the same list and can reach the same VMs choose alike.
+//! Every VM ranks all VMs by weighted rendezvous hashing and chooses the best one that it can
+//! reach. VMs that know the same list and can reach the same VMs choose alike.
 
 use std::cell::RefCell;
 use std::collections::{BTreeSet, HashMap};
@@ -13,15 +13,18 @@
 
 use crate::{FULL_MESH_MAX_VMS, Fleet, Part, PeerVm, SETTLE_TIME, Split, VmEntry};
 
-/// Number of best-ranked VMs that a VM links to in its own part of a pool: the owner and its successor.
+/// Number of best-ranked VMs that a VM links to in its own part of a pool: the owner and its
+/// successor.
 const OWN_PART_LINKS: usize = 2;
-/// The same for each other part, which takes submissions that its own has no capacity for.
+/// The same for each other part, whose owner gets the submissions that spill over from the own
+/// part.
 const OTHER_PART_LINKS: usize = 1;
-/// Number of VMs of each hall that a VM links to in a large fleet, to receive changes of the store and to detect
-/// whether the hall is reachable. More than one, so that the failure of a VM is not taken for that of its hall.
+/// Number of VMs of each hall that a VM links to in a large fleet, to receive changes of the store
+/// and to detect whether the hall is reachable. More than one, so that the failure of a VM is not
+/// taken for that of its hall.
 pub(crate) const LINKS_PER_HALL: usize = 2;
-/// Exponent of a VM's cores in its weight: filling calls costs processor time, so a VM with four times as many
-/// cores should be chosen nearly always.
+/// Exponent of a VM's cores in its weight: filling calls costs processor time, so a VM with four
+/// times as many cores should be chosen nearly always.
 const CORES_EXPONENT: i32 = 4;
 
 /// The VM that fills the calls of a part of a pool.
@@ -31,15 +34,16 @@
     This,
     /// A peer that this VM is linked to.
     Peer(VmName),
-    /// Not known yet: a better VM than the best linked one is expected to take work soon, or no VM of the part is
-    /// linked.
+    /// Not known yet: a better VM than the best linked one is expected to take work soon, or no VM
+    /// of the part is linked.
     Unknown,
 }
 
-/// Cache of the VMs by rank for each key, the best one first. It is valid for one list of VMs. Without it, a VM in a
-/// fleet of 295 would rank all of them for every heartbeat: 294 peers send five per second.
+/// Cache of the VMs by rank for each key, the best one first, until the list of VMs changes.
+/// Without it, a VM in a fleet of 295 would rank all of them for every heartbeat: 294 peers send
+/// five per second each.
 #[derive(Debug, Default)]
-pub(crate) struct Ranking {
+pub(crate) struct RankingCache {
     by_key: RefCell<HashMap<RankKey, Rc<[VmName]>>>,
 }
 
@@ -55,7 +59,7 @@
     Equal,
 }
 
-impl Ranking {
+impl RankingCache {
     /// Drops all ranks after a change of the list of VMs.
     pub(crate) fn clear(&mut self) {
         self.by_key.get_mut().clear();
@@ -63,7 +67,8 @@
 }
 
 impl Fleet {
-    /// The owner of a part, if this VM can submit to it. `draining` says whether this VM is stopping.
+    /// The owner of a part, to which this VM can submit pieces. `draining` says whether this VM is
+    /// stopping.
     pub fn owner_of(
         &self,
         pool: &str,
@@ -84,12 +89,14 @@
             Some(_) if awaited => Owner::Unknown,
             Some(vm) if *vm != self.own => Owner::Peer(vm.clone()),
             Some(_) => Owner::This,
+            // Only a stopping VM gets here: it keeps its part until another VM can take it.
             None if split.part_of(&self.own_entry.hall) == part => Owner::This,
             None => Owner::Unknown,
         }
     }
 
-    /// VMs that rank before the owner of a part, each with the reason why it is not the owner, for the log.
+    /// VMs that rank before the owner of a part, each with the reason why it is not the owner, for
+    /// the log.
     pub fn passed_over(
         &self,
         pool: &str,
@@ -112,7 +119,8 @@
         ineligible.collect()
     }
 
-    /// Addresses of the VMs that this VM should be linked to, given its pools.
+    /// Addresses of the VMs that this VM should be linked to. `pools` holds the name and split of
+    /// each pool, and of each other service that has an owner.
     pub fn wanted_links<'a>(
         &self,
         pools: impl Iterator<Item = (&'a str, &'a Split)>,
@@ -134,8 +142,9 @@
         wanted
     }
 
-    /// Adds the first `links` VMs of a rank, and the first `links` that are not known to be silent or stopping. The
-    /// former may be back at any time; until then the latter replace them.
+    /// Adds the first `links` VMs of `ranked`, which are dialed even while they are silent since
+    /// they may come back at any time. Adds the first `links` that are not known to be silent or
+    /// stopping as well, which replace the others until then.
     fn add_best<'a>(
         &self,
         wanted: &mut BTreeSet<SocketAddr>,
@@ -151,7 +160,8 @@
     /// Adds the VMs that this one links to in each hall.
     fn add_hall_links(&self, wanted: &mut BTreeSet<SocketAddr>) {
         for hall in self.halls() {
-            // In its own hall a VM links to those that watch the store; in other halls, VMs differ in their links.
+            // In its own hall, a VM links to the VMs that watch the store. In other halls, it ranks
+            // the VMs by its own name, so that the links of all VMs are spread evenly.
             let own = *hall == self.own_entry.hall;
             let ranked = if own {
                 self.ranked_watchers()
@@ -169,8 +179,8 @@
         self.ranked_by(key, Weight::Cores)
     }
 
-    /// Whether this VM is among the first `count` VMs by unweighted rank for a key. VMs that know the same list agree
-    /// on these.
+    /// Whether this VM is among the first `count` VMs by unweighted rank for a key. VMs that know
+    /// the same list agree on these.
     pub fn is_among_first(&self, key: &str, count: usize) -> bool {
         self.ranked_unweighted(key).iter().take(count).any(|vm| *vm == self.own)
     }
@@ -183,7 +193,7 @@
     /// All VMs by rank, from the cache if it holds them.
     fn ranked_by(&self, key: &str, weight: Weight) -> Rc<[VmName]> {
         let cache_key = (weight, key.to_owned());
-        if let Some(ranked) = self.ranking.by_key.borrow().get(&cache_key) {
+        if let Some(ranked) = self.ranking_cache.by_key.borrow().get(&cache_key) {
             return Rc::clone(ranked);
         }
         let weight_of = |entry: &VmEntry| match weight {
@@ -195,11 +205,11 @@
         let mut ranked: Vec<(f64, &VmName)> = self
             .known()
             .chain([own])
-            .map(|(vm, entry)| (rank(key_hash, vm, weight_of(entry)), vm))
+            .map(|(vm, entry)| (rendezvous_score(key_hash, vm, weight_of(entry)), vm))
             .collect();
         ranked.sort_by(|(a, x), (b, y)| b.total_cmp(a).then_with(|| y.cmp(x)));
         let ranked: Rc<[VmName]> = ranked.into_iter().map(|(_, vm)| vm.clone()).collect();
-        self.ranking.by_key.borrow_mut().insert(cache_key, Rc::clone(&ranked));
+        self.ranking_cache.by_key.borrow_mut().insert(cache_key, Rc::clone(&ranked));
         ranked
     }
 
@@ -220,30 +230,34 @@
         self.entry_of(vm).is_some_and(|entry| split.part_of(&entry.hall) == part)
     }
 
-    /// Whether work for a pool can be submitted to a peer now. A peer with an older configuration may not know the
-    /// pool, unless it reports that it fills its calls; pieces submitted to it would wait until it has the newer one.
+    /// Whether work for a pool can be submitted to a peer now. A peer with an older configuration
+    /// may not know the pool, unless it reports the pool's load as its owner. Pieces that are
+    /// submitted to a peer that does not know the pool wait until it has the newer configuration.
     fn takes_work(&self, vm: &VmName, pool: &str, split: &Split, now: Instant) -> bool {
         let takes = |peer: &PeerVm| {
-            let knows = peer.configuration >= split.since() || peer.pools.contains_key(pool);
+            let knows =
+                peer.configuration >= split.first_seen_version() || peer.pools.contains_key(pool);
             knows && peer.linked && !peer.draining && peer.is_fresh(now)
         };
         self.peers.get(vm).is_some_and(takes) && !self.is_unreachable(vm)
     }
 
-    /// Whether to wait for a VM that takes no work yet rather than to choose the next one, so that VMs with different
-    /// links choose alike. The wait lasts for [`SETTLE_TIME`] after this VM's start or the loss of a peer, and after a
-    /// VM announced that it stops unless the awaited one is known to be silent.
+    /// Whether to wait for a VM that takes no work yet rather than to choose the next one, so that
+    /// VMs with different links choose alike. The wait lasts for [`SETTLE_TIME`] after this VM's
+    /// start or the loss of a peer, and after a VM announced that it stops unless the awaited one
+    /// is known to be silent.
     ///
-    /// Without the wait for the successor of a stopping VM, three to five VMs filled the calls of one part for ten
-    /// seconds while all VMs of a fleet of 59 stopped in turn, each for the VMs that were linked to it.
+    /// Without the wait for the successor of a stopping VM, three to five VMs filled the calls of
+    /// one part for ten seconds while all VMs of a fleet of 59 stopped in turn, each for the VMs
+    /// that were linked to it.
     fn should_wait_for(&self, vm: &VmName, now: Instant) -> bool {
         let may_succeed = is_recent(self.last_stop_notice, now) && !self.is_silent(vm);
         self.may_take_work_soon(vm) && (is_recent(Some(self.unsettled_since), now) || may_succeed)
     }
 
-    /// Whether a VM may take work soon: it is known only from the store, it sent messages but has no link that this VM
-    /// dialled, or it has no configuration yet. Lost, stopping and unreachable VMs are excluded.
-    /// Failed dials are ignored, since they say little while all VMs start.
+    /// Whether a VM may take work soon: it is known only from the store, it sent messages but this
+    /// VM has no link to it yet, or it has no configuration yet. Lost, stopping and unreachable VMs
+    /// are excluded. Failed dials are ignored, since they say little while all VMs start.
     fn may_take_work_soon(&self, vm: &VmName) -> bool {
         let starts = |peer: &PeerVm| !peer.linked || peer.configuration == 0;
         let may = |peer: &PeerVm| !peer.lost && !peer.draining && starts(peer);
@@ -255,8 +269,9 @@
         self.peers.get(vm).is_some_and(|peer| peer.draining)
     }
 
-    /// Whether a VM is known to be silent: its last dial failed, its link was lost and no message arrived since, or its
-    /// hall is unreachable. A VM whose link this one closed itself is not known to be silent.
+    /// Whether a VM is known to be silent: its last dial failed, its link was lost and no message
+    /// arrived since, or its hall is unreachable. A VM whose link this one closed itself is not
+    /// known to be silent.
     pub(crate) fn is_silent(&self, vm: &VmName) -> bool {
         let failed = |address| self.failed_dials.contains(address);
         self.peers.get(vm).is_some_and(|peer| peer.lost)
@@ -265,13 +280,15 @@
     }
 }
 
-/// Whether an event is less than [`SETTLE_TIME`] ago, so that the links between VMs may still be changing.
+/// Whether an event is less than [`SETTLE_TIME`] ago, so that the links between VMs may still be
+/// changing.
 fn is_recent(event: Option<Instant>, now: Instant) -> bool {
     event.is_some_and(|at| now.saturating_duration_since(at) < SETTLE_TIME)
 }
 
-/// Rank of a VM for a key by weighted rendezvous hashing; the VM with the highest rank is first.
-fn rank(key: u64, vm: &VmName, cores: f64) -> f64 {
+/// Score of a VM for a key by weighted rendezvous hashing; the VM with the highest score ranks
+/// first.
+fn rendezvous_score(key: u64, vm: &VmName, cores: f64) -> f64 {
     let hash = hashing::combine(key, hashing::hash_text(vm.as_str()));
     -cores.powi(CORES_EXPONENT) / hashing::unit_fraction(hash).ln()
 }
--- a/components/fleet/src/peer.rs
+++ b/components/fleet/src/peer.rs
@@ -28,8 +28,8 @@
     pub turnaround: Duration,
     /// Queued pieces that can still be in time.
     pub queue: Queue,
-    /// Queued pieces that can't be in time any more. They are made after all others, but still occupy workers
-    /// and hold their inputs.
+    /// Queued pieces that can't be in time any more. They are made after all others, but still
+    /// occupy workers and hold their inputs.
     pub late: f64,
     /// Pieces that earlier stages will submit.
     pub incoming: f64,
@@ -41,13 +41,14 @@
 
 impl PoolLoad {
     /// Time until the pool has made all pieces that are queued or announced now. Late pieces count:
-    /// without them a part with a thousand late pieces would look as idle as other parts.
+    /// without them, a part with a thousand late pieces would look idle, get more submissions, and
+    /// leave other parts idle.
     pub fn drain_time(&self) -> Duration {
         self.time_for(self.queue.total() as f64 + self.late + self.incoming)
     }
 
-    /// Expected time from submission to result of a piece that is submitted in `begin` from now and has `ahead`
-    /// pieces queued before it now, some of which are made until then.
+    /// Expected time from submission to result of a piece that is submitted in `begin` from now and
+    /// has `ahead` pieces queued before it now, some of which are made by then.
     pub fn expected_time(&self, begin: Duration, ahead: f64) -> Duration {
         self.time_for(ahead).saturating_sub(begin) + self.turnaround
     }
@@ -69,7 +70,7 @@
     pub last_heard: Instant,
     /// Whether the link to it was lost since its last message, so that its process may have ended.
     pub lost: bool,
-    /// Whether a link that this VM dialled is open.
+    /// Whether a link that this VM dialed is open.
     pub linked: bool,
     /// Whether it is stopping.
     pub draining: bool,
@@ -103,7 +104,7 @@
         }
     }
 
-    /// Why it takes no work, for a peer that takes none.
+    /// Why this peer takes no work; call it only for a peer that takes none.
     pub(crate) fn ineligible_reason(&self, now: Instant) -> &'static str {
         match () {
             () if self.lost => "lost",
--- a/components/fleet/src/split.rs
+++ b/components/fleet/src/split.rs
@@ -1,20 +1,22 @@
 //! Splits a pool into parts, each of which is owned by one VM that fills its calls.
 //!
-//! A single VM can't fill the calls of a pool of any size: in a fleet of 295 VMs, one with half a core that filled
-//! the calls of 35 workers kept up with 1,540 pieces per second and stopped sending heartbeats at 2,460. A part
-//! consists of several data halls with their workers and VMs. Every VM computes the parts from the configuration and
-//! the list of targets, so that all agree without exchanging messages.
+//! A single VM can't fill the calls of a pool of any size: in a fleet of 295 VMs, one with half a
+//! core that filled the calls of 35 workers kept up with 1,540 pieces per second and stopped
+//! sending heartbeats at 2,460. A part consists of several data halls with their workers and VMs.
+//! Every VM computes the parts from the configuration and the list of targets, so that all agree
+//! without exchanging messages.
 
 use std::collections::BTreeSet;
 
 use ids::HallName;
 use intent::PoolSpec;
 
-/// Pieces per second that the workers of one part should make at most: a third of the rate at which a VM with
-/// half a core stopped sending heartbeats. The minimum number of halls in a part takes precedence.
+/// Pieces per second that the workers of one part should make at most: a third of the rate at which
+/// a VM with half a core stopped sending heartbeats. The minimum number of halls in a part takes
+/// precedence.
 const MAX_PART_RATE: f64 = 800.0;
-/// Minimum number of halls in a part of a split pool, so that a hall that is cut off, or that gets most of the
-/// requests, has another one to share the work with.
+/// Minimum number of halls in a part of a split pool, so that a hall that is cut off, or that gets
+/// most of the requests, has another one to share the work with.
 const MIN_HALLS_PER_PART: usize = 2;
 
 /// Index of a part of a pool.
@@ -26,9 +28,10 @@
 pub struct Split {
     /// Halls in which the pool has workers, sorted.
     halls: Vec<HallName>,
+    /// Number of parts; 0 counts as 1.
     parts: usize,
     /// Version of the configuration in which this VM first saw the pool; 0 if unknown.
-    since: u64,
+    first_seen_version: u64,
 }
 
 impl Split {
@@ -42,18 +45,19 @@
         let halls: Vec<HallName> = halls.into_iter().collect();
         let wanted = (f64::from(count) * worker_rate(spec) / MAX_PART_RATE).ceil() as usize;
         let parts = wanted.min(halls.len() / MIN_HALLS_PER_PART).max(1);
-        Split { halls, parts, since: 0 }
+        Split { halls, parts, first_seen_version: 0 }
     }
 
-    /// Sets the version of the configuration in which this VM first saw the pool. VMs with an older version may not
-    /// know the pool.
+    /// Sets the version of the configuration in which this VM first saw the pool. VMs with an older
+    /// version may not know the pool.
     pub fn first_seen(self, version: u64) -> Self {
-        Split { since: version, ..self }
+        Split { first_seen_version: version, ..self }
     }
 
-    /// Version of the configuration from which on every VM is sure to know the pool.
-    pub(crate) fn since(&self) -> u64 {
-        self.since
+    /// Version of the configuration in which this VM first saw the pool: every VM with this version
+    /// or a later one knows it.
+    pub(crate) fn first_seen_version(&self) -> u64 {
+        self.first_seen_version
     }
 
     /// All parts of the pool.
--- a/components/fleet/src/watchers.rs
+++ b/components/fleet/src/watchers.rs
@@ -1,10 +1,10 @@
 //! Decides which VMs watch the platform's store.
 //!
-//! The platform counts each pending watch as a call, and each change ends all of them. In a large fleet, only a few
-//! VMs of each hall watch, and the others receive the changes from them.
+//! The platform counts each pending watch as a call, and each change ends all of them. In a large
+//! fleet, only a few VMs of each hall watch, and the others receive the changes from them.
 //!
-//! A VM that relies on others starts to watch as soon as none of the VMs that it is linked to does. VMs say with each
-//! heartbeat whether the store answers them.
+//! A VM that relies on others starts to watch as soon as none of the VMs that it is linked to does.
+//! VMs say with each heartbeat whether the store answers them.
 
 use std::rc::Rc;
 use std::time::Instant;
@@ -13,7 +13,7 @@
 
 use crate::{FULL_MESH_MAX_VMS, Fleet};
 
-/// VMs of each hall that watch the store, so that one is left if the other fails.
+/// Number of VMs of each hall that watch the store, so that one is left if the other fails.
 const WATCHERS_PER_HALL: usize = 2;
 /// Key by which VMs are ranked as watchers.
 const WATCHERS_KEY: &str = "store";
@@ -39,7 +39,8 @@
         self.ranked(WATCHERS_KEY)
     }
 
-    /// Whether this VM is one of the first [`WATCHERS_PER_HALL`] of its hall that are not known to be silent.
+    /// Whether this VM is one of the first [`WATCHERS_PER_HALL`] of its hall that are not known to
+    /// be silent.
     fn is_watcher(&self) -> bool {
         let ranked = self.ranked_watchers();
         let before = ranked.iter().take_while(|vm| **vm != self.own);
--- a/components/fleet/tests/ownership.rs
+++ b/components/fleet/tests/ownership.rs
@@ -37,7 +37,8 @@
     fleet
 }
 
-/// The VM at the given rank in a part, as chosen by a VM that is linked to all others.
+/// The VM at the given rank (0 is the owner) in the part of hall `of_hall`, as chosen by a VM that
+/// is linked to all others.
 fn owner_at_rank(rank: usize, split: &Split, of_hall: usize, vms: usize, halls: usize) -> usize {
     let now = Instant::now();
     let mut candidates: Vec<usize> = (0..vms).collect();
@@ -49,6 +50,7 @@
     best_of(&candidates, split, part, halls, now)
 }
 
+/// The owner of a part if only `candidates` exist.
 fn best_of(
     candidates: &[usize],
     split: &Split,
@@ -230,7 +232,8 @@
     assert!(links.iter().all(|links| *links <= 16), "{links:?}");
 }
 
-/// Whether VM `own` of 60 in 6 halls watches the store although it is linked to a VM of its hall that does.
+/// Whether VM `own` of 60 in 6 halls watches the store although it is linked to a VM of its hall
+/// that does.
 fn watches_beside_another(own: usize, now: Instant) -> bool {
     let mut fleet = listed(own, 60, 6, now);
     let linked = vm((own + 6) % 60);
@@ -300,6 +303,7 @@
     fleet
 }
 
+/// Opens the links that the VM wants.
 fn link_wanted(fleet: &mut Fleet, own: usize, split: &Split, now: Instant) {
     let wanted = fleet.wanted_links([(POOL, split)].into_iter());
     for number in (0..60).filter(|number| *number != own && wanted.contains(&address(*number))) {
--- a/components/fleet/tests/spill.rs
+++ b/components/fleet/tests/spill.rs
@@ -20,6 +20,7 @@
     spilled as f64 / 1000.0
 }
 
+/// An owner with `late` queued pieces and a rate of `rate` pieces per second.
 fn owner(name: &str, late: f64, rate: f64) -> (Owner, PoolLoad) {
     let (turnaround, queue, at) = (Duration::ZERO, Queue::default(), Instant::now());
     let load = PoolLoad { turnaround, queue, late, incoming: 0.0, rate, at };
@@ -53,8 +54,9 @@
     assert_eq!(fractions, [0.2, 0.6, 0.88]);
 }
 
-/// Two parts of the same speed, with all callers at one of them. Heartbeats report the queues with a delay. The queues
-/// must come to differ by little more than the margin, without alternating between overload and idleness.
+/// Two parts of the same speed, with all submissions made at the first one, which decides by queue
+/// lengths that heartbeats report with a delay. The queues must come to differ by little more than
+/// the margin, without alternating between overload and idleness.
 #[test]
 fn two_parts_share_a_load_that_exceeds_the_rate_of_one() {
     let (rate, arriving) = (1000.0, 1600.0);
