--- a/components/store_client/src/claims.rs
+++ b/components/store_client/src/claims.rs
@@ -14,7 +14,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum ClaimState {
-    /// The request is running, or its VM stopped while it was running.
+    /// The request is running, or its VM ended before it closed the claim.
     Open,
     /// The request was refused before any stage ran and will never run.
     Refused,
@@ -37,10 +37,12 @@
     pub at: u64,
 }
 
-/// Claims `id` for a submission. The inner `Err` holds the claim that already exists.
+/// Claims `id` for a submission. The inner result is `Ok` with the new claim, or `Err` with the
+/// claim that already exists.
 ///
 /// # Errors
-/// `StoreUnavailable` if it is not known whether the claim was created; the request must not run then.
+/// `StoreUnavailable` if it is not known whether the claim was created; the request must not run
+/// then.
 pub fn claim(
     store: &Store,
     id: &RequestId,
--- a/components/store_client/src/head.rs
+++ b/components/store_client/src/head.rs
@@ -22,7 +22,7 @@
 /// The configuration head, stored as JSON under [`HEAD_KEY`].
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Head {
-    /// The accepted revision.
+    /// The accepted revision; 0 before the first change.
     pub revision: Revision,
     /// Digest of that revision's catalogue.
     pub digest: String,
@@ -61,8 +61,8 @@
 /// Reads the catalogue that `head` refers to and verifies its digest.
 ///
 /// # Errors
-/// `StoreUnavailable` if the store did not answer, or the value is missing, invalid or has another digest
-/// than the head states.
+/// `StoreUnavailable` if the store did not answer, or the value is missing, invalid or has another
+/// digest than the head states.
 pub fn read_catalogue(store: &Store, head: &Head) -> Result<Catalogue> {
     if head.revision == Revision(0) {
         return Ok(Catalogue::default());
@@ -110,8 +110,8 @@
             Ok(revision)
         }
         WriteOutcome::Conflict { .. } => {
-            // The platform may have retried a write of this change whose first response was lost, so
-            // a conflict does not mean that another change won.
+            // The platform may have retried a write of this change whose first response was lost,
+            // so a conflict does not mean that another change won.
             match revision_of_change(store, change_id)? {
                 Some(revision) => Ok(revision),
                 None => {
@@ -141,6 +141,12 @@
     Ok(head.recent.iter().find(|(id, _)| id == change_id).map(|(_, revision)| *revision))
 }
 
+/// Reads the head to find out whether a write with a lost response took effect: the revision that
+/// the change created, or `None` if another change was accepted instead.
+///
+/// # Errors
+/// `ChangeUnknown` if the head could not be read, or was unchanged each time, so that the write may
+/// still take effect.
 fn resolve_lost_write(
     store: &Store,
     change_id: &str,
@@ -168,6 +174,8 @@
     Err(unknown(&last_problem))
 }
 
+/// The error after a lost response: `ChangeRefused` if the head has another version than
+/// `base_version`, otherwise `ChangeUnknown`.
 fn change_refused_or_unknown(
     store: &Store,
     before: &Catalogue,
@@ -181,6 +189,7 @@
     }
 }
 
+/// `ChangeRefused` with the differences between `before` and the catalogue that is in force now.
 fn change_refused(store: &Store, before: &Catalogue) -> Error {
     let current = read_head(store).and_then(|(head, _)| Ok((read_catalogue(store, &head)?, head)));
     match current {
@@ -196,6 +205,7 @@
     }
 }
 
+/// The list of recent changes with this one added in front and the oldest ones cut off.
 fn prepend_change(
     recent: &[(String, Revision)],
     change_id: &str,
@@ -227,6 +237,8 @@
     }
 }
 
+/// Deletes the snapshot of the revision that is [`RETAINED_REVISIONS`] older than `revision`, if
+/// `base` lists it.
 fn delete_expired_snapshot(store: &Store, base: &Head, revision: Revision) {
     let oldest = Revision(revision.0.saturating_sub(RETAINED_REVISIONS));
     let expired = base.recent.iter().find(|(_, r)| *r == oldest);
--- a/components/store_client/src/lease.rs
+++ b/components/store_client/src/lease.rs
@@ -25,8 +25,8 @@
 /// Acquires or renews the lease `name` for `ttl`; `None` if another holder has it.
 ///
 /// # Errors
-/// `StoreUnavailable` if it is not known whether the lease was granted; the caller must then act as if
-/// it were not.
+/// `StoreUnavailable` if it is not known whether the lease was granted; the caller must then act as
+/// if it were not.
 pub fn acquire_lease(
     store: &Store,
     name: &str,
--- a/components/store_client/src/store.rs
+++ b/components/store_client/src/store.rs
@@ -9,7 +9,7 @@
 use ureq::Agent;
 use ureq::http::Response;
 
-/// Timeout of a request to the store, to which a watch adds its own wait.
+/// Timeout of a request to the store. A watch adds the time for which it waits for a change.
 const CALL_TIMEOUT: Duration = Duration::from_millis(1500);
 /// Maximum size of a stored value, in bytes.
 const MAX_VALUE_BYTES: u64 = 1 << 20;
@@ -40,8 +40,8 @@
     },
     /// The write did not take effect: it was not sent, or the store refused it.
     Refused(String),
-    /// The write may have taken effect: the response was lost, or its status does not
-    /// tell.
+    /// The write may have taken effect: the response was lost, or its status does not say whether
+    /// the write took effect.
     Unknown(String),
 }
 
@@ -189,6 +189,8 @@
     }
 }
 
+/// Outcome of a write by its response. `Refused` only if it is certain that nothing was written:
+/// the connection failed, or the status is 503.
 fn write_outcome(result: CallResult) -> WriteOutcome {
     match result {
         Ok(response) => match response.status().as_u16() {
