--- a/components/store_view/src/contact.rs
+++ b/components/store_view/src/contact.rs
@@ -1,20 +1,24 @@
 //! Tracks whether the platform's store answers this VM, and whether it answers any VM.
 //!
-//! During an outage of the store the leases of live targets may expire, so their entries are kept for a grace period
-//! after the store's return. A failed call of this VM does not prove an outage: to this VM, a lease that was renewed
-//! too late or a store that rejects only this VM looks the same. Peers report when the store last answered them, which
-//! tells the two apart: the store was down if it answered no VM for `STORE_SILENCE`, or no VM since this VM lost it.
+//! During an outage of the store the leases of live targets may expire, so their entries are kept
+//! for a grace period after the store's return. A failed call of this VM does not prove an outage:
+//! the store may reject only this VM, and an entry may have expired because its lease was renewed
+//! too late. Peers report when the store last answered them, which tells these cases from an
+//! outage: the store was down if it answered no VM for `STORE_TIMEOUT`, or no VM since this VM lost
+//! it.
 
 use std::time::{Duration, Instant};
 
 /// Time after the store's return within which live targets register again the entries that expired
 /// during the outage.
-const LAPSE_GRACE: Duration = Duration::from_millis(2100);
-/// Longest silence before an answer, and between two reads of one. A store answers within
-/// milliseconds; other traffic that saturates a link of 10 Mbit/s delays it by some hundred.
+const EXPIRY_GRACE: Duration = Duration::from_millis(2100);
+/// Maximum wait for the start of an answer, and between two reads of one. A store answers within
+/// milliseconds; other traffic that saturates a link of 10 Mbit/s delays it by some hundred
+/// milliseconds.
 pub const SILENCE_TIMEOUT: Duration = Duration::from_millis(900);
-/// The store counts as down after this time without an answer.
-const STORE_SILENCE: Duration = Duration::from_millis(2500);
+/// A VM has lost the store if it got no answer for this long. The store counts as down if it
+/// answered no VM for this long, since any VM would have noticed an outage by then.
+const STORE_TIMEOUT: Duration = Duration::from_millis(2500);
 
 /// State of the contact between the store and the VMs.
 #[derive(Debug, Clone, Copy, Default)]
@@ -25,7 +29,7 @@
     last_bytes: Option<Instant>,
     /// Time of the first failed call since the last answer to this VM.
     lost_since: Option<Instant>,
-    /// Whether calls of this VM fail and no peer was answered since the first one that did.
+    /// Whether calls of this VM fail and the store answered no peer since the first failed call.
     lost_by_all: bool,
     /// When it last answered any VM.
     last_answer_to_any: Option<Instant>,
@@ -69,10 +73,10 @@
         self.last_bytes.is_some_and(|at| now.saturating_duration_since(at) < SILENCE_TIMEOUT)
     }
 
-    /// Whether this VM has lost the store: a call failed since its last answer, or there was no answer
-    /// for `STORE_SILENCE`.
+    /// Whether this VM has lost the store: a call failed since its last answer, or there was no
+    /// answer for `STORE_TIMEOUT`.
     pub fn is_lost(&self, now: Instant) -> bool {
-        let silent = |at: Instant| now.saturating_duration_since(at) > STORE_SILENCE;
+        let silent = |at: Instant| now.saturating_duration_since(at) > STORE_TIMEOUT;
         self.lost_since.is_some() || self.last_answer.is_none_or(silent)
     }
 
@@ -99,19 +103,20 @@
         self.lost_by_all || self.is_silent_to_all(now)
     }
 
-    /// Whether it answered no VM for so long that any VM would have noticed.
+    /// Whether it answered a VM before, but none within the last `STORE_TIMEOUT`.
     fn is_silent_to_all(&self, now: Instant) -> bool {
-        self.last_answer_to_any.is_some_and(|at| now.saturating_duration_since(at) >= STORE_SILENCE)
+        self.last_answer_to_any.is_some_and(|at| now.saturating_duration_since(at) >= STORE_TIMEOUT)
     }
 
-    /// Until when to keep an entry whose removal is reported now: `LAPSE_GRACE` after the store's return, or
-    /// after `now` while the store is down. `None` if that time is over: the entry expired while the store was
-    /// reachable, and is not kept.
+    /// Until when to keep an entry whose removal is reported now: `EXPIRY_GRACE` after the store's
+    /// return, or after `now` while the store is down. `None` if that time is over: the entry
+    /// expired while the store was reachable, and is not kept.
     ///
-    /// An outage that only this VM sees must not count: a VM that kept entries for that reason sent requests to a
-    /// removed target for 2.8 s after its peers knew of the removal (`tests/lapsed_entries.rs`); some platforms tolerate 2 s.
+    /// An outage that only this VM sees must not count: a VM that kept entries for that reason sent
+    /// requests to a removed target for 2.8 s after its peers knew of the removal
+    /// (`tests/lapsed_entries.rs`); some platforms tolerate 2 s.
     pub fn grace_until(&self, now: Instant) -> Option<Instant> {
         let returned = if self.is_down(now) { Some(now) } else { self.returned };
-        returned.map(|at| at + LAPSE_GRACE).filter(|until| *until > now)
+        returned.map(|at| at + EXPIRY_GRACE).filter(|until| *until > now)
     }
 }
--- a/components/store_view/src/lib.rs
+++ b/components/store_view/src/lib.rs
@@ -36,8 +36,9 @@
 /// The newest known change of each key, removals included.
 #[derive(Debug, Default)]
 pub struct View {
+    /// By key.
     items: HashMap<String, Item>,
-    /// The positions of `items`, in the order of changes.
+    /// The position of each of `items`, sorted, to send changes to peers in order.
     order: BTreeSet<Position>,
     /// Every change up to this revision is known.
     as_of: u64,
@@ -49,7 +50,8 @@
         self.as_of
     }
 
-    /// Records that every change up to `revision` is known; a lower revision than before is ignored.
+    /// Records that every change up to `revision` is known; a lower revision than before is
+    /// ignored.
     pub fn advance_to(&mut self, revision: u64) {
         self.as_of = self.as_of.max(revision);
     }
@@ -59,8 +61,8 @@
         items.into_iter().filter_map(|item| self.apply(item)).collect()
     }
 
-    /// Applies a complete listing of the keys that start with `prefix`, read at revision `as_of`: a key
-    /// that is not listed was removed, unless a later change to it is known.
+    /// Applies a complete listing of the keys that start with `prefix`, read at revision `as_of`: a
+    /// key that is not listed was removed, unless a later change to it is known.
     pub fn merge_listing(&mut self, prefix: &str, items: Vec<Item>, as_of: u64) -> Vec<Change> {
         let listed: std::collections::HashSet<&str> =
             items.iter().map(|item| item.key.as_str()).collect();
--- a/components/store_view/src/stall.rs
+++ b/components/store_view/src/stall.rs
@@ -1,7 +1,8 @@
-//! Detects a watch of the store that has stalled: this VM's revision does not advance while peers have a newer one.
+//! Detects a watch of the store that has stalled: this VM's revision does not advance while peers
+//! have a newer one.
 //!
-//! A watch whose connection fell silent reports nothing until its longest wait is over, although other calls to the
-//! store are answered.
+//! A watch whose connection fell silent reports nothing until its longest wait is over, although
+//! other calls to the store are answered.
 
 use std::time::{Duration, Instant};
 
@@ -13,7 +14,8 @@
 }
 
 impl StallDetector {
-    /// Records the revisions up to which this VM, and the most advanced of its peers, know the store.
+    /// Records the revisions up to which this VM, and the most advanced of its peers, know the
+    /// store.
     pub fn update(&mut self, own: u64, peers: u64, now: Instant) {
         let advanced = own != self.own_revision;
         self.own_revision = own;
--- a/components/store_view/src/transfer.rs
+++ b/components/store_view/src/transfer.rs
@@ -98,7 +98,9 @@
 /// Reassembles changes from parts, on the side that sends the requests.
 #[derive(Debug, Default)]
 pub struct Assembler {
+    /// Last change that was received completely.
     after: Position,
+    /// A change whose value was received in part, and the bytes so far.
     partial: Option<(Position, BytesMut)>,
 }
 
--- a/components/store_view/tests/contact.rs
+++ b/components/store_view/tests/contact.rs
@@ -1,5 +1,5 @@
-//! Tests of the store contact: entries that expire are kept around an outage of the store, but not if only this VM
-//! lost the store.
+//! Tests of the store contact: entries that expire are kept around an outage of the store, but not
+//! if only this VM lost the store.
 
 use std::time::{Duration, Instant};
 
@@ -9,7 +9,8 @@
 const GRACE: Duration = Duration::from_millis(2100);
 const SECOND: Duration = Duration::from_secs(1);
 
-/// A contact whose first failed call was at `at`, a second after the store last answered this VM and a peer.
+/// A contact whose first failed call was at `at`, a second after the store last answered this VM
+/// and a peer.
 fn lost(at: Instant) -> StoreContact {
     let mut contact = StoreContact::default();
     contact.record_answer(at - SECOND);
--- a/components/store_view/tests/stall.rs
+++ b/components/store_view/tests/stall.rs
@@ -1,4 +1,5 @@
-//! Tests of the stall detector: a VM has stalled if its revision does not advance while a peer has a newer one.
+//! Tests of the stall detector: a VM has stalled if its revision does not advance while a peer has
+//! a newer one.
 
 use std::time::{Duration, Instant};
 
--- a/components/store_view/tests/view.rs
+++ b/components/store_view/tests/view.rs
@@ -1,5 +1,5 @@
-//! Tests of the view: newer revisions replace older ones, whatever their source, and a peer receives all changes in
-//! batches.
+//! Tests of the view: newer revisions replace older ones, whatever their source, and a peer
+//! receives all changes in batches.
 
 use bytes::Bytes;
 use store_view::{Assembler, Change, Item, ItemPart, View};
