--- a/components/fleet/src/ownership.rs
+++ b/components/fleet/src/ownership.rs
@@ -142,9 +142,9 @@
         wanted
     }
 
-    /// Adds the first `links` VMs of `ranked`, which are dialed even while they are silent since
-    /// they may come back at any time. Adds the first `links` that are not known to be silent or
-    /// stopping as well, which replace the others until then.
+    /// Adds the first `links` VMs of `ranked`, even silent ones since they may come back at any
+    /// time, and the first `links` that are not known to be silent or stopping, which take the place
+    /// of silent ones until then.
     fn add_best<'a>(
         &self,
         wanted: &mut BTreeSet<SocketAddr>,
@@ -259,9 +259,9 @@
     /// VM has no link to it yet, or it has no configuration yet. Lost, stopping and unreachable VMs
     /// are excluded. Failed dials are ignored, since they say little while all VMs start.
     fn may_take_work_soon(&self, vm: &VmName) -> bool {
-        let starts = |peer: &PeerVm| !peer.linked || peer.configuration == 0;
-        let may = |peer: &PeerVm| !peer.lost && !peer.draining && starts(peer);
-        self.peers.get(vm).is_none_or(may) && !self.is_unreachable(vm)
+        let is_not_ready = |peer: &PeerVm| !peer.linked || peer.configuration == 0;
+        let is_starting = |peer: &PeerVm| !peer.lost && !peer.draining && is_not_ready(peer);
+        self.peers.get(vm).is_none_or(is_starting) && !self.is_unreachable(vm)
     }
 
     /// Whether a peer announced that it stops.
--- a/components/fleet/tests/ownership.rs
+++ b/components/fleet/tests/ownership.rs
@@ -260,16 +260,16 @@
     let mut fleet = listed(own, 60, 6, now);
     let linked = vm((own + 6) % 60);
     fleet.record_heard(&linked, true, now);
-    let set =
+    let set_watches =
         |fleet: &mut Fleet, watches| fleet.peers.get_mut(&linked).unwrap().watches_store = watches;
 
-    set(&mut fleet, true);
+    set_watches(&mut fleet, true);
     assert!(!fleet.must_watch_store(now + Duration::from_millis(900)));
     assert!(
         fleet.must_watch_store(now + Duration::from_millis(1100)),
         "the linked watcher fell silent"
     );
-    set(&mut fleet, false);
+    set_watches(&mut fleet, false);
     assert!(fleet.must_watch_store(now), "the store does not answer the linked watcher");
 }
 
