--- a/components/fleet/src/lib.rs
+++ b/components/fleet/src/lib.rs
@@ -160,7 +160,7 @@
         }
     }
 
-    /// Records that an address could not be dialled.
+    /// Records that an address could not be dialed.
     pub fn record_dial_failure(&mut self, address: SocketAddr) {
         self.failed_dials.insert(address);
     }
--- a/components/fleet/src/ownership.rs
+++ b/components/fleet/src/ownership.rs
@@ -143,8 +143,8 @@
     }
 
     /// Adds the first `links` VMs of `ranked`, even silent ones since they may come back at any
-    /// time, and the first `links` that are not known to be silent or stopping, which take the place
-    /// of silent ones until then.
+    /// time, and the first `links` that are not known to be silent or stopping, which take their
+    /// place until then.
     fn add_best<'a>(
         &self,
         wanted: &mut BTreeSet<SocketAddr>,
