--- a/daemon/src/dispatcher.rs
+++ b/daemon/src/dispatcher.rs
@@ -91,10 +91,10 @@
             Message::OfferConfiguration(offered) => self.offer_configuration(*offered, now),
             Message::Configurations(have, reply) => send_reply(reply, self.configurations(have)),
             Message::StartRound(reply) => send_reply(reply, self.start_round(now)),
-            Message::PeerNews(news) => self.merge_news(news, now),
+            Message::PeerDelta(delta) => self.merge_delta(delta, now),
             Message::RoundBytes(bytes) => self.round_pacer.record_round(bytes),
-            Message::NewsFor(known, reply) => {
-                send_reply(reply, (self.advert(), self.roster.delta_for(&known)))
+            Message::DeltaFor(digest, reply) => {
+                send_reply(reply, (self.advert(), self.roster.delta_for(&digest)))
             }
             Message::VmList(vms) => self.update_vm_list(vms, now),
             Message::ReadsPlatform(reply) => send_reply(reply, self.reads_platform(now)),
--- a/daemon/src/dispatcher_messages.rs
+++ b/daemon/src/dispatcher_messages.rs
@@ -29,8 +29,8 @@
     pub(crate) incarnation: Incarnation,
     pub(crate) log: Logger,
     pub(crate) metrics: Arc<Metrics>,
-    /// Wakes the peer links when there are changes to send at once.
-    pub(crate) news: Arc<Notify>,
+    /// Starts the next gossip round early when there are changes to send to peers at once.
+    pub(crate) round_trigger: Arc<Notify>,
 }
 
 /// A request that is about to begin.
@@ -117,11 +117,13 @@
 #[derive(Debug)]
 pub(crate) struct Round {
     pub(crate) own: Advert,
-    pub(crate) known: Vec<DigestEntry>,
+    /// Versions of the other VMs' heartbeats that this VM has.
+    pub(crate) digest: Vec<DigestEntry>,
     /// VMs to which a new configuration is announced.
-    pub(crate) to_announce: Vec<SocketAddr>,
+    pub(crate) announce_to: Vec<SocketAddr>,
     /// VMs to exchange state with.
     pub(crate) partners: Vec<SocketAddr>,
+    /// Time until the next round, unless it is started early.
     pub(crate) interval: Duration,
 }
 
@@ -152,11 +154,11 @@
     /// Requests the input of the next gossip round.
     StartRound(oneshot::Sender<Round>),
     /// Adverts and heartbeats from a peer.
-    PeerNews(Delta),
+    PeerDelta(Delta),
     /// Bytes sent and received for one gossip round.
     RoundBytes(u64),
-    /// Requests what a peer with this digest does not know yet.
-    NewsFor(Vec<DigestEntry>, oneshot::Sender<(Advert, Delta)>),
+    /// Requests this VM's advert and what a peer with this digest does not have yet.
+    DeltaFor(Vec<DigestEntry>, oneshot::Sender<(Advert, Delta)>),
     /// The platform's VM list.
     VmList(Vec<ListedVm>),
     /// Whether this VM reads the platform for its hall, and the revision in force.
--- a/daemon/src/fleet.rs
+++ b/daemon/src/fleet.rs
@@ -17,15 +17,15 @@
 
 /// Number of VMs in each hall that read the platform for all VMs of the hall.
 const PLATFORM_READERS: usize = 2;
-/// Partners of a round in the VM's own hall.
+/// Partners of a gossip round in the VM's own hall.
 const LOCAL_PARTNERS: usize = 2;
-/// Additional partners of a round while no other VM sent state recently; taken from the seeds and
-/// the VM list.
+/// Additional partners of a gossip round while no other VM has a fresh advert; taken from the seeds
+/// and the VM list.
 const BOOTSTRAP_PARTNERS: usize = 3;
-/// Partners of a round in other halls.
+/// Partners of a gossip round in other halls.
 const REMOTE_PARTNERS: usize = 1;
-/// VMs of the own hall to which a new configuration is announced at once; each announces it to as
-/// many again.
+/// VMs of the own hall to which a new configuration is announced at once; each of them announces it
+/// to as many others.
 const LOCAL_ANNOUNCEMENTS: usize = 4;
 /// VMs of other halls to which a new configuration is announced at once.
 const REMOTE_ANNOUNCEMENTS: usize = 1;
@@ -43,7 +43,7 @@
         let updates = self.router.apply(accepted.revision, &accepted.catalogue, now);
         self.apply_wait_updates(updates);
         self.apply_peer_state(now);
-        self.setup.news.notify_one();
+        self.setup.round_trigger.notify_one();
     }
 
     /// The configuration in force and the one with `peer_revision`, if it is kept.
@@ -77,58 +77,62 @@
         self.setup.cfg.peers_advertised.unwrap_or(self.setup.cfg.peers)
     }
 
-    /// Chooses the partners of the next round and what to announce.
+    /// Chooses the partners of the next gossip round and the VMs to which a new configuration is
+    /// announced.
     pub(crate) fn start_round(&mut self, now: Instant) -> Round {
         self.sequence += 1;
         let mut partners = self.roster.sample_partners(LOCAL_PARTNERS, REMOTE_PARTNERS);
         if self.roster.fresh(self.round_pacer.interval(), now).next().is_none() {
             let listed = self.vm_list.iter().filter(|vm| vm.entry).map(|vm| vm.address);
-            let others = self.setup.cfg.seeds.iter().copied().chain(listed);
-            let others = others.filter(|a| *a != self.advertised_address());
-            partners.extend(others.sample(&mut rand::rng(), BOOTSTRAP_PARTNERS));
-        } else if let Some(listed) = self.pick_unheard_peer(now) {
-            partners.push(listed);
+            let candidates = self.setup.cfg.seeds.iter().copied().chain(listed);
+            let candidates = candidates.filter(|a| *a != self.advertised_address());
+            partners.extend(candidates.sample(&mut rand::rng(), BOOTSTRAP_PARTNERS));
+        } else if let Some(peer) = self.pick_peer_without_fresh_state(now) {
+            partners.push(peer);
         }
         partners.dedup();
         let revision = self.history.revision();
-        let to_announce = if std::mem::replace(&mut self.announced_revision, revision) < revision {
+        let announce_to = if std::mem::replace(&mut self.announced_revision, revision) < revision {
             self.roster.sample_without_revision(revision, LOCAL_ANNOUNCEMENTS, REMOTE_ANNOUNCEMENTS)
         } else {
             Vec::new()
         };
         Round {
             own: self.advert(),
-            known: self.roster.digest(),
-            to_announce,
+            digest: self.roster.digest(),
+            announce_to,
             partners,
             interval: self.round_pacer.interval(),
         }
     }
 
-    /// A random VM of the VM list without recent state: of the own hall, or of any hall while
-    /// no VM of another hall has recent state, so that halls reconnect after a network partition.
-    fn pick_unheard_peer(&self, now: Instant) -> Option<SocketAddr> {
+    /// A random entry VM of the VM list that is not the sender of a fresh advert.
+    ///
+    /// It is in this VM's hall, or in any hall while there is no fresh advert from another hall, so
+    /// that halls reconnect after a network partition.
+    fn pick_peer_without_fresh_state(&self, now: Instant) -> Option<SocketAddr> {
         let own_hall = &self.setup.cfg.hall;
         let interval = self.round_pacer.interval();
         let fresh: Vec<&Advert> = self.roster.fresh(interval, now).collect();
-        let hears_other_halls = fresh.iter().any(|a| a.hall != *own_hall);
-        let wanted = |vm: &&ListedVm| {
-            let heard = fresh.iter().any(|a| a.peers == vm.address);
+        let has_fresh_remote = fresh.iter().any(|a| a.hall != *own_hall);
+        let is_candidate = |vm: &&ListedVm| {
+            let is_fresh = fresh.iter().any(|a| a.peers == vm.address);
             let own = vm.address == self.advertised_address();
-            !own && !heard && (vm.hall == *own_hall || !hears_other_halls)
+            !own && !is_fresh && (vm.hall == *own_hall || !has_fresh_remote)
         };
-        let unheard = self.vm_list.iter().filter(|vm| vm.entry).filter(wanted);
-        unheard.map(|vm| vm.address).choose(&mut rand::rng())
+        let candidates = self.vm_list.iter().filter(|vm| vm.entry).filter(is_candidate);
+        candidates.map(|vm| vm.address).choose(&mut rand::rng())
     }
 
-    /// Merges adverts and heartbeats received from a peer.
-    pub(crate) fn merge_news(&mut self, news: Delta, now: Instant) {
-        news.adverts.into_iter().for_each(|advert| self.roster.merge(advert, now));
-        news.heartbeats.into_iter().for_each(|beat| self.roster.merge_heartbeat(beat, now));
+    /// Merges the adverts and heartbeats that a peer sent.
+    pub(crate) fn merge_delta(&mut self, delta: Delta, now: Instant) {
+        delta.adverts.into_iter().for_each(|advert| self.roster.merge(advert, now));
+        delta.heartbeats.into_iter().for_each(|beat| self.roster.merge_heartbeat(beat, now));
         self.apply_peer_state(now);
     }
 
-    /// Updates the router with the peers' loads, the sharing VMs and the leaving targets.
+    /// Updates the router with the peers' loads, the VMs that share the targets and the leaving
+    /// targets.
     pub(crate) fn apply_peer_state(&mut self, now: Instant) {
         let interval = self.round_pacer.interval();
         let loads = self.roster.loads(interval, now);
@@ -142,13 +146,14 @@
         self.router.set_leaving(|name| leaving.contains(name));
     }
 
-    /// The VMs that share the targets: this one and all with recent state that are not draining.
+    /// The VMs that share the targets' capacity: this one, and all with a fresh advert that are not
+    /// draining.
     fn sharers(&self, now: Instant) -> Vec<Sharer> {
-        let of = |vm: &VmName, hall: &HallName| Sharer { vm: vm.clone(), hall: hall.clone() };
+        let sharer = |vm: &VmName, hall: &HallName| Sharer { vm: vm.clone(), hall: hall.clone() };
         let not_draining =
             self.roster.fresh(self.round_pacer.interval(), now).filter(|a| !a.beat.draining);
-        let own = of(&self.setup.cfg.vm, &self.setup.cfg.hall);
-        not_draining.map(|a| of(&a.vm, &a.hall)).chain([own]).collect()
+        let own = sharer(&self.setup.cfg.vm, &self.setup.cfg.hall);
+        not_draining.map(|a| sharer(&a.vm, &a.hall)).chain([own]).collect()
     }
 
     /// Stores the platform's VM list and records the targets that it reports as leaving.
@@ -159,7 +164,7 @@
         for name in names {
             if self.leaving.record(name.clone(), now) {
                 info!(self.setup.log, "target leaving"; "target" => %name, "word" => "VM list");
-                self.setup.news.notify_one();
+                self.setup.round_trigger.notify_one();
             }
         }
         self.vm_list = vms;
@@ -175,6 +180,6 @@
     /// Marks this VM as draining and tells peers at once.
     pub(crate) fn drain(&mut self) {
         self.draining = true;
-        self.setup.news.notify_one();
+        self.setup.round_trigger.notify_one();
     }
 }
--- a/daemon/src/peer_links.rs
+++ b/daemon/src/peer_links.rs
@@ -22,7 +22,7 @@
 use crate::dispatcher_messages::{Message, Round};
 use crate::dispatcher_thread::{DispatcherHandle, DispatcherStopped};
 use crate::peer_messages::{
-    advert_from_wire, catalogue_from_reply, catalogue_reply, hello_to_wire, known_from_hello,
+    advert_from_wire, catalogue_from_reply, catalogue_reply, digest_from_hello, hello_to_wire,
     news_from_wire, news_to_wire,
 };
 
@@ -35,7 +35,7 @@
 /// Bytes on the wire per message in addition to its encoded length, on an established connection:
 /// 61 for HTTP/2 and 124 for TCP/IP segments. `docs/CAPACITY.md` describes how to measure it.
 const FRAMING_BYTES: u64 = 185;
-/// Shortest time between two rounds, even if there are changes to send at once.
+/// Shortest time between two gossip rounds, even if there are changes to send at once.
 const MIN_ROUND_GAP: Duration = Duration::from_millis(20);
 /// Largest catalogue message, in bytes.
 const MAX_MESSAGE_BYTES: usize = 8 << 20;
@@ -46,7 +46,8 @@
     pub(crate) dispatcher: DispatcherHandle,
     pub(crate) log: Logger,
     pub(crate) metrics: Arc<Metrics>,
-    pub(crate) news: Arc<Notify>,
+    /// Starts the next gossip round early.
+    pub(crate) round_trigger: Arc<Notify>,
 }
 
 /// Runs the peer service until the process ends.
@@ -59,9 +60,9 @@
     }
 }
 
-/// Runs rounds until the process ends: at the interval that the dispatcher sets, or at once when
-/// there is a change to send.
-pub(crate) async fn hold_rounds(links: PeerLinks) {
+/// Runs gossip rounds until the process ends: at the interval that the dispatcher sets, or early
+/// when there is a change to send.
+pub(crate) async fn run_gossip_rounds(links: PeerLinks) {
     let mut clients = PeerClients::default();
     while let Ok(round) = links.dispatcher.ask_async(Message::StartRound).await {
         let interval = round.interval;
@@ -74,7 +75,7 @@
         tokio::time::sleep(MIN_ROUND_GAP).await;
         tokio::select! {
             () = tokio::time::sleep(interval) => {}
-            () = links.news.notified() => {}
+            () = links.round_trigger.notified() => {}
         }
     }
 }
@@ -84,7 +85,7 @@
     let announcement =
         Announcement { revision: round.own.beat.revision.0, peers: round.own.peers.to_string() };
     let mut calls = JoinSet::new();
-    for mut client in round.to_announce.iter().filter_map(|a| clients.client(*a)) {
+    for mut client in round.announce_to.iter().filter_map(|a| clients.client(*a)) {
         let bytes = announcement.encoded_len() as u64 + FRAMING_BYTES;
         links.metrics.control_bytes(bytes, FRAMING_BYTES);
         let announcement = announcement.clone();
@@ -129,7 +130,7 @@
     clients: &mut PeerClients,
     round: Round,
 ) -> Option<(Revision, SocketAddr)> {
-    let hello = hello_to_wire(round.own, &round.known);
+    let hello = hello_to_wire(round.own, &round.digest);
     let mut exchanges = JoinSet::new();
     for address in round.partners {
         if let Some(client) = clients.client(address) {
@@ -145,7 +146,7 @@
                 received += news.encoded_len() as u64 + FRAMING_BYTES;
                 let own = news.own.as_ref().and_then(|own| own.beat.as_ref());
                 newest = newest.max(own.map(|beat| (Revision(beat.revision), address)));
-                links.dispatcher.tell(Message::PeerNews(news_from_wire(news)));
+                links.dispatcher.tell(Message::PeerDelta(news_from_wire(news)));
             }
             Ok((address, Err(status))) => {
                 debug!(links.log, "peer exchange failed"; "peer" => %address,
@@ -183,19 +184,20 @@
     revision: Revision,
 ) {
     let Some(mut client) = client else { return };
-    let view = links.dispatcher.ask_async(|tx| Message::Configurations(Revision(0), tx)).await;
-    let Ok((current, _)) = view else { return };
+    let configurations =
+        links.dispatcher.ask_async(|tx| Message::Configurations(Revision(0), tx)).await;
+    let Ok((current, _)) = configurations else { return };
     let have = current.as_ref().map_or(Revision(0), |c| c.revision);
     if have >= revision {
         return;
     }
     let request = client.fetch_catalogue(CatalogueRequest { have: have.0 });
-    let fetched = match tokio::time::timeout(FETCH_TIMEOUT, request).await {
+    let reply = match tokio::time::timeout(FETCH_TIMEOUT, request).await {
         Ok(Ok(reply)) => reply.into_inner(),
         Ok(Err(_)) | Err(_) => return,
     };
-    links.metrics.control_bytes(FRAMING_BYTES, fetched.encoded_len() as u64 + FRAMING_BYTES);
-    match catalogue_from_reply(&fetched, current.as_deref()) {
+    links.metrics.control_bytes(FRAMING_BYTES, reply.encoded_len() as u64 + FRAMING_BYTES);
+    match catalogue_from_reply(&reply, current.as_deref()) {
         Ok(offered) => links.dispatcher.tell(Message::OfferConfiguration(Box::new(offered))),
         Err(e) => warn!(links.log, "peer's catalogue rejected"; "problem" => %e),
     }
@@ -206,16 +208,16 @@
     async fn exchange(&self, request: Request<Hello>) -> Result<Response<News>, Status> {
         let hello = request.into_inner();
         let received = hello.encoded_len() as u64 + FRAMING_BYTES;
-        let known = known_from_hello(&hello);
+        let digest = digest_from_hello(&hello);
         let adverts = hello.own.into_iter().filter_map(advert_from_wire).collect();
-        let (own, news) = self
+        let (own, delta) = self
             .dispatcher
-            .ask_async(|reply| Message::NewsFor(known, reply))
+            .ask_async(|reply| Message::DeltaFor(digest, reply))
             .await
             .map_err(|DispatcherStopped| stopping_status())?;
         self.dispatcher
-            .tell(Message::PeerNews(membership::Delta { adverts, heartbeats: Vec::new() }));
-        let news = news_to_wire(own, news);
+            .tell(Message::PeerDelta(membership::Delta { adverts, heartbeats: Vec::new() }));
+        let news = news_to_wire(own, delta);
         self.metrics.control_bytes(news.encoded_len() as u64 + FRAMING_BYTES, received);
         Ok(Response::new(news))
     }
--- a/daemon/src/peer_messages.rs
+++ b/daemon/src/peer_messages.rs
@@ -61,19 +61,19 @@
 }
 
 /// Encodes the first message of an exchange: this VM's advert and a digest of the VMs it knows.
-pub(crate) fn hello_to_wire(own: Advert, known: &[DigestEntry]) -> wire::Hello {
+pub(crate) fn hello_to_wire(own: Advert, digest: &[DigestEntry]) -> wire::Hello {
     wire::Hello {
         own: Some(advert_to_wire(own)),
-        known_vms: known.iter().map(|k| k.vm.0).collect(),
-        known_incarnations: known.iter().map(|k| k.incarnation.0).collect(),
-        known_sequences: known.iter().map(|k| k.sequence).collect(),
+        known_vms: digest.iter().map(|k| k.vm.0).collect(),
+        known_incarnations: digest.iter().map(|k| k.incarnation.0).collect(),
+        known_sequences: digest.iter().map(|k| k.sequence).collect(),
     }
 }
 
-/// Decodes the digest of the VMs that the sender of `hello` knows.
-pub(crate) fn known_from_hello(hello: &wire::Hello) -> Vec<DigestEntry> {
-    let stamps = hello.known_incarnations.iter().zip(&hello.known_sequences);
-    let known = hello.known_vms.iter().zip(stamps);
+/// Decodes the digest that the sender of `hello` made of the VMs it knows.
+pub(crate) fn digest_from_hello(hello: &wire::Hello) -> Vec<DigestEntry> {
+    let versions = hello.known_incarnations.iter().zip(&hello.known_sequences);
+    let known = hello.known_vms.iter().zip(versions);
     known
         .map(|(vm, (incarnation, sequence))| DigestEntry {
             vm: NameHash(*vm),
@@ -84,11 +84,11 @@
 }
 
 /// Encodes the reply of an exchange: this VM's advert and what the other VM does not know yet.
-pub(crate) fn news_to_wire(own: Advert, news: Delta) -> wire::News {
+pub(crate) fn news_to_wire(own: Advert, delta: Delta) -> wire::News {
     wire::News {
         own: Some(advert_to_wire(own)),
-        others: news.adverts.into_iter().map(advert_to_wire).collect(),
-        beats: news.heartbeats.into_iter().map(beat_to_wire).collect(),
+        others: delta.adverts.into_iter().map(advert_to_wire).collect(),
+        beats: delta.heartbeats.into_iter().map(beat_to_wire).collect(),
     }
 }
 
@@ -101,33 +101,37 @@
     }
 }
 
-/// The reply that updates a peer from `old` to `now`.
+/// Encodes the reply that brings a peer to the configuration `current`.
 ///
-/// It holds the differences if `old` is kept here, otherwise the whole catalogue.
+/// It holds the differences from `old`, the peer's configuration, or the whole catalogue if this VM
+/// no longer keeps that one.
 pub(crate) fn catalogue_reply(
-    now: &Configuration,
+    current: &Configuration,
     old: Option<&Configuration>,
 ) -> wire::CatalogueReply {
     let mut reply = wire::CatalogueReply {
-        revision: now.revision.0,
-        digest: now.catalogue.digest(),
+        revision: current.revision.0,
+        digest: current.catalogue.digest(),
         ..wire::CatalogueReply::default()
     };
     let Some(old) = old else {
-        reply.whole = serde_json::to_vec(&now.catalogue).unwrap_or_default();
+        reply.whole = serde_json::to_vec(&current.catalogue).unwrap_or_default();
         return reply;
     };
-    let changes = diff(&old.catalogue, &now.catalogue);
+    let changes = diff(&old.catalogue, &current.catalogue);
     let (removed, upserted): (Vec<_>, Vec<_>) =
         changes.into_iter().partition(|change| change.kind == ChangeKind::Removed);
     reply.removed = removed.iter().map(|change| change.object.to_string()).collect();
     let is_upserted = |document: &Document| upserted.iter().any(|c| c.object == document.key());
-    let documents = now.catalogue.documents().filter(is_upserted);
+    let documents = current.catalogue.documents().filter(is_upserted);
     reply.changed = documents.filter_map(|d| serde_json::to_vec(&d).ok()).collect();
     reply
 }
 
-/// Applies the reply to `base`, if it holds differences, and checks the result's digest.
+/// Decodes a configuration from a peer's reply and checks the catalogue's digest.
+///
+/// If the reply holds differences, they are applied to `base`, or to an empty catalogue if there is
+/// none.
 ///
 /// # Errors
 /// `BadInput` if the reply can't be decoded or the digest does not match.
--- a/daemon/src/requests.rs
+++ b/daemon/src/requests.rs
@@ -145,7 +145,7 @@
             info!(self.setup.log, "target leaving"; "target" => %ended.target_name,
                 "word" => "its own answer");
             self.apply_peer_state(now);
-            self.setup.news.notify_one();
+            self.setup.round_trigger.notify_one();
         }
         let origin = (&ended.service, &ended.stage);
         let updates =
--- a/daemon/src/start.rs
+++ b/daemon/src/start.rs
@@ -82,7 +82,7 @@
     abort: watch::Receiver<bool>,
 ) -> Result<ShutdownHandles> {
     let metrics = Arc::new(Metrics::new()?);
-    let news = Arc::new(Notify::new());
+    let round_trigger = Arc::new(Notify::new());
     let incarnation = Incarnation::now();
     let listen = |address| {
         runtime
@@ -97,7 +97,7 @@
         incarnation,
         log: log.clone(),
         metrics: Arc::clone(&metrics),
-        news: Arc::clone(&news),
+        round_trigger: Arc::clone(&round_trigger),
     });
     let operations_page = Operations {
         dispatcher: dispatcher.clone(),
@@ -125,10 +125,10 @@
         dispatcher: dispatcher.clone(),
         log: log.clone(),
         metrics: Arc::clone(&metrics),
-        news,
+        round_trigger,
     };
     runtime.spawn(peer_links::serve(links.clone(), peers_listener));
-    runtime.spawn(peer_links::hold_rounds(links));
+    runtime.spawn(peer_links::run_gossip_rounds(links));
 
     let pipeline = Pipeline {
         cfg: cfg.clone(),
