--- a/daemon/src/answer.rs
+++ b/daemon/src/answer.rs
@@ -29,13 +29,13 @@
 ) -> Response<Body> {
     let answer = Answer::refused(id.clone(), stages, refusal);
     let body = json_body(&answer);
-    let mut rx = response_with_head(refusal.status(), refusal.outcome.as_str(), id, body);
+    let mut response = response_with_head(refusal.status(), refusal.outcome.as_str(), id, body);
     if let Some(wait) = refusal.retry_after {
         // The header holds whole seconds, rounded up; the body has the exact milliseconds.
         let seconds = wait.as_secs() + u64::from(wait.subsec_nanos() > 0);
-        rx.headers_mut().insert(RETRY_AFTER, HeaderValue::from(seconds));
+        response.headers_mut().insert(RETRY_AFTER, HeaderValue::from(seconds));
     }
-    rx
+    response
 }
 
 fn json_body(answer: &Answer) -> Body {
@@ -44,14 +44,14 @@
 
 /// A response with status, content type, outcome and request id.
 fn response_with_head(status: u16, outcome: &str, id: &RequestId, body: Body) -> Response<Body> {
-    let mut rx = Response::new(body);
-    *rx.status_mut() = hyper::StatusCode::from_u16(status).unwrap_or_default();
-    let headers = rx.headers_mut();
+    let mut response = Response::new(body);
+    *response.status_mut() = hyper::StatusCode::from_u16(status).unwrap_or_default();
+    let headers = response.headers_mut();
     headers.insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
     let value = |text: &str| HeaderValue::from_str(text).unwrap_or(HeaderValue::from_static(""));
     headers.insert(OUTCOME_HEADER, value(outcome));
     headers.insert(REQUEST_ID_HEADER, value(id.as_str()));
-    rx
+    response
 }
 
 /// The caller closed its connection or has already been answered.
@@ -62,45 +62,45 @@
 pub(crate) struct AnswerPort {
     id: RequestId,
     head: Option<oneshot::Sender<Response<Body>>>,
-    parts: Option<mpsc::Sender<Result<Bytes, BodyAborted>>>,
+    events: Option<mpsc::Sender<Result<Bytes, BodyAborted>>>,
 }
 
 impl AnswerPort {
     /// Creates a port and the receiver of the response.
     pub(crate) fn new(id: RequestId) -> (Self, oneshot::Receiver<Response<Body>>) {
         let (tx, rx) = oneshot::channel();
-        (AnswerPort { id, head: Some(tx), parts: None }, rx)
+        (AnswerPort { id, head: Some(tx), events: None }, rx)
     }
 
     /// Whether the caller is still connected.
     pub(crate) fn is_open(&self) -> bool {
-        match (&self.head, &self.parts) {
+        match (&self.head, &self.events) {
             (Some(head), _) => !head.is_closed(),
-            (None, Some(parts)) => !parts.is_closed(),
+            (None, Some(events)) => !events.is_closed(),
             (None, None) => false,
         }
     }
 
     /// Whether the response has begun as a stream.
     pub(crate) fn has_begun(&self) -> bool {
-        self.parts.is_some()
+        self.events.is_some()
     }
 
     /// Sends one token to the caller; the first one begins the stream.
     ///
     /// # Errors
     /// [`CallerGone`] if the caller is no longer connected.
-    pub(crate) fn token(&mut self, number: u64, token: &str) -> Result<(), CallerGone> {
+    pub(crate) fn send_token(&mut self, number: u64, token: &str) -> Result<(), CallerGone> {
         if let Some(head) = self.head.take() {
             let (tx, rx) = mpsc::channel(STREAM_BUFFER);
-            let mut answer = response_with_head(200, STREAMING, &self.id, stream_body(rx));
-            let headers = answer.headers_mut();
+            let mut response = response_with_head(200, STREAMING, &self.id, stream_body(rx));
+            let headers = response.headers_mut();
             headers.insert(CONTENT_TYPE, HeaderValue::from_static("text/event-stream"));
             headers.insert(CACHE_CONTROL, HeaderValue::from_static("no-store"));
-            head.send(answer).map_err(|_| CallerGone)?;
-            self.parts = Some(tx);
+            head.send(response).map_err(|_| CallerGone)?;
+            self.events = Some(tx);
         }
-        self.part(format!("id: {number}\ndata: {}\n\n", json!({ "token": token })))
+        self.send_event(format!("id: {number}\ndata: {}\n\n", json!({ "token": token })))
     }
 
     /// Sends the answer, or ends the stream with it.
@@ -111,7 +111,7 @@
             return;
         }
         // Dropping the sender afterwards ends the stream cleanly.
-        let _ = self.outcome_event(answer);
+        let _ = self.send_outcome_event(answer);
     }
 
     /// Sends the refusal. A stream that has begun gets it as its last event and is then aborted.
@@ -121,21 +121,21 @@
             return;
         }
         let answer = Answer::refused(self.id.clone(), stages, refusal);
-        let _ = self.outcome_event(&answer);
-        if let Some(parts) = &self.parts {
-            let _ = parts.blocking_send(Err(BodyAborted));
+        let _ = self.send_outcome_event(&answer);
+        if let Some(events) = &self.events {
+            let _ = events.blocking_send(Err(BodyAborted));
         }
     }
 
     /// Sends the stream's last event, with the outcome.
-    fn outcome_event(&self, answer: &Answer) -> Result<(), CallerGone> {
+    fn send_outcome_event(&self, answer: &Answer) -> Result<(), CallerGone> {
         let json = serde_json::to_string(answer).unwrap_or_default();
-        self.part(format!("event: outcome\ndata: {json}\n\n"))
+        self.send_event(format!("event: outcome\ndata: {json}\n\n"))
     }
 
     /// Sends one event of the stream.
-    fn part(&self, text: String) -> Result<(), CallerGone> {
-        let parts = self.parts.as_ref().ok_or(CallerGone)?;
-        parts.blocking_send(Ok(Bytes::from(text))).map_err(|_| CallerGone)
+    fn send_event(&self, text: String) -> Result<(), CallerGone> {
+        let events = self.events.as_ref().ok_or(CallerGone)?;
+        events.blocking_send(Ok(Bytes::from(text))).map_err(|_| CallerGone)
     }
 }
--- a/daemon/src/dispatcher_messages.rs
+++ b/daemon/src/dispatcher_messages.rs
@@ -107,7 +107,7 @@
     pub(crate) target_name: TargetName,
     pub(crate) attempt: AttemptId,
     pub(crate) end: CallEnd,
-    pub(crate) record: AttemptEnd,
+    pub(crate) attempt_end: AttemptEnd,
     pub(crate) took: Duration,
     pub(crate) load: Option<LoadReport>,
     pub(crate) leaving: bool,
--- a/daemon/src/operations.rs
+++ b/daemon/src/operations.rs
@@ -18,7 +18,7 @@
 const EXPLAIN_PATH: &str = "/explain/";
 
 /// State of the operators' HTTP server.
-pub(crate) struct Operations {
+pub(crate) struct OperationsServer {
     pub(crate) dispatcher: DispatcherHandle,
     pub(crate) metrics: Arc<Metrics>,
     pub(crate) log: Logger,
@@ -27,7 +27,7 @@
 /// A response: status code, content type and body.
 struct Page {
     status: u16,
-    kind: &'static str,
+    content_type: &'static str,
     text: String,
 }
 
@@ -35,16 +35,16 @@
 ///
 /// # Errors
 /// `Io` if the address can't be listened on.
-pub(crate) fn start(page: Operations, address: SocketAddr) -> Result<()> {
+pub(crate) fn start(operations: OperationsServer, address: SocketAddr) -> Result<()> {
     let server = Server::http(address).map_err(|e| {
         Error::io(format!("listening on {address}"), std::io::Error::other(e.to_string()))
     })?;
-    let page = Arc::new(page);
-    thread::spawn(move || page.serve(server, address));
+    let operations = Arc::new(operations);
+    thread::spawn(move || operations.serve(server, address));
     Ok(())
 }
 
-impl Operations {
+impl OperationsServer {
     /// Answers requests, each on its own thread, until the process ends.
     fn serve(self: &Arc<Self>, mut server: Server, address: SocketAddr) {
         loop {
@@ -52,8 +52,8 @@
                 Ok(req) => {
                     // Each request has its own thread, so that a slow client does not delay health
                     // checks.
-                    let page = Arc::clone(self);
-                    thread::spawn(move || page.answer(req));
+                    let operations = Arc::clone(self);
+                    thread::spawn(move || operations.answer(req));
                 }
                 Err(e) => {
                     // The accept loop of `tiny_http` ends at its first error, so a new server is
@@ -83,13 +83,13 @@
             (Method::Get, _) => text(404, "no such page"),
             _ => text(405, "expected method GET"),
         };
-        let kind = Header::from_bytes("content-type", page.kind);
-        let mut rx = Response::from_string(page.text).with_status_code(page.status);
-        if let Ok(kind) = kind {
-            rx.add_header(kind);
+        let header = Header::from_bytes("content-type", page.content_type);
+        let mut response = Response::from_string(page.text).with_status_code(page.status);
+        if let Ok(header) = header {
+            response.add_header(header);
         }
         // An error means that the client has disconnected.
-        let _ = req.respond(rx);
+        let _ = req.respond(response);
     }
 
     fn ready(&self) -> Page {
@@ -101,7 +101,7 @@
 
     fn metrics_page(&self) -> Page {
         match self.metrics.render() {
-            Ok(page) => Page { status: 200, kind: "text/plain; version=0.0.4", text: page },
+            Ok(page) => Page { status: 200, content_type: "text/plain; version=0.0.4", text: page },
             Err(e) => text(500, &e.to_string()),
         }
     }
@@ -117,7 +117,7 @@
         match value {
             Ok(value) => Page {
                 status: 200,
-                kind: "application/json",
+                content_type: "application/json",
                 text: serde_json::to_string(&value).unwrap_or_default(),
             },
             Err(DispatcherStopped) => text(503, "the process is ending"),
@@ -126,5 +126,5 @@
 }
 
 fn text(status: u16, text: &str) -> Page {
-    Page { status, kind: "text/plain", text: format!("{text}\n") }
+    Page { status, content_type: "text/plain", text: format!("{text}\n") }
 }
--- a/daemon/src/orders.rs
+++ b/daemon/src/orders.rs
@@ -51,14 +51,18 @@
 /// hall.
 #[derive(Debug, Default)]
 struct CheckRotation {
-    all_satisfied_at: Option<(u64, Revision)>,
+    all_satisfied_under: Option<(u64, Revision)>,
     next: usize,
 }
 
 impl CheckRotation {
     /// Engines to check now, under the given fencing token and configuration.
-    fn due<'a>(&mut self, targets: &[&'a Target], at: (u64, Revision)) -> Vec<&'a Target> {
-        if self.all_satisfied_at != Some(at) {
+    fn due<'a>(
+        &mut self,
+        targets: &[&'a Target],
+        fence_and_revision: (u64, Revision),
+    ) -> Vec<&'a Target> {
+        if self.all_satisfied_under != Some(fence_and_revision) {
             return targets.to_vec();
         }
         let from = self.next;
@@ -104,11 +108,11 @@
         rotation: &mut CheckRotation,
     ) {
         self.renew_lease(lease);
-        let Some(at) = lease.map(|h| (h.held.fence, revision)) else { return };
-        let due = rotation.due(targets, at);
+        let Some(fence_and_revision) = lease.map(|h| (h.held.fence, revision)) else { return };
+        let due = rotation.due(targets, fence_and_revision);
         let satisfied =
             due.iter().filter(|target| self.ensure_wanted(orders, target, lease)).count();
-        rotation.all_satisfied_at = (satisfied == due.len()).then_some(at);
+        rotation.all_satisfied_under = (satisfied == due.len()).then_some(fence_and_revision);
     }
 
     /// Orders the wanted condition if the target has another. Returns whether the target now has it
--- a/daemon/src/pipeline.rs
+++ b/daemon/src/pipeline.rs
@@ -287,7 +287,7 @@
                 Ok(stream) => read_stream(stream, |number, token| {
                     tokens = number;
                     text.push_str(token);
-                    let sent = !to_caller || port.token(number, token).is_ok();
+                    let sent = !to_caller || port.send_token(number, token).is_ok();
                     sent && port.is_open()
                 }),
             };
@@ -352,8 +352,8 @@
     /// Waits until the dispatcher grants or refuses a slot for the next attempt.
     fn acquire_slot(&mut self, stage: usize, tried: &[TargetKey]) -> Result<Granted, Refusal> {
         self.attempts += 1;
-        let begin_req = self.stage_slot_request(stage, tried);
-        let reply = self.shared.dispatcher.ask(|reply| Message::Slot(begin_req, reply));
+        let slot_req = self.stage_slot_request(stage, tried);
+        let reply = self.shared.dispatcher.ask(|reply| Message::Slot(slot_req, reply));
         match reply {
             Ok(Ok(granted)) => Ok(granted),
             Ok(Err(refused)) => Err(self.slot_refusal(refused)),
@@ -396,7 +396,7 @@
         failure: Option<&CallFailure>,
         status: TargetStatus,
     ) {
-        let (end, record, name) = match failure {
+        let (end, attempt_end, label) = match failure {
             None => (CallEnd::Answered, AttemptEnd::Answered, "answered"),
             Some(CallFailure::NotSent(problem)) => {
                 let problem = problem.clone();
@@ -416,7 +416,7 @@
                 (CallEnd::Failed, AttemptEnd::Failed { problem }, "failed")
             }
         };
-        self.report_call_end(stage, granted, started, (end, record, name), status);
+        self.report_call_end(stage, granted, started, (end, attempt_end, label), status);
     }
 
     /// Reports a call that was abandoned before its end.
@@ -438,11 +438,11 @@
         stage: &Stage,
         granted: &Granted,
         started: Instant,
-        (end, record, name): (CallEnd, AttemptEnd, &'static str),
+        (end, attempt_end, label): (CallEnd, AttemptEnd, &'static str),
         status: TargetStatus,
     ) {
         let target = &granted.grant.name;
-        self.shared.metrics.attempt_ended(stage.name.as_str(), target.as_str(), name);
+        self.shared.metrics.attempt_ended(stage.name.as_str(), target.as_str(), label);
         let ended = EndedCall {
             submission: self.begun.submission,
             service: self.req.service.clone(),
@@ -451,7 +451,7 @@
             target_name: target.clone(),
             attempt: granted.attempt.clone(),
             end,
-            record,
+            attempt_end,
             took: started.elapsed(),
             load: status.load.map(|(running, queued)| LoadReport { running, queued }),
             leaving: status.leaving,
--- a/daemon/src/platform_reader.rs
+++ b/daemon/src/platform_reader.rs
@@ -83,17 +83,17 @@
     /// occasionally.
     fn follow_head(&self) {
         let mut outage = OutageBackoff::new("head");
-        let mut seen = 0;
+        let mut seen_version = 0;
         let mut last_read: Option<Instant> = None;
-        while let Ok((reads, current_revision)) = self.dispatcher.ask(Message::ReadsPlatform) {
+        while let Ok((is_reader, current_revision)) = self.dispatcher.ask(Message::ReadsPlatform) {
             let due = last_read.is_none_or(|at| at.elapsed() >= with_jitter(IDLE_READ_INTERVAL));
-            if !reads && !due {
+            if !is_reader && !due {
                 thread::sleep(ROLE_CHECK_INTERVAL);
                 continue;
             }
             last_read = Some(Instant::now());
-            let wait = if reads && seen > 0 { WATCH_TIMEOUT } else { Duration::ZERO };
-            let result = self.read_head(&mut seen, current_revision, wait);
+            let wait = if is_reader && seen_version > 0 { WATCH_TIMEOUT } else { Duration::ZERO };
+            let result = self.read_head(&mut seen_version, current_revision, wait);
             self.metrics.platform_call("head", result.is_ok());
             let absent = matches!(result, Ok(None));
             outage.record(&result, &self.log);
@@ -103,21 +103,21 @@
         }
     }
 
-    /// Waits up to `wait` for the head to change from version `seen`, and offers a newer
+    /// Waits up to `wait` for the head to change from version `seen_version`, and offers a newer
     /// configuration to the dispatcher. Returns `None` if there is no head yet.
     fn read_head(
         &self,
-        seen: &mut u64,
+        seen_version: &mut u64,
         current_revision: Revision,
         wait: Duration,
     ) -> Result<Option<()>> {
         let entry = if wait.is_zero() {
             self.store.get(HEAD_KEY)?
         } else {
-            self.store.watch(HEAD_KEY, *seen, wait)?
+            self.store.watch(HEAD_KEY, *seen_version, wait)?
         };
         let Some(entry) = entry else { return Ok(None) };
-        if entry.version == *seen {
+        if entry.version == *seen_version {
             return Ok(Some(()));
         }
         let head = decode_head(&entry)?;
@@ -127,7 +127,7 @@
                 Configuration { revision: head.revision, catalogue, source: Source::Store };
             self.dispatcher.tell(Message::OfferConfiguration(Box::new(offered)));
         }
-        *seen = entry.version;
+        *seen_version = entry.version;
         Ok(Some(()))
     }
 
@@ -135,8 +135,8 @@
     fn follow_vm_list(&self) {
         let mut outage = OutageBackoff::new("VM list");
         let mut last_read: Option<Instant> = None;
-        while let Ok((reads, _)) = self.dispatcher.ask(Message::ReadsPlatform) {
-            let pause = if reads { LIST_INTERVAL } else { with_jitter(IDLE_READ_INTERVAL) };
+        while let Ok((is_reader, _)) = self.dispatcher.ask(Message::ReadsPlatform) {
+            let pause = if is_reader { LIST_INTERVAL } else { with_jitter(IDLE_READ_INTERVAL) };
             if last_read.is_some_and(|at| at.elapsed() < pause) {
                 thread::sleep(ROLE_CHECK_INTERVAL.min(pause));
                 continue;
--- a/daemon/src/requests.rs
+++ b/daemon/src/requests.rs
@@ -133,13 +133,13 @@
     /// Records the end of a call, its target's load and leaving state, and releases its slot.
     pub(crate) fn call_ended(&mut self, ended: EndedCall, now: Instant) {
         debug!(self.setup.log, "attempt ended"; "attempt" => %ended.attempt,
-            "stage" => %ended.stage, "target" => %ended.target_name, "end" => ?ended.record,
+            "stage" => %ended.stage, "target" => %ended.target_name, "end" => ?ended.attempt_end,
             "took_ms" => millis(ended.took));
         self.journal.record_attempt_end(
             ended.submission,
             ended.attempt.as_str(),
             millis(ended.took),
-            ended.record,
+            ended.attempt_end,
         );
         if ended.leaving && self.leaving.record(ended.target_name.clone(), now) {
             info!(self.setup.log, "target leaving"; "target" => %ended.target_name,
--- a/daemon/src/start.rs
+++ b/daemon/src/start.rs
@@ -19,7 +19,7 @@
 use crate::callers::{self, CallerServer};
 use crate::dispatcher_messages::{Message, Setup};
 use crate::dispatcher_thread::{self, DispatcherHandle};
-use crate::operations::{self, Operations};
+use crate::operations::{self, OperationsServer};
 use crate::orders::{self, OrderSender};
 use crate::peer_links::{self, PeerLinks};
 use crate::pipeline::Pipeline;
@@ -99,12 +99,12 @@
         metrics: Arc::clone(&metrics),
         round_trigger: Arc::clone(&round_trigger),
     });
-    let operations_page = Operations {
+    let operations_server = OperationsServer {
         dispatcher: dispatcher.clone(),
         metrics: Arc::clone(&metrics),
         log: log.clone(),
     };
-    operations::start(operations_page, cfg.operations)?;
+    operations::start(operations_server, cfg.operations)?;
 
     let store = store_client::Store::new(cfg.platform);
     platform_reader::start(PlatformReader {
