--- a/daemon/src/answer.rs
+++ b/daemon/src/answer.rs
@@ -61,7 +61,9 @@
 /// Channel through which the answer to one request is sent to its connection.
 pub(crate) struct AnswerPort {
     id: RequestId,
+    /// Sender of the response; `None` once the response has begun.
     head: Option<oneshot::Sender<Response<Body>>>,
+    /// Sender of the stream's events; `None` unless the response is a stream.
     events: Option<mpsc::Sender<Result<Bytes, BodyAborted>>>,
 }
 
@@ -86,7 +88,8 @@
         self.events.is_some()
     }
 
-    /// Sends one token to the caller; the first one begins the stream.
+    /// Sends one token to the caller, with its number as the event's id; the first one begins the
+    /// stream.
     ///
     /// # Errors
     /// [`CallerGone`] if the caller is no longer connected.
@@ -133,7 +136,7 @@
         self.send_event(format!("event: outcome\ndata: {json}\n\n"))
     }
 
-    /// Sends one event of the stream.
+    /// Sends one event of the stream; blocks while the stream's buffer is full.
     fn send_event(&self, text: String) -> Result<(), CallerGone> {
         let events = self.events.as_ref().ok_or(CallerGone)?;
         events.blocking_send(Ok(Bytes::from(text))).map_err(|_| CallerGone)
--- a/daemon/src/dispatcher.rs
+++ b/daemon/src/dispatcher.rs
@@ -17,9 +17,11 @@
 use crate::units::millis;
 use crate::waiting_threads::WaitingThreads;
 
-/// Interval at which queued requests are checked.
+/// Interval at which queued requests are checked: those that can no longer meet their deadline are
+/// refused, and slots that became usable are granted.
 const TICK_INTERVAL: Duration = Duration::from_millis(20);
-/// Interval at which expired state is removed: leaving marks, adverts and peers' loads.
+/// Interval at which expired state is removed: reports of leaving targets, adverts and peers'
+/// loads.
 const SLOW_TICK_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Shared state of this VM.
@@ -38,6 +40,7 @@
     pub(crate) sequence: u64,
     /// The newest revision that was announced to peers.
     pub(crate) announced_revision: ids::Revision,
+    /// Number of requests in progress.
     pub(crate) in_work: usize,
     /// Fencing token of the hall's orders lease, if this VM holds it.
     pub(crate) orders_fence: Option<u64>,
--- a/daemon/src/dispatcher_messages.rs
+++ b/daemon/src/dispatcher_messages.rs
@@ -44,11 +44,12 @@
     pub(crate) deadline: Instant,
 }
 
-/// A request that has begun: its configuration, its priority and its submission number.
+/// A request that has begun, with the configuration that it uses until it ends.
 #[derive(Debug, Clone)]
 pub(crate) struct BegunRequest {
     pub(crate) configuration: Arc<Configuration>,
     pub(crate) priority: Priority,
+    /// The journal's id of this submission; the caller may submit a request id several times.
     pub(crate) submission: SubmissionId,
 }
 
@@ -70,6 +71,7 @@
     pub(crate) stage: usize,
     pub(crate) customer: CustomerName,
     pub(crate) priority: Priority,
+    /// Whether the request was refused before and returns at the announced time.
     pub(crate) returning: bool,
     pub(crate) arrived: Instant,
     pub(crate) deadline: Instant,
@@ -77,6 +79,7 @@
     pub(crate) exclude: Vec<TargetKey>,
     /// Hash of the prompt prefix, if the caller sent one.
     pub(crate) prefix: Option<u64>,
+    /// Number of the attempt within the request, from 1; 0 for the admission.
     pub(crate) attempt_number: u32,
 }
 
@@ -106,10 +109,13 @@
     pub(crate) slot: Slot,
     pub(crate) target_name: TargetName,
     pub(crate) attempt: AttemptId,
+    /// How the call ended, for the router.
     pub(crate) end: CallEnd,
+    /// How the attempt ended, for the journal.
     pub(crate) attempt_end: AttemptEnd,
     pub(crate) took: Duration,
     pub(crate) load: Option<LoadReport>,
+    /// Whether the target reported that it is leaving.
     pub(crate) leaving: bool,
 }
 
@@ -131,13 +137,14 @@
 pub(crate) enum Message {
     /// Begins a request under the configuration in force.
     Begin(BeginRequest, oneshot::Sender<Result<BegunRequest, Refusal>>),
-    /// Checks whether a request is admitted.
+    /// Checks whether a request can still finish before its deadline and be queued.
     Admit(StageSlotRequest, oneshot::Sender<Admission>),
     /// Requests a slot at a target; the reply comes when it is granted or refused.
     Slot(StageSlotRequest, oneshot::Sender<SlotReply>),
     /// A call ended; its slot is released.
     CallEnded(Box<EndedCall>),
-    /// Whether another attempt is allowed after this many.
+    /// Whether a call may be retried after this many attempts; if so, the retry is taken from the
+    /// retry budget.
     MayRetry(u32, oneshot::Sender<bool>),
     /// A request ended.
     RequestEnded {
@@ -161,7 +168,7 @@
     DeltaFor(Vec<DigestEntry>, oneshot::Sender<(Advert, Delta)>),
     /// The platform's VM list.
     VmList(Vec<ListedVm>),
-    /// Whether this VM reads the platform for its hall, and the revision in force.
+    /// Whether this VM reads the platform for all VMs of its hall, and the revision in force.
     ReadsPlatform(oneshot::Sender<(bool, Revision)>),
     /// Fencing token of the hall's orders lease; `None` if it is no longer held.
     OrdersFence(Option<u64>),
--- a/daemon/src/dump.rs
+++ b/daemon/src/dump.rs
@@ -1,4 +1,4 @@
-//! State of this process, as the operations page returns it in JSON.
+//! State of this process, as the operators' HTTP server returns it in JSON.
 
 use std::net::SocketAddr;
 
@@ -16,14 +16,22 @@
     pub(crate) hall: HallName,
     pub(crate) incarnation: Incarnation,
     pub(crate) revision: Revision,
+    /// Where the configuration in force was received from.
     pub(crate) source: Option<Source>,
     pub(crate) draining: bool,
+    /// Number of requests in progress.
     pub(crate) in_work: usize,
+    /// Number of requests queued for a slot.
     pub(crate) waiting: usize,
+    /// Fencing token of the hall's orders lease, if this VM holds it.
     pub(crate) orders_fence: Option<u64>,
+    /// Retries left in the retry budget.
     pub(crate) retries_left: f64,
+    /// Number of records in the journal.
     pub(crate) records: usize,
+    /// Interval between gossip rounds.
     pub(crate) round_interval_ms: u64,
+    /// Whether this VM reads the platform for all VMs of its hall.
     pub(crate) reads_platform: bool,
     pub(crate) targets: Vec<TargetDump>,
     pub(crate) vms: Vec<FleetVm>,
--- a/daemon/src/fleet.rs
+++ b/daemon/src/fleet.rs
@@ -171,7 +171,7 @@
         self.apply_peer_state(now);
     }
 
-    /// Whether this VM reads the platform for its hall, and the revision in force.
+    /// Whether this VM reads the platform for all VMs of its hall, and the revision in force.
     pub(crate) fn reads_platform(&self, now: Instant) -> (bool, Revision) {
         let reads = self.roster.reads_platform(PLATFORM_READERS, self.round_pacer.interval(), now);
         (reads, self.history.revision())
--- a/daemon/src/main.rs
+++ b/daemon/src/main.rs
@@ -1,5 +1,8 @@
 //! Command line of `saddleraild`, the daemon that routes requests from callers to targets on each
 //! entry VM.
+//!
+//! The subcommand `serve` runs the gateway on the users' platform; without a subcommand the daemon
+//! of this package runs.
 
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
--- a/daemon/src/operations.rs
+++ b/daemon/src/operations.rs
@@ -24,7 +24,7 @@
     pub(crate) log: Logger,
 }
 
-/// A response: status code, content type and body.
+/// A response to an operator: status code, content type and body.
 struct Page {
     status: u16,
     content_type: &'static str,
--- a/daemon/src/orders.rs
+++ b/daemon/src/orders.rs
@@ -1,7 +1,9 @@
-//! Sends orders to the engines of a hall, from the one VM that holds the hall's orders lease.
+//! Sends orders to the engines of a hall's targets, from the one VM that holds the hall's orders
+//! lease.
 //!
-//! An order states the wanted condition, not a step, so a duplicate or late order does no harm that
-//! the next check does not correct. See `docs/design/orders.md`.
+//! An order states the wanted condition of an engine, such as its model and version, and not a step
+//! towards it. So a duplicate or late order does no harm that the next check does not correct. See
+//! `docs/design/orders.md`.
 
 use std::thread;
 use std::time::{Duration, Instant};
@@ -15,7 +17,7 @@
 use crate::dispatcher_messages::Message;
 use crate::dispatcher_thread::DispatcherHandle;
 
-/// Duration of the lease; it is renewed before each order.
+/// Duration of the lease; it is renewed at each check and before each order.
 const LEASE_DURATION: Duration = Duration::from_secs(4);
 /// Interval between two checks of the hall's engines.
 const CHECK_INTERVAL: Duration = Duration::from_secs(1);
@@ -46,12 +48,17 @@
     thread::spawn(move || sender.run());
 }
 
-/// Chooses the engines to check: all after a change of lease holder or configuration until every
-/// one has its wanted condition, otherwise a few in rotation, which bounds the checks in a large
-/// hall.
+/// Chooses the engines to check.
+///
+/// After a change of lease holder or configuration these are all, until every one has its wanted
+/// condition or has taken the order for it. Otherwise they are a few in rotation, which bounds the
+/// checks in a large hall.
 #[derive(Debug, Default)]
 struct CheckRotation {
+    /// Fencing token and revision of the last check, if every engine checked had its wanted
+    /// condition or took the order for it.
     all_satisfied_under: Option<(u64, Revision)>,
+    /// Number of engines already checked in rotation.
     next: usize,
 }
 
--- a/daemon/src/pipeline.rs
+++ b/daemon/src/pipeline.rs
@@ -45,10 +45,11 @@
     shared: &'a Pipeline,
     req: &'a CallerRequest,
     begun: &'a BegunRequest,
-    /// Stages that ran, and attempts that may have run (without a cost).
+    /// Stages that ran, and attempts that may have run; the latter have no cost.
     runs: Vec<StageRun>,
     /// Whether a call was sent whose result is not known.
     may_have_run: bool,
+    /// Number of attempts so far, over all stages.
     attempts: u32,
 }
 
@@ -104,7 +105,7 @@
         .with_retry_after(DEFAULT_RETRY_AFTER)
 }
 
-/// Records the cost of each run in the metrics.
+/// Records the cost of each stage run in the metrics; `whole` is whether the request succeeded.
 fn record_stage_costs(shared: &Pipeline, req: &CallerRequest, runs: &[StageRun], whole: bool) {
     for run in runs {
         let cost = run.cost.unwrap_or(0);
@@ -193,7 +194,7 @@
 }
 
 impl<'a> Progress<'a> {
-    /// Asks the dispatcher for admission and returns the service to run.
+    /// Asks the dispatcher to admit the request and returns the service to run.
     fn admit(&self) -> Result<&'a Service, Refusal> {
         let admission = self
             .shared
@@ -432,7 +433,8 @@
         self.report_call_end(stage, granted, started, end, TargetStatus::default());
     }
 
-    /// Counts the attempt in the metrics and tells the dispatcher that its slot is free.
+    /// Counts the attempt in the metrics, with `label` as its end, and tells the dispatcher that
+    /// its slot is free.
     fn report_call_end(
         &self,
         stage: &Stage,
@@ -465,7 +467,8 @@
         self.runs.push(StageRun { stage, target, cost });
     }
 
-    /// Returns normally if another target may be tried, otherwise the refusal.
+    /// Adds the target to `tried` and returns `Ok` if another one may be tried, otherwise the
+    /// refusal.
     fn retry_or_refuse(
         &mut self,
         stage: &Stage,
@@ -494,6 +497,9 @@
 
     /// Decides whether a failed attempt may be retried: only if the call certainly did not run, or
     /// the request may be repeated and its deadline has not passed.
+    ///
+    /// A call that may have run is added to the stage runs, and is cancelled if the deadline has
+    /// passed.
     fn classify_failure(
         &mut self,
         stage: &Stage,
--- a/daemon/src/platform_reader.rs
+++ b/daemon/src/platform_reader.rs
@@ -1,4 +1,5 @@
-//! Threads that read the platform: the head of the configuration in the store, and the VM list.
+//! Threads that read the platform: the head of the configuration, which is the store entry that
+//! names the newest revision and the key of its catalogue, and the VM list.
 //!
 //! Two VMs of each hall read continuously. The others learn from their peers and read only
 //! occasionally, so the load on the platform grows with the number of halls, not of VMs.
@@ -48,7 +49,9 @@
 /// Logs when a source becomes unavailable and available again, and backs off exponentially while it
 /// is unavailable.
 struct OutageBackoff {
+    /// The source, as named in the log.
     what: &'static str,
+    /// Pause after the next failure; `None` while the source is available.
     pause: Option<Duration>,
 }
 
@@ -103,7 +106,7 @@
         }
     }
 
-    /// Waits up to `wait` for the head to change from version `seen_version`, and offers a newer
+    /// Waits up to `wait` for the head's version to differ from `seen_version`, and offers a newer
     /// configuration to the dispatcher. Returns `None` if there is no head yet.
     fn read_head(
         &self,
@@ -152,7 +155,8 @@
     }
 }
 
-/// A random duration within 30 % of `mean`, so that VMs that start together do not read in step.
+/// A random duration within 30 % of `mean`, so that VMs that start together do not read the
+/// platform at the same time.
 fn with_jitter(mean: Duration) -> Duration {
     mean.mul_f64(rand::rng().random_range(0.7..1.3))
 }
--- a/daemon/src/requests.rs
+++ b/daemon/src/requests.rs
@@ -54,7 +54,8 @@
         stage_request.to_slot_request().map_or(Ok(()), |req| self.router.admit(&req, now))
     }
 
-    /// Requests a slot at a target: granted now, queued or refused.
+    /// Requests a slot at a target. The reply is sent when the slot is granted or refused;
+    /// until then the request is queued.
     pub(crate) fn request_slot(
         &mut self,
         stage_request: StageSlotRequest,
--- a/daemon/src/start.rs
+++ b/daemon/src/start.rs
@@ -149,7 +149,7 @@
     Ok(ShutdownHandles { dispatcher, permits })
 }
 
-/// What the shutdown needs to tell whether requests are still in progress.
+/// What the shutdown needs to start draining and to tell whether requests are still in progress.
 struct ShutdownHandles {
     dispatcher: DispatcherHandle,
     permits: Arc<Semaphore>,
@@ -164,8 +164,9 @@
     }
 }
 
-/// Reports not ready to the load balancer and draining to peers, waits for them to notice, then
-/// accepts no new requests and waits for the open ones until the stop deadline.
+/// Reports not ready to the load balancer and draining to peers, and waits for them to notice. Then
+/// accepts no new requests, waits for the open ones until the stop deadline, and aborts those that
+/// are left.
 fn drain_and_stop(
     cfg: &Settings,
     handles: &ShutdownHandles,
