--- a/daemon/src/requests.rs
+++ b/daemon/src/requests.rs
@@ -98,8 +98,9 @@
             took_ms: None,
             end: AttemptEnd::Running,
         };
-        debug!(self.setup.log, "attempt"; "request" => %stage_request.id, "attempt" => %attempt,
-            "stage" => %stage.name, "target" => %grant.name, "why" => &grant.reason);
+        debug!(self.setup.log, "attempt started"; "request" => %stage_request.id,
+            "attempt" => %attempt, "stage" => %stage.name, "target" => %grant.name,
+            "why" => &grant.reason);
         self.journal.record_attempt(stage_request.submission, record);
         let (slot, service, stage) =
             (grant.slot, stage_request.service.clone(), stage.name.clone());
