--- a/daemon/src/configuration.rs
+++ b/daemon/src/configuration.rs
@@ -7,8 +7,8 @@
 use ids::Revision;
 use serde::Serialize;
 
-/// Most configurations kept, the one in force included. With the older ones a peer can be sent only
-/// the differences.
+/// Maximum number of configurations kept, the one in force included. The older ones are kept so
+/// that a peer that has one of them is sent only the differences.
 const MAX_KEPT: usize = 8;
 
 /// Where a configuration was received from.
--- a/daemon/src/dispatcher_messages.rs
+++ b/daemon/src/dispatcher_messages.rs
@@ -162,7 +162,7 @@
     StartRound(oneshot::Sender<Round>),
     /// Adverts and heartbeats from a peer.
     PeerDelta(Delta),
-    /// Bytes sent and received for one gossip round.
+    /// Bytes sent and received for one gossip round, from which the interval of rounds is set.
     RoundBytes(u64),
     /// Requests this VM's advert and what a peer with this digest does not have yet.
     DeltaFor(Vec<DigestEntry>, oneshot::Sender<(Advert, Delta)>),
--- a/daemon/src/pipeline.rs
+++ b/daemon/src/pipeline.rs
@@ -265,7 +265,8 @@
         }
     }
 
-    /// Runs a stage that streams. After a broken stream the next attempt resumes at the next token.
+    /// Runs a stage that streams, and passes the tokens on if the stream goes `to_caller`. After a
+    /// broken stream the next attempt resumes at the next token.
     fn run_stream(
         &mut self,
         stage: &Stage,
