--- a/daemon/src/dispatcher.rs
+++ b/daemon/src/dispatcher.rs
@@ -17,9 +17,11 @@
 use crate::units::millis;
 use crate::waiting_threads::WaitingThreads;
 
-/// Interval at which queued requests are checked.
+/// Interval at which queued requests are checked: those that can no longer meet their deadline are
+/// refused, and slots that became usable are granted.
 const TICK_INTERVAL: Duration = Duration::from_millis(20);
-/// Interval at which expired state is removed: leaving marks, adverts and peers' loads.
+/// Interval at which expired state is removed: reports of leaving targets, adverts and peers'
+/// loads.
 const SLOW_TICK_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Shared state of this VM.
@@ -38,6 +40,7 @@
     pub(crate) sequence: u64,
     /// The newest revision that was announced to peers.
     pub(crate) announced_revision: ids::Revision,
+    /// Number of requests in progress.
     pub(crate) in_work: usize,
     /// Fencing token of the hall's orders lease, if this VM holds it.
     pub(crate) orders_fence: Option<u64>,
@@ -91,10 +94,10 @@
             Message::OfferConfiguration(offered) => self.offer_configuration(*offered, now),
             Message::Configurations(have, reply) => send_reply(reply, self.configurations(have)),
             Message::StartRound(reply) => send_reply(reply, self.start_round(now)),
-            Message::PeerNews(news) => self.merge_news(news, now),
+            Message::PeerDelta(delta) => self.merge_delta(delta, now),
             Message::RoundBytes(bytes) => self.round_pacer.record_round(bytes),
-            Message::NewsFor(known, reply) => {
-                send_reply(reply, (self.advert(), self.roster.delta_for(&known)))
+            Message::DeltaFor(digest, reply) => {
+                send_reply(reply, (self.advert(), self.roster.delta_for(&digest)))
             }
             Message::VmList(vms) => self.update_vm_list(vms, now),
             Message::ReadsPlatform(reply) => send_reply(reply, self.reads_platform(now)),
--- a/daemon/src/dispatcher_messages.rs
+++ b/daemon/src/dispatcher_messages.rs
@@ -29,8 +29,8 @@
     pub(crate) incarnation: Incarnation,
     pub(crate) log: Logger,
     pub(crate) metrics: Arc<Metrics>,
-    /// Wakes the peer links when there are changes to send at once.
-    pub(crate) news: Arc<Notify>,
+    /// Starts the next gossip round early when there are changes to send to peers at once.
+    pub(crate) round_trigger: Arc<Notify>,
 }
 
 /// A request that is about to begin.
@@ -44,11 +44,12 @@
     pub(crate) deadline: Instant,
 }
 
-/// A request that has begun: its configuration, its priority and its submission number.
+/// A request that has begun, with the configuration that it uses until it ends.
 #[derive(Debug, Clone)]
 pub(crate) struct BegunRequest {
     pub(crate) configuration: Arc<Configuration>,
     pub(crate) priority: Priority,
+    /// The journal's id of this submission; the caller may submit a request id several times.
     pub(crate) submission: SubmissionId,
 }
 
@@ -70,6 +71,7 @@
     pub(crate) stage: usize,
     pub(crate) customer: CustomerName,
     pub(crate) priority: Priority,
+    /// Whether the request was refused before and returns at the announced time.
     pub(crate) returning: bool,
     pub(crate) arrived: Instant,
     pub(crate) deadline: Instant,
@@ -77,6 +79,7 @@
     pub(crate) exclude: Vec<TargetKey>,
     /// Hash of the prompt prefix, if the caller sent one.
     pub(crate) prefix: Option<u64>,
+    /// Number of the attempt within the request, from 1; 0 for the admission.
     pub(crate) attempt_number: u32,
 }
 
@@ -106,10 +109,13 @@
     pub(crate) slot: Slot,
     pub(crate) target_name: TargetName,
     pub(crate) attempt: AttemptId,
+    /// How the call ended, for the router.
     pub(crate) end: CallEnd,
-    pub(crate) record: AttemptEnd,
+    /// How the attempt ended, for the journal.
+    pub(crate) attempt_end: AttemptEnd,
     pub(crate) took: Duration,
     pub(crate) load: Option<LoadReport>,
+    /// Whether the target reported that it is leaving.
     pub(crate) leaving: bool,
 }
 
@@ -117,11 +123,13 @@
 #[derive(Debug)]
 pub(crate) struct Round {
     pub(crate) own: Advert,
-    pub(crate) known: Vec<DigestEntry>,
+    /// Versions of the other VMs' heartbeats that this VM has.
+    pub(crate) digest: Vec<DigestEntry>,
     /// VMs to which a new configuration is announced.
-    pub(crate) to_announce: Vec<SocketAddr>,
+    pub(crate) announce_to: Vec<SocketAddr>,
     /// VMs to exchange state with.
     pub(crate) partners: Vec<SocketAddr>,
+    /// Time until the next round, unless it is started early.
     pub(crate) interval: Duration,
 }
 
@@ -129,13 +137,14 @@
 pub(crate) enum Message {
     /// Begins a request under the configuration in force.
     Begin(BeginRequest, oneshot::Sender<Result<BegunRequest, Refusal>>),
-    /// Checks whether a request is admitted.
+    /// Checks whether a request can still finish before its deadline and be queued.
     Admit(StageSlotRequest, oneshot::Sender<Admission>),
     /// Requests a slot at a target; the reply comes when it is granted or refused.
     Slot(StageSlotRequest, oneshot::Sender<SlotReply>),
     /// A call ended; its slot is released.
     CallEnded(Box<EndedCall>),
-    /// Whether another attempt is allowed after this many.
+    /// Whether a call may be retried after this many attempts; if so, the retry is taken from the
+    /// retry budget.
     MayRetry(u32, oneshot::Sender<bool>),
     /// A request ended.
     RequestEnded {
@@ -152,14 +161,14 @@
     /// Requests the input of the next gossip round.
     StartRound(oneshot::Sender<Round>),
     /// Adverts and heartbeats from a peer.
-    PeerNews(Delta),
-    /// Bytes sent and received for one gossip round.
+    PeerDelta(Delta),
+    /// Bytes sent and received for one gossip round, from which the interval of rounds is set.
     RoundBytes(u64),
-    /// Requests what a peer with this digest does not know yet.
-    NewsFor(Vec<DigestEntry>, oneshot::Sender<(Advert, Delta)>),
+    /// Requests this VM's advert and what a peer with this digest does not have yet.
+    DeltaFor(Vec<DigestEntry>, oneshot::Sender<(Advert, Delta)>),
     /// The platform's VM list.
     VmList(Vec<ListedVm>),
-    /// Whether this VM reads the platform for its hall, and the revision in force.
+    /// Whether this VM reads the platform for all VMs of its hall, and the revision in force.
     ReadsPlatform(oneshot::Sender<(bool, Revision)>),
     /// Fencing token of the hall's orders lease; `None` if it is no longer held.
     OrdersFence(Option<u64>),
--- a/daemon/src/pipeline.rs
+++ b/daemon/src/pipeline.rs
@@ -45,10 +45,11 @@
     shared: &'a Pipeline,
     req: &'a CallerRequest,
     begun: &'a BegunRequest,
-    /// Stages that ran, and attempts that may have run (without a cost).
+    /// Stages that ran, and attempts that may have run; the latter have no cost.
     runs: Vec<StageRun>,
     /// Whether a call was sent whose result is not known.
     may_have_run: bool,
+    /// Number of attempts so far, over all stages.
     attempts: u32,
 }
 
@@ -104,7 +105,7 @@
         .with_retry_after(DEFAULT_RETRY_AFTER)
 }
 
-/// Records the cost of each run in the metrics.
+/// Records the cost of each stage run in the metrics; `whole` is whether the request succeeded.
 fn record_stage_costs(shared: &Pipeline, req: &CallerRequest, runs: &[StageRun], whole: bool) {
     for run in runs {
         let cost = run.cost.unwrap_or(0);
@@ -193,7 +194,7 @@
 }
 
 impl<'a> Progress<'a> {
-    /// Asks the dispatcher for admission and returns the service to run.
+    /// Asks the dispatcher to admit the request and returns the service to run.
     fn admit(&self) -> Result<&'a Service, Refusal> {
         let admission = self
             .shared
@@ -264,7 +265,8 @@
         }
     }
 
-    /// Runs a stage that streams. After a broken stream the next attempt resumes at the next token.
+    /// Runs a stage that streams, and passes the tokens on if the stream goes `to_caller`. After a
+    /// broken stream the next attempt resumes at the next token.
     fn run_stream(
         &mut self,
         stage: &Stage,
@@ -287,7 +289,7 @@
                 Ok(stream) => read_stream(stream, |number, token| {
                     tokens = number;
                     text.push_str(token);
-                    let sent = !to_caller || port.token(number, token).is_ok();
+                    let sent = !to_caller || port.send_token(number, token).is_ok();
                     sent && port.is_open()
                 }),
             };
@@ -352,8 +354,8 @@
     /// Waits until the dispatcher grants or refuses a slot for the next attempt.
     fn acquire_slot(&mut self, stage: usize, tried: &[TargetKey]) -> Result<Granted, Refusal> {
         self.attempts += 1;
-        let begin_req = self.stage_slot_request(stage, tried);
-        let reply = self.shared.dispatcher.ask(|reply| Message::Slot(begin_req, reply));
+        let slot_req = self.stage_slot_request(stage, tried);
+        let reply = self.shared.dispatcher.ask(|reply| Message::Slot(slot_req, reply));
         match reply {
             Ok(Ok(granted)) => Ok(granted),
             Ok(Err(refused)) => Err(self.slot_refusal(refused)),
@@ -396,7 +398,7 @@
         failure: Option<&CallFailure>,
         status: TargetStatus,
     ) {
-        let (end, record, name) = match failure {
+        let (end, attempt_end, label) = match failure {
             None => (CallEnd::Answered, AttemptEnd::Answered, "answered"),
             Some(CallFailure::NotSent(problem)) => {
                 let problem = problem.clone();
@@ -416,7 +418,7 @@
                 (CallEnd::Failed, AttemptEnd::Failed { problem }, "failed")
             }
         };
-        self.report_call_end(stage, granted, started, (end, record, name), status);
+        self.report_call_end(stage, granted, started, (end, attempt_end, label), status);
     }
 
     /// Reports a call that was abandoned before its end.
@@ -432,17 +434,18 @@
         self.report_call_end(stage, granted, started, end, TargetStatus::default());
     }
 
-    /// Counts the attempt in the metrics and tells the dispatcher that its slot is free.
+    /// Counts the attempt in the metrics, with `label` as its end, and tells the dispatcher that
+    /// its slot is free.
     fn report_call_end(
         &self,
         stage: &Stage,
         granted: &Granted,
         started: Instant,
-        (end, record, name): (CallEnd, AttemptEnd, &'static str),
+        (end, attempt_end, label): (CallEnd, AttemptEnd, &'static str),
         status: TargetStatus,
     ) {
         let target = &granted.grant.name;
-        self.shared.metrics.attempt_ended(stage.name.as_str(), target.as_str(), name);
+        self.shared.metrics.attempt_ended(stage.name.as_str(), target.as_str(), label);
         let ended = EndedCall {
             submission: self.begun.submission,
             service: self.req.service.clone(),
@@ -451,7 +454,7 @@
             target_name: target.clone(),
             attempt: granted.attempt.clone(),
             end,
-            record,
+            attempt_end,
             took: started.elapsed(),
             load: status.load.map(|(running, queued)| LoadReport { running, queued }),
             leaving: status.leaving,
@@ -465,7 +468,8 @@
         self.runs.push(StageRun { stage, target, cost });
     }
 
-    /// Returns normally if another target may be tried, otherwise the refusal.
+    /// Adds the target to `tried` and returns `Ok` if another one may be tried, otherwise the
+    /// refusal.
     fn retry_or_refuse(
         &mut self,
         stage: &Stage,
@@ -494,6 +498,9 @@
 
     /// Decides whether a failed attempt may be retried: only if the call certainly did not run, or
     /// the request may be repeated and its deadline has not passed.
+    ///
+    /// A call that may have run is added to the stage runs, and is cancelled if the deadline has
+    /// passed.
     fn classify_failure(
         &mut self,
         stage: &Stage,
--- a/daemon/src/requests.rs
+++ b/daemon/src/requests.rs
@@ -54,7 +54,8 @@
         stage_request.to_slot_request().map_or(Ok(()), |req| self.router.admit(&req, now))
     }
 
-    /// Requests a slot at a target: granted now, queued or refused.
+    /// Requests a slot at a target. The reply is sent when the slot is granted or refused;
+    /// until then the request is queued.
     pub(crate) fn request_slot(
         &mut self,
         stage_request: StageSlotRequest,
@@ -97,8 +98,9 @@
             took_ms: None,
             end: AttemptEnd::Running,
         };
-        debug!(self.setup.log, "attempt"; "request" => %stage_request.id, "attempt" => %attempt,
-            "stage" => %stage.name, "target" => %grant.name, "why" => &grant.reason);
+        debug!(self.setup.log, "attempt started"; "request" => %stage_request.id,
+            "attempt" => %attempt, "stage" => %stage.name, "target" => %grant.name,
+            "why" => &grant.reason);
         self.journal.record_attempt(stage_request.submission, record);
         let (slot, service, stage) =
             (grant.slot, stage_request.service.clone(), stage.name.clone());
@@ -133,19 +135,19 @@
     /// Records the end of a call, its target's load and leaving state, and releases its slot.
     pub(crate) fn call_ended(&mut self, ended: EndedCall, now: Instant) {
         debug!(self.setup.log, "attempt ended"; "attempt" => %ended.attempt,
-            "stage" => %ended.stage, "target" => %ended.target_name, "end" => ?ended.record,
+            "stage" => %ended.stage, "target" => %ended.target_name, "end" => ?ended.attempt_end,
             "took_ms" => millis(ended.took));
         self.journal.record_attempt_end(
             ended.submission,
             ended.attempt.as_str(),
             millis(ended.took),
-            ended.record,
+            ended.attempt_end,
         );
         if ended.leaving && self.leaving.record(ended.target_name.clone(), now) {
             info!(self.setup.log, "target leaving"; "target" => %ended.target_name,
                 "word" => "its own answer");
             self.apply_peer_state(now);
-            self.setup.news.notify_one();
+            self.setup.round_trigger.notify_one();
         }
         let origin = (&ended.service, &ended.stage);
         let updates =
--- a/daemon/src/start.rs
+++ b/daemon/src/start.rs
@@ -19,7 +19,7 @@
 use crate::callers::{self, CallerServer};
 use crate::dispatcher_messages::{Message, Setup};
 use crate::dispatcher_thread::{self, DispatcherHandle};
-use crate::operations::{self, Operations};
+use crate::operations::{self, OperationsServer};
 use crate::orders::{self, OrderSender};
 use crate::peer_links::{self, PeerLinks};
 use crate::pipeline::Pipeline;
@@ -82,7 +82,7 @@
     abort: watch::Receiver<bool>,
 ) -> Result<ShutdownHandles> {
     let metrics = Arc::new(Metrics::new()?);
-    let news = Arc::new(Notify::new());
+    let round_trigger = Arc::new(Notify::new());
     let incarnation = Incarnation::now();
     let listen = |address| {
         runtime
@@ -97,14 +97,14 @@
         incarnation,
         log: log.clone(),
         metrics: Arc::clone(&metrics),
-        news: Arc::clone(&news),
+        round_trigger: Arc::clone(&round_trigger),
     });
-    let operations_page = Operations {
+    let operations_server = OperationsServer {
         dispatcher: dispatcher.clone(),
         metrics: Arc::clone(&metrics),
         log: log.clone(),
     };
-    operations::start(operations_page, cfg.operations)?;
+    operations::start(operations_server, cfg.operations)?;
 
     let store = store_client::Store::new(cfg.platform);
     platform_reader::start(PlatformReader {
@@ -125,10 +125,10 @@
         dispatcher: dispatcher.clone(),
         log: log.clone(),
         metrics: Arc::clone(&metrics),
-        news,
+        round_trigger,
     };
     runtime.spawn(peer_links::serve(links.clone(), peers_listener));
-    runtime.spawn(peer_links::hold_rounds(links));
+    runtime.spawn(peer_links::run_gossip_rounds(links));
 
     let pipeline = Pipeline {
         cfg: cfg.clone(),
@@ -149,7 +149,7 @@
     Ok(ShutdownHandles { dispatcher, permits })
 }
 
-/// What the shutdown needs to tell whether requests are still in progress.
+/// What the shutdown needs to start draining and to tell whether requests are still in progress.
 struct ShutdownHandles {
     dispatcher: DispatcherHandle,
     permits: Arc<Semaphore>,
@@ -164,8 +164,9 @@
     }
 }
 
-/// Reports not ready to the load balancer and draining to peers, waits for them to notice, then
-/// accepts no new requests and waits for the open ones until the stop deadline.
+/// Reports not ready to the load balancer and draining to peers, and waits for them to notice. Then
+/// accepts no new requests, waits for the open ones until the stop deadline, and aborts those that
+/// are left.
 fn drain_and_stop(
     cfg: &Settings,
     handles: &ShutdownHandles,
