--- a/standins/src/bin/soak.rs
+++ b/standins/src/bin/soak.rs
@@ -27,14 +27,14 @@
 
 /// Runs one scenario per seed. `run` returns the scenario with its result as text, and whether it passed.
 fn run_scenarios(seeds: Range<u64>, run: fn(u64) -> (String, bool)) -> ExitCode {
-    let mut broken = 0;
+    let mut failed = 0;
     for seed in seeds {
-        let (shown, is_kept) = run(seed);
-        println!("seed={seed} kept={is_kept} {shown}");
-        broken += usize::from(!is_kept);
+        let (summary_text, passed) = run(seed);
+        println!("seed={seed} kept={passed} {summary_text}");
+        failed += usize::from(!passed);
     }
-    println!("broken={broken}");
-    if broken == 0 { ExitCode::SUCCESS } else { ExitCode::FAILURE }
+    println!("broken={failed}");
+    if failed == 0 { ExitCode::SUCCESS } else { ExitCode::FAILURE }
 }
 
 fn queued_call_scenario(seed: u64) -> (String, bool) {
@@ -72,7 +72,7 @@
     let time = Duration::from_secs(value(&args, "seconds"));
     let vms = usize::try_from(value(&args, "vms")).unwrap_or(usize::MAX);
     let size = Size { vms, callers: value(&args, "callers") };
-    let mut broken = 0;
+    let mut violations = 0;
     for seed in seeds {
         let report = run(seed, time, size);
         println!(
@@ -83,8 +83,11 @@
             report.results,
             report.violations.len()
         );
-        report.violations.iter().for_each(|what| println!("seed={seed} broken=\"{what}\""));
-        broken += report.violations.len();
+        report
+            .violations
+            .iter()
+            .for_each(|violation| println!("seed={seed} broken=\"{violation}\""));
+        violations += report.violations.len();
     }
-    if broken == 0 { ExitCode::SUCCESS } else { ExitCode::FAILURE }
+    if violations == 0 { ExitCode::SUCCESS } else { ExitCode::FAILURE }
 }
--- a/standins/src/bin/standin-platform.rs
+++ b/standins/src/bin/standin-platform.rs
@@ -42,14 +42,14 @@
     holder: String,
     fence: u64,
     #[serde(skip)]
-    until: Option<Instant>,
+    expires_at: Option<Instant>,
 }
 
 #[derive(Debug, Default)]
 struct State {
     values: BTreeMap<String, Value>,
     leases: BTreeMap<String, Lease>,
-    lists: Vec<(Option<Instant>, serde_json::Value)>,
+    vm_lists: Vec<(Option<Instant>, serde_json::Value)>,
     faults: Faults,
     reads: u64,
     writes: u64,
@@ -84,7 +84,7 @@
             (&Method::GET, "/vms") => self.vm_list(),
             (&Method::GET, path) if path.starts_with("/kv/") => self.read(&key, &req).await,
             (_, path) if path.starts_with("/kv/") => self.write(&key, &req).await,
-            (&Method::PUT, path) if path.starts_with("/leases/") => self.lease(&req),
+            (&Method::PUT, path) if path.starts_with("/leases/") => self.grant_lease(&req),
             _ => raw_response(404, b"no such path".to_vec()),
         }
     }
@@ -103,7 +103,7 @@
     fn set_vm_list(&self, req: &BufferedRequest) -> Response<Body> {
         match serde_json::from_slice(&req.body) {
             Ok(list) => {
-                self.state().lists.push((Some(Instant::now()), list));
+                self.state().vm_lists.push((Some(Instant::now()), list));
                 json_response(200, &"set")
             }
             Err(e) => json_response(400, &e.to_string()),
@@ -126,18 +126,18 @@
         state.reads += 1;
         let lag = Duration::from_millis(state.faults.list_lag_ms);
         let old_enough = |at: &Option<Instant>| at.is_none_or(|at| at.elapsed() >= lag);
-        let seen = state.lists.iter().rev().find(|(at, _)| old_enough(at));
-        json_response(200, &seen.map_or(json!([]), |(_, list)| list.clone()))
+        let listed = state.vm_lists.iter().rev().find(|(at, _)| old_enough(at));
+        json_response(200, &listed.map_or(json!([]), |(_, list)| list.clone()))
     }
 
     /// Reads a key. With `watch`, waits until its version differs from the given one or `wait_ms` are over.
     async fn read(&self, key: &str, req: &BufferedRequest) -> Response<Body> {
         let until = Instant::now() + Duration::from_millis(req.number("wait_ms"));
-        let seen = req.query.get("watch").and_then(|v| v.parse::<u64>().ok());
+        let known_version = req.query.get("watch").and_then(|v| v.parse::<u64>().ok());
         {
             let mut state = self.state();
             state.reads += 1;
-            state.watches += u64::from(seen.is_some());
+            state.watches += u64::from(known_version.is_some());
         }
         loop {
             let changed = self.changed.notified();
@@ -146,7 +146,7 @@
             if self.state().faults.outage {
                 return raw_response(503, b"outage".to_vec());
             }
-            if seen != Some(version) || Instant::now() >= until {
+            if known_version != Some(version) || Instant::now() >= until {
                 return value.map_or_else(
                     || raw_response(404, Vec::new()),
                     |v| with_version(raw_response(200, v.bytes), v.version),
@@ -159,31 +159,31 @@
 
     /// Writes or deletes a key if its version is the expected one.
     async fn write(&self, key: &str, req: &BufferedRequest) -> Response<Body> {
-        let (rx, lost) = {
+        let (response, loses_answer) = {
             let mut state = self.state();
             state.writes += 1;
-            let rx = compare_and_swap(&mut state, key, req);
-            let lost = state.faults.lose_answers > 0;
+            let response = compare_and_swap(&mut state, key, req);
+            let loses_answer = state.faults.lose_answers > 0;
             state.faults.lose_answers = state.faults.lose_answers.saturating_sub(1);
-            (rx, lost)
+            (response, loses_answer)
         };
         self.changed.notify_waiters();
-        if lost {
+        if loses_answer {
             // Longer than any client timeout, so that the client never receives the answer.
             tokio::time::sleep(Duration::from_secs(60)).await;
         }
-        rx
+        response
     }
 
     /// Grants or renews a lease; answers 409 while another holder has it.
-    fn lease(&self, req: &BufferedRequest) -> Response<Body> {
+    fn grant_lease(&self, req: &BufferedRequest) -> Response<Body> {
         let name = req.path.trim_start_matches("/leases/").to_owned();
         let holder = String::from_utf8_lossy(&req.body).into_owned();
         let mut state = self.state();
         state.writes += 1;
         let now = Instant::now();
         let old = state.leases.get(&name).cloned();
-        let held = old.clone().filter(|l| l.until.is_some_and(|until| until > now));
+        let held = old.clone().filter(|l| l.expires_at.is_some_and(|expires_at| expires_at > now));
         if let Some(held) = held.as_ref().filter(|l| l.holder != holder) {
             return json_response(409, held);
         }
@@ -192,8 +192,8 @@
             (None, Some(old)) => old.fence + 1,
             (None, None) => 1,
         };
-        let until = Some(now + Duration::from_millis(req.number("ttl_ms")));
-        let lease = Lease { holder, fence, until };
+        let expires_at = Some(now + Duration::from_millis(req.number("ttl_ms")));
+        let lease = Lease { holder, fence, expires_at };
         state.leases.insert(name, lease.clone());
         json_response(200, &lease)
     }
@@ -215,9 +215,9 @@
 }
 
 /// Adds the version header.
-fn with_version(mut rx: Response<Body>, version: u64) -> Response<Body> {
-    rx.headers_mut().insert("x-version", HeaderValue::from(version));
-    rx
+fn with_version(mut response: Response<Body>, version: u64) -> Response<Body> {
+    response.headers_mut().insert("x-version", HeaderValue::from(version));
+    response
 }
 
 #[tokio::main]
--- a/standins/src/bin/standin-target.rs
+++ b/standins/src/bin/standin-target.rs
@@ -102,19 +102,19 @@
     record: Vec<CallRecord>,
     cancelled: HashSet<String>,
     /// Attempt id and output of the last plain answer, for [`Fault::Crossed`].
-    answered: Option<(String, serde_json::Value)>,
+    last_answer: Option<(String, serde_json::Value)>,
     prefixes: VecDeque<u64>,
     cache_events: Vec<(u128, serde_json::Value)>,
     cache_event_count: u64,
     fence: u64,
     orders: Vec<serde_json::Value>,
-    reported: (u32, u32),
+    reported_load: (u32, u32),
     reported_at: Option<Instant>,
 }
 
 /// One target of the process.
 struct Target {
-    engine: bool,
+    is_engine: bool,
     slots: u32,
     cached_prefixes: usize,
     state: Mutex<State>,
@@ -173,10 +173,11 @@
         let mut state = self.state();
         let lag = Duration::from_millis(state.settings.report_lag_ms);
         if state.reported_at.is_none_or(|at| at.elapsed() >= lag) {
-            state.reported = (state.running, u32::try_from(state.queue.len()).unwrap_or(u32::MAX));
+            state.reported_load =
+                (state.running, u32::try_from(state.queue.len()).unwrap_or(u32::MAX));
             state.reported_at = Some(Instant::now());
         }
-        format!("{}/{}", state.reported.0, state.reported.1)
+        format!("{}/{}", state.reported_load.0, state.reported_load.1)
     }
 
     async fn answer(self: Arc<Self>, req: BufferedRequest) -> Response<Body> {
@@ -187,14 +188,14 @@
             (&Method::GET, "/v1/load") => json_response(200, &self.load()),
             (&Method::GET, "/v1/cache-events") => json_response(200, &self.cache_events()),
             (&Method::GET, "/v1/condition") => self.condition(),
-            (&Method::POST, "/v1/orders") => self.order(&req),
+            (&Method::POST, "/v1/orders") => self.accept_order(&req),
             (&Method::GET, "/v1/orders") => json_response(200, &self.state().orders),
             (&Method::DELETE, path) => {
                 let attempt = path.trim_start_matches("/v1/attempts/").to_owned();
                 self.state().cancelled.insert(attempt);
                 json_response(200, &"cancelled")
             }
-            (&Method::POST, path) if path.starts_with("/v1/stages/") => self.stage(req).await,
+            (&Method::POST, path) if path.starts_with("/v1/stages/") => self.run_stage(req).await,
             _ => raw_response(404, b"no such path".to_vec()),
         }
     }
@@ -214,18 +215,18 @@
         let state = self.state();
         let lag = u128::from(state.settings.report_lag_ms);
         let until = self.started.elapsed().as_millis().saturating_sub(lag);
-        let told = state.cache_events.iter().filter(|(at, _)| *at <= until);
-        told.map(|(_, event)| event.clone()).collect()
+        let visible = state.cache_events.iter().filter(|(at, _)| *at <= until);
+        visible.map(|(_, event)| event.clone()).collect()
     }
 
     /// The last order that was accepted.
     fn condition(&self) -> Response<Body> {
-        let none = json!({ "fence": 0, "wanted": {} });
-        json_response(200, self.state().orders.last().unwrap_or(&none))
+        let no_order = json!({ "fence": 0, "wanted": {} });
+        json_response(200, self.state().orders.last().unwrap_or(&no_order))
     }
 
     /// Accepts an order unless its fence is outdated.
-    fn order(&self, req: &BufferedRequest) -> Response<Body> {
+    fn accept_order(&self, req: &BufferedRequest) -> Response<Body> {
         let Ok(order) = serde_json::from_slice::<serde_json::Value>(&req.body) else {
             return json_response(400, &"no order");
         };
@@ -240,7 +241,7 @@
     }
 
     /// Runs one stage call.
-    async fn stage(self: Arc<Self>, req: BufferedRequest) -> Response<Body> {
+    async fn run_stage(self: Arc<Self>, req: BufferedRequest) -> Response<Body> {
         let mut settings = self.state().settings.clone();
         let input: serde_json::Value = serde_json::from_slice(&req.body).unwrap_or_default();
         if let Some(tokens) = find_input_value(&input, "tokens").and_then(serde_json::Value::as_u64)
@@ -250,7 +251,7 @@
         let fault_applies = rand::random_range(0..100) < settings.fault_percent;
         let fault = if fault_applies { settings.fault } else { Fault::None };
         let attempt = req.header("x-attempt-id");
-        let earlier = self.state().answered.clone().filter(|_| fault == Fault::Crossed);
+        let earlier = self.state().last_answer.clone().filter(|_| fault == Fault::Crossed);
         let reported_attempt =
             earlier.as_ref().map_or_else(|| attempt.clone(), |(id, _)| id.clone());
         if settings.leaving || fault == Fault::Busy {
@@ -265,11 +266,11 @@
         if fault == Fault::Hang {
             tokio::time::sleep(Duration::from_secs(3600)).await;
         }
-        let streams = self.engine && req.header("accept").contains("event-stream");
+        let streams = self.is_engine && req.header("accept").contains("event-stream");
         let hit = self.state().record[index].prefix_hit;
         let prefill = if hit { 0 } else { settings.prefill_ms };
-        let first = Duration::from_millis(settings.service_ms + prefill);
-        tokio::time::sleep(first).await;
+        let time_to_first_token = Duration::from_millis(settings.service_ms + prefill);
+        tokio::time::sleep(time_to_first_token).await;
         if fault == Fault::Error {
             return self.with_target_headers(
                 raw_response(500, Vec::new()),
@@ -281,13 +282,13 @@
             return self.stream(slot, &req, index, fault, &reported_attempt, &settings);
         }
         let output = json!({ "by": req.path.rsplit('/').next(), "of": input });
-        let cost = if self.engine { settings.tokens } else { 1 };
-        if self.engine {
+        let cost = if self.is_engine { settings.tokens } else { 1 };
+        if self.is_engine {
             self.generate(settings.tokens, settings.token_ms).await;
         }
         self.end_record(index, cost);
         drop(slot);
-        self.state().answered = Some((attempt, output.clone()));
+        self.state().last_answer = Some((attempt, output.clone()));
         let output = earlier.map_or(output, |(_, output)| output);
         let body = json!({ "attempt": reported_attempt, "output": output, "cost": cost });
         let bytes = serde_json::to_vec(&body).unwrap_or_default();
@@ -331,7 +332,7 @@
         let settings = settings.clone();
         let first = req.header("last-event-id").parse::<u64>().unwrap_or(0);
         let seed = fnv1a(&req.body);
-        let (target, name) = (Arc::clone(&self), reported_attempt.to_owned());
+        let (target, reported_id) = (Arc::clone(&self), reported_attempt.to_owned());
         let attempt = req.header("x-attempt-id");
         tokio::spawn(async move {
             let _slot = slot;
@@ -346,7 +347,7 @@
                 tokio::time::sleep(target.token_time(settings.token_ms)).await;
                 // The same input gives the same tokens on every engine, so that a stream can be resumed on another one.
                 let token = format!("w{} ", fnv1a(&(seed + number).to_le_bytes()) % 1000);
-                let data = json!({ "attempt": name, "token": token });
+                let data = json!({ "attempt": reported_id, "token": token });
                 let part = Bytes::from(format!("id: {number}\ndata: {data}\n\n"));
                 if tx.send(Ok(part)).await.is_err() {
                     return;
@@ -358,26 +359,26 @@
             let end = json!({ "tokens": settings.tokens, "cost": cost });
             let _ = tx.send(Ok(Bytes::from(format!("event: end\ndata: {end}\n\n")))).await;
         });
-        let mut rx = Response::new(stream_body(rx));
-        rx.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static("text/event-stream"));
-        self.with_target_headers(rx, reported_attempt, false)
+        let mut response = Response::new(stream_body(rx));
+        response.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static("text/event-stream"));
+        self.with_target_headers(response, reported_attempt, false)
     }
 
     /// Adds the attempt id, the load and, if `leaving`, the notice that the target is leaving.
     fn with_target_headers(
         &self,
-        mut rx: Response<Body>,
+        mut response: Response<Body>,
         reported_attempt: &str,
         leaving: bool,
     ) -> Response<Body> {
         let value =
             |text: &str| HeaderValue::from_str(text).unwrap_or(HeaderValue::from_static(""));
-        rx.headers_mut().insert("x-attempt-id", value(reported_attempt));
-        rx.headers_mut().insert("x-load", value(&self.load()));
+        response.headers_mut().insert("x-attempt-id", value(reported_attempt));
+        response.headers_mut().insert("x-load", value(&self.load()));
         if leaving {
-            rx.headers_mut().insert("x-leaving", value("true"));
+            response.headers_mut().insert("x-leaving", value("true"));
         }
-        rx
+        response
     }
 
     /// Records a call and updates the prefix cache; returns the index of the record.
@@ -471,7 +472,7 @@
     let mut servers = tokio::task::JoinSet::new();
     for offset in 0..u16::try_from(number("count")).unwrap_or(1) {
         let target = Arc::new(Target {
-            engine: args.get_one::<String>("mode").is_some_and(|m| m == "engine"),
+            is_engine: args.get_one::<String>("mode").is_some_and(|m| m == "engine"),
             slots: u32::try_from(number("slots")).unwrap_or(1),
             cached_prefixes: usize::try_from(number("cached-prefixes")).unwrap_or(0),
             state: Mutex::new(State { settings: settings.clone(), ..State::default() }),
--- a/standins/src/callers.rs
+++ b/standins/src/callers.rs
@@ -79,11 +79,11 @@
         for (name, value) in &self.headers {
             call = call.header(*name, value);
         }
-        let mut rx = call.send(&self.body).ok()?;
-        let outcome = rx.headers().get("saddlerail-outcome")?.to_str().ok()?.to_owned();
-        let text = rx.body_mut().read_to_string().ok()?;
+        let mut response = call.send(&self.body).ok()?;
+        let outcome = response.headers().get("saddlerail-outcome")?.to_str().ok()?.to_owned();
+        let text = response.body_mut().read_to_string().ok()?;
         let body = serde_json::from_str(&text).unwrap_or(Value::String(text));
-        Some(Reply { status: rx.status().as_u16(), outcome, body })
+        Some(Reply { status: response.status().as_u16(), outcome, body })
     }
 }
 
@@ -117,15 +117,16 @@
 /// Answers that contradict the calls recorded by the targets, one description each.
 pub fn violations(submissions: &[Submission], calls: &Calls) -> Vec<String> {
     let mut by_id: HashMap<&str, Vec<&Submission>> = HashMap::new();
-    for one in submissions {
-        by_id.entry(&one.id).or_default().push(one);
+    for submission in submissions {
+        by_id.entry(&submission.id).or_default().push(submission);
     }
-    let none = Vec::new();
+    let no_calls = Vec::new();
     let mut found = Vec::new();
     for (id, submissions) in by_id {
-        let calls = calls.get(id).unwrap_or(&none);
+        let calls = calls.get(id).unwrap_or(&no_calls);
         let replies = || submissions.iter().filter_map(|s| Some((*s, s.reply.as_ref()?)));
-        let problems = replies().filter_map(|(one, reply)| contradiction(one, reply, calls));
+        let problems =
+            replies().filter_map(|(submission, reply)| contradiction(submission, reply, calls));
         found.extend(problems.map(|problem| format!("{id}: {problem}")));
         if submissions.iter().all(|s| !s.repeatable) {
             let stages: BTreeSet<&str> =
@@ -149,16 +150,22 @@
 }
 
 /// Describes how an answer contradicts the recorded calls, if it does.
-fn contradiction(one: &Submission, reply: &Reply, calls: &[(String, Value)]) -> Option<String> {
+fn contradiction(
+    submission: &Submission,
+    reply: &Reply,
+    calls: &[(String, Value)],
+) -> Option<String> {
     match reply.outcome.as_str() {
-        "whole" if request_number(&reply.body["output"]).is_some_and(|n| n != one.number) => {
+        "whole"
+            if request_number(&reply.body["output"]).is_some_and(|n| n != submission.number) =>
+        {
             Some(format!("the answer belongs to another request: {reply:?}"))
         }
         "whole" if !is_cost_consistent(reply, calls) => {
             Some(format!("cost differs from the calls that ran: {reply:?}, {calls:?}"))
         }
         "not-run" if !calls.is_empty() => Some(format!("outcome not-run, but ran {calls:?}")),
-        "unknown" if one.repeatable => Some(format!("unknown though repeatable: {reply:?}")),
+        "unknown" if submission.repeatable => Some(format!("unknown though repeatable: {reply:?}")),
         "whole" | "not-run" | "failed" | "unknown" | "streaming" => None,
         other => Some(format!("unexpected outcome {other}")),
     }
--- a/standins/src/fleet.rs
+++ b/standins/src/fleet.rs
@@ -75,8 +75,8 @@
 /// # Panics
 /// If the program is not built.
 pub fn program_path(name: &str) -> PathBuf {
-    let own = std::env::current_exe().expect("own path");
-    let found = own.ancestors().skip(1).take(2).map(|dir| dir.join(name)).find(|p| p.exists());
+    let own_path = std::env::current_exe().expect("own path");
+    let found = own_path.ancestors().skip(1).take(2).map(|dir| dir.join(name)).find(|p| p.exists());
     found.unwrap_or_else(|| panic!("{name} is not built: build or test the whole workspace"))
 }
 
@@ -107,21 +107,25 @@
 /// # Panics
 /// If the status of the answer is not 200.
 pub fn put_json(to: SocketAddr, path: &str, value: &Value) {
-    let rx = agent().put(format!("http://{to}{path}")).send(value.to_string()).expect("put");
-    assert_eq!(rx.status().as_u16(), 200, "PUT {path} {value}");
+    let response = agent().put(format!("http://{to}{path}")).send(value.to_string()).expect("put");
+    assert_eq!(response.status().as_u16(), 200, "PUT {path} {value}");
 }
 
 /// Fetches JSON; `None` without an answer with status 200.
 pub fn get_json(from: SocketAddr, path: &str) -> Option<Value> {
-    let mut rx = agent().get(format!("http://{from}{path}")).call().ok()?;
-    if rx.status().as_u16() != 200 {
+    let mut response = agent().get(format!("http://{from}{path}")).call().ok()?;
+    if response.status().as_u16() != 200 {
         return None;
     }
-    serde_json::from_str(&rx.body_mut().read_to_string().ok()?).ok()
+    serde_json::from_str(&response.body_mut().read_to_string().ok()?).ok()
 }
 
 fn status_of(from: SocketAddr, path: &str) -> Option<u16> {
-    agent().get(format!("http://{from}{path}")).call().ok().map(|rx| rx.status().as_u16())
+    agent()
+        .get(format!("http://{from}{path}"))
+        .call()
+        .ok()
+        .map(|response| response.status().as_u16())
 }
 
 /// Sends a signal, named as `kill` names it, to a process that the test started.
@@ -214,16 +218,16 @@
         command.args(args).output().expect("tool")
     }
 
-    /// Starts a further entry VM in a hall and waits until it is ready. `more` is appended to its settings.
+    /// Starts a further entry VM in a hall and waits until it is ready. `extra` is appended to its settings.
     /// Returns its index.
-    pub fn start_vm(&mut self, hall: &str, more: &str) -> usize {
-        let index = self.start_vm_without_waiting(hall, more);
+    pub fn start_vm(&mut self, hall: &str, extra: &str) -> usize {
+        let index = self.start_vm_without_waiting(hall, extra);
         self.wait_ready(index);
         index
     }
 
     /// Starts a further entry VM without waiting for it; returns its index.
-    pub fn start_vm_without_waiting(&mut self, hall: &str, more: &str) -> usize {
+    pub fn start_vm_without_waiting(&mut self, hall: &str, extra: &str) -> usize {
         let index = self.vms.len();
         let port = 9000 + 10 * u16::try_from(index).expect("few VMs");
         let address = |offset| SocketAddr::new(self.ip, port + offset);
@@ -231,7 +235,7 @@
         let seeds: Vec<String> = self.vms.iter().map(|vm| format!("'{}'", vm.peers)).collect();
         let text = format!(
             "vm: {name}\nhall: {hall}\ncallers: '{}'\npeers: '{}'\noperations: '{}'\n\
-             platform: '{}'\nseeds: [{}]\nlog: debug\n{more}",
+             platform: '{}'\nseeds: [{}]\nlog: debug\n{extra}",
             address(0),
             address(1),
             address(2),
@@ -349,13 +353,13 @@
 
     /// The calls that all targets recorded, each with its target's name.
     pub fn records(&self) -> Vec<(String, Value)> {
-        let of = |name: &String| {
+        let calls_of = |name: &String| {
             self.record(name).into_iter().map({
                 let name = name.clone();
                 move |call| (name.clone(), call)
             })
         };
-        self.targets.iter().flat_map(|(name, _)| of(name)).collect()
+        self.targets.iter().flat_map(|(name, _)| calls_of(name)).collect()
     }
 
     /// The log of a VM, across restarts.
--- a/standins/src/lib.rs
+++ b/standins/src/lib.rs
@@ -20,7 +20,7 @@
 use tokio::sync::watch;
 
 /// Largest request body, in bytes.
-const MAX_BODY: usize = 16 << 20;
+const MAX_BODY_BYTES: usize = 16 << 20;
 /// Longest wait for a request body.
 const BODY_TIMEOUT: Duration = Duration::from_secs(60);
 
@@ -61,16 +61,16 @@
     F: Future<Output = Response<Body>> + Send + 'static,
 {
     let listener = TcpListener::bind(address).await?;
-    let bounds = ConnectionLimits { connections: 20_000, head_wait: Duration::from_secs(600) };
+    let limits = ConnectionLimits { connections: 20_000, head_wait: Duration::from_secs(600) };
     let (_running, stop) = watch::channel(false);
-    http_server::serve(listener, bounds, stop, move |req: Request<Incoming>| {
+    http_server::serve(listener, limits, stop, move |req: Request<Incoming>| {
         let handle = handle.clone();
         async move {
             let (head, body) = req.into_parts();
             let pairs = head.uri.query().unwrap_or_default().split('&');
             let query = pairs.filter_map(|pair| pair.split_once('='));
             let query = query.map(|(k, v)| (k.to_owned(), v.to_owned())).collect();
-            let Ok(body) = read_body(body, MAX_BODY, BODY_TIMEOUT).await else {
+            let Ok(body) = read_body(body, MAX_BODY_BYTES, BODY_TIMEOUT).await else {
                 return json_response(400, &"body");
             };
             let path = head.uri.path().to_owned();
@@ -95,7 +95,7 @@
 
 /// A response with a status and the given bytes as its body.
 pub fn raw_response(status: u16, body: Vec<u8>) -> Response<Body> {
-    let mut rx = Response::new(full_body(body));
-    *rx.status_mut() = hyper::StatusCode::from_u16(status).unwrap_or_default();
-    rx
+    let mut response = Response::new(full_body(body));
+    *response.status_mut() = hyper::StatusCode::from_u16(status).unwrap_or_default();
+    response
 }
--- a/standins/src/serving_path/callers.rs
+++ b/standins/src/serving_path/callers.rs
@@ -50,21 +50,21 @@
     }
 
     /// Sends the request on a connection; `None` if the connection ends before a complete response head.
-    pub fn send_on(&self, wire: &mut HttpConnection) -> Option<HttpMessage> {
-        wire.write(&self.bytes()).then(|| wire.read()).flatten()
+    pub fn send_on(&self, conn: &mut HttpConnection) -> Option<HttpMessage> {
+        conn.write(&self.bytes()).then(|| conn.read()).flatten()
     }
 
     /// Sends the request on a connection and reads the answer after `wait`.
     pub fn send_on_and_read_after(
         &self,
-        wire: &mut HttpConnection,
+        conn: &mut HttpConnection,
         wait: std::time::Duration,
     ) -> Option<HttpMessage> {
-        if !wire.write(&self.bytes()) {
+        if !conn.write(&self.bytes()) {
             return None;
         }
         std::thread::sleep(wait);
-        wire.read()
+        conn.read()
     }
 
     /// Sends the request on a new connection.
@@ -72,25 +72,25 @@
         self.send_on(&mut HttpConnection::new(TcpStream::connect(address).ok()?))
     }
 
-    /// Sends the request on a new connection and reads the answer once `begin` has returned.
+    /// Sends the request on a new connection and reads the answer once `before_read` has returned.
     pub fn send_and_read_after(
         &self,
         address: SocketAddr,
-        begin: impl FnOnce(),
+        before_read: impl FnOnce(),
     ) -> Option<HttpMessage> {
-        let mut wire = HttpConnection::new(TcpStream::connect(address).ok()?);
-        if !wire.write(&self.bytes()) {
+        let mut conn = HttpConnection::new(TcpStream::connect(address).ok()?);
+        if !conn.write(&self.bytes()) {
             return None;
         }
-        begin();
-        wire.read()
+        before_read();
+        conn.read()
     }
 
     /// Sends the request on a new connection and closes it after `after` without reading.
     pub fn send_and_disconnect(&self, address: SocketAddr, after: std::time::Duration) {
         if let Ok(stream) = TcpStream::connect(address) {
-            let mut wire = HttpConnection::new(stream);
-            wire.write(&self.bytes());
+            let mut conn = HttpConnection::new(stream);
+            conn.write(&self.bytes());
             std::thread::sleep(after);
         }
     }
--- a/standins/src/serving_path/crashing.rs
+++ b/standins/src/serving_path/crashing.rs
@@ -55,7 +55,7 @@
     /// Whether its port is open for connections.
     is_listening: bool,
     /// Connections of the current incarnation, to be closed by a crash.
-    open: Vec<TcpStream>,
+    open_connections: Vec<TcpStream>,
     /// Number of incarnations so far.
     incarnation_count: u64,
     /// Bodies of the requests that all incarnations received.
@@ -85,11 +85,11 @@
         let state = State {
             incarnation: None,
             is_listening: true,
-            open: Vec::new(),
+            open_connections: Vec::new(),
             incarnation_count: 0,
             received_bodies: Vec::new(),
         };
-        let fragile = CrashingRunner {
+        let crashing = CrashingRunner {
             name: name.to_owned(),
             service: service.to_owned(),
             address: listener.local_addr()?,
@@ -98,9 +98,9 @@
             state: Arc::new(Mutex::new(state)),
         };
         // The entry is written before this returns, so that tests can rely on it.
-        let (serving, first) = (fragile.clone(), fragile.begin_incarnation());
+        let (serving, first) = (crashing.clone(), crashing.begin_incarnation());
         spawn(move || serving.run(listener, first));
-        Ok(fragile)
+        Ok(crashing)
     }
 
     /// Number of crashes so far.
@@ -170,7 +170,7 @@
     fn accept(&self, listener: &TcpListener, runner: &Runner) {
         for stream in listener.incoming().flatten() {
             let is_up = self.with(|state| {
-                state.open.extend(stream.try_clone());
+                state.open_connections.extend(stream.try_clone());
                 state.incarnation.is_some()
             });
             if !is_up {
@@ -181,14 +181,14 @@
         }
     }
 
-    fn serve(&self, mut wire: HttpConnection, runner: &Runner) {
-        while let Some(req) = wire.read() {
+    fn serve(&self, mut conn: HttpConnection, runner: &Runner) {
+        while let Some(req) = conn.read() {
             self.with(|state| state.received_bodies.push(req.body.clone()));
             if self.is_fatal(&req, runner) {
                 self.crash();
                 return;
             }
-            if !runner.answer(&mut wire, &req) {
+            if !runner.answer(&mut conn, &req) {
                 return;
             }
         }
@@ -196,11 +196,11 @@
 
     /// Whether a request makes the runner crash; waits for the crash delay if so.
     fn is_fatal(&self, req: &HttpMessage, runner: &Runner) -> bool {
-        let is_fatal = match &self.config.trigger {
+        let matches_trigger = match &self.config.trigger {
             CrashTrigger::Body(body) => req.body == *body,
             CrashTrigger::PieceKey(key) => req.text().contains(&format!("\"{key}\"")),
         };
-        let fatal = is_fatal && req.header("expected-instance") == runner.id;
+        let fatal = matches_trigger && req.header("expected-instance") == runner.id;
         if fatal {
             sleep(self.config.crash_delay);
         }
@@ -217,7 +217,7 @@
         while self.with(|state| state.is_listening) {
             sleep(CLOSE_POLL_INTERVAL);
         }
-        for stream in self.with(|state| std::mem::take(&mut state.open)) {
+        for stream in self.with(|state| std::mem::take(&mut state.open_connections)) {
             drop(stream.shutdown(Shutdown::Both));
         }
     }
--- a/standins/src/serving_path/faulty_link.rs
+++ b/standins/src/serving_path/faulty_link.rs
@@ -56,17 +56,19 @@
         let listener = TcpListener::bind("127.0.0.1:0")?;
         let address = listener.local_addr()?;
         let link = FaultyLink { address, mode: Arc::default(), connections: Arc::default() };
-        let own = link.clone();
+        let listening = link.clone();
         thread::spawn(move || {
-            for near in listener.incoming().flatten() {
-                let Ok(far) = TcpStream::connect(to) else { continue };
-                let both =
+            for client in listener.incoming().flatten() {
+                let Ok(server) = TcpStream::connect(to) else { continue };
+                let clone_pair =
                     |a: &TcpStream, b: &TcpStream| Some((a.try_clone().ok()?, b.try_clone().ok()?));
-                if let (Some(there), Some(back)) = (both(&near, &far), both(&far, &near)) {
+                if let (Some(to_server), Some(to_client)) =
+                    (clone_pair(&client, &server), clone_pair(&server, &client))
+                {
                     let connection = Arc::new(Connection::default());
-                    own.connections().push(Arc::clone(&connection));
-                    own.forward(there, Arc::clone(&connection), true);
-                    own.forward(back, connection, false);
+                    listening.connections().push(Arc::clone(&connection));
+                    listening.forward(to_server, Arc::clone(&connection), true);
+                    listening.forward(to_client, connection, false);
                 }
             }
         });
@@ -100,7 +102,7 @@
         &self,
         (mut from, mut to): (TcpStream, TcpStream),
         connection: Arc<Connection>,
-        is_request: bool,
+        from_client: bool,
     ) {
         let link = self.clone();
         thread::spawn(move || {
@@ -114,12 +116,12 @@
                     continue;
                 }
                 if count == 0
-                    || !link.wait(is_request, count)
+                    || !link.wait_to_forward(from_client, count)
                     || to.write_all(&buf[..count]).is_err()
                 {
                     break;
                 }
-                connection.awaits_answer.store(is_request, Ordering::Relaxed);
+                connection.awaits_answer.store(from_client, Ordering::Relaxed);
             }
             drop(to.shutdown(Shutdown::Both));
             drop(from.shutdown(Shutdown::Both));
@@ -127,11 +129,11 @@
     }
 
     /// Waits until `count` bytes may be forwarded; false if the connection is to be closed.
-    fn wait(&self, is_request: bool, count: usize) -> bool {
+    fn wait_to_forward(&self, from_client: bool, count: usize) -> bool {
         loop {
             match self.mode() {
                 LinkMode::Normal => return true,
-                LinkMode::OneWay if is_request => return true,
+                LinkMode::OneWay if from_client => return true,
                 LinkMode::Delayed(time) => {
                     sleep(time);
                     return true;
--- a/standins/src/serving_path/mod.rs
+++ b/standins/src/serving_path/mod.rs
@@ -23,7 +23,7 @@
 use std::time::Duration;
 
 /// Read timeout of a connection.
-const READ_WAIT: Duration = Duration::from_secs(20);
+const READ_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// An HTTP request or response as it was received.
 #[derive(Debug, Clone, Default)]
@@ -74,7 +74,7 @@
     /// Wraps a connection; sets TCP_NODELAY and the read timeout.
     pub fn new(stream: TcpStream) -> Self {
         drop(stream.set_nodelay(true));
-        drop(stream.set_read_timeout(Some(READ_WAIT)));
+        drop(stream.set_read_timeout(Some(READ_TIMEOUT)));
         HttpConnection { reader: BufReader::new(stream) }
     }
 
@@ -99,38 +99,38 @@
 
     /// Reads a message; `None` if the connection ended before a complete head.
     pub fn read(&mut self) -> Option<HttpMessage> {
-        let mut message = HttpMessage { start_line: self.line()?, ..HttpMessage::default() };
+        let mut message = HttpMessage { start_line: self.read_line()?, ..HttpMessage::default() };
         loop {
-            let line = self.line()?;
+            let line = self.read_line()?;
             if line.is_empty() {
                 break;
             }
             let (name, value) = line.split_once(':')?;
             message.headers.insert(name.to_ascii_lowercase(), value.trim().to_owned());
         }
-        let is_answer = message.start_line.starts_with("HTTP/");
+        let is_response = message.start_line.starts_with("HTTP/");
         message.is_complete = if message.header("transfer-encoding").contains("chunked") {
-            self.chunks(&mut message.body)
+            self.read_chunks(&mut message.body)
         } else if let Ok(length) = message.header("content-length").parse::<usize>() {
             message.body = vec![0; length];
             self.reader.read_exact(&mut message.body).is_ok()
         } else {
-            !is_answer || self.reader.read_to_end(&mut message.body).is_ok()
+            !is_response || self.reader.read_to_end(&mut message.body).is_ok()
         };
         Some(message)
     }
 
     /// Reads a line without its end.
-    fn line(&mut self) -> Option<String> {
+    fn read_line(&mut self) -> Option<String> {
         let mut line = String::new();
         let read = self.reader.read_line(&mut line).ok()?;
         (read > 0).then(|| line.trim_end().to_owned())
     }
 
     /// Reads a chunked body; false if it is incomplete or malformed.
-    fn chunks(&mut self, body: &mut Vec<u8>) -> bool {
+    fn read_chunks(&mut self, body: &mut Vec<u8>) -> bool {
         loop {
-            let Some(line) = self.line() else { return false };
+            let Some(line) = self.read_line() else { return false };
             let Ok(length) = usize::from_str_radix(&line, 16) else { return false };
             let mut chunk = vec![0; length + 2];
             if self.reader.read_exact(&mut chunk).is_err() {
--- a/standins/src/serving_path/runners.rs
+++ b/standins/src/serving_path/runners.rs
@@ -20,9 +20,9 @@
     /// Time of receipt.
     pub at: Instant,
     /// Whether an immediate answer of the runner's own announced that the runner is leaving.
-    pub leaves: bool,
+    pub announces_leaving: bool,
     /// Time for which the answer asked for no further requests (`Retry-After`).
-    pub left_alone: Option<Duration>,
+    pub retry_after: Option<Duration>,
     /// Rate limit in force at that time (`Server-Limit`), in requests per second.
     pub rate: Option<f64>,
     /// Whether the runner sent an immediate answer of its own.
@@ -46,7 +46,7 @@
 #[derive(Default)]
 pub(super) struct State {
     /// Requests and calls that it received, complete.
-    seen: Vec<HttpMessage>,
+    messages: Vec<HttpMessage>,
     /// Ids of the requests that it ran.
     ran: Vec<String>,
     /// Requests and calls that it received, in order.
@@ -54,7 +54,7 @@
     /// Behaviors for the next requests, in order.
     pub(super) script: Vec<Behavior>,
     /// Behavior once the script is empty.
-    usual: Option<Behavior>,
+    default_behavior: Option<Behavior>,
     /// Handles whose release it was told, with the time.
     pub(super) released: Vec<(String, Instant)>,
     /// Results that it computed.
@@ -72,13 +72,13 @@
     /// Computed pieces: request id, stage number, piece number.
     pub(super) pieces: Vec<(String, u64, u64)>,
     /// Number of pieces in each call.
-    pub(super) calls: Vec<usize>,
+    pub(super) call_sizes: Vec<usize>,
     /// Streams whose reader was gone before their end.
     aborted_streams: u64,
     /// Number of open connections.
-    open: u64,
+    open_connections: u64,
     /// Whether each answer announces that the runner is leaving (`Server-Leaving`).
-    leaves: bool,
+    announces_leaving: bool,
     /// Rate limit that each answer announces: the value of `Server-Limit`.
     rate: Option<String>,
     /// A further header of each answer.
@@ -88,17 +88,24 @@
 impl State {
     /// Records a request and the notices that its answer will carry.
     pub(super) fn receive(&mut self, req: &HttpMessage, behavior: &Behavior) {
-        let left_alone = match behavior {
+        let retry_after = match behavior {
             Behavior::DeclineFor(seconds) => seconds.parse().ok().map(Duration::from_secs_f64),
             _ => None,
         };
         let id = req.header("request-id").to_owned();
         let answered_at_once = behavior.answers_at_once();
-        let leaves = self.leaves && answered_at_once;
+        let announces_leaving = self.announces_leaving && answered_at_once;
         let rate = self.rate.as_deref().and_then(|rate| rate.parse().ok());
         let at = Instant::now();
-        self.received.push(ReceivedRequest { id, at, leaves, left_alone, rate, answered_at_once });
-        self.seen.push(req.clone());
+        self.received.push(ReceivedRequest {
+            id,
+            at,
+            announces_leaving,
+            retry_after,
+            rate,
+            answered_at_once,
+        });
+        self.messages.push(req.clone());
     }
 }
 
@@ -114,22 +121,22 @@
 }
 
 impl Runner {
-    /// Starts a runner on a free port that handles requests as `usual` when its script is empty.
-    pub fn start(id: &str, usual: Behavior) -> std::io::Result<Self> {
+    /// Starts a runner on a free port that handles requests as `default_behavior` when its script is empty.
+    pub fn start(id: &str, default_behavior: Behavior) -> std::io::Result<Self> {
         let listener = TcpListener::bind("127.0.0.1:0")?;
-        let runner = Runner::unserved(id, listener.local_addr()?, usual);
+        let runner = Runner::unserved(id, listener.local_addr()?, default_behavior);
         let serving = runner.clone();
-        serve_connections(listener, move |wire| {
-            serving.with(|state| state.open += 1);
-            serving.serve(wire);
-            serving.with(|state| state.open -= 1);
+        serve_connections(listener, move |conn| {
+            serving.with(|state| state.open_connections += 1);
+            serving.serve(conn);
+            serving.with(|state| state.open_connections -= 1);
         });
         Ok(runner)
     }
 
     /// A runner whose connections the caller of this function accepts and serves.
-    pub(super) fn unserved(id: &str, address: SocketAddr, usual: Behavior) -> Self {
-        let state = State { usual: Some(usual), ..State::default() };
+    pub(super) fn unserved(id: &str, address: SocketAddr, default_behavior: Behavior) -> Self {
+        let state = State { default_behavior: Some(default_behavior), ..State::default() };
         Runner {
             address,
             id: id.to_owned(),
@@ -150,8 +157,8 @@
     }
 
     /// Sets whether each answer announces that the runner is leaving.
-    pub fn set_leaving(&self, leaves: bool) {
-        self.with(|state| state.leaves = leaves);
+    pub fn set_leaving(&self, announces_leaving: bool) {
+        self.with(|state| state.announces_leaving = announces_leaving);
     }
 
     /// Sets the rate limit that each answer announces; `None` for none.
@@ -198,7 +205,7 @@
     /// Requests and calls that it received, in order, complete. Release calls and requests for its report are not
     /// among them.
     pub fn messages(&self) -> Vec<HttpMessage> {
-        self.with(|state| state.seen.clone())
+        self.with(|state| state.messages.clone())
     }
 
     /// Pieces that it computed: request id, stage number, piece number.
@@ -238,7 +245,7 @@
 
     /// Number of open connections.
     pub fn open_connections(&self) -> u64 {
-        self.with(|state| state.open)
+        self.with(|state| state.open_connections)
     }
 
     /// Number of streams whose reader was gone before their end.
@@ -250,31 +257,31 @@
         f(&mut self.state.lock().unwrap_or_else(PoisonError::into_inner))
     }
 
-    fn serve(&self, mut wire: HttpConnection) {
-        while let Some(req) = wire.read() {
-            if !self.answer(&mut wire, &req) {
+    fn serve(&self, mut conn: HttpConnection) {
+        while let Some(req) = conn.read() {
+            if !self.answer(&mut conn, &req) {
                 return;
             }
         }
     }
 
     /// Answers a request; false if the connection is to end.
-    pub(super) fn answer(&self, wire: &mut HttpConnection, req: &HttpMessage) -> bool {
+    pub(super) fn answer(&self, conn: &mut HttpConnection, req: &HttpMessage) -> bool {
         match req.path_and_query() {
-            "/stage-run" => self.run_pieces(wire, req),
-            "/stage-free" => self.release(wire, req),
-            "/report" => self.report(wire),
-            _ => self.run(wire, req),
+            "/stage-run" => self.run_pieces(conn, req),
+            "/stage-free" => self.release(conn, req),
+            "/report" => self.report(conn),
+            _ => self.run(conn, req),
         }
     }
 
     /// Runs a request with the next behavior of the script.
-    fn run(&self, wire: &mut HttpConnection, req: &HttpMessage) -> bool {
+    fn run(&self, conn: &mut HttpConnection, req: &HttpMessage) -> bool {
         let id = req.header("request-id").to_owned();
         let expected = req.header("expected-instance").to_owned();
         let behavior = self.with(|state| {
             let next = (!state.script.is_empty()).then(|| state.script.remove(0));
-            let behavior = next.or(state.usual.clone()).unwrap_or(Behavior::Answer);
+            let behavior = next.or(state.default_behavior.clone()).unwrap_or(Behavior::Answer);
             state.receive(req, &behavior);
             behavior
         });
@@ -289,7 +296,7 @@
         if !not_run {
             self.with(|state| state.ran.push(id.clone()));
         }
-        self.respond(wire, &behavior, &id, req)
+        self.respond(conn, &behavior, &id, req)
     }
 
     /// An answer that includes the runner's notices.
@@ -303,7 +310,7 @@
     /// Headers of the runner's notices: leaving, rate limit, and the extra one.
     fn notices(&self) -> Vec<(&'static str, String)> {
         self.with(|state| {
-            let leaving = state.leaves.then(|| ("Server-Leaving", "1".to_owned()));
+            let leaving = state.announces_leaving.then(|| ("Server-Leaving", "1".to_owned()));
             let rate = state.rate.clone().map(|rate| ("Server-Limit", rate));
             leaving.into_iter().chain(rate).chain(state.extra_header.clone()).collect()
         })
@@ -312,80 +319,80 @@
     /// Answers a request according to a behavior; false if the connection is to end.
     fn respond(
         &self,
-        wire: &mut HttpConnection,
+        conn: &mut HttpConnection,
         behavior: &Behavior,
         id: &str,
         req: &HttpMessage,
     ) -> bool {
         let body = format!("{} answers {id}", self.id);
-        let receipt = format!("sig-{}", self.id);
-        let own = [("Request-Id", id), ("Response-Signature", receipt.as_str())];
-        let whole = self.reply("200 OK", &own, body.as_bytes());
+        let signature = format!("sig-{}", self.id);
+        let answer_headers = [("Request-Id", id), ("Response-Signature", signature.as_str())];
+        let answer = self.reply("200 OK", &answer_headers, body.as_bytes());
         match behavior {
-            Behavior::Answer => wire.write(&whole),
+            Behavior::Answer => conn.write(&answer),
             Behavior::Large(bytes) => {
                 let large = "x".repeat(bytes.saturating_sub(body.len())) + &body;
-                wire.write(&self.reply("200 OK", &own, large.as_bytes()))
+                conn.write(&self.reply("200 OK", &answer_headers, large.as_bytes()))
             }
-            Behavior::Fail => wire.write(&self.reply("500 Oops", &own, b"failed")),
-            Behavior::Decline => wire.write(&self.reply("503 Full", &[("Not-Executed", "1")], b"")),
+            Behavior::Fail => conn.write(&self.reply("500 Oops", &answer_headers, b"failed")),
+            Behavior::Decline => conn.write(&self.reply("503 Full", &[("Not-Executed", "1")], b"")),
             Behavior::DeclineFor(seconds) => {
                 let refusal = [("Not-Executed", "1"), ("Retry-After", *seconds)];
-                wire.write(&self.reply("503 Full", &refusal, b""))
+                conn.write(&self.reply("503 Full", &refusal, b""))
             }
             Behavior::InputGone => {
-                wire.write(&self.reply("409 Gone", &[("Not-Executed", "1")], b""))
+                conn.write(&self.reply("409 Gone", &[("Not-Executed", "1")], b""))
             }
             Behavior::Misdirected => {
-                wire.write(&self.reply("421 Other", &[("Instance-Id", "i-other")], b""))
+                conn.write(&self.reply("421 Other", &[("Instance-Id", "i-other")], b""))
             }
             Behavior::Lose => false,
             Behavior::CutBody => {
-                wire.write(&whole[..whole.len() - body.len() / 2]);
+                conn.write(&answer[..answer.len() - body.len() / 2]);
                 false
             }
             Behavior::Cross => {
                 let other = [("Request-Id", "another"), ("Response-Signature", "sig-x")];
-                wire.write(&self.reply("200 OK", &other, b"of another request"))
+                conn.write(&self.reply("200 OK", &other, b"of another request"))
             }
             Behavior::Extra => {
-                let written = wire.write(&whole);
+                let written = conn.write(&answer);
                 sleep(Duration::from_millis(2));
-                written && wire.write(&whole)
+                written && conn.write(&answer)
             }
             Behavior::Garbage => {
-                wire.write(b"\x00\x01 this is no answer\r\n\r\n");
+                conn.write(b"\x00\x01 this is no answer\r\n\r\n");
                 false
             }
             Behavior::Unsigned => {
-                wire.write(&self.reply("200 OK", &[("Request-Id", id)], b"unsigned"))
+                conn.write(&self.reply("200 OK", &[("Request-Id", id)], b"unsigned"))
             }
             Behavior::Encoded => {
-                let coded = [own[0], own[1], ("Content-Encoding", "gzip")];
-                wire.write(&self.reply("200 OK", &coded, b"coded"))
+                let encoded = [answer_headers[0], answer_headers[1], ("Content-Encoding", "gzip")];
+                conn.write(&self.reply("200 OK", &encoded, b"coded"))
             }
             Behavior::Unframed => {
                 let head = format!(
-                    "HTTP/1.1 200 OK\r\nRequest-Id: {id}\r\nResponse-Signature: {receipt}\r\n\r\n"
+                    "HTTP/1.1 200 OK\r\nRequest-Id: {id}\r\nResponse-Signature: {signature}\r\n\r\n"
                 );
-                wire.write(head.as_bytes());
-                wire.write(body.as_bytes());
+                conn.write(head.as_bytes());
+                conn.write(body.as_bytes());
                 false
             }
             Behavior::Hang(time) | Behavior::NoRoomForLast(time) => {
                 sleep(*time);
-                wire.write(&whole)
+                conn.write(&answer)
             }
-            Behavior::Stream(events) => self.stream(wire, id, req, *events, None, Duration::ZERO),
+            Behavior::Stream(events) => self.stream(conn, id, req, *events, None, Duration::ZERO),
             Behavior::StreamFromFirst(events) => {
-                let fresh = HttpMessage::default();
-                self.stream(wire, id, &fresh, *events, None, Duration::ZERO)
+                let without_last_event = HttpMessage::default();
+                self.stream(conn, id, &without_last_event, *events, None, Duration::ZERO)
             }
             Behavior::BreakStream(after) => {
-                self.stream(wire, id, req, u64::MAX, Some(*after), Duration::ZERO)
+                self.stream(conn, id, req, u64::MAX, Some(*after), Duration::ZERO)
             }
             Behavior::SlowStream(events, pause) => {
-                self.stream(wire, id, req, *events, None, *pause)
+                self.stream(conn, id, req, *events, None, *pause)
             }
         }
     }
@@ -394,7 +401,7 @@
     /// middle of the event after that number.
     fn stream(
         &self,
-        wire: &mut HttpConnection,
+        conn: &mut HttpConnection,
         id: &str,
         req: &HttpMessage,
         last: u64,
@@ -410,20 +417,20 @@
              Request-Id: {id}\r\nResponse-Signature: sig-{}\r\n{}\r\n",
             self.id, notices
         );
-        let mut sent = wire.write(head.as_bytes());
+        let mut sent = conn.write(head.as_bytes());
         for number in first..=last {
             if break_after.is_some_and(|after| number > after) {
-                wire.write(b"8\r\nid: 99\nd\r\n");
+                conn.write(b"8\r\nid: 99\nd\r\n");
                 return false;
             }
             let event = format!("id: {number}\ndata: {id}/{number}\n\n");
-            sent = sent && wire.write(format!("{:x}\r\n{event}\r\n", event.len()).as_bytes());
+            sent = sent && conn.write(format!("{:x}\r\n{event}\r\n", event.len()).as_bytes());
             if !sent {
                 self.with(|state| state.aborted_streams += 1);
                 return false;
             }
             sleep(pause);
         }
-        wire.write(b"0\r\n\r\n")
+        conn.write(b"0\r\n\r\n")
     }
 }
--- a/standins/src/serving_path/scenarios.rs
+++ b/standins/src/serving_path/scenarios.rs
@@ -78,9 +78,9 @@
     /// If a fixture can't be set up, or the request is not served.
     pub fn count_calls(&self, name: &str) -> usize {
         let site = Site::start();
-        let mut scarce = default_configuration(2);
-        scarce["routes"][4]["stages"][0]["bytes"] = json!(self.result_bytes);
-        site.store.put("op/config", &scarce);
+        let mut config = default_configuration(2);
+        config["routes"][4]["stages"][0]["bytes"] = json!(self.result_bytes);
+        site.store.put("op/config", &config);
         site.store.remove("servers/i-pool-2");
         let vm = site.start_vm(name, "");
         wait_until("it is in force", || vm.state()["configuration"] == json!(2));
@@ -90,18 +90,18 @@
             assert!(is_served(answer.as_ref()), "a request before: {answer:?}");
             thread::sleep(self.gap);
         }
-        let before = worker.messages().len();
+        let calls_before = worker.messages().len();
 
         let call = chain("waits", "6,1");
         let address = vm.callers;
-        let asked = thread::spawn(move || call.send(address));
-        wait_until("the first stage is at work", || worker.messages().len() > before);
+        let caller = thread::spawn(move || call.send(address));
+        wait_until("the first stage is at work", || worker.messages().len() > calls_before);
         thread::sleep(Duration::from_millis(5));
         worker.delay_next_call(self.delay);
 
-        let answer = asked.join().expect("no panic");
+        let answer = caller.join().expect("no panic");
         assert!(is_served(answer.as_ref()), "{answer:?}");
-        worker.messages().len() - before
+        worker.messages().len() - calls_before
     }
 }
 
@@ -167,16 +167,16 @@
     /// expired meanwhile. Nobody knows the results that were in transit to an owner when it was killed. An owner can't
     /// know that a worker was told of a release just before the VM that told it was paused.
     pub fn is_satisfied_by(&self, summary: &ReleaseSummary) -> bool {
-        let is_known = match self.fault {
+        let must_be_released = match self.fault {
             Fault::OwnerKilled => |_: &i64| true,
             Fault::OwnerKilledAtWork => |made: &i64| *made < -TRANSIT_MS,
             Fault::OwnerPaused | Fault::RequesterPaused => |_: &i64| false,
         };
-        let is_unknown = |releases: &Vec<i64>| {
+        let may_be_repeated = |releases: &Vec<i64>| {
             self.fault == Fault::RequesterPaused && releases.len() == 2 && releases[0] < TRANSIT_MS
         };
-        summary.repeat_times_ms.iter().all(is_unknown)
-            && !summary.unreleased_ms.iter().any(is_known)
+        summary.repeat_times_ms.iter().all(may_be_repeated)
+            && !summary.unreleased_ms.iter().any(must_be_released)
     }
 
     /// Runs the scenario; returns which results the workers were told to release, once no more releases can arrive.
@@ -191,9 +191,9 @@
         let mut vms = start_vms(&site, name, self.vms);
         let owner = pool_owner(&vms);
         let requester = (owner + 1) % vms.len();
-        let silent = vec![Behavior::Hang(ENGINE_TIME); REQUESTS.end];
-        site.engines.iter().for_each(|engine| engine.queue_behaviors(&silent));
-        let asked = send_requests(vms[requester].callers, self.requests);
+        let slow = vec![Behavior::Hang(ENGINE_TIME); REQUESTS.end];
+        site.engines.iter().for_each(|engine| engine.queue_behaviors(&slow));
+        let pending = send_requests(vms[requester].callers, self.requests);
         if self.fault == Fault::OwnerKilledAtWork {
             wait_until("a piece is asked for", || received_count(&site.pool) > 0);
             thread::sleep(self.fault_delay * AT_WORK_FACTOR);
@@ -209,9 +209,9 @@
             Fault::RequesterPaused => pause(&vms[requester]),
         }
 
-        for asked in asked {
+        for pending in pending {
             // Only the results are checked, not the answers.
-            drop(asked.join().expect("no panic"));
+            drop(pending.join().expect("no panic"));
         }
         thread::sleep(RELEASE_WAIT);
         summarize_releases(&site, fault_at)
@@ -238,11 +238,11 @@
     address: SocketAddr,
     requests: usize,
 ) -> Vec<thread::JoinHandle<Option<HttpMessage>>> {
-    let ask = |number: usize| {
+    let spawn_caller = |number: usize| {
         let call = chain(&format!("c-{number}"), "1,2");
         thread::spawn(move || call.send(address))
     };
-    (0..requests).map(ask).collect()
+    (0..requests).map(spawn_caller).collect()
 }
 
 /// Number of requests and calls that runners received.
@@ -281,8 +281,8 @@
     }
     let repeat_times_ms = releases.values().filter(|times| times.len() > 1).cloned().collect();
     let made: Vec<StageResult> = site.pool.iter().flat_map(Runner::made).collect();
-    let left = made.iter().filter(|made| !releases.contains_key(&made.handle));
-    let unreleased_ms: Vec<i64> = left.map(|made| millis_after(made.at, fault_at)).collect();
+    let unreleased = made.iter().filter(|made| !releases.contains_key(&made.handle));
+    let unreleased_ms: Vec<i64> = unreleased.map(|made| millis_after(made.at, fault_at)).collect();
     ReleaseSummary {
         released: made.len() - unreleased_ms.len(),
         made: made.len(),
--- a/standins/src/serving_path/soak.rs
+++ b/standins/src/serving_path/soak.rs
@@ -29,31 +29,31 @@
 use super::store::StoreMode;
 
 /// Pause after each fault, in milliseconds.
-const FAULT_PAUSE: std::ops::Range<u64> = 80..500;
+const FAULT_PAUSE_MS: std::ops::Range<u64> = 80..500;
 /// Halls of the runners: the first runner of each service is in the first hall, the second one in the other.
 pub(super) const HALLS: [&str; 2] = ["hall-a", "hall-b"];
 /// Seed offset between the independent random generators of a run. A further generator with its own multiple of the
 /// offset leaves the faults of the others as they are for a given seed.
 pub(super) const SEED_OFFSET: u64 = 1 << 32;
 /// Remaining cold start times that runners report, in milliseconds.
-const COLD: std::ops::Range<u64> = 100..1500;
+const COLD_START_MS: std::ops::Range<u64> = 100..1500;
 /// Time within which the VMs have to recover after the last fault.
-const RECOVERY: Duration = Duration::from_secs(8);
+const RECOVERY_TIMEOUT: Duration = Duration::from_secs(8);
 
 /// Number of runners that crash on a fatal request.
 const CRASHING_RUNNERS: usize = 3;
 /// Body of a fatal request.
-const FATAL: &[u8] = b"fatal";
+const FATAL_BODY: &[u8] = b"fatal";
 /// `Retry-After` values with which runners refuse requests, in seconds.
 const RETRY_AFTER_S: [&str; 3] = ["0.3", "1.5", "2.5"];
 /// Probability that a fault comes with such a refusal.
 const REFUSAL_PROBABILITY: f64 = 0.3;
 
 /// Pause between two fatal requests, in milliseconds.
-const FATAL_PAUSE: std::ops::Range<u64> = 20..200;
+const FATAL_PAUSE_MS: std::ops::Range<u64> = 20..200;
 
 /// Kinds of requests: path, whether the request may run more than once, whether the answer is a stream.
-pub(super) const KINDS: [(&str, bool, bool); 5] = [
+pub(super) const REQUEST_KINDS: [(&str, bool, bool); 5] = [
     ("/repeat/", true, false),
     ("/once/", false, false),
     ("/stream/", false, true),
@@ -112,7 +112,7 @@
     pub(super) vm: usize,
     pub(super) at: Instant,
     /// Whether the process ended.
-    pub(super) is_end: bool,
+    pub(super) process_ended: bool,
 }
 
 /// Runs the faults of a seed for `time`, then the checks.
@@ -128,7 +128,7 @@
             Vm::start(&name, "hall-a", link.address, "stop: {notice_ms: 200, grace_s: 3}\n")
         })
         .collect();
-    let fragile = start_crashing_runners(seed, &site);
+    let crashing_runners = start_crashing_runners(seed, &site);
     vms.iter().for_each(|vm| site.wait_for_all_runners(vm));
     let addresses: Vec<SocketAddr> = vms.iter().map(|vm| vm.callers).collect();
     let over = AtomicBool::new(false);
@@ -148,8 +148,8 @@
                 }
             });
         }
-        let (addresses, ended) = (&addresses, &over);
-        scope.spawn(move || send_fatal_requests(seed, addresses, ended));
+        let (addresses, over) = (&addresses, &over);
+        scope.spawn(move || send_fatal_requests(seed, addresses, over));
         let site = &site;
         scope.spawn(move || announce_leaving(seed, time, site));
         scope.spawn(move || announce_rates(seed, time, site));
@@ -162,14 +162,14 @@
     for one in &answered {
         check_answer(&site, one, &mut report);
     }
-    check_crashes(&fragile, &vms, &mut report);
+    check_crashes(&crashing_runners, &vms, &mut report);
     check_notices(&site, &answered, &interruptions, &mut report);
     check_rates(&site, &answered, &interruptions, &mut report);
     restart_runners(&site);
     if !recovers(&addresses, seed) {
-        report
-            .violations
-            .push(format!("not every VM serves requests within {RECOVERY:?} after the last fault"));
+        report.violations.push(format!(
+            "not every VM serves requests within {RECOVERY_TIMEOUT:?} after the last fault"
+        ));
     }
     check_results(&site, &interruptions, &mut report);
     report
@@ -179,7 +179,7 @@
 fn start_crashing_runners(seed: u64, site: &Site) -> Vec<CrashingRunner> {
     let start = |number: usize| {
         let config = CrashingRunnerConfig {
-            trigger: CrashTrigger::Body(FATAL.to_vec()),
+            trigger: CrashTrigger::Body(FATAL_BODY.to_vec()),
             crash_delay: Duration::from_millis(10),
             downtime: Duration::from_millis(150),
             restart_id: if number.is_multiple_of(2) { RestartId::SameId } else { RestartId::NewId },
@@ -198,12 +198,12 @@
     while !over.load(Ordering::Relaxed) {
         number += 1;
         let is_fatal = rng.random_bool(0.5);
-        let body = if is_fatal { FATAL } else { b"a body".as_slice() };
+        let body = if is_fatal { FATAL_BODY } else { b"a body".as_slice() };
         let call = Call::new("POST", HOST, "/fragile/", &format!("fragile-{seed}-{number}"))
             .with_header("Deadline-Milliseconds", "1000")
             .body(body);
         call.send(addresses[rng.random_range(0..addresses.len())]);
-        thread::sleep(Duration::from_millis(rng.random_range(FATAL_PAUSE)));
+        thread::sleep(Duration::from_millis(rng.random_range(FATAL_PAUSE_MS)));
     }
 }
 
@@ -214,12 +214,12 @@
     seed: u64,
     number: u64,
 ) -> AnsweredRequest {
-    let kind = rng.random_range(0..KINDS.len());
+    let kind = rng.random_range(0..REQUEST_KINDS.len());
     let id = format!("soak-{seed}-{number}");
-    let mut call = Call::new("POST", HOST, KINDS[kind].0, &id)
+    let mut call = Call::new("POST", HOST, REQUEST_KINDS[kind].0, &id)
         .with_header("Deadline-Milliseconds", "1500")
         .body(b"a body");
-    if KINDS[kind].0 == "/chain/" {
+    if REQUEST_KINDS[kind].0 == "/chain/" {
         call = call.with_header("Pieces", "1,2").with_header("Piece-Key", "k");
     }
     let (vm, sent) = (rng.random_range(0..addresses.len()), Instant::now());
@@ -265,12 +265,12 @@
             }
             8 => {
                 pause(&vms[vm], Duration::from_millis(rng.random_range(50..900)));
-                interruptions.push(Interruption { vm, at: Instant::now(), is_end: false });
+                interruptions.push(Interruption { vm, at: Instant::now(), process_ended: false });
             }
             9 => {
                 report.restarts += 1;
                 vms[vm].restart();
-                interruptions.push(Interruption { vm, at: Instant::now(), is_end: true });
+                interruptions.push(Interruption { vm, at: Instant::now(), process_ended: true });
             }
             10 => vms[vm].signal("-HUP"),
             _ => inject_runner_faults(&mut rng, site),
@@ -278,7 +278,7 @@
         inject_runner_faults(&mut rng, site);
         change_availability(&mut availability_rng, site);
         refuse_next(&mut refusal_rng, site);
-        thread::sleep(Duration::from_millis(rng.random_range(FAULT_PAUSE)));
+        thread::sleep(Duration::from_millis(rng.random_range(FAULT_PAUSE_MS)));
         if rng.random_bool(0.4) {
             site.store.set_mode(StoreMode::Normal);
             links.iter().for_each(|link| link.set(LinkMode::Normal));
@@ -310,7 +310,7 @@
         1 | 2 => site.end_evacuation(HALLS[index]),
         3 => {
             let (service, runners) = site.services()[rng.random_range(0..3)];
-            let cold = Duration::from_millis(rng.random_range(COLD));
+            let cold = Duration::from_millis(rng.random_range(COLD_START_MS));
             site.register_runner(&runners[index], service, HALLS[index], cold);
         }
         _ => {}
@@ -355,9 +355,9 @@
     pick(rng, &site.pool).queue_behaviors(&[pool[rng.random_range(0..pool.len())].clone()]);
 }
 
-/// Whether every VM serves again within [`RECOVERY`].
+/// Whether every VM serves again within [`RECOVERY_TIMEOUT`].
 fn recovers(addresses: &[SocketAddr], seed: u64) -> bool {
-    let end = Instant::now() + RECOVERY;
+    let end = Instant::now() + RECOVERY_TIMEOUT;
     let serves = |address: SocketAddr, number: usize| {
         let call = Call::new("GET", HOST, "/repeat/", &format!("soak-{seed}-after-{number}"))
             .with_header("Deadline-Milliseconds", "1000");
--- a/standins/src/serving_path/soak_checks.rs
+++ b/standins/src/serving_path/soak_checks.rs
@@ -8,15 +8,15 @@
 use super::crashing::CrashingRunner;
 use super::runners::{ReceivedRequest, Runner, StageResult};
 use super::site::{Site, Vm};
-use super::soak::{AnsweredRequest, Interruption, KINDS, Report};
+use super::soak::{AnsweredRequest, Interruption, REQUEST_KINDS, Report};
 
 /// Number of crashes after which a request is quarantined.
-const CRASHES: u64 = 3;
+const QUARANTINE_CRASHES: u64 = 3;
 /// Further crashes that are tolerated, per restart of a VM and once more: attempts of a request that is under way
 /// again, and attempts at a VM that has restarted and is not linked to its peers yet.
 const TOLERATED_CRASHES: u64 = 2;
 /// Number of events in a complete stream.
-const EVENTS: u64 = 5;
+const STREAM_EVENTS: u64 = 5;
 /// Time after the notice that a runner is leaving, from which on requests sent to the VM that received the notice must
 /// not reach the runner.
 const LEAVING_TOLERANCE: Duration = Duration::from_secs(2);
@@ -32,17 +32,19 @@
 /// Tolerated multiple of the number of requests that the rate limit allows in [`RATE_SPAN`].
 const RATE_FACTOR: f64 = 1.5;
 /// Number of requests tolerated in addition to [`RATE_FACTOR`].
-const RATE_EXTRA: f64 = 5.0;
+const EXTRA_REQUESTS: f64 = 5.0;
 
 /// Checks that only few runners crashed on the fatal request, and that no other request was quarantined.
-pub(super) fn check_crashes(fragile: &[CrashingRunner], vms: &[Vm], report: &mut Report) {
-    let ends: u64 = fragile.iter().map(CrashingRunner::crashes).sum();
-    let most = CRASHES + TOLERATED_CRASHES * (1 + report.restarts);
-    if ends > most {
-        report.violations.push(format!("{ends} crashes on one request, expected at most {most}"));
+pub(super) fn check_crashes(crashing_runners: &[CrashingRunner], vms: &[Vm], report: &mut Report) {
+    let crashes: u64 = crashing_runners.iter().map(CrashingRunner::crashes).sum();
+    let max_crashes = QUARANTINE_CRASHES + TOLERATED_CRASHES * (1 + report.restarts);
+    if crashes > max_crashes {
+        report
+            .violations
+            .push(format!("{crashes} crashes on one request, expected at most {max_crashes}"));
     }
-    let refused = |vm: &Vm| vm.state()["quarantine"].as_array().map_or(0, Vec::len);
-    if let Some(many) = vms.iter().map(refused).max().filter(|refused| *refused > 1) {
+    let quarantined = |vm: &Vm| vm.state()["quarantine"].as_array().map_or(0, Vec::len);
+    if let Some(many) = vms.iter().map(quarantined).max().filter(|quarantined| *quarantined > 1) {
         report.violations.push(format!("{many} quarantined requests, expected one"));
     }
 }
@@ -60,26 +62,26 @@
         let received = runner.received();
         let by_vm: Vec<(&ReceivedRequest, &AnsweredRequest)> =
             received.iter().filter_map(|r| Some((r, *sent.get(r.id.as_str())?))).collect();
-        let notices = by_vm.iter().filter(|(r, _)| r.leaves || r.left_alone.is_some());
-        for (notice, told) in notices {
+        let notices = by_vm.iter().filter(|(r, _)| r.announces_leaving || r.retry_after.is_some());
+        for (notice, notified) in notices {
             report.notices += 1;
             let later = by_vm.iter().filter(|(r, one)| {
-                let interrupted = is_interrupted(interruptions, told.vm, notice.at, r.at);
-                one.vm == told.vm && r.at > notice.at && !interrupted
+                let interrupted = is_interrupted(interruptions, notified.vm, notice.at, r.at);
+                one.vm == notified.vm && r.at > notice.at && !interrupted
             });
-            let (until, alone) = (notice.left_alone.map(|time| notice.at + time), TRANSIT_TIME);
-            let too_many = later.clone().filter(|(r, _)| {
-                until.is_some_and(|until| (notice.at + alone..until).contains(&r.at))
+            let (until, transit) = (notice.retry_after.map(|time| notice.at + time), TRANSIT_TIME);
+            let late = later.clone().filter(|(r, _)| {
+                until.is_some_and(|until| (notice.at + transit..until).contains(&r.at))
             });
-            if too_many.clone().count() > TOLERATED_LATE_REQUESTS {
-                let count = too_many.count();
+            if late.clone().count() > TOLERATED_LATE_REQUESTS {
+                let count = late.count();
                 report
                     .violations
                     .push(format!("{}: {count} requests during Retry-After", runner.id));
             }
-            for (_, one) in
-                later.filter(|(_, one)| notice.leaves && one.sent > notice.at + LEAVING_TOLERANCE)
-            {
+            for (_, one) in later.filter(|(_, one)| {
+                notice.announces_leaving && one.sent > notice.at + LEAVING_TOLERANCE
+            }) {
                 report
                     .violations
                     .push(format!("{}: {} reached a leaving runner", runner.id, one.id));
@@ -92,21 +94,25 @@
 /// with a VM process or was never received. Waits for the last releases.
 pub(super) fn check_results(site: &Site, interruptions: &[Interruption], report: &mut Report) {
     let until = Instant::now() + RESULT_LIFE;
-    let ends: Vec<Instant> = interruptions.iter().filter(|i| i.is_end).map(|i| i.at).collect();
-    let is_owed = |made: &StageResult| {
+    let ends: Vec<Instant> =
+        interruptions.iter().filter(|i| i.process_ended).map(|i| i.at).collect();
+    let is_expected = |made: &StageResult| {
         let life = made.called..made.at + RESULT_LIFE;
         !made.caller_gone && !ends.iter().any(|end| life.contains(end))
     };
-    let owed: Vec<StageResult> = site.pool.iter().flat_map(Runner::made).filter(is_owed).collect();
-    report.results = owed.len();
+    let expected: Vec<StageResult> =
+        site.pool.iter().flat_map(Runner::made).filter(is_expected).collect();
+    report.results = expected.len();
     loop {
-        let given_up: BTreeSet<String> = site.pool.iter().flat_map(Runner::released).collect();
-        let kept = owed.iter().filter(|made| !given_up.contains(&made.handle)).count();
-        if kept == 0 {
+        let released: BTreeSet<String> = site.pool.iter().flat_map(Runner::released).collect();
+        let unreleased = expected.iter().filter(|made| !released.contains(&made.handle)).count();
+        if unreleased == 0 {
             return;
         }
         if Instant::now() > until {
-            report.violations.push(format!("{kept} of {} results are not released", owed.len()));
+            report
+                .violations
+                .push(format!("{unreleased} of {} results are not released", expected.len()));
             return;
         }
         thread::sleep(Duration::from_millis(50));
@@ -139,7 +145,7 @@
             let within =
                 || counted.iter().filter(|(at, _)| (*first..*first + RATE_SPAN).contains(at));
             let highest = within().map(|(_, rate)| *rate).fold(0.0, f64::max);
-            let tolerated = RATE_FACTOR * highest * RATE_SPAN.as_secs_f64() + RATE_EXTRA;
+            let tolerated = RATE_FACTOR * highest * RATE_SPAN.as_secs_f64() + EXTRA_REQUESTS;
             let count = within().count();
             if count as f64 > tolerated {
                 let what =
@@ -157,19 +163,19 @@
     sent: &HashMap<&str, &AnsweredRequest>,
     interruptions: &[Interruption],
 ) -> Vec<(Instant, f64)> {
-    let mut told: HashMap<usize, Instant> = HashMap::new();
+    let mut informed: HashMap<usize, Instant> = HashMap::new();
     let mut counted = Vec::new();
     for one in received {
         let Some(rate) = one.rate else {
             // VMs have to be told again of the next rate limit.
-            told.clear();
+            informed.clear();
             continue;
         };
         let Some(vm) = sent.get(one.id.as_str()).map(|one| one.vm) else { continue };
         let uninterrupted = |since: &&Instant| !is_interrupted(interruptions, vm, **since, one.at);
-        match told.get(&vm).filter(uninterrupted) {
+        match informed.get(&vm).filter(uninterrupted) {
             Some(since) if one.at > *since + TRANSIT_TIME => counted.push((one.at, rate)),
-            None if one.answered_at_once => drop(told.insert(vm, one.at)),
+            None if one.answered_at_once => drop(informed.insert(vm, one.at)),
             Some(_) | None => {}
         }
     }
@@ -178,49 +184,51 @@
 
 /// Checks one answer against the requests that runners ran.
 pub(super) fn check_answer(site: &Site, one: &AnsweredRequest, report: &mut Report) {
-    let (path, repeatable, streams) = KINDS[one.kind];
+    let (path, repeatable, streams) = REQUEST_KINDS[one.kind];
     let id = &one.id;
-    let mut broken = |what: String| report.violations.push(format!("{path} {id}: {what}"));
+    let mut violation = |what: String| report.violations.push(format!("{path} {id}: {what}"));
     let runs = site.runs(id);
     if !repeatable && runs > 1 {
-        broken(format!("ran {runs} times"));
+        violation(format!("ran {runs} times"));
     }
     let Some(answer) = &one.answer else { return };
     match answer.status() {
         200 => {
             if !answer.header("response-signature").starts_with("sig-") {
-                broken("a success without Response-Signature".to_owned());
+                violation("a success without Response-Signature".to_owned());
             }
             if answer.header("request-id") != id {
-                broken(format!("the answer has the id {}", answer.header("request-id")));
+                violation(format!("the answer has the id {}", answer.header("request-id")));
             }
             if streams {
-                check_events(id, answer, &mut broken);
+                check_events(id, answer, &mut violation);
             } else if answer.is_complete && !answer.text().ends_with(&format!("answers {id}")) {
-                broken(format!("unexpected body: {}", answer.text()));
+                violation(format!("unexpected body: {}", answer.text()));
             }
             report.complete += u64::from(answer.is_complete);
         }
         503 | 429 | 408 | 421 if !repeatable && runs > 0 => {
-            broken(format!("status {}, but the request ran", answer.status()));
+            violation(format!("status {}, but the request ran", answer.status()));
+        }
+        status @ (400 | 401 | 404 | 413) => {
+            violation(format!("status {status} for a valid request"))
         }
-        status @ (400 | 401 | 404 | 413) => broken(format!("status {status} for a valid request")),
         _ => {}
     }
 }
 
 /// Checks that the events of a stream belong to the request, in order and without gaps, and that a complete stream has
 /// all of them.
-fn check_events(id: &str, answer: &HttpMessage, broken: &mut impl FnMut(String)) {
+fn check_events(id: &str, answer: &HttpMessage, violation: &mut impl FnMut(String)) {
     let text = answer.text();
     let data: Vec<&str> = text.lines().filter_map(|line| line.strip_prefix("data: ")).collect();
     for (index, event) in data.iter().enumerate() {
         if **event != format!("{id}/{}", index + 1) {
-            broken(format!("event {} is {event}", index + 1));
+            violation(format!("event {} is {event}", index + 1));
             return;
         }
     }
-    if answer.is_complete && data.len() as u64 != EVENTS {
-        broken(format!("{} events in a complete stream", data.len()));
+    if answer.is_complete && data.len() as u64 != STREAM_EVENTS {
+        violation(format!("{} events in a complete stream", data.len()));
     }
 }
--- a/standins/src/serving_path/stage_calls.rs
+++ b/standins/src/serving_path/stage_calls.rs
@@ -28,7 +28,7 @@
 
 impl Runner {
     /// Runs a call of pieces; false if the connection is to end.
-    pub(super) fn run_pieces(&self, wire: &mut HttpConnection, req: &HttpMessage) -> bool {
+    pub(super) fn run_pieces(&self, conn: &mut HttpConnection, req: &HttpMessage) -> bool {
         let called = Instant::now();
         let body: Value = serde_json::from_slice(&req.body).unwrap_or_default();
         let items = body["items"].as_array().cloned().unwrap_or_default();
@@ -42,11 +42,11 @@
         let running_call = RunningCall::begin(self);
         match behavior {
             Behavior::Decline => {
-                return wire.write(&self.reply("503 Full", &[("Not-Executed", "1")], b""));
+                return conn.write(&self.reply("503 Full", &[("Not-Executed", "1")], b""));
             }
             Behavior::DeclineFor(seconds) => {
                 let refusal = [("Not-Executed", "1"), ("Retry-After", seconds)];
-                return wire.write(&self.reply("503 Full", &refusal, b""));
+                return conn.write(&self.reply("503 Full", &refusal, b""));
             }
             Behavior::Lose => return false,
             _ => {}
@@ -57,17 +57,17 @@
         };
         let gone: Vec<bool> = items.iter().map(is_gone).collect();
         sleep(behavior.running_time().saturating_sub(FETCH_TIME));
-        self.with(|state| state.calls.push(items.len()));
-        let caller_gone = wire.is_closed();
-        let with_room = items.len() - usize::from(matches!(behavior, Behavior::NoRoomForLast(_)));
+        self.with(|state| state.call_sizes.push(items.len()));
+        let caller_gone = conn.is_closed();
+        let room_for = items.len() - usize::from(matches!(behavior, Behavior::NoRoomForLast(_)));
         let made = |(number, item)| match () {
-            () if number >= with_room => json!({"reason": "room"}),
+            () if number >= room_for => json!({"reason": "room"}),
             () if gone[number] => json!({"reason": "gone"}),
             () => self.run_piece(item, called, caller_gone),
         };
         let made = items.iter().enumerate().map(made).collect::<Vec<_>>();
         drop(running_call);
-        wire.write(&self.reply("200 OK", &[], json!({ "items": made }).to_string().as_bytes()))
+        conn.write(&self.reply("200 OK", &[], json!({ "items": made }).to_string().as_bytes()))
     }
 
     /// Waits in the queue for as long as [`Runner::delay_next_call`] says.
@@ -82,16 +82,16 @@
 
     /// Reports the number of waiting calls. The runner counts as used while a call waits, because another VM's call is
     /// running then.
-    pub(super) fn report(&self, wire: &mut HttpConnection) -> bool {
+    pub(super) fn report(&self, conn: &mut HttpConnection) -> bool {
         if self.with(|state| state.has_no_report) {
-            return wire.write(&self.reply("404 None", &[], b""));
+            return conn.write(&self.reply("404 None", &[], b""));
         }
         let report = self.with(|state| {
             let is_used = state.waiting + state.running_calls > 0;
             json!({"waiting_requests": state.waiting, "utilization": u8::from(is_used),
                 "free_mb": 1})
         });
-        wire.write(&self.reply("200 OK", &[], report.to_string().as_bytes()))
+        conn.write(&self.reply("200 OK", &[], report.to_string().as_bytes()))
     }
 
     /// Computes a piece and returns the handle of its result.
@@ -107,7 +107,7 @@
     }
 
     /// Releases results by their handles; false if the connection is to end.
-    pub(super) fn release(&self, wire: &mut HttpConnection, req: &HttpMessage) -> bool {
+    pub(super) fn release(&self, conn: &mut HttpConnection, req: &HttpMessage) -> bool {
         let body: Value = serde_json::from_slice(&req.body).unwrap_or_default();
         let handles = body["handles"].as_array().cloned().unwrap_or_default();
         let handles = handles.iter().filter_map(|h| h.as_str().map(str::to_owned));
@@ -124,7 +124,7 @@
         let at = Instant::now();
         let releases = handles.into_iter().map(|handle| (handle, at));
         self.with(|state| state.released.extend(releases));
-        wire.write(&self.reply("200 OK", &[], b""))
+        conn.write(&self.reply("200 OK", &[], b""))
     }
 }
 
--- a/standins/src/serving_path/stop_soak.rs
+++ b/standins/src/serving_path/stop_soak.rs
@@ -23,13 +23,13 @@
 use super::callers::Call;
 use super::runners::{Behavior, Runner};
 use super::site::{HOST, Site, Vm, default_configuration};
-use super::soak::{AnsweredRequest, KINDS, Report, SEED_OFFSET, Size};
+use super::soak::{AnsweredRequest, REQUEST_KINDS, Report, SEED_OFFSET, Size};
 use super::soak_checks::check_answer;
 
 /// Settings of a stop: notice and grace period.
-const STOP: &str = "stop: {notice_ms: 300, grace_s: 2}\n";
+const STOP_SETTINGS: &str = "stop: {notice_ms: 300, grace_s: 2}\n";
 /// Time after the signal within which a VM process has to end by itself.
-const GRACE: Duration = Duration::from_secs(2);
+const GRACE_PERIOD: Duration = Duration::from_secs(2);
 /// Deadline of requests, in milliseconds: long enough for several stops and starts.
 const DEADLINE_MS: u64 = 8000;
 /// Time between two stops of a VM, in milliseconds.
@@ -56,27 +56,28 @@
 pub fn run(seed: u64, time: Duration, size: Size) -> Report {
     let site = Site::start();
     site.store.put("op/config", &long_configuration(2));
-    let members: Vec<StoppedVm> = (0..size.vms).map(|number| start(&site, seed, number)).collect();
+    let stopped_vms: Vec<StoppedVm> =
+        (0..size.vms).map(|number| start_vm(&site, seed, number)).collect();
     let (over, sent) = (AtomicBool::new(false), AtomicU64::new(0));
     let (answered, report) = (Mutex::new(Vec::new()), Mutex::new(Report::default()));
     thread::scope(|scope| {
-        for number in 0..members.len() {
-            let (members, over, report) = (&members, &over, &report);
-            scope.spawn(move || stop_and_start(seed, number, &members[number], over, report));
+        for number in 0..stopped_vms.len() {
+            let (stopped_vms, over, report) = (&stopped_vms, &over, &report);
+            scope.spawn(move || stop_and_start(seed, number, &stopped_vms[number], over, report));
         }
         for caller in 0..size.callers {
-            let (members, over, sent, answered) = (&members, &over, &sent, &answered);
-            scope.spawn(move || send_requests(seed, caller, members, over, sent, answered));
+            let (stopped_vms, over, sent, answered) = (&stopped_vms, &over, &sent, &answered);
+            scope.spawn(move || send_requests(seed, caller, stopped_vms, over, sent, answered));
         }
-        let (site, over_behaviors) = (&site, &over);
-        scope.spawn(move || change_runners(seed, site, over_behaviors));
+        let (site, over) = (&site, &over);
+        scope.spawn(move || change_runners(seed, site, over));
         thread::sleep(time);
         over.store(true, Ordering::Relaxed);
     });
     let answered = answered.into_inner().unwrap_or_else(PoisonError::into_inner);
     let mut report = report.into_inner().unwrap_or_else(PoisonError::into_inner);
     report.requests = sent.into_inner();
-    let logs: Vec<String> = members.iter().map(StoppedVm::all_logs).collect();
+    let logs: Vec<String> = stopped_vms.iter().map(StoppedVm::all_logs).collect();
     for one in &answered {
         check_answer(&site, one, &mut report);
         check_is_answered(one, &logs[one.vm], &mut report);
@@ -84,8 +85,8 @@
     report
 }
 
-fn start(site: &Site, seed: u64, number: usize) -> StoppedVm {
-    let vm = site.start_vm(&format!("stops-{seed}-{number}"), STOP);
+fn start_vm(site: &Site, seed: u64, number: usize) -> StoppedVm {
+    let vm = site.start_vm(&format!("stops-{seed}-{number}"), STOP_SETTINGS);
     StoppedVm { address: vm.callers, vm: Mutex::new(vm), logs: Mutex::default() }
 }
 
@@ -113,14 +114,14 @@
 fn stop_and_start(
     seed: u64,
     number: usize,
-    member: &StoppedVm,
+    stopped_vm: &StoppedVm,
     over: &AtomicBool,
     report: &Mutex<Report>,
 ) {
     let mut rng = StdRng::seed_from_u64(seed * 1000 + number as u64 + 6 * SEED_OFFSET);
     while !over.load(Ordering::Relaxed) {
         thread::sleep(Duration::from_millis(rng.random_range(UPTIME_MS)));
-        let mut vm = member.vm.lock().unwrap_or_else(PoisonError::into_inner);
+        let mut vm = stopped_vm.vm.lock().unwrap_or_else(PoisonError::into_inner);
         let signalled = Instant::now();
         vm.signal("-TERM");
         for _ in 0..rng.random_range(0..3) {
@@ -129,11 +130,11 @@
         }
         let code = vm.wait_exit();
         let took = signalled.elapsed();
-        member.logs.lock().unwrap_or_else(PoisonError::into_inner).push(vm.log());
+        stopped_vm.logs.lock().unwrap_or_else(PoisonError::into_inner).push(vm.log());
         let mut report = report.lock().unwrap_or_else(PoisonError::into_inner);
         report.faults += 1;
         report.restarts += 1;
-        if code != Some(0) || took > GRACE {
+        if code != Some(0) || took > GRACE_PERIOD {
             report
                 .violations
                 .push(format!("VM {number} ended with exit code {code:?} after {took:?}"));
@@ -148,28 +149,28 @@
 fn send_requests(
     seed: u64,
     caller: u64,
-    members: &[StoppedVm],
+    stopped_vms: &[StoppedVm],
     over: &AtomicBool,
     sent: &AtomicU64,
     answered: &Mutex<Vec<AnsweredRequest>>,
 ) {
     let mut rng = StdRng::seed_from_u64(seed * 1000 + caller + 7 * SEED_OFFSET);
     while !over.load(Ordering::Relaxed) {
-        let vm = rng.random_range(0..members.len());
-        let Ok(stream) = TcpStream::connect(members[vm].address) else {
+        let vm = rng.random_range(0..stopped_vms.len());
+        let Ok(stream) = TcpStream::connect(stopped_vms[vm].address) else {
             thread::sleep(Duration::from_millis(20));
             continue;
         };
-        let mut wire = HttpConnection::new(stream);
+        let mut conn = HttpConnection::new(stream);
         let mut is_open = true;
         while is_open && !over.load(Ordering::Relaxed) {
             let number = sent.fetch_add(1, Ordering::Relaxed);
-            let kind = rng.random_range(0..KINDS.len());
+            let kind = rng.random_range(0..REQUEST_KINDS.len());
             let id = format!("stops-{seed}-{number}");
-            let late = Duration::from_millis(rng.random_range(READ_DELAY_MS));
-            let late = if rng.random_bool(0.3) { late } else { Duration::ZERO };
+            let read_delay = Duration::from_millis(rng.random_range(READ_DELAY_MS));
+            let read_delay = if rng.random_bool(0.3) { read_delay } else { Duration::ZERO };
             let at = Instant::now();
-            let answer = long_call(kind, &id).send_on_and_read_after(&mut wire, late);
+            let answer = long_call(kind, &id).send_on_and_read_after(&mut conn, read_delay);
             let closes = |answer: &super::HttpMessage| answer.header("connection") == "close";
             is_open = answer.as_ref().is_some_and(|answer| answer.is_complete && !closes(answer));
             let one = AnsweredRequest { id, kind, vm, sent: at, answer };
@@ -179,7 +180,7 @@
 }
 
 fn long_call(kind: usize, id: &str) -> Call {
-    let path = KINDS[kind].0;
+    let path = REQUEST_KINDS[kind].0;
     let call = Call::new("POST", HOST, path, id)
         .with_header("Deadline-Milliseconds", &DEADLINE_MS.to_string())
         .body(b"a body");
@@ -196,13 +197,13 @@
     let mut version = 2;
     while !over.load(Ordering::Relaxed) {
         thread::sleep(Duration::from_millis(rng.random_range(BEHAVIOR_PAUSE_MS)));
-        let silent = Behavior::Hang(Duration::from_millis(rng.random_range(HANG_MS)));
+        let hang = Behavior::Hang(Duration::from_millis(rng.random_range(HANG_MS)));
         let slow = Behavior::SlowStream(5, Duration::from_millis(rng.random_range(10..600)));
         let pick = |rng: &mut StdRng, runners: &[Runner]| runners[rng.random_range(0..2)].clone();
         match rng.random_range(0..8) {
-            0 => pick(&mut rng, &site.plain).queue_behaviors(&[silent]),
-            1 => pick(&mut rng, &site.engines).queue_behaviors(&[silent]),
-            2 => pick(&mut rng, &site.pool).queue_behaviors(&[silent]),
+            0 => pick(&mut rng, &site.plain).queue_behaviors(&[hang]),
+            1 => pick(&mut rng, &site.engines).queue_behaviors(&[hang]),
+            2 => pick(&mut rng, &site.pool).queue_behaviors(&[hang]),
             3 => pick(&mut rng, &site.engines).queue_behaviors(&[slow]),
             4 => pick(&mut rng, &site.pool).queue_behaviors(&[Behavior::Decline]),
             5 => pick(&mut rng, &site.engines).queue_behaviors(&[Behavior::InputGone]),
@@ -223,21 +224,21 @@
 /// Checks that a VM has answered each request that it has read (its log has a line about the request), and that an
 /// incomplete answer is a stream whose end the VM has logged.
 fn check_is_answered(one: &AnsweredRequest, log: &str, report: &mut Report) {
-    let (path, _, streams) = KINDS[one.kind];
+    let (path, _, streams) = REQUEST_KINDS[one.kind];
     let request_field = format!("request={}", one.id);
     let lines: Vec<&str> = log.lines().filter(|line| has_word(line, &request_field)).collect();
-    let mut broken = |what: &str| {
+    let mut violation = |what: &str| {
         let last = lines.last().copied().unwrap_or("no line");
         report.violations.push(format!("{path} {}: {what}; {last}", one.id));
     };
     match &one.answer {
-        None if !lines.is_empty() => broken("the VM read the request but sent no answer"),
-        Some(answer) if !answer.is_complete && !streams => broken("the answer is incomplete"),
+        None if !lines.is_empty() => violation("the VM read the request but sent no answer"),
+        Some(answer) if !answer.is_complete && !streams => violation("the answer is incomplete"),
         Some(answer) if !answer.is_complete => {
-            let told =
+            let is_logged =
                 |line: &&str| line.contains("closed by the stop") || line.contains("outcome=cut");
-            if !lines.iter().any(told) {
-                broken("a stream is incomplete without a log line");
+            if !lines.iter().any(is_logged) {
+                violation("a stream is incomplete without a log line");
             }
         }
         None | Some(_) => {}
--- a/standins/src/serving_path/store.rs
+++ b/standins/src/serving_path/store.rs
@@ -31,7 +31,7 @@
     /// Revision, value and lease (0 for none) by key.
     items: BTreeMap<String, (u64, String, u64)>,
     /// Revision and key of each change.
-    log: Vec<(u64, String)>,
+    changes: Vec<(u64, String)>,
     /// Changes up to this revision are compacted; watches from an older revision are answered 410.
     compacted_revision: u64,
     mode: StoreMode,
@@ -39,11 +39,11 @@
     leases: BTreeMap<u64, (Instant, Duration)>,
     calls: u64,
     /// Items per page of a listing; 0 for no limit.
-    page: usize,
+    page_size: usize,
     /// Number of pages requested by prefix.
-    listed: BTreeMap<String, u64>,
+    listed_pages: BTreeMap<String, u64>,
     /// Prefix and number of a page that is answered 503 once.
-    fail_at: Option<(String, u64)>,
+    failing_page: Option<(String, u64)>,
 }
 
 /// A running store; clones share its state.
@@ -60,7 +60,7 @@
         let listener = TcpListener::bind("127.0.0.1:0")?;
         let store = Store { address: listener.local_addr()?, state: Arc::default() };
         let serving = store.clone();
-        serve_connections(listener, move |wire| serving.serve(wire));
+        serve_connections(listener, move |conn| serving.serve(conn));
         Ok(store)
     }
 
@@ -91,17 +91,17 @@
 
     /// Limits the pages of listings to `items` items.
     pub fn set_page_size(&self, items: usize) {
-        self.with(|state| state.page = items);
+        self.with(|state| state.page_size = items);
     }
 
     /// Answers one page of the listings of a prefix with 503; pages count from 1 since the store started.
     pub fn fail_listing_page(&self, prefix: &str, page: u64) {
-        self.with(|state| state.fail_at = Some((prefix.to_owned(), page)));
+        self.with(|state| state.failing_page = Some((prefix.to_owned(), page)));
     }
 
     /// Number of pages requested of the listings of a prefix.
     pub fn listed_pages(&self, prefix: &str) -> u64 {
-        self.with(|state| state.listed.get(prefix).copied().unwrap_or(0))
+        self.with(|state| state.listed_pages.get(prefix).copied().unwrap_or(0))
     }
 
     /// Number of calls received so far.
@@ -116,15 +116,15 @@
         f(&mut state)
     }
 
-    fn serve(&self, mut wire: HttpConnection) {
-        while let Some(req) = wire.read() {
+    fn serve(&self, mut conn: HttpConnection) {
+        while let Some(req) = conn.read() {
             let mode = self.with(|state| {
                 state.calls += 1;
                 state.mode
             });
             match mode {
                 StoreMode::Unavailable => {
-                    wire.write(&response_bytes("503 Busy", &[], b""));
+                    conn.write(&response_bytes("503 Busy", &[], b""));
                     continue;
                 }
                 StoreMode::Unresponsive => {
@@ -137,7 +137,7 @@
                 StoreMode::Normal => {}
             }
             let Some((status, body)) = self.answer_to(&req) else { return };
-            if !wire.write(&response_bytes(status, &[], body.to_string().as_bytes())) {
+            if !conn.write(&response_bytes(status, &[], body.to_string().as_bytes())) {
                 return;
             }
         }
@@ -167,11 +167,11 @@
             ("POST", "/kv-lease") => {
                 let body: Value = serde_json::from_slice(&req.body).unwrap_or_default();
                 let ttl = body["ttl_ms"].as_u64().unwrap_or(1000);
-                Some(("200 OK", self.with(|state| state.lease(ttl))))
+                Some(("200 OK", self.with(|state| state.grant_lease(ttl))))
             }
             ("POST", keep) if keep.starts_with("/kv-keep/") => {
                 let id = keep.trim_start_matches("/kv-keep/").parse().unwrap_or(0);
-                Some(self.with(|state| state.keep(id)))
+                Some(self.with(|state| state.renew_lease(id)))
             }
             _ => Some(("404 Not Found", json!({}))),
         }
@@ -195,8 +195,8 @@
                     return Some(Some(("410 Gone", json!({}))));
                 }
                 let events = state.events(prefix, after);
-                let over = Instant::now() >= end;
-                (over || !events.is_empty())
+                let expired = Instant::now() >= end;
+                (expired || !events.is_empty())
                     .then(|| Some(("200 OK", json!({"events": events, "as_of": state.revision}))))
             });
             match seen {
@@ -211,13 +211,13 @@
     fn put(&mut self, key: &str, value: &str, lease: u64) {
         self.revision += 1;
         self.items.insert(key.to_owned(), (self.revision, value.to_owned(), lease));
-        self.log.push((self.revision, key.to_owned()));
+        self.changes.push((self.revision, key.to_owned()));
     }
 
     fn remove(&mut self, key: &str) {
         if self.items.remove(key).is_some() {
             self.revision += 1;
-            self.log.push((self.revision, key.to_owned()));
+            self.changes.push((self.revision, key.to_owned()));
         }
     }
 
@@ -228,21 +228,21 @@
     }
 
     fn list(&mut self, prefix: &str, after: Option<&str>) -> (&'static str, Value) {
-        let asked = self.listed.entry(prefix.to_owned()).or_default();
+        let asked = self.listed_pages.entry(prefix.to_owned()).or_default();
         *asked += 1;
-        if self.fail_at.take_if(|(at, page)| at == prefix && page == asked).is_some() {
+        if self.failing_page.take_if(|(at, page)| at == prefix && page == asked).is_some() {
             return ("503 Busy", json!({}));
         }
         let later = |key: &&String| after.is_none_or(|after| key.as_str() > after);
         let keys = self.items.keys().filter(|key| key.starts_with(prefix)).filter(later);
-        let most = if self.page == 0 { usize::MAX } else { self.page };
-        let truncated = keys.clone().count() > most;
-        let items: Vec<Value> = keys.take(most).filter_map(|key| self.item(key)).collect();
+        let limit = if self.page_size == 0 { usize::MAX } else { self.page_size };
+        let truncated = keys.clone().count() > limit;
+        let items: Vec<Value> = keys.take(limit).filter_map(|key| self.item(key)).collect();
         ("200 OK", json!({"items": items, "truncated": truncated, "as_of": self.revision}))
     }
 
     fn events(&self, prefix: &str, after: u64) -> Vec<Value> {
-        let new = self.log.iter().filter(|(rev, key)| *rev > after && key.starts_with(prefix));
+        let new = self.changes.iter().filter(|(rev, key)| *rev > after && key.starts_with(prefix));
         let event = |(revision, key): &(u64, String)| match self.item(key) {
             Some(item) => item,
             None => json!({"private_key": key, "revision": revision, "removed": true}),
@@ -263,14 +263,14 @@
         ("200 OK", json!({"revision": self.revision}))
     }
 
-    fn lease(&mut self, ttl: u64) -> Value {
+    fn grant_lease(&mut self, ttl: u64) -> Value {
         let id = self.leases.keys().max().copied().unwrap_or(0) + 1;
         let ttl_time = Duration::from_millis(ttl);
         self.leases.insert(id, (Instant::now() + ttl_time, ttl_time));
         json!({"lease": id, "ttl_ms": ttl})
     }
 
-    fn keep(&mut self, id: u64) -> (&'static str, Value) {
+    fn renew_lease(&mut self, id: u64) -> (&'static str, Value) {
         match self.leases.get_mut(&id) {
             Some((until, ttl)) => {
                 *until = Instant::now() + *ttl;
@@ -283,9 +283,9 @@
     /// Removes expired leases with their keys.
     fn expire_leases(&mut self) {
         let now = Instant::now();
-        let over: Vec<u64> =
+        let expired: Vec<u64> =
             self.leases.iter().filter(|(_, (until, _))| *until < now).map(|(id, _)| *id).collect();
-        for id in over {
+        for id in expired {
             self.leases.remove(&id);
             let of_lease = self.items.iter().filter(|(_, (_, _, lease))| *lease == id);
             let keys: Vec<String> = of_lease.map(|(key, _)| key.clone()).collect();
