--- a/standins/src/bin/soak.rs
+++ b/standins/src/bin/soak.rs
@@ -1,8 +1,9 @@
-//! Runs randomized tests of the serving path: under faults, with repeated planned stops, or single scenarios
-//! generated from seeds:
+//! Command line tool for randomized tests of the serving path; a seed determines the faults:
 //! `soak --seed N --runs N --seconds N --vms N --callers N [--stops | --turns | --results]`.
 //!
-//! The exit code is 1 if a check failed.
+//! Without a flag it injects faults into a running site; `--stops` stops and restarts VMs instead.
+//! `--turns` and `--results` run one short scenario per seed and ignore `--seconds`, `--vms` and
+//! `--callers`. The exit code is 1 if a check failed.
 
 use std::ops::Range;
 use std::process::ExitCode;
@@ -25,7 +26,8 @@
     Arg::new(name).long(name).action(ArgAction::SetTrue).help(help)
 }
 
-/// Runs one scenario per seed. `run` returns the scenario with its result as text, and whether it passed.
+/// Runs one scenario per seed. `run` returns the scenario and its result as text, and whether it
+/// passed.
 fn run_scenarios(seeds: Range<u64>, run: fn(u64) -> (String, bool)) -> ExitCode {
     let mut failed = 0;
     for seed in seeds {
@@ -37,6 +39,7 @@
     if failed == 0 { ExitCode::SUCCESS } else { ExitCode::FAILURE }
 }
 
+/// The scenario passes if each of the request's two stages is called once.
 fn queued_call_scenario(seed: u64) -> (String, bool) {
     let scenario = QueuedCallScenario::generate(seed);
     let calls = scenario.count_calls(&format!("turn-{seed}"));
--- a/standins/src/bin/standin-platform.rs
+++ b/standins/src/bin/standin-platform.rs
@@ -15,28 +15,30 @@
 use standins::{BufferedRequest, json_response, raw_response};
 use tokio::sync::Notify;
 
-/// Faults, set by `PUT /faults`. Each stays in force until the next request.
+/// Faults, set by `PUT /faults`. They stay in force until the next such request, which replaces all
+/// of them: a field that it leaves out is reset to its default.
 #[derive(Debug, Clone, Default, Deserialize, Serialize)]
 #[serde(deny_unknown_fields, default)]
 struct Faults {
     /// Answers every call with 503.
     outage: bool,
-    /// Delay before every call is handled.
+    /// Delay before every call is handled, in milliseconds.
     delay_ms: u64,
     /// Number of further writes that take effect without being answered.
     lose_answers: u64,
-    /// Age of the VM list that is returned.
+    /// Age of the VM list that is returned, in milliseconds.
     list_lag_ms: u64,
 }
 
-/// A stored value. Its version starts at 1 and grows with each write.
+/// A stored value. Its version starts at 1 and grows by 1 with each write; version 0 stands for a
+/// key that does not exist.
 #[derive(Debug, Clone)]
 struct Value {
     bytes: Vec<u8>,
     version: u64,
 }
 
-/// A lease. Its fence grows each time the lease is granted after it expired.
+/// A lease. Its fence (fencing token) grows by 1 each time the lease is granted after it expired.
 #[derive(Debug, Clone, Serialize)]
 struct Lease {
     holder: String,
@@ -49,8 +51,10 @@
 struct State {
     values: BTreeMap<String, Value>,
     leases: BTreeMap<String, Lease>,
+    /// VM lists that were set, oldest first, each with its time.
     vm_lists: Vec<(Option<Instant>, serde_json::Value)>,
     faults: Faults,
+    /// Numbers of calls handled, as `GET /counts` returns them; leases count as writes.
     reads: u64,
     writes: u64,
     watches: u64,
@@ -59,6 +63,7 @@
 #[derive(Default)]
 struct Platform {
     state: Mutex<State>,
+    /// Wakes watches after a write or a change of the faults.
     changed: Notify,
 }
 
@@ -130,7 +135,8 @@
         json_response(200, &listed.map_or(json!([]), |(_, list)| list.clone()))
     }
 
-    /// Reads a key. With `watch`, waits until its version differs from the given one or `wait_ms` are over.
+    /// Reads a key. With `watch`, waits until its version differs from the given one, for `wait_ms`
+    /// at most.
     async fn read(&self, key: &str, req: &BufferedRequest) -> Response<Body> {
         let until = Instant::now() + Duration::from_millis(req.number("wait_ms"));
         let known_version = req.query.get("watch").and_then(|v| v.parse::<u64>().ok());
@@ -157,7 +163,7 @@
         }
     }
 
-    /// Writes or deletes a key if its version is the expected one.
+    /// Writes or deletes a key if its version is the expected one; answers 409 otherwise.
     async fn write(&self, key: &str, req: &BufferedRequest) -> Response<Body> {
         let (response, loses_answer) = {
             let mut state = self.state();
@@ -199,7 +205,7 @@
     }
 }
 
-/// Performs a compare-and-swap write or delete.
+/// Performs a compare-and-swap write or delete: the current version has to be `expect`.
 fn compare_and_swap(state: &mut State, key: &str, req: &BufferedRequest) -> Response<Body> {
     let found = state.values.get(key).map_or(0, |v| v.version);
     if req.number("expect") != found {
--- a/standins/src/bin/standin-target.rs
+++ b/standins/src/bin/standin-target.rs
@@ -36,26 +36,28 @@
     Busy,
 }
 
-/// Latencies and faults of a target, set by `PUT /faults`. Each stays in force until the next request.
+/// Latencies and faults of a target, set by `PUT /faults`. They stay in force until the next such
+/// request, which replaces all of them: a field that it leaves out is reset to the default below,
+/// not to the value from the command line.
 #[derive(Debug, Clone, Deserialize, Serialize)]
 #[serde(deny_unknown_fields, default)]
 struct TargetSettings {
     fault: Fault,
     /// Percentage of calls to which `fault` applies.
     fault_percent: u8,
-    /// Duration of a plain call, or time to the first token.
+    /// Duration of a plain call, or time to the first token of an engine, in milliseconds.
     service_ms: u64,
-    /// Time between the tokens of a stream while no other call runs.
+    /// Time per token before batching slows it, in milliseconds; see `Target::token_time`.
     token_ms: u64,
     /// Number of tokens in an answer.
     tokens: u64,
-    /// Additional time to the first token if the prefix is not cached.
+    /// Additional time to the first token if the prefix is not cached, in milliseconds.
     prefill_ms: u64,
     /// Answers every call with 503 and announces that the target is leaving.
     leaving: bool,
-    /// Age of the reported load and delay of the cache events.
+    /// Longest age of the reported load, and delay of the cache events, in milliseconds.
     report_lag_ms: u64,
-    /// Whether orders with a lower fence than the highest one seen are refused.
+    /// Whether orders whose fence (fencing token) is lower than the highest one seen are refused.
     checks_fence: bool,
     /// Drops every n-th cache event; 0 drops none.
     lose_event_every: u64,
@@ -83,9 +85,13 @@
 struct CallRecord {
     attempt: String,
     stage: String,
+    /// Number of the last token that the caller already had; 0 for a call that starts anew.
     resumed_after: u64,
+    /// Time of the call, in milliseconds since the target started.
     at_ms: u128,
+    /// Whether the call ran to its end.
     ended: bool,
+    /// Cost of the call: the tokens that an engine generated so far, or 1 for an ended plain call.
     cost: u64,
     prefix_hit: bool,
 }
@@ -96,26 +102,39 @@
 #[derive(Debug, Default)]
 struct State {
     settings: TargetSettings,
+    /// Number of slots in use.
     running: u32,
+    /// Calls that wait for a slot.
     queue: BTreeMap<QueueKey, oneshot::Sender<()>>,
+    /// Number of calls that have had to wait so far; the arrival number of the last one.
     arrivals: u64,
     record: Vec<CallRecord>,
+    /// Attempt ids of the calls that were cancelled.
     cancelled: HashSet<String>,
     /// Attempt id and output of the last plain answer, for [`Fault::Crossed`].
     last_answer: Option<(String, serde_json::Value)>,
+    /// Hashes of the cached prefixes, most recently used first.
     prefixes: VecDeque<u64>,
+    /// Cache events, each with its time in milliseconds since the target started.
     cache_events: Vec<(u128, serde_json::Value)>,
+    /// Number of cache events so far, dropped ones included.
     cache_event_count: u64,
+    /// Highest fence of the accepted orders.
     fence: u64,
+    /// Accepted orders, each with its fence and the wanted condition, such as model and role.
     orders: Vec<serde_json::Value>,
+    /// The load that is reported: numbers of running and of waiting calls.
     reported_load: (u32, u32),
     reported_at: Option<Instant>,
 }
 
 /// One target of the process.
 struct Target {
+    /// Whether it streams tokens.
     is_engine: bool,
+    /// Number of calls that run at the same time.
     slots: u32,
+    /// Capacity of the prefix cache.
     cached_prefixes: usize,
     state: Mutex<State>,
     started: Instant,
@@ -219,7 +238,7 @@
         visible.map(|(_, event)| event.clone()).collect()
     }
 
-    /// The last order that was accepted.
+    /// The last order that was accepted; it counts as carried out at once.
     fn condition(&self) -> Response<Body> {
         let no_order = json!({ "fence": 0, "wanted": {} });
         json_response(200, self.state().orders.last().unwrap_or(&no_order))
@@ -312,7 +331,8 @@
         }
     }
 
-    /// Time per token; up to 1.5 times `token_ms` when all slots are busy, because batching slows each stream.
+    /// Time per token: `token_ms` grows with the fraction of busy slots, up to 1.5 times when all
+    /// are busy, because batching slows each stream.
     fn token_time(&self, token_ms: u64) -> Duration {
         let running = f64::from(self.state().running) / f64::from(self.slots);
         Duration::from_millis(token_ms).mul_f64(1.0 + 0.5 * running)
@@ -345,7 +365,8 @@
                     return;
                 }
                 tokio::time::sleep(target.token_time(settings.token_ms)).await;
-                // The same input gives the same tokens on every engine, so that a stream can be resumed on another one.
+                // The same input gives the same tokens on every engine, so that a stream can be
+                // resumed on another one.
                 let token = format!("w{} ", fnv1a(&(seed + number).to_le_bytes()) % 1000);
                 let data = json!({ "attempt": reported_id, "token": token });
                 let part = Bytes::from(format!("id: {number}\ndata: {data}\n\n"));
@@ -364,7 +385,8 @@
         self.with_target_headers(response, reported_attempt, false)
     }
 
-    /// Adds the attempt id, the load and, if `leaving`, the notice that the target is leaving.
+    /// Adds the headers with the attempt id, the load and, if `leaving`, the notice that the target
+    /// is leaving.
     fn with_target_headers(
         &self,
         mut response: Response<Body>,
@@ -381,7 +403,8 @@
         response
     }
 
-    /// Records a call and updates the prefix cache; returns the index of the record.
+    /// Records a call and updates the prefix cache; returns the index of the record. The prefix is
+    /// the input's `prefix`, or else its whole body.
     fn begin_record(&self, req: &BufferedRequest, attempt: &str) -> usize {
         let mut state = self.state();
         let input: serde_json::Value = serde_json::from_slice(&req.body).unwrap_or_default();
--- a/standins/src/callers.rs
+++ b/standins/src/callers.rs
@@ -1,4 +1,5 @@
-//! Callers of entry VMs, and checks of their answers against the calls that the targets recorded.
+//! Callers of entry VMs, and checks of their answers against the calls that the stand-in targets
+//! recorded.
 
 use std::collections::{BTreeSet, HashMap};
 use std::net::SocketAddr;
@@ -60,7 +61,8 @@
         self.header("saddlerail-repeatable", "yes")
     }
 
-    /// Marks the request as not repeatable, with a request id set by the caller.
+    /// Marks the request as not repeatable (to be run once at most), with a request id set by the
+    /// caller.
     #[must_use]
     pub fn once(self, id: &str) -> Self {
         self.header("saddlerail-repeatable", "no").header("saddlerail-request-id", id)
@@ -171,8 +173,8 @@
     }
 }
 
-/// Whether the charged cost is at most the cost of the calls that ran, and equal to it if the cost of
-/// every call is known.
+/// Whether the charged cost is at most the cost of the calls that ran, and equal to it if the
+/// answer has the cost of every stage.
 fn is_cost_consistent(reply: &Reply, calls: &[(String, Value)]) -> bool {
     let stages = reply.body["stages"].as_array().cloned().unwrap_or_default();
     let charged: u64 = stages.iter().filter_map(|s| s["cost"].as_u64()).sum();
--- a/standins/src/fleet.rs
+++ b/standins/src/fleet.rs
@@ -1,5 +1,5 @@
-//! A fleet of real processes for tests and benchmarks: the stand-in platform, stand-in targets and entry
-//! VMs, all on a loopback address of their own. Dropping the fleet kills them.
+//! A fleet of real processes for tests and benchmarks: the stand-in platform, stand-in targets and
+//! entry VMs, all on a loopback address of their own. Dropping the fleet kills them.
 
 // A failed setup must end the test or benchmark at once.
 #![allow(clippy::expect_used)]
@@ -17,7 +17,8 @@
 
 /// Longest wait for any condition; reached only if the condition never becomes true.
 pub const MAX_WAIT: Duration = Duration::from_secs(20);
-/// Number of VMs that a VM keeps in its VM list regardless of their hall.
+/// Number of other VMs that each VM knows at least in a large fleet. A VM keeps track of all VMs of
+/// its own hall and of up to this many in other halls.
 const MIN_KNOWN_VMS: usize = 16;
 /// Port of the platform.
 const PLATFORM_PORT: u16 = 7000;
@@ -66,7 +67,9 @@
     pub vms: Vec<Vm>,
     /// Names and addresses of all targets.
     pub targets: Vec<(String, SocketAddr)>,
+    /// Directory of settings, configurations and logs.
     dir: PathBuf,
+    /// Processes of the platform and of the targets.
     children: Vec<Child>,
 }
 
@@ -135,7 +138,7 @@
 }
 
 /// A loopback address that no other fixture uses, in this process or another one, so that all its
-/// ports are free.
+/// ports are free: `127.P.P.N` with the low bytes of the process id and a count.
 pub fn unique_loopback_address() -> IpAddr {
     let number = NEXT_ADDRESS.fetch_add(1, Ordering::Relaxed);
     let [.., high, low] = std::process::id().to_be_bytes();
@@ -180,8 +183,8 @@
         fleet
     }
 
-    /// Configuration text with the targets of all pools, alternately in hall-a and hall-b, two customers
-    /// (`small` and `large`), and the given services.
+    /// Configuration text with the targets of all pools, alternately in hall-a and hall-b, two
+    /// customers (`small` and `large`), and the given services.
     pub fn catalogue(&self, services: &str) -> String {
         let mut text = "customer: {name: small}\n---\ncustomer: {name: large}\n".to_owned();
         for (index, (name, address)) in self.targets.iter().enumerate() {
@@ -218,8 +221,8 @@
         command.args(args).output().expect("tool")
     }
 
-    /// Starts a further entry VM in a hall and waits until it is ready. `extra` is appended to its settings.
-    /// Returns its index.
+    /// Starts a further entry VM in a hall and waits until it is ready. `extra` is appended to its
+    /// settings. Returns its index.
     pub fn start_vm(&mut self, hall: &str, extra: &str) -> usize {
         let index = self.start_vm_without_waiting(hall, extra);
         self.wait_ready(index);
@@ -271,7 +274,8 @@
         });
     }
 
-    /// Waits until every VM has fresh news of every other one, or of as many as it keeps at least.
+    /// Waits until every VM lists every other one as fresh, or `MIN_KNOWN_VMS` of them in a large
+    /// fleet.
     pub fn wait_for_peer_discovery(&self) {
         let others = (self.vms.len() - 1).min(MIN_KNOWN_VMS);
         for vm in &self.vms {
@@ -325,7 +329,8 @@
         put_json(self.platform, "/faults", faults);
     }
 
-    /// Publishes all targets and VMs on the platform's VM list; those in `leaving` with the state leaving.
+    /// Publishes all targets and VMs on the platform's VM list; those in `leaving` with the state
+    /// leaving.
     pub fn publish_vm_list(&self, leaving: &[&str]) {
         let state = |name: &str| {
             if leaving.contains(&name) { "leaving" } else { "live" }
--- a/standins/src/lib.rs
+++ b/standins/src/lib.rs
@@ -1,6 +1,9 @@
-//! Stand-ins for the platform and for targets, and fixtures that start them with real VM processes.
+//! Stand-ins for the platform and for targets, and fixtures that start them together with real VM
+//! processes.
 //!
-//! This file has what the stand-in programs share: an HTTP server and JSON responses.
+//! [`fleet`] and [`callers`] start and call `saddleraild` with the stand-in programs of `src/bin`.
+//! [`serving_path`] has stand-ins that run inside the test process. This file has what the stand-in
+//! programs share: an HTTP server and JSON responses.
 
 pub mod callers;
 pub mod fleet;
@@ -21,7 +24,7 @@
 
 /// Largest request body, in bytes.
 const MAX_BODY_BYTES: usize = 16 << 20;
-/// Longest wait for a request body.
+/// Time within which a request body has to arrive.
 const BODY_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// A request whose body has been read completely.
@@ -62,6 +65,7 @@
 {
     let listener = TcpListener::bind(address).await?;
     let limits = ConnectionLimits { connections: 20_000, head_wait: Duration::from_secs(600) };
+    // Never sent to: the server runs until the process ends.
     let (_running, stop) = watch::channel(false);
     http_server::serve(listener, limits, stop, move |req: Request<Incoming>| {
         let handle = handle.clone();
--- a/standins/src/serving_path/behavior.rs
+++ b/standins/src/serving_path/behavior.rs
@@ -27,9 +27,9 @@
     Extra,
     /// It sends bytes that are not HTTP.
     Garbage,
-    /// It sends a success without the `Response-Signature` header.
+    /// It sends a successful answer without the `Response-Signature` header.
     Unsigned,
-    /// It sends a success with a `Content-Encoding`.
+    /// It sends a successful answer with a `Content-Encoding`.
     Encoded,
     /// It sends an answer without a length, which the end of the connection delimits.
     Unframed,
@@ -45,13 +45,14 @@
     SlowStream(u64, Duration),
     /// It answers that an input is gone, without running the request.
     InputGone,
-    /// It has no room for the last piece of a call, and runs the others for this long.
+    /// It has no memory for the result of the last piece of a call, and runs the others for this
+    /// long.
     NoRoomForLast(Duration),
 }
 
 impl Behavior {
-    /// Whether the runner sends an immediate answer that callers accept as its own. Only the headers of such an answer
-    /// (leaving, rate) count.
+    /// Whether the runner answers at once and the VM accepts the answer as this runner's. Only in
+    /// such an answer do the runner's notices count: that it is leaving, and its rate limit.
     pub(super) fn answers_at_once(&self) -> bool {
         match self {
             Behavior::Misdirected
--- a/standins/src/serving_path/callers.rs
+++ b/standins/src/serving_path/callers.rs
@@ -49,12 +49,13 @@
         bytes
     }
 
-    /// Sends the request on a connection; `None` if the connection ends before a complete response head.
+    /// Sends the request on a connection; `None` if the connection ends before a complete response
+    /// head.
     pub fn send_on(&self, conn: &mut HttpConnection) -> Option<HttpMessage> {
         conn.write(&self.bytes()).then(|| conn.read()).flatten()
     }
 
-    /// Sends the request on a connection and reads the answer after `wait`.
+    /// Sends the request on a connection, waits for `wait`, then reads the answer.
     pub fn send_on_and_read_after(
         &self,
         conn: &mut HttpConnection,
@@ -72,7 +73,7 @@
         self.send_on(&mut HttpConnection::new(TcpStream::connect(address).ok()?))
     }
 
-    /// Sends the request on a new connection and reads the answer once `before_read` has returned.
+    /// Sends the request on a new connection, calls `before_read`, then reads the answer.
     pub fn send_and_read_after(
         &self,
         address: SocketAddr,
--- a/standins/src/serving_path/crashing.rs
+++ b/standins/src/serving_path/crashing.rs
@@ -1,4 +1,5 @@
-//! Stand-in runners that crash on a certain request and restart after a while, as a new incarnation.
+//! Stand-in runners that crash on a certain request and restart after a while. Each run from a
+//! start to a crash is an incarnation of the runner.
 
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
 use std::sync::{Arc, Mutex, PoisonError};
@@ -21,7 +22,7 @@
 pub enum RestartId {
     /// A new id.
     NewId,
-    /// The same id; only the `born` time of the entry tells the incarnations apart.
+    /// The same id; only the start time (`born`) in the store entry tells the incarnations apart.
     SameId,
 }
 
@@ -103,7 +104,7 @@
         Ok(crashing)
     }
 
-    /// Number of crashes so far.
+    /// Number of crashes so far: the incarnations but for the current one.
     pub fn crashes(&self) -> u64 {
         self.with(|state| {
             state.incarnation_count.saturating_sub(u64::from(state.incarnation.is_some()))
@@ -194,7 +195,8 @@
         }
     }
 
-    /// Whether a request makes the runner crash; waits for the crash delay if so.
+    /// Whether a request makes the runner crash; waits for the crash delay if so. A request that
+    /// expects another instance id does not.
     fn is_fatal(&self, req: &HttpMessage, runner: &Runner) -> bool {
         let matches_trigger = match &self.config.trigger {
             CrashTrigger::Body(body) => req.body == *body,
@@ -207,8 +209,8 @@
         fatal
     }
 
-    /// Ends the incarnation: closes its port first, waking the accepting thread with a connection of its own, then all
-    /// its connections.
+    /// Ends the incarnation: closes its port first, then all its connections. The thread that
+    /// accepts connections is woken by a connection from here.
     fn crash(&self) {
         if self.with(|state| state.incarnation.take()).is_none() {
             return;
--- a/standins/src/serving_path/faulty_link.rs
+++ b/standins/src/serving_path/faulty_link.rs
@@ -1,5 +1,5 @@
-//! A TCP proxy between two processes that injects network faults: delay, limited bandwidth, loss of all bytes in
-//! one or both directions, and resets.
+//! A TCP proxy between two processes that injects network faults: delay, limited bandwidth, loss of
+//! all bytes in one or both directions, and resets.
 
 use std::io::{Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -17,7 +17,7 @@
     /// Forwards bytes in both directions.
     #[default]
     Normal,
-    /// Delays each read by this time before it is forwarded.
+    /// Forwards the bytes of each read after this delay.
     Delayed(Duration),
     /// Forwards so many bytes per second in each direction of each connection.
     RateLimited(u32),
@@ -32,7 +32,7 @@
 /// State of a connection through the link.
 #[derive(Default)]
 struct Connection {
-    /// Whether the side that connected sent last, so that it awaits_answer for an answer.
+    /// Whether the side that connected was the last to send, so that it waits for an answer.
     awaits_answer: AtomicBool,
     /// Whether the link has stopped forwarding on this connection for good.
     is_blackholed: AtomicBool,
@@ -80,8 +80,8 @@
         *self.mode.lock().unwrap_or_else(PoisonError::into_inner) = mode;
     }
 
-    /// Stops forwarding for good on the connections on which an answer is awaited now; all others, new ones too, keep
-    /// working.
+    /// Stops forwarding for good on the connections on which an answer is awaited now; all others,
+    /// new ones too, keep working.
     pub fn blackhole_waiting(&self) {
         for connection in self.connections().iter() {
             let awaits_answer = connection.awaits_answer.load(Ordering::Relaxed);
@@ -97,7 +97,8 @@
         *self.mode.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Forwards one direction of a connection on a thread of its own.
+    /// Forwards one direction of a connection on a thread of its own; `from_client` is the one from
+    /// the side that connected.
     fn forward(
         &self,
         (mut from, mut to): (TcpStream, TcpStream),
--- a/standins/src/serving_path/mod.rs
+++ b/standins/src/serving_path/mod.rs
@@ -1,7 +1,9 @@
-//! Stand-ins around the serving path, written from its published protocol: a key-value store, runners
-//! that inject the faults named by the protocol, callers, and the VMs under test as processes.
+//! Stand-ins around the serving path, written from its published protocol: a key-value store,
+//! runners that inject the faults named by the protocol, and callers. The VMs under test are real
+//! processes.
 //!
-//! They use threads and plain sockets instead of an HTTP library, so that a fault can change any byte.
+//! The stand-ins use threads and plain sockets instead of an HTTP library, so that a fault can
+//! change any byte.
 
 mod behavior;
 pub mod callers;
@@ -22,7 +24,7 @@
 use std::net::TcpStream;
 use std::time::Duration;
 
-/// Read timeout of a connection.
+/// Time after which a read from a silent connection fails.
 const READ_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// An HTTP request or response as it was received.
@@ -83,7 +85,7 @@
         self.reader.get_mut().write_all(bytes).is_ok()
     }
 
-    /// Whether the peer has closed the connection.
+    /// Whether the peer has closed the connection, as far as can be told without blocking.
     pub(crate) fn is_closed(&self) -> bool {
         let stream = self.reader.get_ref();
         if stream.set_nonblocking(true).is_err() {
--- a/standins/src/serving_path/runners.rs
+++ b/standins/src/serving_path/runners.rs
@@ -1,5 +1,8 @@
-//! Stand-in runners, the processes that execute requests: plain services, engines that stream events, and pools
-//! that compute pieces of stages. A script tells them how to handle the next requests.
+//! Stand-in runners, the targets that execute requests: plain services, engines that stream events,
+//! and the workers of a pool, which compute the pieces of stages. A script tells a runner how to
+//! handle the next requests.
+//!
+//! A worker keeps the result of each piece under a handle until it is told to release it.
 
 use std::net::{SocketAddr, TcpListener};
 use std::sync::atomic::AtomicU64;
@@ -19,17 +22,18 @@
     pub id: String,
     /// Time of receipt.
     pub at: Instant,
-    /// Whether an immediate answer of the runner's own announced that the runner is leaving.
+    /// Whether the answer announced that the runner is leaving (`Server-Leaving`), and counts: see
+    /// `answered_at_once`.
     pub announces_leaving: bool,
     /// Time for which the answer asked for no further requests (`Retry-After`).
     pub retry_after: Option<Duration>,
     /// Rate limit in force at that time (`Server-Limit`), in requests per second.
     pub rate: Option<f64>,
-    /// Whether the runner sent an immediate answer of its own.
+    /// Whether the runner answered at once and the VM accepts the answer as this runner's.
     pub answered_at_once: bool,
 }
 
-/// A result that a runner made.
+/// The result of a piece that a runner computed.
 #[derive(Debug, Clone)]
 pub struct StageResult {
     /// Handle that names the result.
@@ -38,7 +42,8 @@
     pub called: Instant,
     /// When the result was computed.
     pub at: Instant,
-    /// Whether the caller had closed the connection before the answer, so that nobody learns the handle.
+    /// Whether the caller had closed the connection before the answer, so that nobody learns the
+    /// handle.
     pub caller_gone: bool,
 }
 
@@ -59,7 +64,8 @@
     pub(super) released: Vec<(String, Instant)>,
     /// Results that it computed.
     pub(super) made: Vec<StageResult>,
-    /// Number of release calls that it will lose: it closes the connection without an answer and frees nothing.
+    /// Number of release calls that it will lose: it closes the connection without an answer and
+    /// frees nothing.
     pub(super) releases_to_lose: usize,
     /// How long the next call of pieces waits in the queue, as if behind another VM's call.
     pub(super) queue_delay: Duration,
@@ -121,7 +127,8 @@
 }
 
 impl Runner {
-    /// Starts a runner on a free port that handles requests as `default_behavior` when its script is empty.
+    /// Starts a runner on a free port that handles requests as `default_behavior` says when its
+    /// script is empty.
     pub fn start(id: &str, default_behavior: Behavior) -> std::io::Result<Self> {
         let listener = TcpListener::bind("127.0.0.1:0")?;
         let runner = Runner::unserved(id, listener.local_addr()?, default_behavior);
@@ -134,7 +141,8 @@
         Ok(runner)
     }
 
-    /// A runner whose connections the caller of this function accepts and serves.
+    /// A runner without a listener: the caller of this function accepts connections and passes
+    /// their requests to [`Runner::answer`].
     pub(super) fn unserved(id: &str, address: SocketAddr, default_behavior: Behavior) -> Self {
         let state = State { default_behavior: Some(default_behavior), ..State::default() };
         Runner {
@@ -145,7 +153,7 @@
         }
     }
 
-    /// The store entry of the runner, without cold start time.
+    /// The store entry of the runner, with no cold start time remaining.
     pub fn entry(&self, service: &str, zone: &str, state: &str) -> Value {
         json!({"service": service, "address": self.address.to_string(), "zone": zone,
             "version": "v1", "slots": 4, "state": state, "cold_remaining_ms": 0, "sequence": 1})
@@ -171,7 +179,8 @@
         self.with(|state| state.extra_header = Some((name, value.to_owned())));
     }
 
-    /// The largest number of requests and calls received after `since` within any interval of length `span`.
+    /// The largest number of requests and calls received after `since` within any interval of
+    /// length `span`.
     pub fn most_within(&self, span: Duration, since: Instant) -> usize {
         let received = self.with(|state| state.received.clone());
         let later: Vec<Instant> =
@@ -202,8 +211,8 @@
         self.with(|state| state.received.clone())
     }
 
-    /// Requests and calls that it received, in order, complete. Release calls and requests for its report are not
-    /// among them.
+    /// Requests and calls that it received, in order, complete. Release calls and requests for its
+    /// report are not among them.
     pub fn messages(&self) -> Vec<HttpMessage> {
         self.with(|state| state.messages.clone())
     }
@@ -397,8 +406,8 @@
         }
     }
 
-    /// Streams events up to number `last`, from the one after `Last-Event-Id`; with `break_after`, breaks off in the
-    /// middle of the event after that number.
+    /// Streams events up to number `last`, from the one after `Last-Event-Id`; with `break_after`,
+    /// breaks off in the middle of the event after that number.
     fn stream(
         &self,
         conn: &mut HttpConnection,
--- a/standins/src/serving_path/scenarios.rs
+++ b/standins/src/serving_path/scenarios.rs
@@ -1,5 +1,8 @@
-//! Scenarios generated from a seed: calls that wait in the queue of a pool, and VMs that fail while other VMs use the
-//! results of their pools.
+//! Scenarios generated from a seed: calls that wait in the queue of a pool, and VMs that fail while
+//! other VMs use the results of their pools.
+//!
+//! Each pool is owned by one VM, which sends all calls to the pool's workers, also on behalf of the
+//! VMs that received the requests (the requesters).
 
 // A failed setup fails the scenario.
 #![allow(clippy::expect_used)]
@@ -25,26 +28,29 @@
 const EARLIER_PAUSE_MS: std::ops::Range<u64> = 0..400;
 /// How long the call waits in the queue, in milliseconds; less than the owner's timeout.
 const QUEUE_DELAY_MS: std::ops::Range<u64> = 0..220;
-/// Size of a result of the first stage, in bytes: six results take 0.36 to 0.78 of their worker's memory.
+/// Size of a result of the first stage, in bytes: the six results of a request take 0.36 to 0.78 of
+/// their worker's memory.
 const RESULT_BYTES: std::ops::Range<u64> = 60_000..130_000;
 
 /// Name that a VM's state dump uses for the VM itself.
 const THIS_VM: &str = "this VM";
-/// Fleet sizes, below and above the size from which each VM is linked to only some of the others.
+/// Numbers of VMs: in the two small fleets each VM is linked to all others, in the two large ones
+/// to some of them.
 const FLEET_SIZES: [usize; 4] = [2, 3, 12, 14];
 /// Number of requests that engines process when the fault occurs.
 const REQUESTS: std::ops::Range<usize> = 1..4;
 /// How long the engines take to answer.
 const ENGINE_TIME: Duration = Duration::from_millis(900);
-/// Time of the fault after the engines have received the requests, in milliseconds. Releases of the first stage's
-/// results are in transit then.
+/// Time of the fault after the engines have received the requests, in milliseconds. Releases of the
+/// first stage's results are in transit then.
 const FAULT_DELAY_MS: std::ops::Range<u64> = 0..6;
-/// Factor by which `fault_delay` is longer for [`Fault::OwnerKilledAtWork`], where it begins with the first call for a
-/// piece: two calls of 20 ms run in that time.
+/// Factor by which the delay is longer for [`Fault::OwnerKilledAtWork`], where it begins with the
+/// first call to a worker: two calls of 20 ms run in that time.
 const AT_WORK_FACTOR: u32 = 10;
-/// Longest time in which an answer reaches the owner, and from there the VM of the request, in milliseconds.
+/// Longest time in which an answer reaches the owner, and from there the requester, in
+/// milliseconds.
 const TRANSIT_MS: i64 = 20;
-/// How long a VM is paused: longer than the deadlines of its requests.
+/// How long a VM is paused: longer than the deadlines of its requests, which are 2 s.
 const PAUSE: Duration = Duration::from_secs(4);
 /// Lifetime of a result, in seconds.
 const RESULT_LIFE_S: std::ops::Range<u64> = 4..12;
@@ -72,7 +78,8 @@
         }
     }
 
-    /// Runs the scenario; returns how often the two stages of the request were called. Each has to be called once.
+    /// Runs the scenario; returns how often the two stages of the request were called. Each has to
+    /// be called once.
     ///
     /// # Panics
     /// If a fixture can't be set up, or the request is not served.
@@ -138,7 +145,8 @@
     pub released: usize,
     /// Number of releases beyond the first one for each result.
     pub repeated: usize,
-    /// Times of the releases of each result that was released more than once, in milliseconds after the fault.
+    /// Times of the releases of each result that was released more than once, in milliseconds after
+    /// the fault.
     pub repeat_times_ms: Vec<Vec<i64>>,
     /// When the results that nobody released were computed, in milliseconds after the fault.
     pub unreleased_ms: Vec<i64>,
@@ -163,9 +171,11 @@
         }
     }
 
-    /// Whether each result was released exactly once, with these exceptions: A result that a paused owner held may have
-    /// expired meanwhile. Nobody knows the results that were in transit to an owner when it was killed. An owner can't
-    /// know that a worker was told of a release just before the VM that told it was paused.
+    /// Whether each result was released exactly once, with three exceptions. Results may stay
+    /// unreleased if they were in transit to an owner when it was killed, since no other VM knows
+    /// them, or if a VM was paused, since they may have expired meanwhile. A result may be released
+    /// twice if the requester was paused just after it had told the worker, since the owner can't
+    /// know of that.
     pub fn is_satisfied_by(&self, summary: &ReleaseSummary) -> bool {
         let must_be_released = match self.fault {
             Fault::OwnerKilled => |_: &i64| true,
@@ -179,7 +189,8 @@
             && !summary.unreleased_ms.iter().any(must_be_released)
     }
 
-    /// Runs the scenario; returns which results the workers were told to release, once no more releases can arrive.
+    /// Runs the scenario; returns which results the workers were told to release, once no more
+    /// releases can arrive.
     ///
     /// # Panics
     /// If a fixture can't be set up.
@@ -225,6 +236,7 @@
     vm.signal("-CONT");
 }
 
+/// A request to the chain of two stages; `pieces` are the numbers of pieces of the stages.
 fn chain(id: &str, pieces: &str) -> Call {
     post("/chain/", id).with_header("Pieces", pieces).with_header("Piece-Key", "k")
 }
@@ -245,7 +257,7 @@
     (0..requests).map(spawn_caller).collect()
 }
 
-/// Number of requests and calls that runners received.
+/// Number of requests and calls that runners received, over all of them.
 fn received_count(runners: &[Runner]) -> usize {
     runners.iter().map(|runner| runner.messages().len()).sum()
 }
@@ -264,11 +276,12 @@
     vms
 }
 
-/// The owner of the pool, which fills the calls to its workers, as `vm` names it.
+/// The name of the pool's owner according to `vm`; [`THIS_VM`] if that is the owner.
 fn owner_named_by(vm: &Vm) -> String {
     vm.state()["pools"][0]["filled_by"].as_str().unwrap_or_default().to_owned()
 }
 
+/// Index of the VM that owns the pool.
 fn pool_owner(vms: &[Vm]) -> usize {
     vms.iter().position(|vm| owner_named_by(vm) == THIS_VM).expect("a VM owns the pool")
 }
--- a/standins/src/serving_path/site.rs
+++ b/standins/src/serving_path/site.rs
@@ -1,4 +1,5 @@
-//! VMs as processes together with the stand-ins they need: a store with the default configuration, and runners.
+//! VMs as processes together with the stand-ins they need: a store with the default configuration,
+//! and runners.
 
 // A failed setup fails the test.
 #![allow(clippy::expect_used)]
@@ -19,8 +20,8 @@
 /// Host of all routes of the default configuration.
 pub const HOST: &str = "h.example";
 
-/// Setting `in_force_ms` of the VMs, in milliseconds: the time within which a change is in force. Less than
-/// [`SETTLE_TIME`], after which tests check.
+/// Setting `in_force_ms` of the VMs, in milliseconds: the time within which a change in the store
+/// is in force. Less than [`SETTLE_TIME`], after which tests check.
 const IN_FORCE_MS: u64 = 600;
 
 /// Ports of a VM for callers, readiness, peers and operations, on a loopback address of its own.
@@ -77,7 +78,8 @@
         Vm { callers, ready, operations, peers, settings, log, child }
     }
 
-    /// Starts a VM whose standard output is a pipe; returns the reading end, which may be read or left to fill.
+    /// Starts a VM whose standard output, its log, is a pipe; returns the reading end, which may be
+    /// read or left to fill.
     pub fn start_piped(name: &str, store: SocketAddr) -> (Self, ChildStdout) {
         let mut vm = Vm::start_to(name, "hall-a", store, "", |_| Stdio::piped());
         let out = vm.child.stdout.take().expect("its standard output");
@@ -180,9 +182,10 @@
         .expect("saddleraild starts")
 }
 
-/// The default configuration. Routes: a plain service, repeatable, not repeatable, and restricted by API key; streams
-/// of an engine, resumable and not; a chain of two stages before an engine; and `/fragile/`, whose service has no
-/// runners unless a test starts some.
+/// The default configuration. Its routes: `/repeat/` and `/once/` to a plain service, repeatable
+/// and not; `/keyed/`, which needs an API key; `/stream/` and `/resumed/`, streams of an engine,
+/// the second one resumable; `/chain/`, two stages in a pool before an engine; and `/fragile/`,
+/// whose service has no runners unless a test starts some.
 pub fn default_configuration(version: u64) -> Value {
     let route = |path: &str, kind: &str, service: &str| {
         json!({"name": path.trim_matches('/'), "host": HOST, "path_prefix": path, "kind": kind,
@@ -234,8 +237,8 @@
         Site::start_in(["hall-a", "hall-a"])
     }
 
-    /// Starts the store and the runners; the first runner of each service is in the first hall, the second one in the
-    /// other.
+    /// Starts the store and the runners; the first runner of each service is in the first hall, the
+    /// second one in the other.
     pub fn start_in(halls: [&str; 2]) -> Self {
         let store = Store::start().expect("the store starts");
         store.put("op/config", &default_configuration(1));
@@ -289,7 +292,8 @@
         vm
     }
 
-    /// Like [`Site::start_vm`], for a store with invalid runner entries: waits until the VM knows so many runners.
+    /// Like [`Site::start_vm`], for a store with invalid runner entries: waits until the VM knows
+    /// so many runners.
     pub fn start_vm_expecting(&self, name: &str, runners: u64) -> Vm {
         let vm = Vm::start(name, "hall-a", self.store.address, "");
         vm.wait_for_targets(runners);
--- a/standins/src/serving_path/soak.rs
+++ b/standins/src/serving_path/soak.rs
@@ -1,10 +1,15 @@
 //! Randomized test run of the serving path under external faults, and its report.
 //!
-//! The faults: links to the store that delay or drop bytes, in one or both directions, or are reset; VM processes that
-//! are paused, killed and restarted, or sent SIGHUP; a store that refuses calls, doesn't answer or
-//! compacts its history; runners that lose, truncate, mix up, corrupt or refuse answers, announce only in answers that they are leaving, ask
-//! for a pause or for a rate limit; a request that crashes each runner that runs it; halls that are evacuated and
-//! restored; runners with cold starts; and changes of the configuration in between.
+//! The faults:
+//! - Links to the store delay or drop bytes, in one or both directions, or are reset.
+//! - VM processes are paused, killed and restarted, or sent SIGHUP, at which they check their
+//!   settings file again.
+//! - The store refuses calls, doesn't answer or compacts its history.
+//! - Runners lose, truncate, mix up, corrupt or refuse answers, announce in answers but not in the
+//!   store that they are leaving, ask for a pause or for a rate limit, or report a cold start.
+//! - A request crashes each runner that runs it.
+//! - Halls are evacuated and restored.
+//! - The configuration changes in between.
 
 // A failed setup fails the run.
 #![allow(clippy::expect_used)]
@@ -30,29 +35,32 @@
 
 /// Pause after each fault, in milliseconds.
 const FAULT_PAUSE_MS: std::ops::Range<u64> = 80..500;
-/// Halls of the runners: the first runner of each service is in the first hall, the second one in the other.
+/// Halls of the runners: the first runner of each service is in the first hall, the second one in
+/// the other.
 pub(super) const HALLS: [&str; 2] = ["hall-a", "hall-b"];
-/// Seed offset between the independent random generators of a run. A further generator with its own multiple of the
-/// offset leaves the faults of the others as they are for a given seed.
+/// Seed offset between the independent random generators of a run. A kind of fault that is added
+/// later gets a generator with a multiple of its own, so that a seed still gives the same other
+/// faults.
 pub(super) const SEED_OFFSET: u64 = 1 << 32;
 /// Remaining cold start times that runners report, in milliseconds.
 const COLD_START_MS: std::ops::Range<u64> = 100..1500;
 /// Time within which the VMs have to recover after the last fault.
 const RECOVERY_TIMEOUT: Duration = Duration::from_secs(8);
 
-/// Number of runners that crash on a fatal request.
+/// Number of runners of the service `fragile`, which crash on a fatal request.
 const CRASHING_RUNNERS: usize = 3;
 /// Body of a fatal request.
 const FATAL_BODY: &[u8] = b"fatal";
 /// `Retry-After` values with which runners refuse requests, in seconds.
 const RETRY_AFTER_S: [&str; 3] = ["0.3", "1.5", "2.5"];
-/// Probability that a fault comes with such a refusal.
+/// Probability that a fault comes with a refusal that has a `Retry-After`.
 const REFUSAL_PROBABILITY: f64 = 0.3;
 
 /// Pause between two fatal requests, in milliseconds.
 const FATAL_PAUSE_MS: std::ops::Range<u64> = 20..200;
 
-/// Kinds of requests: path, whether the request may run more than once, whether the answer is a stream.
+/// Kinds of requests: path, whether the request may run more than once, whether the answer is a
+/// stream.
 pub(super) const REQUEST_KINDS: [(&str, bool, bool); 5] = [
     ("/repeat/", true, false),
     ("/once/", false, false),
@@ -89,7 +97,8 @@
     pub restarts: u64,
     /// Number of answers of runners with the notice that they are leaving or with a `Retry-After`.
     pub notices: usize,
-    /// Number of requests that reached runners while a rate limit was in force, from VMs that knew of it.
+    /// Number of requests that reached runners while a rate limit was in force, from VMs that knew
+    /// of it.
     pub rate_limited: usize,
     /// Number of stage results that have to be released, see `check_results`.
     pub results: usize,
@@ -100,6 +109,7 @@
 /// A request that was sent, and its answer.
 pub(super) struct AnsweredRequest {
     pub(super) id: String,
+    /// Index into [`REQUEST_KINDS`].
     pub(super) kind: usize,
     /// Index of the VM that received the request.
     pub(super) vm: usize,
@@ -110,8 +120,9 @@
 /// A restart or a pause of a VM.
 pub(super) struct Interruption {
     pub(super) vm: usize,
+    /// Time at which the VM was restarted or its pause ended.
     pub(super) at: Instant,
-    /// Whether the process ended.
+    /// Whether the process ended: a restart, not a pause.
     pub(super) process_ended: bool,
 }
 
@@ -191,7 +202,7 @@
     (0..CRASHING_RUNNERS).map(start).collect()
 }
 
-/// Sends fatal requests and harmless ones to the service `fragile`, at random VMs.
+/// Sends fatal and harmless requests to the service `fragile`, through random VMs.
 fn send_fatal_requests(seed: u64, addresses: &[SocketAddr], over: &AtomicBool) {
     let mut rng = StdRng::seed_from_u64(seed + 2 * SEED_OFFSET);
     let mut number = 0;
--- a/standins/src/serving_path/soak_checks.rs
+++ b/standins/src/serving_path/soak_checks.rs
@@ -1,4 +1,5 @@
-//! Checks of a randomized run, based on the answers that callers received and the requests that runners recorded.
+//! Checks of a randomized run, based on the answers that callers received and the requests that
+//! runners recorded.
 
 use std::collections::{BTreeSet, HashMap};
 use std::thread;
@@ -12,17 +13,19 @@
 
 /// Number of crashes after which a request is quarantined.
 const QUARANTINE_CRASHES: u64 = 3;
-/// Further crashes that are tolerated, per restart of a VM and once more: attempts of a request that is under way
-/// again, and attempts at a VM that has restarted and is not linked to its peers yet.
+/// Further crashes that are tolerated, for the whole run and once more per restart of a VM. They
+/// come from retries that were in progress when the request was quarantined, and from attempts of a
+/// VM that has restarted and is not linked to its peers yet.
 const TOLERATED_CRASHES: u64 = 2;
 /// Number of events in a complete stream.
 const STREAM_EVENTS: u64 = 5;
-/// Time after the notice that a runner is leaving, from which on requests sent to the VM that received the notice must
-/// not reach the runner.
+/// Time after a notice that a runner is leaving. Requests that callers send later to the VM that
+/// received the notice must not reach the runner.
 const LEAVING_TOLERANCE: Duration = Duration::from_secs(2);
 /// Time within which requests arrive that were in transit when a notice was sent.
 const TRANSIT_TIME: Duration = Duration::from_millis(500);
-/// Number of requests from a VM that may reach a runner later than that, before its `Retry-After` is over.
+/// Number of requests from a VM that may reach a runner later than [`TRANSIT_TIME`] after its
+/// `Retry-After` and before that pause is over.
 const TOLERATED_LATE_REQUESTS: usize = 2;
 
 /// Interval over which requests to a runner with a rate limit are counted.
@@ -34,7 +37,8 @@
 /// Number of requests tolerated in addition to [`RATE_FACTOR`].
 const EXTRA_REQUESTS: f64 = 5.0;
 
-/// Checks that only few runners crashed on the fatal request, and that no other request was quarantined.
+/// Checks that only few runners crashed on the fatal request, and that no other request was
+/// quarantined.
 pub(super) fn check_crashes(crashing_runners: &[CrashingRunner], vms: &[Vm], report: &mut Report) {
     let crashes: u64 = crashing_runners.iter().map(CrashingRunner::crashes).sum();
     let max_crashes = QUARANTINE_CRASHES + TOLERATED_CRASHES * (1 + report.restarts);
@@ -49,8 +53,9 @@
     }
 }
 
-/// Checks that VMs respect the notices of runners: a VM that was told of one by an answer sends the runner no further
-/// requests, unless the VM was interrupted since then.
+/// Checks that VMs respect the notices of runners that they are leaving or want a pause: a VM that
+/// received such an answer sends the runner no further requests, unless the VM was interrupted
+/// since.
 pub(super) fn check_notices(
     site: &Site,
     answered: &[AnsweredRequest],
@@ -90,8 +95,8 @@
     }
 }
 
-/// Checks that workers are told to release every result before it expires, except those whose handle may have been lost
-/// with a VM process or was never received. Waits for the last releases.
+/// Checks that workers are told to release every result before it expires, except those whose
+/// handle may have been lost with a VM process or was never received. Waits for the last releases.
 pub(super) fn check_results(site: &Site, interruptions: &[Interruption], report: &mut Report) {
     let until = Instant::now() + RESULT_LIFE;
     let ends: Vec<Instant> =
@@ -129,8 +134,8 @@
     interruptions.iter().any(|one| one.vm == vm && (from..to).contains(&one.at))
 }
 
-/// Checks that a runner with a rate limit receives no more requests than tolerated from VMs that know of the limit,
-/// unless these were interrupted since then.
+/// Checks that a runner with a rate limit receives no more requests than tolerated from VMs that
+/// know of the limit, unless these were interrupted since.
 pub(super) fn check_rates(
     site: &Site,
     answered: &[AnsweredRequest],
@@ -157,7 +162,8 @@
     }
 }
 
-/// Requests that arrived while a rate limit was in force, from VMs that knew of it: time and rate limit.
+/// Requests that arrived while a rate limit was in force, from VMs that knew of it: time and rate
+/// limit in requests per second.
 fn requests_at_rate(
     received: &[ReceivedRequest],
     sent: &HashMap<&str, &AnsweredRequest>,
@@ -167,7 +173,7 @@
     let mut counted = Vec::new();
     for one in received {
         let Some(rate) = one.rate else {
-            // VMs have to be told again of the next rate limit.
+            // The limit has ended; a VM knows of the next one only after a further answer.
             informed.clear();
             continue;
         };
@@ -217,8 +223,8 @@
     }
 }
 
-/// Checks that the events of a stream belong to the request, in order and without gaps, and that a complete stream has
-/// all of them.
+/// Checks that the events of a stream belong to the request, in order and without gaps, and that a
+/// complete stream has all of them.
 fn check_events(id: &str, answer: &HttpMessage, violation: &mut impl FnMut(String)) {
     let text = answer.text();
     let data: Vec<&str> = text.lines().filter_map(|line| line.strip_prefix("data: ")).collect();
--- a/standins/src/serving_path/soak_notices.rs
+++ b/standins/src/serving_path/soak_notices.rs
@@ -1,5 +1,5 @@
-//! Notices that runners send during a randomized run, at times generated from its seed: that they are leaving, and
-//! their rate limits.
+//! Notices that runners send during a randomized run, at times generated from its seed: that they
+//! are leaving, and their rate limits.
 
 use std::thread;
 use std::time::{Duration, Instant};
@@ -11,18 +11,20 @@
 use super::site::Site;
 use super::soak::{HALLS, SEED_OFFSET};
 
-/// Time at which a runner begins to announce that it is leaving, in milliseconds since the start of the run.
-const LEAVING_AT_MS: std::ops::Range<u64> = 0..1500;
-/// Times at which a runner announces a rate limit, another one, and none any more, in milliseconds since the start of
+/// Time at which a runner begins to announce that it is leaving, in milliseconds since the start of
 /// the run.
+const LEAVING_AT_MS: std::ops::Range<u64> = 0..1500;
+/// Times at which a runner announces a rate limit, another one, and none any more, in milliseconds
+/// since the start of the run.
 const RATES_AT_MS: [std::ops::Range<u64>; 3] = [0..1000, 1000..2500, 2500..6000];
 /// Rate limits that runners announce, in requests per second.
 const RATES: [&str; 4] = ["0.5", "1", "3", "12.5"];
-/// `born` time of the new incarnations of runners, in milliseconds.
+/// Start time (`born`) of the new incarnations of runners, in milliseconds; the entries of the
+/// earlier ones have none.
 const NEW_BORN_MS: u64 = 1;
 
-/// Lets one runner of each service announce that it is leaving: from some time on in each answer, but never in its
-/// store entry.
+/// Lets one runner of each service announce that it is leaving: from some time on in each answer,
+/// but never in its store entry.
 pub(super) fn announce_leaving(seed: u64, time: Duration, site: &Site) {
     let mut rng = StdRng::seed_from_u64(seed + 3 * SEED_OFFSET);
     let mut leaving: Vec<(u64, &Runner)> = site
--- a/standins/src/serving_path/stage_calls.rs
+++ b/standins/src/serving_path/stage_calls.rs
@@ -1,4 +1,5 @@
-//! The calls that a runner of a pool serves: it computes pieces of stages, releases results, and reports its load.
+//! The calls that a worker (a runner of a pool) serves: it computes pieces of stages, releases
+//! results, and reports its load.
 
 use std::collections::BTreeSet;
 use std::sync::atomic::Ordering;
@@ -80,8 +81,8 @@
         self.with(|state| state.waiting -= 1);
     }
 
-    /// Reports the number of waiting calls. The runner counts as used while a call waits, because another VM's call is
-    /// running then.
+    /// Reports the number of waiting calls. The worker counts as used while a call waits, because
+    /// another VM's call is running then.
     pub(super) fn report(&self, conn: &mut HttpConnection) -> bool {
         if self.with(|state| state.has_no_report) {
             return conn.write(&self.reply("404 None", &[], b""));
@@ -144,8 +145,8 @@
     }
 }
 
-/// Handles of the results that were released at any runner of this process. A piece that needs one as an input finds it
-/// gone.
+/// Handles of the results that were released at any runner of this process. A piece that needs one
+/// as an input finds it gone.
 static RELEASED: Mutex<BTreeSet<String>> = Mutex::new(BTreeSet::new());
 
 fn released_handles() -> MutexGuard<'static, BTreeSet<String>> {
--- a/standins/src/serving_path/stop_soak.rs
+++ b/standins/src/serving_path/stop_soak.rs
@@ -1,10 +1,11 @@
-//! Randomized test run with repeated planned stops, and requests whose deadlines are longer than the grace period of a
-//! stop.
+//! Randomized test run with repeated planned stops, and requests whose deadlines are longer than
+//! the grace period of a stop.
 //!
-//! VMs are stopped, some with further signals during the stop, and started again, independently of each other, so that
-//! stops overlap. Meanwhile the configuration changes, and runners hang, are slow or full, or lose inputs. No process
-//! is killed or paused and no connection is cut, so a VM has to answer each request that it has read. Callers keep their
-//! connections open until the VM closes them, and some read their answers late.
+//! VMs are stopped, some with further signals during the stop, and started again, independently of
+//! each other, so that stops overlap. Meanwhile the configuration changes, and runners hang, are
+//! slow or full, or lose inputs. No process is killed or paused and no connection is cut, so a VM
+//! has to answer each request that it has read. Callers keep their connections open until the VM
+//! closes them, and some read their answers late.
 
 // A failed setup fails the run.
 #![allow(clippy::expect_used)]
@@ -45,7 +46,7 @@
 /// Size of a large answer, in bytes: more than the socket buffers of a connection hold.
 const LARGE_ANSWER_BYTES: usize = 16 << 20;
 
-/// A VM, and its logs up to each of its stops.
+/// A VM that is stopped and started again, and the log of each of its earlier processes.
 struct StoppedVm {
     vm: Mutex<Vm>,
     logs: Mutex<Vec<String>>,
@@ -91,7 +92,7 @@
 }
 
 impl StoppedVm {
-    /// The logs of all starts of the VM.
+    /// The logs of all processes of the VM, in order.
     fn all_logs(&self) -> String {
         let last = self.vm.lock().unwrap_or_else(PoisonError::into_inner).log();
         let mut logs = self.logs.lock().unwrap_or_else(PoisonError::into_inner);
@@ -221,8 +222,8 @@
     }
 }
 
-/// Checks that a VM has answered each request that it has read (its log has a line about the request), and that an
-/// incomplete answer is a stream whose end the VM has logged.
+/// Checks that a VM has answered each request that it has read (its log has a line about the
+/// request), and that an incomplete answer is a stream whose end the VM has logged.
 fn check_is_answered(one: &AnsweredRequest, log: &str, report: &mut Report) {
     let (path, _, streams) = REQUEST_KINDS[one.kind];
     let request_field = format!("request={}", one.id);
--- a/standins/src/serving_path/store.rs
+++ b/standins/src/serving_path/store.rs
@@ -1,4 +1,5 @@
-//! Stand-in for the key-value store: keys with revisions, listings in pages, watches, leases, and outages.
+//! Stand-in for the key-value store: keys with revisions, listings in pages, watches, leases, and
+//! outages.
 
 use std::collections::BTreeMap;
 use std::net::{SocketAddr, TcpListener};
@@ -27,6 +28,7 @@
 
 #[derive(Default)]
 struct State {
+    /// Revision of the last change.
     revision: u64,
     /// Revision, value and lease (0 for none) by key.
     items: BTreeMap<String, (u64, String, u64)>,
@@ -37,6 +39,7 @@
     mode: StoreMode,
     /// Expiry and time to live by lease id.
     leases: BTreeMap<u64, (Instant, Duration)>,
+    /// Number of calls received.
     calls: u64,
     /// Items per page of a listing; 0 for no limit.
     page_size: usize,
@@ -94,7 +97,8 @@
         self.with(|state| state.page_size = items);
     }
 
-    /// Answers one page of the listings of a prefix with 503; pages count from 1 since the store started.
+    /// Answers one page of the listings of a prefix with 503; pages count from 1 since the store
+    /// started.
     pub fn fail_listing_page(&self, prefix: &str, page: u64) {
         self.with(|state| state.failing_page = Some((prefix.to_owned(), page)));
     }
@@ -131,7 +135,8 @@
                     while self.with(|state| state.mode) == StoreMode::Unresponsive {
                         sleep(POLL_INTERVAL);
                     }
-                    // The connection is closed: a call that came during the outage is never answered.
+                    // The connection is closed: a call that came during the outage is never
+                    // answered.
                     return;
                 }
                 StoreMode::Normal => {}
@@ -183,8 +188,8 @@
         let mut was_unresponsive = false;
         loop {
             let seen = self.with(|state| {
-                // A watch that waits while the store becomes unresponsive gets no answer, not even after
-                // its own time limit; its connection is closed once the mode changes.
+                // A watch that waits while the store becomes unresponsive gets no answer, not
+                // even after its own time limit; its connection is closed once the mode changes.
                 was_unresponsive |= state.mode == StoreMode::Unresponsive;
                 match (state.mode, was_unresponsive) {
                     (StoreMode::Unresponsive, _) => return None,
