--- a/standins/src/bin/soak.rs
+++ b/standins/src/bin/soak.rs
@@ -31,9 +31,9 @@
 fn run_scenarios(seeds: Range<u64>, run: fn(u64) -> (String, bool)) -> ExitCode {
     let mut failed = 0;
     for seed in seeds {
-        let (summary_text, passed) = run(seed);
-        println!("seed={seed} kept={passed} {summary_text}");
-        failed += usize::from(!passed);
+        let (summary_text, is_kept) = run(seed);
+        println!("seed={seed} kept={is_kept} {summary_text}");
+        failed += usize::from(!is_kept);
     }
     println!("broken={failed}");
     if failed == 0 { ExitCode::SUCCESS } else { ExitCode::FAILURE }
--- a/standins/src/bin/standin-platform.rs
+++ b/standins/src/bin/standin-platform.rs
@@ -43,8 +43,9 @@
 struct Lease {
     holder: String,
     fence: u64,
+    /// When the lease expires.
     #[serde(skip)]
-    expires_at: Option<Instant>,
+    until: Option<Instant>,
 }
 
 #[derive(Debug, Default)]
@@ -189,7 +190,7 @@
         state.writes += 1;
         let now = Instant::now();
         let old = state.leases.get(&name).cloned();
-        let held = old.clone().filter(|l| l.expires_at.is_some_and(|expires_at| expires_at > now));
+        let held = old.clone().filter(|l| l.until.is_some_and(|until| until > now));
         if let Some(held) = held.as_ref().filter(|l| l.holder != holder) {
             return json_response(409, held);
         }
@@ -198,8 +199,8 @@
             (None, Some(old)) => old.fence + 1,
             (None, None) => 1,
         };
-        let expires_at = Some(now + Duration::from_millis(req.number("ttl_ms")));
-        let lease = Lease { holder, fence, expires_at };
+        let until = Some(now + Duration::from_millis(req.number("ttl_ms")));
+        let lease = Lease { holder, fence, until };
         state.leases.insert(name, lease.clone());
         json_response(200, &lease)
     }
