--- a/standins/src/bin/soak.rs
+++ b/standins/src/bin/soak.rs
@@ -27,7 +27,7 @@
 }
 
 /// Runs one scenario per seed. `run` returns the scenario and its result as text, and whether it
-/// passed.
+/// passed, printed as `kept`.
 fn run_scenarios(seeds: Range<u64>, run: fn(u64) -> (String, bool)) -> ExitCode {
     let mut failed = 0;
     for seed in seeds {
@@ -63,8 +63,8 @@
         .arg(flag("turns", "Scenarios with calls that wait in the queue of a pool"))
         .arg(flag("results", "Scenarios with results whose owner or requester is killed or paused"))
         .get_matches();
-    let first = value(&args, "seed");
-    let seeds = first..first + value(&args, "runs");
+    let first_seed = value(&args, "seed");
+    let seeds = first_seed..first_seed + value(&args, "runs");
     if args.get_flag("turns") {
         return run_scenarios(seeds, queued_call_scenario);
     }
--- a/standins/src/bin/standin-target.rs
+++ b/standins/src/bin/standin-target.rs
@@ -281,12 +281,12 @@
             );
         }
         let slot = self.acquire_slot(&req.header("x-priority")).await;
-        let index = self.begin_record(&req, &attempt);
+        let record_index = self.begin_record(&req, &attempt);
         if fault == Fault::Hang {
             tokio::time::sleep(Duration::from_secs(3600)).await;
         }
         let streams = self.is_engine && req.header("accept").contains("event-stream");
-        let hit = self.state().record[index].prefix_hit;
+        let hit = self.state().record[record_index].prefix_hit;
         let prefill = if hit { 0 } else { settings.prefill_ms };
         let time_to_first_token = Duration::from_millis(settings.service_ms + prefill);
         tokio::time::sleep(time_to_first_token).await;
@@ -298,14 +298,14 @@
             );
         }
         if streams {
-            return self.stream(slot, &req, index, fault, &reported_attempt, &settings);
+            return self.stream(slot, &req, record_index, fault, &reported_attempt, &settings);
         }
         let output = json!({ "by": req.path.rsplit('/').next(), "of": input });
         let cost = if self.is_engine { settings.tokens } else { 1 };
         if self.is_engine {
             self.generate(settings.tokens, settings.token_ms).await;
         }
-        self.end_record(index, cost);
+        self.end_record(record_index, cost);
         drop(slot);
         self.state().last_answer = Some((attempt, output.clone()));
         let output = earlier.map_or(output, |(_, output)| output);
@@ -343,7 +343,7 @@
         self: Arc<Self>,
         slot: Slot,
         req: &BufferedRequest,
-        index: usize,
+        record_index: usize,
         fault: Fault,
         reported_attempt: &str,
         settings: &TargetSettings,
@@ -373,10 +373,10 @@
                 if tx.send(Ok(part)).await.is_err() {
                     return;
                 }
-                target.state().record[index].cost += 1;
+                target.state().record[record_index].cost += 1;
             }
             let cost = settings.tokens - first;
-            target.end_record(index, cost);
+            target.end_record(record_index, cost);
             let end = json!({ "tokens": settings.tokens, "cost": cost });
             let _ = tx.send(Ok(Bytes::from(format!("event: end\ndata: {end}\n\n")))).await;
         });
@@ -438,10 +438,10 @@
     }
 
     /// Marks a recorded call as completed with its cost.
-    fn end_record(&self, index: usize, cost: u64) {
+    fn end_record(&self, record_index: usize, cost: u64) {
         let mut state = self.state();
-        state.record[index].ended = true;
-        state.record[index].cost = cost;
+        state.record[record_index].ended = true;
+        state.record[record_index].cost = cost;
     }
 }
 
--- a/standins/src/fleet.rs
+++ b/standins/src/fleet.rs
@@ -110,7 +110,10 @@
 /// # Panics
 /// If the status of the answer is not 200.
 pub fn put_json(to: SocketAddr, path: &str, value: &Value) {
-    let response = agent().put(format!("http://{to}{path}")).send(value.to_string()).expect("put");
+    let response = agent()
+        .put(format!("http://{to}{path}"))
+        .send(value.to_string())
+        .expect("an answer to the PUT request");
     assert_eq!(response.status().as_u16(), 200, "PUT {path} {value}");
 }
 
@@ -207,7 +210,7 @@
     /// Writes a file into the fleet's directory and returns its path.
     pub fn write_file(&self, name: &str, text: &str) -> PathBuf {
         let path = self.dir.join(name);
-        fs::write(&path, text).expect("write");
+        fs::write(&path, text).expect("the file is written");
         path
     }
 
@@ -218,7 +221,7 @@
         if let Some(vm) = self.vms.first() {
             command.arg(format!("--vm={}", vm.operations));
         }
-        command.args(args).output().expect("tool")
+        command.args(args).output().expect("the saddlerail tool runs")
     }
 
     /// Starts a further entry VM in a hall and waits until it is ready. `extra` is appended to its
@@ -294,12 +297,12 @@
 
     /// Sends a signal to a VM's process.
     pub fn signal(&self, index: usize, name: &str) {
-        signal(self.vms[index].child.as_ref().expect("runs"), name);
+        signal(self.vms[index].child.as_ref().expect("the VM runs"), name);
     }
 
     /// Process id of a running VM.
     pub fn pid(&self, index: usize) -> u32 {
-        self.vms[index].child.as_ref().expect("runs").id()
+        self.vms[index].child.as_ref().expect("the VM runs").id()
     }
 
     /// Kills a VM's process with SIGKILL and waits for its end.
@@ -314,7 +317,7 @@
     pub fn stop(&mut self, index: usize) -> Duration {
         let began = Instant::now();
         self.signal(index, "TERM");
-        let mut child = self.vms[index].child.take().expect("runs");
+        let mut child = self.vms[index].child.take().expect("the VM runs");
         wait_until("the process has ended", || child.try_wait().expect("wait").is_some());
         began.elapsed()
     }
@@ -347,12 +350,13 @@
 
     /// Address of a target, by name.
     pub fn target(&self, name: &str) -> SocketAddr {
-        self.targets.iter().find(|(n, _)| n == name).expect("a target").1
+        self.targets.iter().find(|(n, _)| n == name).expect("the fleet has a target of this name").1
     }
 
     /// The calls that a target recorded.
     pub fn record(&self, target: &str) -> Vec<Value> {
-        let record = get_json(self.target(target), "/record").expect("record");
+        let record =
+            get_json(self.target(target), "/record").expect("the target answers GET /record");
         record.as_array().cloned().unwrap_or_default()
     }
 
@@ -371,7 +375,9 @@
     pub fn log(&self, index: usize) -> String {
         let mut text = String::new();
         let path = self.dir.join(format!("{}.log", self.vms[index].name));
-        fs::File::open(path).and_then(|mut f| f.read_to_string(&mut text)).expect("log");
+        fs::File::open(path)
+            .and_then(|mut f| f.read_to_string(&mut text))
+            .expect("the VM's log is readable");
         text
     }
 }
--- a/standins/src/serving_path/runners.rs
+++ b/standins/src/serving_path/runners.rs
@@ -184,7 +184,7 @@
     pub fn most_within(&self, span: Duration, since: Instant) -> usize {
         let received = self.with(|state| state.received.clone());
         let later: Vec<Instant> =
-            received.iter().map(|one| one.at).filter(|at| *at > since).collect();
+            received.iter().map(|request| request.at).filter(|at| *at > since).collect();
         let within = |first: &Instant| {
             later.iter().filter(|at| (*first..*first + span).contains(at)).count()
         };
@@ -203,7 +203,7 @@
 
     /// Number of requests and calls received after `after`.
     pub fn received_after(&self, after: Instant) -> usize {
-        self.with(|state| state.received.iter().filter(|one| one.at > after).count())
+        self.with(|state| state.received.iter().filter(|request| request.at > after).count())
     }
 
     /// Requests and calls that it received, in order, without their bodies.
--- a/standins/src/serving_path/scenarios.rs
+++ b/standins/src/serving_path/scenarios.rs
@@ -60,9 +60,13 @@
 /// A call that waits in the queue of a pool, as if behind a call of another VM.
 #[derive(Debug)]
 pub struct QueuedCallScenario {
+    /// Number of requests before the one whose call waits.
     before: u64,
+    /// Pause after each of these requests.
     gap: Duration,
+    /// How long the call waits in the queue.
     delay: Duration,
+    /// Size of a result of the first stage.
     result_bytes: u64,
 }
 
@@ -131,6 +135,7 @@
     vms: usize,
     requests: usize,
     fault: Fault,
+    /// Time of the fault, see [`FAULT_DELAY_MS`] and [`AT_WORK_FACTOR`].
     fault_delay: Duration,
     /// Lifetime of a result in seconds; some are shorter than a pause, some longer.
     life_s: u64,
--- a/standins/src/serving_path/soak.rs
+++ b/standins/src/serving_path/soak.rs
@@ -154,8 +154,8 @@
                 let mut rng = StdRng::seed_from_u64(seed * 1000 + caller);
                 while !over.load(Ordering::Relaxed) {
                     let number = sent.fetch_add(1, Ordering::Relaxed);
-                    let one = send_request(&mut rng, addresses, seed, number);
-                    answered.lock().unwrap_or_else(PoisonError::into_inner).push(one);
+                    let request = send_request(&mut rng, addresses, seed, number);
+                    answered.lock().unwrap_or_else(PoisonError::into_inner).push(request);
                 }
             });
         }
@@ -170,8 +170,8 @@
     });
     let answered = answered.into_inner().unwrap_or_else(PoisonError::into_inner);
     report.requests = sent.load(Ordering::Relaxed);
-    for one in &answered {
-        check_answer(&site, one, &mut report);
+    for request in &answered {
+        check_answer(&site, request, &mut report);
     }
     check_crashes(&crashing_runners, &vms, &mut report);
     check_notices(&site, &answered, &interruptions, &mut report);
--- a/standins/src/serving_path/soak_checks.rs
+++ b/standins/src/serving_path/soak_checks.rs
@@ -70,9 +70,9 @@
         let notices = by_vm.iter().filter(|(r, _)| r.announces_leaving || r.retry_after.is_some());
         for (notice, notified) in notices {
             report.notices += 1;
-            let later = by_vm.iter().filter(|(r, one)| {
+            let later = by_vm.iter().filter(|(r, request)| {
                 let interrupted = is_interrupted(interruptions, notified.vm, notice.at, r.at);
-                one.vm == notified.vm && r.at > notice.at && !interrupted
+                request.vm == notified.vm && r.at > notice.at && !interrupted
             });
             let (until, transit) = (notice.retry_after.map(|time| notice.at + time), TRANSIT_TIME);
             let late = later.clone().filter(|(r, _)| {
@@ -84,12 +84,12 @@
                     .violations
                     .push(format!("{}: {count} requests during Retry-After", runner.id));
             }
-            for (_, one) in later.filter(|(_, one)| {
-                notice.announces_leaving && one.sent > notice.at + LEAVING_TOLERANCE
+            for (_, request) in later.filter(|(_, request)| {
+                notice.announces_leaving && request.sent > notice.at + LEAVING_TOLERANCE
             }) {
                 report
                     .violations
-                    .push(format!("{}: {} reached a leaving runner", runner.id, one.id));
+                    .push(format!("{}: {} reached a leaving runner", runner.id, request.id));
             }
         }
     }
@@ -126,12 +126,14 @@
 
 /// Requests by their ids.
 fn by_id(answered: &[AnsweredRequest]) -> HashMap<&str, &AnsweredRequest> {
-    answered.iter().map(|one| (one.id.as_str(), one)).collect()
+    answered.iter().map(|request| (request.id.as_str(), request)).collect()
 }
 
 /// Whether a VM was restarted or paused in an interval.
 fn is_interrupted(interruptions: &[Interruption], vm: usize, from: Instant, to: Instant) -> bool {
-    interruptions.iter().any(|one| one.vm == vm && (from..to).contains(&one.at))
+    interruptions
+        .iter()
+        .any(|interruption| interruption.vm == vm && (from..to).contains(&interruption.at))
 }
 
 /// Checks that a runner with a rate limit receives no more requests than tolerated from VMs that
@@ -171,17 +173,18 @@
 ) -> Vec<(Instant, f64)> {
     let mut informed: HashMap<usize, Instant> = HashMap::new();
     let mut counted = Vec::new();
-    for one in received {
-        let Some(rate) = one.rate else {
+    for request in received {
+        let Some(rate) = request.rate else {
             // The limit has ended; a VM knows of the next one only after a further answer.
             informed.clear();
             continue;
         };
-        let Some(vm) = sent.get(one.id.as_str()).map(|one| one.vm) else { continue };
-        let uninterrupted = |since: &&Instant| !is_interrupted(interruptions, vm, **since, one.at);
+        let Some(vm) = sent.get(request.id.as_str()).map(|request| request.vm) else { continue };
+        let uninterrupted =
+            |since: &&Instant| !is_interrupted(interruptions, vm, **since, request.at);
         match informed.get(&vm).filter(uninterrupted) {
-            Some(since) if one.at > *since + TRANSIT_TIME => counted.push((one.at, rate)),
-            None if one.answered_at_once => drop(informed.insert(vm, one.at)),
+            Some(since) if request.at > *since + TRANSIT_TIME => counted.push((request.at, rate)),
+            None if request.answered_at_once => drop(informed.insert(vm, request.at)),
             Some(_) | None => {}
         }
     }
@@ -189,15 +192,15 @@
 }
 
 /// Checks one answer against the requests that runners ran.
-pub(super) fn check_answer(site: &Site, one: &AnsweredRequest, report: &mut Report) {
-    let (path, repeatable, streams) = REQUEST_KINDS[one.kind];
-    let id = &one.id;
+pub(super) fn check_answer(site: &Site, request: &AnsweredRequest, report: &mut Report) {
+    let (path, repeatable, streams) = REQUEST_KINDS[request.kind];
+    let id = &request.id;
     let mut violation = |what: String| report.violations.push(format!("{path} {id}: {what}"));
     let runs = site.runs(id);
     if !repeatable && runs > 1 {
         violation(format!("ran {runs} times"));
     }
-    let Some(answer) = &one.answer else { return };
+    let Some(answer) = &request.answer else { return };
     match answer.status() {
         200 => {
             if !answer.header("response-signature").starts_with("sig-") {
--- a/standins/src/serving_path/stage_calls.rs
+++ b/standins/src/serving_path/stage_calls.rs
@@ -56,19 +56,19 @@
         let is_gone = |item| {
             behavior == Behavior::InputGone || inputs_of(item).any(|input| is_released(&input))
         };
-        let gone: Vec<bool> = items.iter().map(is_gone).collect();
+        let inputs_gone: Vec<bool> = items.iter().map(is_gone).collect();
         sleep(behavior.running_time().saturating_sub(FETCH_TIME));
         self.with(|state| state.call_sizes.push(items.len()));
         let caller_gone = conn.is_closed();
         let room_for = items.len() - usize::from(matches!(behavior, Behavior::NoRoomForLast(_)));
-        let made = |(number, item)| match () {
+        let outcome_of = |(number, item)| match () {
             () if number >= room_for => json!({"reason": "room"}),
-            () if gone[number] => json!({"reason": "gone"}),
+            () if inputs_gone[number] => json!({"reason": "gone"}),
             () => self.run_piece(item, called, caller_gone),
         };
-        let made = items.iter().enumerate().map(made).collect::<Vec<_>>();
+        let outcomes = items.iter().enumerate().map(outcome_of).collect::<Vec<_>>();
         drop(running_call);
-        conn.write(&self.reply("200 OK", &[], json!({ "items": made }).to_string().as_bytes()))
+        conn.write(&self.reply("200 OK", &[], json!({ "items": outcomes }).to_string().as_bytes()))
     }
 
     /// Waits in the queue for as long as [`Runner::delay_next_call`] says.
--- a/standins/src/serving_path/stop_soak.rs
+++ b/standins/src/serving_path/stop_soak.rs
@@ -79,9 +79,9 @@
     let mut report = report.into_inner().unwrap_or_else(PoisonError::into_inner);
     report.requests = sent.into_inner();
     let logs: Vec<String> = stopped_vms.iter().map(StoppedVm::all_logs).collect();
-    for one in &answered {
-        check_answer(&site, one, &mut report);
-        check_is_answered(one, &logs[one.vm], &mut report);
+    for request in &answered {
+        check_answer(&site, request, &mut report);
+        check_is_answered(request, &logs[request.vm], &mut report);
     }
     report
 }
@@ -174,8 +174,8 @@
             let answer = long_call(kind, &id).send_on_and_read_after(&mut conn, read_delay);
             let closes = |answer: &super::HttpMessage| answer.header("connection") == "close";
             is_open = answer.as_ref().is_some_and(|answer| answer.is_complete && !closes(answer));
-            let one = AnsweredRequest { id, kind, vm, sent: at, answer };
-            answered.lock().unwrap_or_else(PoisonError::into_inner).push(one);
+            let request = AnsweredRequest { id, kind, vm, sent: at, answer };
+            answered.lock().unwrap_or_else(PoisonError::into_inner).push(request);
         }
     }
 }
@@ -224,15 +224,15 @@
 
 /// Checks that a VM has answered each request that it has read (its log has a line about the
 /// request), and that an incomplete answer is a stream whose end the VM has logged.
-fn check_is_answered(one: &AnsweredRequest, log: &str, report: &mut Report) {
-    let (path, _, streams) = REQUEST_KINDS[one.kind];
-    let request_field = format!("request={}", one.id);
+fn check_is_answered(request: &AnsweredRequest, log: &str, report: &mut Report) {
+    let (path, _, streams) = REQUEST_KINDS[request.kind];
+    let request_field = format!("request={}", request.id);
     let lines: Vec<&str> = log.lines().filter(|line| has_word(line, &request_field)).collect();
     let mut violation = |what: &str| {
         let last = lines.last().copied().unwrap_or("no line");
-        report.violations.push(format!("{path} {}: {what}; {last}", one.id));
+        report.violations.push(format!("{path} {}: {what}; {last}", request.id));
     };
-    match &one.answer {
+    match &request.answer {
         None if !lines.is_empty() => violation("the VM read the request but sent no answer"),
         Some(answer) if !answer.is_complete && !streams => violation("the answer is incomplete"),
         Some(answer) if !answer.is_complete => {
--- a/standins/src/serving_path/store.rs
+++ b/standins/src/serving_path/store.rs
@@ -233,9 +233,13 @@
     }
 
     fn list(&mut self, prefix: &str, after: Option<&str>) -> (&'static str, Value) {
-        let asked = self.listed_pages.entry(prefix.to_owned()).or_default();
-        *asked += 1;
-        if self.failing_page.take_if(|(at, page)| at == prefix && page == asked).is_some() {
+        let page_number = self.listed_pages.entry(prefix.to_owned()).or_default();
+        *page_number += 1;
+        if self
+            .failing_page
+            .take_if(|(failing_prefix, page)| failing_prefix == prefix && page == page_number)
+            .is_some()
+        {
             return ("503 Busy", json!({}));
         }
         let later = |key: &&String| after.is_none_or(|after| key.as_str() > after);
@@ -247,12 +251,13 @@
     }
 
     fn events(&self, prefix: &str, after: u64) -> Vec<Value> {
-        let new = self.changes.iter().filter(|(rev, key)| *rev > after && key.starts_with(prefix));
+        let new_changes =
+            self.changes.iter().filter(|(rev, key)| *rev > after && key.starts_with(prefix));
         let event = |(revision, key): &(u64, String)| match self.item(key) {
             Some(item) => item,
             None => json!({"private_key": key, "revision": revision, "removed": true}),
         };
-        new.map(event).collect()
+        new_changes.map(event).collect()
     }
 
     fn txn(&mut self, body: &Value) -> (&'static str, Value) {
