--- a/standins/src/fleet.rs
+++ b/standins/src/fleet.rs
@@ -110,10 +110,7 @@
 /// # Panics
 /// If the status of the answer is not 200.
 pub fn put_json(to: SocketAddr, path: &str, value: &Value) {
-    let response = agent()
-        .put(format!("http://{to}{path}"))
-        .send(value.to_string())
-        .expect("an answer to the PUT request");
+    let response = agent().put(format!("http://{to}{path}")).send(value.to_string()).expect("put");
     assert_eq!(response.status().as_u16(), 200, "PUT {path} {value}");
 }
 
@@ -221,7 +218,7 @@
         if let Some(vm) = self.vms.first() {
             command.arg(format!("--vm={}", vm.operations));
         }
-        command.args(args).output().expect("the saddlerail tool runs")
+        command.args(args).output().expect("tool")
     }
 
     /// Starts a further entry VM in a hall and waits until it is ready. `extra` is appended to its
@@ -355,8 +352,7 @@
 
     /// The calls that a target recorded.
     pub fn record(&self, target: &str) -> Vec<Value> {
-        let record =
-            get_json(self.target(target), "/record").expect("the target answers GET /record");
+        let record = get_json(self.target(target), "/record").expect("record");
         record.as_array().cloned().unwrap_or_default()
     }
 
--- a/standins/src/serving_path/soak.rs
+++ b/standins/src/serving_path/soak.rs
@@ -56,7 +56,7 @@
 /// Probability that a fault comes with a refusal that has a `Retry-After`.
 const REFUSAL_PROBABILITY: f64 = 0.3;
 
-/// Pause between two fatal requests, in milliseconds.
+/// Pause between two requests to the service `fragile`, fatal or not, in milliseconds.
 const FATAL_PAUSE_MS: std::ops::Range<u64> = 20..200;
 
 /// Kinds of requests: path, whether the request may run more than once, whether the answer is a
