--- a/standins/src/bin/soak.rs
+++ b/standins/src/bin/soak.rs
@@ -1,8 +1,9 @@
-//! Runs randomized tests of the serving path: under faults, with repeated planned stops, or single scenarios
-//! generated from seeds:
+//! Command line tool for randomized tests of the serving path; a seed determines the faults:
 //! `soak --seed N --runs N --seconds N --vms N --callers N [--stops | --turns | --results]`.
 //!
-//! The exit code is 1 if a check failed.
+//! Without a flag it injects faults into a running site; `--stops` stops and restarts VMs instead.
+//! `--turns` and `--results` run one short scenario per seed and ignore `--seconds`, `--vms` and
+//! `--callers`. The exit code is 1 if a check failed.
 
 use std::ops::Range;
 use std::process::ExitCode;
@@ -25,18 +26,20 @@
     Arg::new(name).long(name).action(ArgAction::SetTrue).help(help)
 }
 
-/// Runs one scenario per seed. `run` returns the scenario with its result as text, and whether it passed.
+/// Runs one scenario per seed. `run` returns the scenario and its result as text, and whether it
+/// passed, printed as `kept`.
 fn run_scenarios(seeds: Range<u64>, run: fn(u64) -> (String, bool)) -> ExitCode {
-    let mut broken = 0;
+    let mut failed = 0;
     for seed in seeds {
-        let (shown, is_kept) = run(seed);
-        println!("seed={seed} kept={is_kept} {shown}");
-        broken += usize::from(!is_kept);
+        let (summary_text, is_kept) = run(seed);
+        println!("seed={seed} kept={is_kept} {summary_text}");
+        failed += usize::from(!is_kept);
     }
-    println!("broken={broken}");
-    if broken == 0 { ExitCode::SUCCESS } else { ExitCode::FAILURE }
+    println!("broken={failed}");
+    if failed == 0 { ExitCode::SUCCESS } else { ExitCode::FAILURE }
 }
 
+/// The scenario passes if each of the request's two stages is called once.
 fn queued_call_scenario(seed: u64) -> (String, bool) {
     let scenario = QueuedCallScenario::generate(seed);
     let calls = scenario.count_calls(&format!("turn-{seed}"));
@@ -60,8 +63,8 @@
         .arg(flag("turns", "Scenarios with calls that wait in the queue of a pool"))
         .arg(flag("results", "Scenarios with results whose owner or requester is killed or paused"))
         .get_matches();
-    let first = value(&args, "seed");
-    let seeds = first..first + value(&args, "runs");
+    let first_seed = value(&args, "seed");
+    let seeds = first_seed..first_seed + value(&args, "runs");
     if args.get_flag("turns") {
         return run_scenarios(seeds, queued_call_scenario);
     }
@@ -72,7 +75,7 @@
     let time = Duration::from_secs(value(&args, "seconds"));
     let vms = usize::try_from(value(&args, "vms")).unwrap_or(usize::MAX);
     let size = Size { vms, callers: value(&args, "callers") };
-    let mut broken = 0;
+    let mut violations = 0;
     for seed in seeds {
         let report = run(seed, time, size);
         println!(
@@ -83,8 +86,11 @@
             report.results,
             report.violations.len()
         );
-        report.violations.iter().for_each(|what| println!("seed={seed} broken=\"{what}\""));
-        broken += report.violations.len();
+        report
+            .violations
+            .iter()
+            .for_each(|violation| println!("seed={seed} broken=\"{violation}\""));
+        violations += report.violations.len();
     }
-    if broken == 0 { ExitCode::SUCCESS } else { ExitCode::FAILURE }
+    if violations == 0 { ExitCode::SUCCESS } else { ExitCode::FAILURE }
 }
--- a/standins/src/bin/standin-platform.rs
+++ b/standins/src/bin/standin-platform.rs
@@ -15,32 +15,35 @@
 use standins::{BufferedRequest, json_response, raw_response};
 use tokio::sync::Notify;
 
-/// Faults, set by `PUT /faults`. Each stays in force until the next request.
+/// Faults, set by `PUT /faults`. They stay in force until the next such request, which replaces all
+/// of them: a field that it leaves out is reset to its default.
 #[derive(Debug, Clone, Default, Deserialize, Serialize)]
 #[serde(deny_unknown_fields, default)]
 struct Faults {
     /// Answers every call with 503.
     outage: bool,
-    /// Delay before every call is handled.
+    /// Delay before every call is handled, in milliseconds.
     delay_ms: u64,
     /// Number of further writes that take effect without being answered.
     lose_answers: u64,
-    /// Age of the VM list that is returned.
+    /// Age of the VM list that is returned, in milliseconds.
     list_lag_ms: u64,
 }
 
-/// A stored value. Its version starts at 1 and grows with each write.
+/// A stored value. Its version starts at 1 and grows by 1 with each write; version 0 stands for a
+/// key that does not exist.
 #[derive(Debug, Clone)]
 struct Value {
     bytes: Vec<u8>,
     version: u64,
 }
 
-/// A lease. Its fence grows each time the lease is granted after it expired.
+/// A lease. Its fence (fencing token) grows by 1 each time the lease is granted after it expired.
 #[derive(Debug, Clone, Serialize)]
 struct Lease {
     holder: String,
     fence: u64,
+    /// When the lease expires.
     #[serde(skip)]
     until: Option<Instant>,
 }
@@ -49,8 +52,10 @@
 struct State {
     values: BTreeMap<String, Value>,
     leases: BTreeMap<String, Lease>,
-    lists: Vec<(Option<Instant>, serde_json::Value)>,
+    /// VM lists that were set, oldest first, each with its time.
+    vm_lists: Vec<(Option<Instant>, serde_json::Value)>,
     faults: Faults,
+    /// Numbers of calls handled, as `GET /counts` returns them; leases count as writes.
     reads: u64,
     writes: u64,
     watches: u64,
@@ -59,6 +64,7 @@
 #[derive(Default)]
 struct Platform {
     state: Mutex<State>,
+    /// Wakes watches after a write or a change of the faults.
     changed: Notify,
 }
 
@@ -84,7 +90,7 @@
             (&Method::GET, "/vms") => self.vm_list(),
             (&Method::GET, path) if path.starts_with("/kv/") => self.read(&key, &req).await,
             (_, path) if path.starts_with("/kv/") => self.write(&key, &req).await,
-            (&Method::PUT, path) if path.starts_with("/leases/") => self.lease(&req),
+            (&Method::PUT, path) if path.starts_with("/leases/") => self.grant_lease(&req),
             _ => raw_response(404, b"no such path".to_vec()),
         }
     }
@@ -103,7 +109,7 @@
     fn set_vm_list(&self, req: &BufferedRequest) -> Response<Body> {
         match serde_json::from_slice(&req.body) {
             Ok(list) => {
-                self.state().lists.push((Some(Instant::now()), list));
+                self.state().vm_lists.push((Some(Instant::now()), list));
                 json_response(200, &"set")
             }
             Err(e) => json_response(400, &e.to_string()),
@@ -126,18 +132,19 @@
         state.reads += 1;
         let lag = Duration::from_millis(state.faults.list_lag_ms);
         let old_enough = |at: &Option<Instant>| at.is_none_or(|at| at.elapsed() >= lag);
-        let seen = state.lists.iter().rev().find(|(at, _)| old_enough(at));
-        json_response(200, &seen.map_or(json!([]), |(_, list)| list.clone()))
+        let listed = state.vm_lists.iter().rev().find(|(at, _)| old_enough(at));
+        json_response(200, &listed.map_or(json!([]), |(_, list)| list.clone()))
     }
 
-    /// Reads a key. With `watch`, waits until its version differs from the given one or `wait_ms` are over.
+    /// Reads a key. With `watch`, waits until its version differs from the given one, for `wait_ms`
+    /// at most.
     async fn read(&self, key: &str, req: &BufferedRequest) -> Response<Body> {
         let until = Instant::now() + Duration::from_millis(req.number("wait_ms"));
-        let seen = req.query.get("watch").and_then(|v| v.parse::<u64>().ok());
+        let known_version = req.query.get("watch").and_then(|v| v.parse::<u64>().ok());
         {
             let mut state = self.state();
             state.reads += 1;
-            state.watches += u64::from(seen.is_some());
+            state.watches += u64::from(known_version.is_some());
         }
         loop {
             let changed = self.changed.notified();
@@ -146,7 +153,7 @@
             if self.state().faults.outage {
                 return raw_response(503, b"outage".to_vec());
             }
-            if seen != Some(version) || Instant::now() >= until {
+            if known_version != Some(version) || Instant::now() >= until {
                 return value.map_or_else(
                     || raw_response(404, Vec::new()),
                     |v| with_version(raw_response(200, v.bytes), v.version),
@@ -157,26 +164,26 @@
         }
     }
 
-    /// Writes or deletes a key if its version is the expected one.
+    /// Writes or deletes a key if its version is the expected one; answers 409 otherwise.
     async fn write(&self, key: &str, req: &BufferedRequest) -> Response<Body> {
-        let (rx, lost) = {
+        let (response, loses_answer) = {
             let mut state = self.state();
             state.writes += 1;
-            let rx = compare_and_swap(&mut state, key, req);
-            let lost = state.faults.lose_answers > 0;
+            let response = compare_and_swap(&mut state, key, req);
+            let loses_answer = state.faults.lose_answers > 0;
             state.faults.lose_answers = state.faults.lose_answers.saturating_sub(1);
-            (rx, lost)
+            (response, loses_answer)
         };
         self.changed.notify_waiters();
-        if lost {
+        if loses_answer {
             // Longer than any client timeout, so that the client never receives the answer.
             tokio::time::sleep(Duration::from_secs(60)).await;
         }
-        rx
+        response
     }
 
     /// Grants or renews a lease; answers 409 while another holder has it.
-    fn lease(&self, req: &BufferedRequest) -> Response<Body> {
+    fn grant_lease(&self, req: &BufferedRequest) -> Response<Body> {
         let name = req.path.trim_start_matches("/leases/").to_owned();
         let holder = String::from_utf8_lossy(&req.body).into_owned();
         let mut state = self.state();
@@ -199,7 +206,7 @@
     }
 }
 
-/// Performs a compare-and-swap write or delete.
+/// Performs a compare-and-swap write or delete: the current version has to be `expect`.
 fn compare_and_swap(state: &mut State, key: &str, req: &BufferedRequest) -> Response<Body> {
     let found = state.values.get(key).map_or(0, |v| v.version);
     if req.number("expect") != found {
@@ -215,9 +222,9 @@
 }
 
 /// Adds the version header.
-fn with_version(mut rx: Response<Body>, version: u64) -> Response<Body> {
-    rx.headers_mut().insert("x-version", HeaderValue::from(version));
-    rx
+fn with_version(mut response: Response<Body>, version: u64) -> Response<Body> {
+    response.headers_mut().insert("x-version", HeaderValue::from(version));
+    response
 }
 
 #[tokio::main]
--- a/standins/src/bin/standin-target.rs
+++ b/standins/src/bin/standin-target.rs
@@ -36,26 +36,28 @@
     Busy,
 }
 
-/// Latencies and faults of a target, set by `PUT /faults`. Each stays in force until the next request.
+/// Latencies and faults of a target, set by `PUT /faults`. They stay in force until the next such
+/// request, which replaces all of them: a field that it leaves out is reset to the default below,
+/// not to the value from the command line.
 #[derive(Debug, Clone, Deserialize, Serialize)]
 #[serde(deny_unknown_fields, default)]
 struct TargetSettings {
     fault: Fault,
     /// Percentage of calls to which `fault` applies.
     fault_percent: u8,
-    /// Duration of a plain call, or time to the first token.
+    /// Duration of a plain call, or time to the first token of an engine, in milliseconds.
     service_ms: u64,
-    /// Time between the tokens of a stream while no other call runs.
+    /// Time per token before batching slows it, in milliseconds; see `Target::token_time`.
     token_ms: u64,
     /// Number of tokens in an answer.
     tokens: u64,
-    /// Additional time to the first token if the prefix is not cached.
+    /// Additional time to the first token if the prefix is not cached, in milliseconds.
     prefill_ms: u64,
     /// Answers every call with 503 and announces that the target is leaving.
     leaving: bool,
-    /// Age of the reported load and delay of the cache events.
+    /// Longest age of the reported load, and delay of the cache events, in milliseconds.
     report_lag_ms: u64,
-    /// Whether orders with a lower fence than the highest one seen are refused.
+    /// Whether orders whose fence (fencing token) is lower than the highest one seen are refused.
     checks_fence: bool,
     /// Drops every n-th cache event; 0 drops none.
     lose_event_every: u64,
@@ -83,9 +85,13 @@
 struct CallRecord {
     attempt: String,
     stage: String,
+    /// Number of the last token that the caller already had; 0 for a call that starts anew.
     resumed_after: u64,
+    /// Time of the call, in milliseconds since the target started.
     at_ms: u128,
+    /// Whether the call ran to its end.
     ended: bool,
+    /// Cost of the call: the tokens that an engine generated so far, or 1 for an ended plain call.
     cost: u64,
     prefix_hit: bool,
 }
@@ -96,26 +102,39 @@
 #[derive(Debug, Default)]
 struct State {
     settings: TargetSettings,
+    /// Number of slots in use.
     running: u32,
+    /// Calls that wait for a slot.
     queue: BTreeMap<QueueKey, oneshot::Sender<()>>,
+    /// Number of calls that have had to wait so far; the arrival number of the last one.
     arrivals: u64,
     record: Vec<CallRecord>,
+    /// Attempt ids of the calls that were cancelled.
     cancelled: HashSet<String>,
     /// Attempt id and output of the last plain answer, for [`Fault::Crossed`].
-    answered: Option<(String, serde_json::Value)>,
+    last_answer: Option<(String, serde_json::Value)>,
+    /// Hashes of the cached prefixes, most recently used first.
     prefixes: VecDeque<u64>,
+    /// Cache events, each with its time in milliseconds since the target started.
     cache_events: Vec<(u128, serde_json::Value)>,
+    /// Number of cache events so far, dropped ones included.
     cache_event_count: u64,
+    /// Highest fence of the accepted orders.
     fence: u64,
+    /// Accepted orders, each with its fence and the wanted condition, such as model and role.
     orders: Vec<serde_json::Value>,
-    reported: (u32, u32),
+    /// The load that is reported: numbers of running and of waiting calls.
+    reported_load: (u32, u32),
     reported_at: Option<Instant>,
 }
 
 /// One target of the process.
 struct Target {
-    engine: bool,
+    /// Whether it streams tokens.
+    is_engine: bool,
+    /// Number of calls that run at the same time.
     slots: u32,
+    /// Capacity of the prefix cache.
     cached_prefixes: usize,
     state: Mutex<State>,
     started: Instant,
@@ -173,10 +192,11 @@
         let mut state = self.state();
         let lag = Duration::from_millis(state.settings.report_lag_ms);
         if state.reported_at.is_none_or(|at| at.elapsed() >= lag) {
-            state.reported = (state.running, u32::try_from(state.queue.len()).unwrap_or(u32::MAX));
+            state.reported_load =
+                (state.running, u32::try_from(state.queue.len()).unwrap_or(u32::MAX));
             state.reported_at = Some(Instant::now());
         }
-        format!("{}/{}", state.reported.0, state.reported.1)
+        format!("{}/{}", state.reported_load.0, state.reported_load.1)
     }
 
     async fn answer(self: Arc<Self>, req: BufferedRequest) -> Response<Body> {
@@ -187,14 +207,14 @@
             (&Method::GET, "/v1/load") => json_response(200, &self.load()),
             (&Method::GET, "/v1/cache-events") => json_response(200, &self.cache_events()),
             (&Method::GET, "/v1/condition") => self.condition(),
-            (&Method::POST, "/v1/orders") => self.order(&req),
+            (&Method::POST, "/v1/orders") => self.accept_order(&req),
             (&Method::GET, "/v1/orders") => json_response(200, &self.state().orders),
             (&Method::DELETE, path) => {
                 let attempt = path.trim_start_matches("/v1/attempts/").to_owned();
                 self.state().cancelled.insert(attempt);
                 json_response(200, &"cancelled")
             }
-            (&Method::POST, path) if path.starts_with("/v1/stages/") => self.stage(req).await,
+            (&Method::POST, path) if path.starts_with("/v1/stages/") => self.run_stage(req).await,
             _ => raw_response(404, b"no such path".to_vec()),
         }
     }
@@ -214,18 +234,18 @@
         let state = self.state();
         let lag = u128::from(state.settings.report_lag_ms);
         let until = self.started.elapsed().as_millis().saturating_sub(lag);
-        let told = state.cache_events.iter().filter(|(at, _)| *at <= until);
-        told.map(|(_, event)| event.clone()).collect()
+        let visible = state.cache_events.iter().filter(|(at, _)| *at <= until);
+        visible.map(|(_, event)| event.clone()).collect()
     }
 
-    /// The last order that was accepted.
+    /// The last order that was accepted; it counts as carried out at once.
     fn condition(&self) -> Response<Body> {
-        let none = json!({ "fence": 0, "wanted": {} });
-        json_response(200, self.state().orders.last().unwrap_or(&none))
+        let no_order = json!({ "fence": 0, "wanted": {} });
+        json_response(200, self.state().orders.last().unwrap_or(&no_order))
     }
 
     /// Accepts an order unless its fence is outdated.
-    fn order(&self, req: &BufferedRequest) -> Response<Body> {
+    fn accept_order(&self, req: &BufferedRequest) -> Response<Body> {
         let Ok(order) = serde_json::from_slice::<serde_json::Value>(&req.body) else {
             return json_response(400, &"no order");
         };
@@ -240,7 +260,7 @@
     }
 
     /// Runs one stage call.
-    async fn stage(self: Arc<Self>, req: BufferedRequest) -> Response<Body> {
+    async fn run_stage(self: Arc<Self>, req: BufferedRequest) -> Response<Body> {
         let mut settings = self.state().settings.clone();
         let input: serde_json::Value = serde_json::from_slice(&req.body).unwrap_or_default();
         if let Some(tokens) = find_input_value(&input, "tokens").and_then(serde_json::Value::as_u64)
@@ -250,7 +270,7 @@
         let fault_applies = rand::random_range(0..100) < settings.fault_percent;
         let fault = if fault_applies { settings.fault } else { Fault::None };
         let attempt = req.header("x-attempt-id");
-        let earlier = self.state().answered.clone().filter(|_| fault == Fault::Crossed);
+        let earlier = self.state().last_answer.clone().filter(|_| fault == Fault::Crossed);
         let reported_attempt =
             earlier.as_ref().map_or_else(|| attempt.clone(), |(id, _)| id.clone());
         if settings.leaving || fault == Fault::Busy {
@@ -261,15 +281,15 @@
             );
         }
         let slot = self.acquire_slot(&req.header("x-priority")).await;
-        let index = self.begin_record(&req, &attempt);
+        let record_index = self.begin_record(&req, &attempt);
         if fault == Fault::Hang {
             tokio::time::sleep(Duration::from_secs(3600)).await;
         }
-        let streams = self.engine && req.header("accept").contains("event-stream");
-        let hit = self.state().record[index].prefix_hit;
+        let streams = self.is_engine && req.header("accept").contains("event-stream");
+        let hit = self.state().record[record_index].prefix_hit;
         let prefill = if hit { 0 } else { settings.prefill_ms };
-        let first = Duration::from_millis(settings.service_ms + prefill);
-        tokio::time::sleep(first).await;
+        let time_to_first_token = Duration::from_millis(settings.service_ms + prefill);
+        tokio::time::sleep(time_to_first_token).await;
         if fault == Fault::Error {
             return self.with_target_headers(
                 raw_response(500, Vec::new()),
@@ -278,16 +298,16 @@
             );
         }
         if streams {
-            return self.stream(slot, &req, index, fault, &reported_attempt, &settings);
+            return self.stream(slot, &req, record_index, fault, &reported_attempt, &settings);
         }
         let output = json!({ "by": req.path.rsplit('/').next(), "of": input });
-        let cost = if self.engine { settings.tokens } else { 1 };
-        if self.engine {
+        let cost = if self.is_engine { settings.tokens } else { 1 };
+        if self.is_engine {
             self.generate(settings.tokens, settings.token_ms).await;
         }
-        self.end_record(index, cost);
+        self.end_record(record_index, cost);
         drop(slot);
-        self.state().answered = Some((attempt, output.clone()));
+        self.state().last_answer = Some((attempt, output.clone()));
         let output = earlier.map_or(output, |(_, output)| output);
         let body = json!({ "attempt": reported_attempt, "output": output, "cost": cost });
         let bytes = serde_json::to_vec(&body).unwrap_or_default();
@@ -311,7 +331,8 @@
         }
     }
 
-    /// Time per token; up to 1.5 times `token_ms` when all slots are busy, because batching slows each stream.
+    /// Time per token: `token_ms` grows with the fraction of busy slots, up to 1.5 times when all
+    /// are busy, because batching slows each stream.
     fn token_time(&self, token_ms: u64) -> Duration {
         let running = f64::from(self.state().running) / f64::from(self.slots);
         Duration::from_millis(token_ms).mul_f64(1.0 + 0.5 * running)
@@ -322,7 +343,7 @@
         self: Arc<Self>,
         slot: Slot,
         req: &BufferedRequest,
-        index: usize,
+        record_index: usize,
         fault: Fault,
         reported_attempt: &str,
         settings: &TargetSettings,
@@ -331,7 +352,7 @@
         let settings = settings.clone();
         let first = req.header("last-event-id").parse::<u64>().unwrap_or(0);
         let seed = fnv1a(&req.body);
-        let (target, name) = (Arc::clone(&self), reported_attempt.to_owned());
+        let (target, reported_id) = (Arc::clone(&self), reported_attempt.to_owned());
         let attempt = req.header("x-attempt-id");
         tokio::spawn(async move {
             let _slot = slot;
@@ -344,43 +365,46 @@
                     return;
                 }
                 tokio::time::sleep(target.token_time(settings.token_ms)).await;
-                // The same input gives the same tokens on every engine, so that a stream can be resumed on another one.
+                // The same input gives the same tokens on every engine, so that a stream can be
+                // resumed on another one.
                 let token = format!("w{} ", fnv1a(&(seed + number).to_le_bytes()) % 1000);
-                let data = json!({ "attempt": name, "token": token });
+                let data = json!({ "attempt": reported_id, "token": token });
                 let part = Bytes::from(format!("id: {number}\ndata: {data}\n\n"));
                 if tx.send(Ok(part)).await.is_err() {
                     return;
                 }
-                target.state().record[index].cost += 1;
+                target.state().record[record_index].cost += 1;
             }
             let cost = settings.tokens - first;
-            target.end_record(index, cost);
+            target.end_record(record_index, cost);
             let end = json!({ "tokens": settings.tokens, "cost": cost });
             let _ = tx.send(Ok(Bytes::from(format!("event: end\ndata: {end}\n\n")))).await;
         });
-        let mut rx = Response::new(stream_body(rx));
-        rx.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static("text/event-stream"));
-        self.with_target_headers(rx, reported_attempt, false)
+        let mut response = Response::new(stream_body(rx));
+        response.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static("text/event-stream"));
+        self.with_target_headers(response, reported_attempt, false)
     }
 
-    /// Adds the attempt id, the load and, if `leaving`, the notice that the target is leaving.
+    /// Adds the headers with the attempt id, the load and, if `leaving`, the notice that the target
+    /// is leaving.
     fn with_target_headers(
         &self,
-        mut rx: Response<Body>,
+        mut response: Response<Body>,
         reported_attempt: &str,
         leaving: bool,
     ) -> Response<Body> {
         let value =
             |text: &str| HeaderValue::from_str(text).unwrap_or(HeaderValue::from_static(""));
-        rx.headers_mut().insert("x-attempt-id", value(reported_attempt));
-        rx.headers_mut().insert("x-load", value(&self.load()));
+        response.headers_mut().insert("x-attempt-id", value(reported_attempt));
+        response.headers_mut().insert("x-load", value(&self.load()));
         if leaving {
-            rx.headers_mut().insert("x-leaving", value("true"));
+            response.headers_mut().insert("x-leaving", value("true"));
         }
-        rx
+        response
     }
 
-    /// Records a call and updates the prefix cache; returns the index of the record.
+    /// Records a call and updates the prefix cache; returns the index of the record. The prefix is
+    /// the input's `prefix`, or else its whole body.
     fn begin_record(&self, req: &BufferedRequest, attempt: &str) -> usize {
         let mut state = self.state();
         let input: serde_json::Value = serde_json::from_slice(&req.body).unwrap_or_default();
@@ -414,10 +438,10 @@
     }
 
     /// Marks a recorded call as completed with its cost.
-    fn end_record(&self, index: usize, cost: u64) {
+    fn end_record(&self, record_index: usize, cost: u64) {
         let mut state = self.state();
-        state.record[index].ended = true;
-        state.record[index].cost = cost;
+        state.record[record_index].ended = true;
+        state.record[record_index].cost = cost;
     }
 }
 
@@ -471,7 +495,7 @@
     let mut servers = tokio::task::JoinSet::new();
     for offset in 0..u16::try_from(number("count")).unwrap_or(1) {
         let target = Arc::new(Target {
-            engine: args.get_one::<String>("mode").is_some_and(|m| m == "engine"),
+            is_engine: args.get_one::<String>("mode").is_some_and(|m| m == "engine"),
             slots: u32::try_from(number("slots")).unwrap_or(1),
             cached_prefixes: usize::try_from(number("cached-prefixes")).unwrap_or(0),
             state: Mutex::new(State { settings: settings.clone(), ..State::default() }),
--- a/standins/src/fleet.rs
+++ b/standins/src/fleet.rs
@@ -1,5 +1,5 @@
-//! A fleet of real processes for tests and benchmarks: the stand-in platform, stand-in targets and entry
-//! VMs, all on a loopback address of their own. Dropping the fleet kills them.
+//! A fleet of real processes for tests and benchmarks: the stand-in platform, stand-in targets and
+//! entry VMs, all on a loopback address of their own. Dropping the fleet kills them.
 
 // A failed setup must end the test or benchmark at once.
 #![allow(clippy::expect_used)]
@@ -17,7 +17,8 @@
 
 /// Longest wait for any condition; reached only if the condition never becomes true.
 pub const MAX_WAIT: Duration = Duration::from_secs(20);
-/// Number of VMs that a VM keeps in its VM list regardless of their hall.
+/// Number of other VMs that each VM knows at least in a large fleet. A VM keeps track of all VMs of
+/// its own hall and of up to this many in other halls.
 const MIN_KNOWN_VMS: usize = 16;
 /// Port of the platform.
 const PLATFORM_PORT: u16 = 7000;
@@ -66,7 +67,9 @@
     pub vms: Vec<Vm>,
     /// Names and addresses of all targets.
     pub targets: Vec<(String, SocketAddr)>,
+    /// Directory of settings, configurations and logs.
     dir: PathBuf,
+    /// Processes of the platform and of the targets.
     children: Vec<Child>,
 }
 
@@ -75,8 +78,8 @@
 /// # Panics
 /// If the program is not built.
 pub fn program_path(name: &str) -> PathBuf {
-    let own = std::env::current_exe().expect("own path");
-    let found = own.ancestors().skip(1).take(2).map(|dir| dir.join(name)).find(|p| p.exists());
+    let own_path = std::env::current_exe().expect("own path");
+    let found = own_path.ancestors().skip(1).take(2).map(|dir| dir.join(name)).find(|p| p.exists());
     found.unwrap_or_else(|| panic!("{name} is not built: build or test the whole workspace"))
 }
 
@@ -107,21 +110,25 @@
 /// # Panics
 /// If the status of the answer is not 200.
 pub fn put_json(to: SocketAddr, path: &str, value: &Value) {
-    let rx = agent().put(format!("http://{to}{path}")).send(value.to_string()).expect("put");
-    assert_eq!(rx.status().as_u16(), 200, "PUT {path} {value}");
+    let response = agent().put(format!("http://{to}{path}")).send(value.to_string()).expect("put");
+    assert_eq!(response.status().as_u16(), 200, "PUT {path} {value}");
 }
 
 /// Fetches JSON; `None` without an answer with status 200.
 pub fn get_json(from: SocketAddr, path: &str) -> Option<Value> {
-    let mut rx = agent().get(format!("http://{from}{path}")).call().ok()?;
-    if rx.status().as_u16() != 200 {
+    let mut response = agent().get(format!("http://{from}{path}")).call().ok()?;
+    if response.status().as_u16() != 200 {
         return None;
     }
-    serde_json::from_str(&rx.body_mut().read_to_string().ok()?).ok()
+    serde_json::from_str(&response.body_mut().read_to_string().ok()?).ok()
 }
 
 fn status_of(from: SocketAddr, path: &str) -> Option<u16> {
-    agent().get(format!("http://{from}{path}")).call().ok().map(|rx| rx.status().as_u16())
+    agent()
+        .get(format!("http://{from}{path}"))
+        .call()
+        .ok()
+        .map(|response| response.status().as_u16())
 }
 
 /// Sends a signal, named as `kill` names it, to a process that the test started.
@@ -131,7 +138,7 @@
 }
 
 /// A loopback address that no other fixture uses, in this process or another one, so that all its
-/// ports are free.
+/// ports are free: `127.P.P.N` with the low bytes of the process id and a count.
 pub fn unique_loopback_address() -> IpAddr {
     let number = NEXT_ADDRESS.fetch_add(1, Ordering::Relaxed);
     let [.., high, low] = std::process::id().to_be_bytes();
@@ -176,8 +183,8 @@
         fleet
     }
 
-    /// Configuration text with the targets of all pools, alternately in hall-a and hall-b, two customers
-    /// (`small` and `large`), and the given services.
+    /// Configuration text with the targets of all pools, alternately in hall-a and hall-b, two
+    /// customers (`small` and `large`), and the given services.
     pub fn catalogue(&self, services: &str) -> String {
         let mut text = "customer: {name: small}\n---\ncustomer: {name: large}\n".to_owned();
         for (index, (name, address)) in self.targets.iter().enumerate() {
@@ -200,7 +207,7 @@
     /// Writes a file into the fleet's directory and returns its path.
     pub fn write_file(&self, name: &str, text: &str) -> PathBuf {
         let path = self.dir.join(name);
-        fs::write(&path, text).expect("write");
+        fs::write(&path, text).expect("the file is written");
         path
     }
 
@@ -214,16 +221,16 @@
         command.args(args).output().expect("tool")
     }
 
-    /// Starts a further entry VM in a hall and waits until it is ready. `more` is appended to its settings.
-    /// Returns its index.
-    pub fn start_vm(&mut self, hall: &str, more: &str) -> usize {
-        let index = self.start_vm_without_waiting(hall, more);
+    /// Starts a further entry VM in a hall and waits until it is ready. `extra` is appended to its
+    /// settings. Returns its index.
+    pub fn start_vm(&mut self, hall: &str, extra: &str) -> usize {
+        let index = self.start_vm_without_waiting(hall, extra);
         self.wait_ready(index);
         index
     }
 
     /// Starts a further entry VM without waiting for it; returns its index.
-    pub fn start_vm_without_waiting(&mut self, hall: &str, more: &str) -> usize {
+    pub fn start_vm_without_waiting(&mut self, hall: &str, extra: &str) -> usize {
         let index = self.vms.len();
         let port = 9000 + 10 * u16::try_from(index).expect("few VMs");
         let address = |offset| SocketAddr::new(self.ip, port + offset);
@@ -231,7 +238,7 @@
         let seeds: Vec<String> = self.vms.iter().map(|vm| format!("'{}'", vm.peers)).collect();
         let text = format!(
             "vm: {name}\nhall: {hall}\ncallers: '{}'\npeers: '{}'\noperations: '{}'\n\
-             platform: '{}'\nseeds: [{}]\nlog: debug\n{more}",
+             platform: '{}'\nseeds: [{}]\nlog: debug\n{extra}",
             address(0),
             address(1),
             address(2),
@@ -267,7 +274,8 @@
         });
     }
 
-    /// Waits until every VM has fresh news of every other one, or of as many as it keeps at least.
+    /// Waits until every VM lists every other one as fresh, or `MIN_KNOWN_VMS` of them in a large
+    /// fleet.
     pub fn wait_for_peer_discovery(&self) {
         let others = (self.vms.len() - 1).min(MIN_KNOWN_VMS);
         for vm in &self.vms {
@@ -286,12 +294,12 @@
 
     /// Sends a signal to a VM's process.
     pub fn signal(&self, index: usize, name: &str) {
-        signal(self.vms[index].child.as_ref().expect("runs"), name);
+        signal(self.vms[index].child.as_ref().expect("the VM runs"), name);
     }
 
     /// Process id of a running VM.
     pub fn pid(&self, index: usize) -> u32 {
-        self.vms[index].child.as_ref().expect("runs").id()
+        self.vms[index].child.as_ref().expect("the VM runs").id()
     }
 
     /// Kills a VM's process with SIGKILL and waits for its end.
@@ -306,7 +314,7 @@
     pub fn stop(&mut self, index: usize) -> Duration {
         let began = Instant::now();
         self.signal(index, "TERM");
-        let mut child = self.vms[index].child.take().expect("runs");
+        let mut child = self.vms[index].child.take().expect("the VM runs");
         wait_until("the process has ended", || child.try_wait().expect("wait").is_some());
         began.elapsed()
     }
@@ -321,7 +329,8 @@
         put_json(self.platform, "/faults", faults);
     }
 
-    /// Publishes all targets and VMs on the platform's VM list; those in `leaving` with the state leaving.
+    /// Publishes all targets and VMs on the platform's VM list; those in `leaving` with the state
+    /// leaving.
     pub fn publish_vm_list(&self, leaving: &[&str]) {
         let state = |name: &str| {
             if leaving.contains(&name) { "leaving" } else { "live" }
@@ -338,7 +347,7 @@
 
     /// Address of a target, by name.
     pub fn target(&self, name: &str) -> SocketAddr {
-        self.targets.iter().find(|(n, _)| n == name).expect("a target").1
+        self.targets.iter().find(|(n, _)| n == name).expect("the fleet has a target of this name").1
     }
 
     /// The calls that a target recorded.
@@ -349,20 +358,22 @@
 
     /// The calls that all targets recorded, each with its target's name.
     pub fn records(&self) -> Vec<(String, Value)> {
-        let of = |name: &String| {
+        let calls_of = |name: &String| {
             self.record(name).into_iter().map({
                 let name = name.clone();
                 move |call| (name.clone(), call)
             })
         };
-        self.targets.iter().flat_map(|(name, _)| of(name)).collect()
+        self.targets.iter().flat_map(|(name, _)| calls_of(name)).collect()
     }
 
     /// The log of a VM, across restarts.
     pub fn log(&self, index: usize) -> String {
         let mut text = String::new();
         let path = self.dir.join(format!("{}.log", self.vms[index].name));
-        fs::File::open(path).and_then(|mut f| f.read_to_string(&mut text)).expect("log");
+        fs::File::open(path)
+            .and_then(|mut f| f.read_to_string(&mut text))
+            .expect("the VM's log is readable");
         text
     }
 }
--- a/standins/src/lib.rs
+++ b/standins/src/lib.rs
@@ -1,6 +1,9 @@
-//! Stand-ins for the platform and for targets, and fixtures that start them with real VM processes.
+//! Stand-ins for the platform and for targets, and fixtures that start them together with real VM
+//! processes.
 //!
-//! This file has what the stand-in programs share: an HTTP server and JSON responses.
+//! [`fleet`] and [`callers`] start and call `saddleraild` with the stand-in programs of `src/bin`.
+//! [`serving_path`] has stand-ins that run inside the test process. This file has what the stand-in
+//! programs share: an HTTP server and JSON responses.
 
 pub mod callers;
 pub mod fleet;
@@ -20,8 +23,8 @@
 use tokio::sync::watch;
 
 /// Largest request body, in bytes.
-const MAX_BODY: usize = 16 << 20;
-/// Longest wait for a request body.
+const MAX_BODY_BYTES: usize = 16 << 20;
+/// Time within which a request body has to arrive.
 const BODY_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// A request whose body has been read completely.
@@ -61,16 +64,17 @@
     F: Future<Output = Response<Body>> + Send + 'static,
 {
     let listener = TcpListener::bind(address).await?;
-    let bounds = ConnectionLimits { connections: 20_000, head_wait: Duration::from_secs(600) };
+    let limits = ConnectionLimits { connections: 20_000, head_wait: Duration::from_secs(600) };
+    // Never sent to: the server runs until the process ends.
     let (_running, stop) = watch::channel(false);
-    http_server::serve(listener, bounds, stop, move |req: Request<Incoming>| {
+    http_server::serve(listener, limits, stop, move |req: Request<Incoming>| {
         let handle = handle.clone();
         async move {
             let (head, body) = req.into_parts();
             let pairs = head.uri.query().unwrap_or_default().split('&');
             let query = pairs.filter_map(|pair| pair.split_once('='));
             let query = query.map(|(k, v)| (k.to_owned(), v.to_owned())).collect();
-            let Ok(body) = read_body(body, MAX_BODY, BODY_TIMEOUT).await else {
+            let Ok(body) = read_body(body, MAX_BODY_BYTES, BODY_TIMEOUT).await else {
                 return json_response(400, &"body");
             };
             let path = head.uri.path().to_owned();
@@ -95,7 +99,7 @@
 
 /// A response with a status and the given bytes as its body.
 pub fn raw_response(status: u16, body: Vec<u8>) -> Response<Body> {
-    let mut rx = Response::new(full_body(body));
-    *rx.status_mut() = hyper::StatusCode::from_u16(status).unwrap_or_default();
-    rx
+    let mut response = Response::new(full_body(body));
+    *response.status_mut() = hyper::StatusCode::from_u16(status).unwrap_or_default();
+    response
 }
--- a/standins/src/serving_path/crashing.rs
+++ b/standins/src/serving_path/crashing.rs
@@ -1,4 +1,5 @@
-//! Stand-in runners that crash on a certain request and restart after a while, as a new incarnation.
+//! Stand-in runners that crash on a certain request and restart after a while. Each run from a
+//! start to a crash is an incarnation of the runner.
 
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
 use std::sync::{Arc, Mutex, PoisonError};
@@ -21,7 +22,7 @@
 pub enum RestartId {
     /// A new id.
     NewId,
-    /// The same id; only the `born` time of the entry tells the incarnations apart.
+    /// The same id; only the start time (`born`) in the store entry tells the incarnations apart.
     SameId,
 }
 
@@ -55,7 +56,7 @@
     /// Whether its port is open for connections.
     is_listening: bool,
     /// Connections of the current incarnation, to be closed by a crash.
-    open: Vec<TcpStream>,
+    open_connections: Vec<TcpStream>,
     /// Number of incarnations so far.
     incarnation_count: u64,
     /// Bodies of the requests that all incarnations received.
@@ -85,11 +86,11 @@
         let state = State {
             incarnation: None,
             is_listening: true,
-            open: Vec::new(),
+            open_connections: Vec::new(),
             incarnation_count: 0,
             received_bodies: Vec::new(),
         };
-        let fragile = CrashingRunner {
+        let crashing = CrashingRunner {
             name: name.to_owned(),
             service: service.to_owned(),
             address: listener.local_addr()?,
@@ -98,12 +99,12 @@
             state: Arc::new(Mutex::new(state)),
         };
         // The entry is written before this returns, so that tests can rely on it.
-        let (serving, first) = (fragile.clone(), fragile.begin_incarnation());
+        let (serving, first) = (crashing.clone(), crashing.begin_incarnation());
         spawn(move || serving.run(listener, first));
-        Ok(fragile)
+        Ok(crashing)
     }
 
-    /// Number of crashes so far.
+    /// Number of crashes so far: the incarnations but for the current one.
     pub fn crashes(&self) -> u64 {
         self.with(|state| {
             state.incarnation_count.saturating_sub(u64::from(state.incarnation.is_some()))
@@ -170,7 +171,7 @@
     fn accept(&self, listener: &TcpListener, runner: &Runner) {
         for stream in listener.incoming().flatten() {
             let is_up = self.with(|state| {
-                state.open.extend(stream.try_clone());
+                state.open_connections.extend(stream.try_clone());
                 state.incarnation.is_some()
             });
             if !is_up {
@@ -181,34 +182,35 @@
         }
     }
 
-    fn serve(&self, mut wire: HttpConnection, runner: &Runner) {
-        while let Some(req) = wire.read() {
+    fn serve(&self, mut conn: HttpConnection, runner: &Runner) {
+        while let Some(req) = conn.read() {
             self.with(|state| state.received_bodies.push(req.body.clone()));
             if self.is_fatal(&req, runner) {
                 self.crash();
                 return;
             }
-            if !runner.answer(&mut wire, &req) {
+            if !runner.answer(&mut conn, &req) {
                 return;
             }
         }
     }
 
-    /// Whether a request makes the runner crash; waits for the crash delay if so.
+    /// Whether a request makes the runner crash; waits for the crash delay if so. A request that
+    /// expects another instance id does not.
     fn is_fatal(&self, req: &HttpMessage, runner: &Runner) -> bool {
-        let is_fatal = match &self.config.trigger {
+        let matches_trigger = match &self.config.trigger {
             CrashTrigger::Body(body) => req.body == *body,
             CrashTrigger::PieceKey(key) => req.text().contains(&format!("\"{key}\"")),
         };
-        let fatal = is_fatal && req.header("expected-instance") == runner.id;
+        let fatal = matches_trigger && req.header("expected-instance") == runner.id;
         if fatal {
             sleep(self.config.crash_delay);
         }
         fatal
     }
 
-    /// Ends the incarnation: closes its port first, waking the accepting thread with a connection of its own, then all
-    /// its connections.
+    /// Ends the incarnation: closes its port first, then all its connections. The thread that
+    /// accepts connections is woken by a connection from here.
     fn crash(&self) {
         if self.with(|state| state.incarnation.take()).is_none() {
             return;
@@ -217,7 +219,7 @@
         while self.with(|state| state.is_listening) {
             sleep(CLOSE_POLL_INTERVAL);
         }
-        for stream in self.with(|state| std::mem::take(&mut state.open)) {
+        for stream in self.with(|state| std::mem::take(&mut state.open_connections)) {
             drop(stream.shutdown(Shutdown::Both));
         }
     }
--- a/standins/src/serving_path/scenarios.rs
+++ b/standins/src/serving_path/scenarios.rs
@@ -1,5 +1,8 @@
-//! Scenarios generated from a seed: calls that wait in the queue of a pool, and VMs that fail while other VMs use the
-//! results of their pools.
+//! Scenarios generated from a seed: calls that wait in the queue of a pool, and VMs that fail while
+//! other VMs use the results of their pools.
+//!
+//! Each pool is owned by one VM, which sends all calls to the pool's workers, also on behalf of the
+//! VMs that received the requests (the requesters).
 
 // A failed setup fails the scenario.
 #![allow(clippy::expect_used)]
@@ -25,26 +28,29 @@
 const EARLIER_PAUSE_MS: std::ops::Range<u64> = 0..400;
 /// How long the call waits in the queue, in milliseconds; less than the owner's timeout.
 const QUEUE_DELAY_MS: std::ops::Range<u64> = 0..220;
-/// Size of a result of the first stage, in bytes: six results take 0.36 to 0.78 of their worker's memory.
+/// Size of a result of the first stage, in bytes: the six results of a request take 0.36 to 0.78 of
+/// their worker's memory.
 const RESULT_BYTES: std::ops::Range<u64> = 60_000..130_000;
 
 /// Name that a VM's state dump uses for the VM itself.
 const THIS_VM: &str = "this VM";
-/// Fleet sizes, below and above the size from which each VM is linked to only some of the others.
+/// Numbers of VMs: in the two small fleets each VM is linked to all others, in the two large ones
+/// to some of them.
 const FLEET_SIZES: [usize; 4] = [2, 3, 12, 14];
 /// Number of requests that engines process when the fault occurs.
 const REQUESTS: std::ops::Range<usize> = 1..4;
 /// How long the engines take to answer.
 const ENGINE_TIME: Duration = Duration::from_millis(900);
-/// Time of the fault after the engines have received the requests, in milliseconds. Releases of the first stage's
-/// results are in transit then.
+/// Time of the fault after the engines have received the requests, in milliseconds. Releases of the
+/// first stage's results are in transit then.
 const FAULT_DELAY_MS: std::ops::Range<u64> = 0..6;
-/// Factor by which `fault_delay` is longer for [`Fault::OwnerKilledAtWork`], where it begins with the first call for a
-/// piece: two calls of 20 ms run in that time.
+/// Factor by which the delay is longer for [`Fault::OwnerKilledAtWork`], where it begins with the
+/// first call to a worker: two calls of 20 ms run in that time.
 const AT_WORK_FACTOR: u32 = 10;
-/// Longest time in which an answer reaches the owner, and from there the VM of the request, in milliseconds.
+/// Longest time in which an answer reaches the owner, and from there the requester, in
+/// milliseconds.
 const TRANSIT_MS: i64 = 20;
-/// How long a VM is paused: longer than the deadlines of its requests.
+/// How long a VM is paused: longer than the deadlines of its requests, which are 2 s.
 const PAUSE: Duration = Duration::from_secs(4);
 /// Lifetime of a result, in seconds.
 const RESULT_LIFE_S: std::ops::Range<u64> = 4..12;
@@ -54,9 +60,13 @@
 /// A call that waits in the queue of a pool, as if behind a call of another VM.
 #[derive(Debug)]
 pub struct QueuedCallScenario {
+    /// Number of requests before the one whose call waits.
     before: u64,
+    /// Pause after each of these requests.
     gap: Duration,
+    /// How long the call waits in the queue.
     delay: Duration,
+    /// Size of a result of the first stage.
     result_bytes: u64,
 }
 
@@ -72,15 +82,16 @@
         }
     }
 
-    /// Runs the scenario; returns how often the two stages of the request were called. Each has to be called once.
+    /// Runs the scenario; returns how often the two stages of the request were called. Each has to
+    /// be called once.
     ///
     /// # Panics
     /// If a fixture can't be set up, or the request is not served.
     pub fn count_calls(&self, name: &str) -> usize {
         let site = Site::start();
-        let mut scarce = default_configuration(2);
-        scarce["routes"][4]["stages"][0]["bytes"] = json!(self.result_bytes);
-        site.store.put("op/config", &scarce);
+        let mut config = default_configuration(2);
+        config["routes"][4]["stages"][0]["bytes"] = json!(self.result_bytes);
+        site.store.put("op/config", &config);
         site.store.remove("servers/i-pool-2");
         let vm = site.start_vm(name, "");
         wait_until("it is in force", || vm.state()["configuration"] == json!(2));
@@ -90,18 +101,18 @@
             assert!(is_served(answer.as_ref()), "a request before: {answer:?}");
             thread::sleep(self.gap);
         }
-        let before = worker.messages().len();
+        let calls_before = worker.messages().len();
 
         let call = chain("waits", "6,1");
         let address = vm.callers;
-        let asked = thread::spawn(move || call.send(address));
-        wait_until("the first stage is at work", || worker.messages().len() > before);
+        let caller = thread::spawn(move || call.send(address));
+        wait_until("the first stage is at work", || worker.messages().len() > calls_before);
         thread::sleep(Duration::from_millis(5));
         worker.delay_next_call(self.delay);
 
-        let answer = asked.join().expect("no panic");
+        let answer = caller.join().expect("no panic");
         assert!(is_served(answer.as_ref()), "{answer:?}");
-        worker.messages().len() - before
+        worker.messages().len() - calls_before
     }
 }
 
@@ -124,6 +135,7 @@
     vms: usize,
     requests: usize,
     fault: Fault,
+    /// Time of the fault, see [`FAULT_DELAY_MS`] and [`AT_WORK_FACTOR`].
     fault_delay: Duration,
     /// Lifetime of a result in seconds; some are shorter than a pause, some longer.
     life_s: u64,
@@ -138,7 +150,8 @@
     pub released: usize,
     /// Number of releases beyond the first one for each result.
     pub repeated: usize,
-    /// Times of the releases of each result that was released more than once, in milliseconds after the fault.
+    /// Times of the releases of each result that was released more than once, in milliseconds after
+    /// the fault.
     pub repeat_times_ms: Vec<Vec<i64>>,
     /// When the results that nobody released were computed, in milliseconds after the fault.
     pub unreleased_ms: Vec<i64>,
@@ -163,23 +176,26 @@
         }
     }
 
-    /// Whether each result was released exactly once, with these exceptions: A result that a paused owner held may have
-    /// expired meanwhile. Nobody knows the results that were in transit to an owner when it was killed. An owner can't
-    /// know that a worker was told of a release just before the VM that told it was paused.
+    /// Whether each result was released exactly once, with three exceptions. Results may stay
+    /// unreleased if they were in transit to an owner when it was killed, since no other VM knows
+    /// them, or if a VM was paused, since they may have expired meanwhile. A result may be released
+    /// twice if the requester was paused just after it had told the worker, since the owner can't
+    /// know of that.
     pub fn is_satisfied_by(&self, summary: &ReleaseSummary) -> bool {
-        let is_known = match self.fault {
+        let must_be_released = match self.fault {
             Fault::OwnerKilled => |_: &i64| true,
             Fault::OwnerKilledAtWork => |made: &i64| *made < -TRANSIT_MS,
             Fault::OwnerPaused | Fault::RequesterPaused => |_: &i64| false,
         };
-        let is_unknown = |releases: &Vec<i64>| {
+        let may_be_repeated = |releases: &Vec<i64>| {
             self.fault == Fault::RequesterPaused && releases.len() == 2 && releases[0] < TRANSIT_MS
         };
-        summary.repeat_times_ms.iter().all(is_unknown)
-            && !summary.unreleased_ms.iter().any(is_known)
+        summary.repeat_times_ms.iter().all(may_be_repeated)
+            && !summary.unreleased_ms.iter().any(must_be_released)
     }
 
-    /// Runs the scenario; returns which results the workers were told to release, once no more releases can arrive.
+    /// Runs the scenario; returns which results the workers were told to release, once no more
+    /// releases can arrive.
     ///
     /// # Panics
     /// If a fixture can't be set up.
@@ -191,9 +207,9 @@
         let mut vms = start_vms(&site, name, self.vms);
         let owner = pool_owner(&vms);
         let requester = (owner + 1) % vms.len();
-        let silent = vec![Behavior::Hang(ENGINE_TIME); REQUESTS.end];
-        site.engines.iter().for_each(|engine| engine.queue_behaviors(&silent));
-        let asked = send_requests(vms[requester].callers, self.requests);
+        let slow = vec![Behavior::Hang(ENGINE_TIME); REQUESTS.end];
+        site.engines.iter().for_each(|engine| engine.queue_behaviors(&slow));
+        let pending = send_requests(vms[requester].callers, self.requests);
         if self.fault == Fault::OwnerKilledAtWork {
             wait_until("a piece is asked for", || received_count(&site.pool) > 0);
             thread::sleep(self.fault_delay * AT_WORK_FACTOR);
@@ -209,9 +225,9 @@
             Fault::RequesterPaused => pause(&vms[requester]),
         }
 
-        for asked in asked {
+        for pending in pending {
             // Only the results are checked, not the answers.
-            drop(asked.join().expect("no panic"));
+            drop(pending.join().expect("no panic"));
         }
         thread::sleep(RELEASE_WAIT);
         summarize_releases(&site, fault_at)
@@ -225,6 +241,7 @@
     vm.signal("-CONT");
 }
 
+/// A request to the chain of two stages; `pieces` are the numbers of pieces of the stages.
 fn chain(id: &str, pieces: &str) -> Call {
     post("/chain/", id).with_header("Pieces", pieces).with_header("Piece-Key", "k")
 }
@@ -238,14 +255,14 @@
     address: SocketAddr,
     requests: usize,
 ) -> Vec<thread::JoinHandle<Option<HttpMessage>>> {
-    let ask = |number: usize| {
+    let spawn_caller = |number: usize| {
         let call = chain(&format!("c-{number}"), "1,2");
         thread::spawn(move || call.send(address))
     };
-    (0..requests).map(ask).collect()
+    (0..requests).map(spawn_caller).collect()
 }
 
-/// Number of requests and calls that runners received.
+/// Number of requests and calls that runners received, over all of them.
 fn received_count(runners: &[Runner]) -> usize {
     runners.iter().map(|runner| runner.messages().len()).sum()
 }
@@ -264,11 +281,12 @@
     vms
 }
 
-/// The owner of the pool, which fills the calls to its workers, as `vm` names it.
+/// The name of the pool's owner according to `vm`; [`THIS_VM`] if that is the owner.
 fn owner_named_by(vm: &Vm) -> String {
     vm.state()["pools"][0]["filled_by"].as_str().unwrap_or_default().to_owned()
 }
 
+/// Index of the VM that owns the pool.
 fn pool_owner(vms: &[Vm]) -> usize {
     vms.iter().position(|vm| owner_named_by(vm) == THIS_VM).expect("a VM owns the pool")
 }
@@ -281,8 +299,8 @@
     }
     let repeat_times_ms = releases.values().filter(|times| times.len() > 1).cloned().collect();
     let made: Vec<StageResult> = site.pool.iter().flat_map(Runner::made).collect();
-    let left = made.iter().filter(|made| !releases.contains_key(&made.handle));
-    let unreleased_ms: Vec<i64> = left.map(|made| millis_after(made.at, fault_at)).collect();
+    let unreleased = made.iter().filter(|made| !releases.contains_key(&made.handle));
+    let unreleased_ms: Vec<i64> = unreleased.map(|made| millis_after(made.at, fault_at)).collect();
     ReleaseSummary {
         released: made.len() - unreleased_ms.len(),
         made: made.len(),
--- a/standins/src/serving_path/soak_checks.rs
+++ b/standins/src/serving_path/soak_checks.rs
@@ -1,4 +1,5 @@
-//! Checks of a randomized run, based on the answers that callers received and the requests that runners recorded.
+//! Checks of a randomized run, based on the answers that callers received and the requests that
+//! runners recorded.
 
 use std::collections::{BTreeSet, HashMap};
 use std::thread;
@@ -8,21 +9,23 @@
 use super::crashing::CrashingRunner;
 use super::runners::{ReceivedRequest, Runner, StageResult};
 use super::site::{Site, Vm};
-use super::soak::{AnsweredRequest, Interruption, KINDS, Report};
+use super::soak::{AnsweredRequest, Interruption, REQUEST_KINDS, Report};
 
 /// Number of crashes after which a request is quarantined.
-const CRASHES: u64 = 3;
-/// Further crashes that are tolerated, per restart of a VM and once more: attempts of a request that is under way
-/// again, and attempts at a VM that has restarted and is not linked to its peers yet.
+const QUARANTINE_CRASHES: u64 = 3;
+/// Further crashes that are tolerated, for the whole run and once more per restart of a VM. They
+/// come from retries that were in progress when the request was quarantined, and from attempts of a
+/// VM that has restarted and is not linked to its peers yet.
 const TOLERATED_CRASHES: u64 = 2;
 /// Number of events in a complete stream.
-const EVENTS: u64 = 5;
-/// Time after the notice that a runner is leaving, from which on requests sent to the VM that received the notice must
-/// not reach the runner.
+const STREAM_EVENTS: u64 = 5;
+/// Time after a notice that a runner is leaving. Requests that callers send later to the VM that
+/// received the notice must not reach the runner.
 const LEAVING_TOLERANCE: Duration = Duration::from_secs(2);
 /// Time within which requests arrive that were in transit when a notice was sent.
 const TRANSIT_TIME: Duration = Duration::from_millis(500);
-/// Number of requests from a VM that may reach a runner later than that, before its `Retry-After` is over.
+/// Number of requests from a VM that may reach a runner later than [`TRANSIT_TIME`] after its
+/// `Retry-After` and before that pause is over.
 const TOLERATED_LATE_REQUESTS: usize = 2;
 
 /// Interval over which requests to a runner with a rate limit are counted.
@@ -32,23 +35,27 @@
 /// Tolerated multiple of the number of requests that the rate limit allows in [`RATE_SPAN`].
 const RATE_FACTOR: f64 = 1.5;
 /// Number of requests tolerated in addition to [`RATE_FACTOR`].
-const RATE_EXTRA: f64 = 5.0;
+const EXTRA_REQUESTS: f64 = 5.0;
 
-/// Checks that only few runners crashed on the fatal request, and that no other request was quarantined.
-pub(super) fn check_crashes(fragile: &[CrashingRunner], vms: &[Vm], report: &mut Report) {
-    let ends: u64 = fragile.iter().map(CrashingRunner::crashes).sum();
-    let most = CRASHES + TOLERATED_CRASHES * (1 + report.restarts);
-    if ends > most {
-        report.violations.push(format!("{ends} crashes on one request, expected at most {most}"));
+/// Checks that only few runners crashed on the fatal request, and that no other request was
+/// quarantined.
+pub(super) fn check_crashes(crashing_runners: &[CrashingRunner], vms: &[Vm], report: &mut Report) {
+    let crashes: u64 = crashing_runners.iter().map(CrashingRunner::crashes).sum();
+    let max_crashes = QUARANTINE_CRASHES + TOLERATED_CRASHES * (1 + report.restarts);
+    if crashes > max_crashes {
+        report
+            .violations
+            .push(format!("{crashes} crashes on one request, expected at most {max_crashes}"));
     }
-    let refused = |vm: &Vm| vm.state()["quarantine"].as_array().map_or(0, Vec::len);
-    if let Some(many) = vms.iter().map(refused).max().filter(|refused| *refused > 1) {
+    let quarantined = |vm: &Vm| vm.state()["quarantine"].as_array().map_or(0, Vec::len);
+    if let Some(many) = vms.iter().map(quarantined).max().filter(|quarantined| *quarantined > 1) {
         report.violations.push(format!("{many} quarantined requests, expected one"));
     }
 }
 
-/// Checks that VMs respect the notices of runners: a VM that was told of one by an answer sends the runner no further
-/// requests, unless the VM was interrupted since then.
+/// Checks that VMs respect the notices of runners that they are leaving or want a pause: a VM that
+/// received such an answer sends the runner no further requests, unless the VM was interrupted
+/// since.
 pub(super) fn check_notices(
     site: &Site,
     answered: &[AnsweredRequest],
@@ -60,53 +67,57 @@
         let received = runner.received();
         let by_vm: Vec<(&ReceivedRequest, &AnsweredRequest)> =
             received.iter().filter_map(|r| Some((r, *sent.get(r.id.as_str())?))).collect();
-        let notices = by_vm.iter().filter(|(r, _)| r.leaves || r.left_alone.is_some());
-        for (notice, told) in notices {
+        let notices = by_vm.iter().filter(|(r, _)| r.announces_leaving || r.retry_after.is_some());
+        for (notice, notified) in notices {
             report.notices += 1;
-            let later = by_vm.iter().filter(|(r, one)| {
-                let interrupted = is_interrupted(interruptions, told.vm, notice.at, r.at);
-                one.vm == told.vm && r.at > notice.at && !interrupted
+            let later = by_vm.iter().filter(|(r, request)| {
+                let interrupted = is_interrupted(interruptions, notified.vm, notice.at, r.at);
+                request.vm == notified.vm && r.at > notice.at && !interrupted
             });
-            let (until, alone) = (notice.left_alone.map(|time| notice.at + time), TRANSIT_TIME);
-            let too_many = later.clone().filter(|(r, _)| {
-                until.is_some_and(|until| (notice.at + alone..until).contains(&r.at))
+            let (until, transit) = (notice.retry_after.map(|time| notice.at + time), TRANSIT_TIME);
+            let late = later.clone().filter(|(r, _)| {
+                until.is_some_and(|until| (notice.at + transit..until).contains(&r.at))
             });
-            if too_many.clone().count() > TOLERATED_LATE_REQUESTS {
-                let count = too_many.count();
+            if late.clone().count() > TOLERATED_LATE_REQUESTS {
+                let count = late.count();
                 report
                     .violations
                     .push(format!("{}: {count} requests during Retry-After", runner.id));
             }
-            for (_, one) in
-                later.filter(|(_, one)| notice.leaves && one.sent > notice.at + LEAVING_TOLERANCE)
-            {
+            for (_, request) in later.filter(|(_, request)| {
+                notice.announces_leaving && request.sent > notice.at + LEAVING_TOLERANCE
+            }) {
                 report
                     .violations
-                    .push(format!("{}: {} reached a leaving runner", runner.id, one.id));
+                    .push(format!("{}: {} reached a leaving runner", runner.id, request.id));
             }
         }
     }
 }
 
-/// Checks that workers are told to release every result before it expires, except those whose handle may have been lost
-/// with a VM process or was never received. Waits for the last releases.
+/// Checks that workers are told to release every result before it expires, except those whose
+/// handle may have been lost with a VM process or was never received. Waits for the last releases.
 pub(super) fn check_results(site: &Site, interruptions: &[Interruption], report: &mut Report) {
     let until = Instant::now() + RESULT_LIFE;
-    let ends: Vec<Instant> = interruptions.iter().filter(|i| i.is_end).map(|i| i.at).collect();
-    let is_owed = |made: &StageResult| {
+    let ends: Vec<Instant> =
+        interruptions.iter().filter(|i| i.process_ended).map(|i| i.at).collect();
+    let is_expected = |made: &StageResult| {
         let life = made.called..made.at + RESULT_LIFE;
         !made.caller_gone && !ends.iter().any(|end| life.contains(end))
     };
-    let owed: Vec<StageResult> = site.pool.iter().flat_map(Runner::made).filter(is_owed).collect();
-    report.results = owed.len();
+    let expected: Vec<StageResult> =
+        site.pool.iter().flat_map(Runner::made).filter(is_expected).collect();
+    report.results = expected.len();
     loop {
-        let given_up: BTreeSet<String> = site.pool.iter().flat_map(Runner::released).collect();
-        let kept = owed.iter().filter(|made| !given_up.contains(&made.handle)).count();
-        if kept == 0 {
+        let released: BTreeSet<String> = site.pool.iter().flat_map(Runner::released).collect();
+        let unreleased = expected.iter().filter(|made| !released.contains(&made.handle)).count();
+        if unreleased == 0 {
             return;
         }
         if Instant::now() > until {
-            report.violations.push(format!("{kept} of {} results are not released", owed.len()));
+            report
+                .violations
+                .push(format!("{unreleased} of {} results are not released", expected.len()));
             return;
         }
         thread::sleep(Duration::from_millis(50));
@@ -115,16 +126,18 @@
 
 /// Requests by their ids.
 fn by_id(answered: &[AnsweredRequest]) -> HashMap<&str, &AnsweredRequest> {
-    answered.iter().map(|one| (one.id.as_str(), one)).collect()
+    answered.iter().map(|request| (request.id.as_str(), request)).collect()
 }
 
 /// Whether a VM was restarted or paused in an interval.
 fn is_interrupted(interruptions: &[Interruption], vm: usize, from: Instant, to: Instant) -> bool {
-    interruptions.iter().any(|one| one.vm == vm && (from..to).contains(&one.at))
+    interruptions
+        .iter()
+        .any(|interruption| interruption.vm == vm && (from..to).contains(&interruption.at))
 }
 
-/// Checks that a runner with a rate limit receives no more requests than tolerated from VMs that know of the limit,
-/// unless these were interrupted since then.
+/// Checks that a runner with a rate limit receives no more requests than tolerated from VMs that
+/// know of the limit, unless these were interrupted since.
 pub(super) fn check_rates(
     site: &Site,
     answered: &[AnsweredRequest],
@@ -139,7 +152,7 @@
             let within =
                 || counted.iter().filter(|(at, _)| (*first..*first + RATE_SPAN).contains(at));
             let highest = within().map(|(_, rate)| *rate).fold(0.0, f64::max);
-            let tolerated = RATE_FACTOR * highest * RATE_SPAN.as_secs_f64() + RATE_EXTRA;
+            let tolerated = RATE_FACTOR * highest * RATE_SPAN.as_secs_f64() + EXTRA_REQUESTS;
             let count = within().count();
             if count as f64 > tolerated {
                 let what =
@@ -151,25 +164,27 @@
     }
 }
 
-/// Requests that arrived while a rate limit was in force, from VMs that knew of it: time and rate limit.
+/// Requests that arrived while a rate limit was in force, from VMs that knew of it: time and rate
+/// limit in requests per second.
 fn requests_at_rate(
     received: &[ReceivedRequest],
     sent: &HashMap<&str, &AnsweredRequest>,
     interruptions: &[Interruption],
 ) -> Vec<(Instant, f64)> {
-    let mut told: HashMap<usize, Instant> = HashMap::new();
+    let mut informed: HashMap<usize, Instant> = HashMap::new();
     let mut counted = Vec::new();
-    for one in received {
-        let Some(rate) = one.rate else {
-            // VMs have to be told again of the next rate limit.
-            told.clear();
+    for request in received {
+        let Some(rate) = request.rate else {
+            // The limit has ended; a VM knows of the next one only after a further answer.
+            informed.clear();
             continue;
         };
-        let Some(vm) = sent.get(one.id.as_str()).map(|one| one.vm) else { continue };
-        let uninterrupted = |since: &&Instant| !is_interrupted(interruptions, vm, **since, one.at);
-        match told.get(&vm).filter(uninterrupted) {
-            Some(since) if one.at > *since + TRANSIT_TIME => counted.push((one.at, rate)),
-            None if one.answered_at_once => drop(told.insert(vm, one.at)),
+        let Some(vm) = sent.get(request.id.as_str()).map(|request| request.vm) else { continue };
+        let uninterrupted =
+            |since: &&Instant| !is_interrupted(interruptions, vm, **since, request.at);
+        match informed.get(&vm).filter(uninterrupted) {
+            Some(since) if request.at > *since + TRANSIT_TIME => counted.push((request.at, rate)),
+            None if request.answered_at_once => drop(informed.insert(vm, request.at)),
             Some(_) | None => {}
         }
     }
@@ -177,50 +192,52 @@
 }
 
 /// Checks one answer against the requests that runners ran.
-pub(super) fn check_answer(site: &Site, one: &AnsweredRequest, report: &mut Report) {
-    let (path, repeatable, streams) = KINDS[one.kind];
-    let id = &one.id;
-    let mut broken = |what: String| report.violations.push(format!("{path} {id}: {what}"));
+pub(super) fn check_answer(site: &Site, request: &AnsweredRequest, report: &mut Report) {
+    let (path, repeatable, streams) = REQUEST_KINDS[request.kind];
+    let id = &request.id;
+    let mut violation = |what: String| report.violations.push(format!("{path} {id}: {what}"));
     let runs = site.runs(id);
     if !repeatable && runs > 1 {
-        broken(format!("ran {runs} times"));
+        violation(format!("ran {runs} times"));
     }
-    let Some(answer) = &one.answer else { return };
+    let Some(answer) = &request.answer else { return };
     match answer.status() {
         200 => {
             if !answer.header("response-signature").starts_with("sig-") {
-                broken("a success without Response-Signature".to_owned());
+                violation("a success without Response-Signature".to_owned());
             }
             if answer.header("request-id") != id {
-                broken(format!("the answer has the id {}", answer.header("request-id")));
+                violation(format!("the answer has the id {}", answer.header("request-id")));
             }
             if streams {
-                check_events(id, answer, &mut broken);
+                check_events(id, answer, &mut violation);
             } else if answer.is_complete && !answer.text().ends_with(&format!("answers {id}")) {
-                broken(format!("unexpected body: {}", answer.text()));
+                violation(format!("unexpected body: {}", answer.text()));
             }
             report.complete += u64::from(answer.is_complete);
         }
         503 | 429 | 408 | 421 if !repeatable && runs > 0 => {
-            broken(format!("status {}, but the request ran", answer.status()));
+            violation(format!("status {}, but the request ran", answer.status()));
+        }
+        status @ (400 | 401 | 404 | 413) => {
+            violation(format!("status {status} for a valid request"))
         }
-        status @ (400 | 401 | 404 | 413) => broken(format!("status {status} for a valid request")),
         _ => {}
     }
 }
 
-/// Checks that the events of a stream belong to the request, in order and without gaps, and that a complete stream has
-/// all of them.
-fn check_events(id: &str, answer: &HttpMessage, broken: &mut impl FnMut(String)) {
+/// Checks that the events of a stream belong to the request, in order and without gaps, and that a
+/// complete stream has all of them.
+fn check_events(id: &str, answer: &HttpMessage, violation: &mut impl FnMut(String)) {
     let text = answer.text();
     let data: Vec<&str> = text.lines().filter_map(|line| line.strip_prefix("data: ")).collect();
     for (index, event) in data.iter().enumerate() {
         if **event != format!("{id}/{}", index + 1) {
-            broken(format!("event {} is {event}", index + 1));
+            violation(format!("event {} is {event}", index + 1));
             return;
         }
     }
-    if answer.is_complete && data.len() as u64 != EVENTS {
-        broken(format!("{} events in a complete stream", data.len()));
+    if answer.is_complete && data.len() as u64 != STREAM_EVENTS {
+        violation(format!("{} events in a complete stream", data.len()));
     }
 }
