--- a/gateway/src/outbound_links.rs
+++ b/gateway/src/outbound_links.rs
@@ -31,7 +31,7 @@
     SentCursors, apply_heartbeat, decode_crashes, decode_departures, own_heartbeat, own_hello,
     piece_outcome, record_peer, take_unsent,
 };
-use crate::piece_events::{PieceEvent, StageAttempt};
+use crate::piece_events::{PieceEvent, StageSubmission};
 use crate::{releases, target_announcements};
 
 /// Sends messages to the VM that dialed a link.
@@ -75,7 +75,7 @@
 /// A submission whose results are awaited.
 struct PendingJob {
     news: UnboundedSender<PieceEvent>,
-    of: StageAttempt,
+    of: StageSubmission,
     expiry: ResultExpiry,
     /// Pieces that are not done.
     left: usize,
@@ -101,7 +101,7 @@
         &self,
         pool: &ServiceName,
         submission: &Submission,
-        of: StageAttempt,
+        of: StageSubmission,
         life: Duration,
         news: UnboundedSender<PieceEvent>,
     ) -> u64 {
--- a/gateway/src/piece_events.rs
+++ b/gateway/src/piece_events.rs
@@ -11,14 +11,14 @@
 use crate::outbound_links::DialerSender;
 use crate::releases;
 
-/// A stage of a request and the number of its submission. Events of an earlier submission may still
-/// arrive and don't apply to a later one.
+/// Identifies one submission of a stage of a request. Events of an earlier submission may still
+/// arrive after a later one and don't apply to it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) struct StageAttempt {
+pub(crate) struct StageSubmission {
     /// Index of the stage.
     pub(crate) stage: u32,
-    /// Number of submissions so far, this one included.
-    pub(crate) attempt: u32,
+    /// Number of the submission, counted from 1.
+    pub(crate) number: u32,
 }
 
 /// An event about submitted pieces.
@@ -27,7 +27,7 @@
     /// A piece is finished.
     Done {
         /// The submission that the event belongs to.
-        submission: StageAttempt,
+        submission: StageSubmission,
         /// Index of the piece.
         piece: u32,
         /// Its result or why there is none.
@@ -36,19 +36,19 @@
     /// The inputs of the stage were fetched and may be released.
     Fetched {
         /// The submission that the event belongs to.
-        submission: StageAttempt,
+        submission: StageSubmission,
     },
     /// The pool's owner is gone; unfinished pieces have to be submitted again.
     OwnerLost {
         /// The submission that the event belongs to.
-        submission: StageAttempt,
+        submission: StageSubmission,
     },
 }
 
 /// Receiver of the results of a submission.
 pub(crate) enum Sink {
     /// A request on this VM.
-    Local(UnboundedSender<PieceEvent>, StageAttempt),
+    Local(UnboundedSender<PieceEvent>, StageSubmission),
     /// A request on a peer.
     Peer(PeerSink),
 }
--- a/gateway/src/pool_calls.rs
+++ b/gateway/src/pool_calls.rs
@@ -227,8 +227,8 @@
     for job in jobs {
         match sinks.get(&(pool.clone(), job)) {
             // A request that has ended releases its results itself.
-            Some(Sink::Local(tx, attempt)) => {
-                drop(tx.send(PieceEvent::Fetched { submission: *attempt }))
+            Some(Sink::Local(tx, stage_submission)) => {
+                drop(tx.send(PieceEvent::Fetched { submission: *stage_submission }))
             }
             Some(Sink::Peer(peer)) => link_messages::send_fetched(&peer.tx, peer.number),
             None => {}
@@ -296,7 +296,7 @@
     let life = life.unwrap_or_default();
     for Finished { job, piece, outcome } in finished {
         match sinks.get(&(pool.clone(), job)) {
-            Some(Sink::Local(tx, attempt)) => {
+            Some(Sink::Local(tx, stage_submission)) => {
                 if let PieceOutcome::Stored(handle) = &outcome {
                     app.held.add(
                         handle,
@@ -307,7 +307,7 @@
                 }
                 if tx
                     .send(PieceEvent::Done {
-                        submission: *attempt,
+                        submission: *stage_submission,
                         piece,
                         outcome: outcome.clone(),
                     })
--- a/gateway/src/stages.rs
+++ b/gateway/src/stages.rs
@@ -19,7 +19,7 @@
 use crate::app::App;
 use crate::hub::now;
 use crate::missing_inputs::{self, Cause};
-use crate::piece_events::{PieceEvent, PieceEventReceiver, StageAttempt};
+use crate::piece_events::{PieceEvent, PieceEventReceiver, StageSubmission};
 use crate::releases;
 use crate::requests::AcceptedRequest;
 use crate::shared::Shared;
@@ -263,8 +263,8 @@
     let event = timeout_at(deadline, events.next()).await.map_err(|_| StagesError::Late)?;
     // This side holds a sender, so either another event comes or the deadline passes.
     match event.ok_or(StagesError::Broken)? {
-        PieceEvent::Done { submission: attempt, piece, outcome: PieceOutcome::Stored(handle) } => {
-            let index = attempt.stage as usize;
+        PieceEvent::Done { submission, piece, outcome: PieceOutcome::Stored(handle) } => {
+            let index = submission.stage as usize;
             if !runs[index].record_result(piece, &handle) {
                 releases::release_results(ctx.app, &[handle]);
             } else if runs[index].is_done() {
@@ -272,23 +272,23 @@
                 submit_ready(ctx, runs, tx);
             }
         }
-        PieceEvent::Done { submission: attempt, .. }
-        | PieceEvent::Fetched { submission: attempt }
-        | PieceEvent::OwnerLost { submission: attempt }
-            if !is_current(runs, attempt) => {}
-        PieceEvent::Fetched { submission: attempt } => {
-            runs[attempt.stage as usize].fetched = true;
+        PieceEvent::Done { submission, .. }
+        | PieceEvent::Fetched { submission }
+        | PieceEvent::OwnerLost { submission }
+            if !is_current(runs, submission) => {}
+        PieceEvent::Fetched { submission } => {
+            runs[submission.stage as usize].fetched = true;
             release_unneeded(ctx.entry, runs);
         }
         PieceEvent::Done { outcome: PieceOutcome::Late, .. } => return Err(StagesError::Late),
         PieceEvent::Done { outcome: PieceOutcome::Failed, .. } => return Err(StagesError::Broken),
-        PieceEvent::Done { submission: attempt, outcome: PieceOutcome::InputGone, .. } => {
-            restart_stage(ctx, runs, attempt.stage as usize, tx)?;
+        PieceEvent::Done { submission, outcome: PieceOutcome::InputGone, .. } => {
+            restart_stage(ctx, runs, submission.stage as usize, tx)?;
         }
-        PieceEvent::OwnerLost { submission: attempt } => {
+        PieceEvent::OwnerLost { submission } => {
             info!(ctx.app.log, "pieces submitted again"; "request" => %ctx.id,
-                "stage" => attempt.stage, "why" => "the owner of the pool was lost");
-            let index = attempt.stage as usize;
+                "stage" => submission.stage, "why" => "the owner of the pool was lost");
+            let index = submission.stage as usize;
             runs[index].reopen();
             if missing_input_cause(ctx, runs, index) != Cause::Unknown {
                 restart_stage(ctx, runs, index, tx)?;
@@ -301,9 +301,9 @@
 }
 
 /// Whether an event belongs to the latest submission of its stage.
-fn is_current(runs: &[StageRun], attempt: StageAttempt) -> bool {
-    let run = runs.get(attempt.stage as usize);
-    run.is_some_and(|run| run.submitted.is_some() && run.submissions == attempt.attempt)
+fn is_current(runs: &[StageRun], submission: StageSubmission) -> bool {
+    let run = runs.get(submission.stage as usize);
+    run.is_some_and(|run| run.submitted.is_some() && run.submissions == submission.number)
 }
 
 /// Repeats a stage after one of its inputs was gone: resets the stages that it needs, then submits
@@ -398,14 +398,14 @@
     let preferred_hall = preferred_hall_for(ctx, runs, index, &inputs);
     let piece_key = inputs.is_empty().then(|| ctx.head.piece_key.clone()).flatten();
     runs[index].submissions += 1;
-    let attempt = StageAttempt {
+    let stage_submission = StageSubmission {
         stage: u32::try_from(index).unwrap_or(u32::MAX),
-        attempt: runs[index].submissions,
+        number: runs[index].submissions,
     };
     let submission = Submission {
         request: ctx.id.clone(),
-        digest: Some(ctx.digest.for_stage(attempt.stage)),
-        stage: attempt.stage,
+        digest: Some(ctx.digest.for_stage(stage_submission.stage)),
+        stage: stage_submission.stage,
         pieces: runs[index].missing(),
         piece_key,
         inputs,
@@ -417,7 +417,7 @@
         preferred_hall,
     };
     runs[index].submitted =
-        Some(submissions::submit_to_owner(ctx.app, &stage.pool, submission, attempt, tx));
+        Some(submissions::submit_to_owner(ctx.app, &stage.pool, submission, stage_submission, tx));
 }
 
 /// The hall in which a stage is best run: that of its inputs or, for large results that go to the
--- a/gateway/src/submissions.rs
+++ b/gateway/src/submissions.rs
@@ -9,7 +9,7 @@
 
 use crate::app::App;
 use crate::outbound_links::Link;
-use crate::piece_events::{PieceEvent, Sink, StageAttempt};
+use crate::piece_events::{PieceEvent, Sink, StageSubmission};
 use crate::pool_calls::dispatch_calls;
 
 /// A submission under way. It is cancelled on drop.
@@ -39,7 +39,7 @@
     app: &Rc<App>,
     pool: &ServiceName,
     submission: Submission,
-    attempt: StageAttempt,
+    stage_submission: StageSubmission,
     events: &UnboundedSender<PieceEvent>,
 ) -> SubmissionGuard {
     let (preferred_hall, random) = (submission.preferred_hall.as_ref(), rand::random());
@@ -51,12 +51,17 @@
     let owner_ref = match link {
         Some(link) => {
             let life = app.hub.with(|shared, _| shared.pools.get(pool).map(Pool::result_life));
-            let job =
-                link.submit(pool, &submission, attempt, life.unwrap_or_default(), events.clone());
+            let job = link.submit(
+                pool,
+                &submission,
+                stage_submission,
+                life.unwrap_or_default(),
+                events.clone(),
+            );
             OwnerRef::Peer(link, job)
         }
         None => {
-            let sink = Sink::Local(events.clone(), attempt);
+            let sink = Sink::Local(events.clone(), stage_submission);
             OwnerRef::Local(pool.clone(), submit(app, pool, submission, sink))
         }
     };
