--- a/gateway/src/stages.rs
+++ b/gateway/src/stages.rs
@@ -263,8 +263,12 @@
     let event = timeout_at(deadline, events.next()).await.map_err(|_| StagesError::Late)?;
     // This side holds a sender, so either another event comes or the deadline passes.
     match event.ok_or(StagesError::Broken)? {
-        PieceEvent::Done { submission, piece, outcome: PieceOutcome::Stored(handle) } => {
-            let index = submission.stage as usize;
+        PieceEvent::Done {
+            submission: stage_submission,
+            piece,
+            outcome: PieceOutcome::Stored(handle),
+        } => {
+            let index = stage_submission.stage as usize;
             if !runs[index].record_result(piece, &handle) {
                 releases::release_results(ctx.app, &[handle]);
             } else if runs[index].is_done() {
@@ -272,23 +276,25 @@
                 submit_ready(ctx, runs, tx);
             }
         }
-        PieceEvent::Done { submission, .. }
-        | PieceEvent::Fetched { submission }
-        | PieceEvent::OwnerLost { submission }
-            if !is_current(runs, submission) => {}
-        PieceEvent::Fetched { submission } => {
-            runs[submission.stage as usize].fetched = true;
+        PieceEvent::Done { submission: stage_submission, .. }
+        | PieceEvent::Fetched { submission: stage_submission }
+        | PieceEvent::OwnerLost { submission: stage_submission }
+            if !is_current(runs, stage_submission) => {}
+        PieceEvent::Fetched { submission: stage_submission } => {
+            runs[stage_submission.stage as usize].fetched = true;
             release_unneeded(ctx.entry, runs);
         }
         PieceEvent::Done { outcome: PieceOutcome::Late, .. } => return Err(StagesError::Late),
         PieceEvent::Done { outcome: PieceOutcome::Failed, .. } => return Err(StagesError::Broken),
-        PieceEvent::Done { submission, outcome: PieceOutcome::InputGone, .. } => {
-            restart_stage(ctx, runs, submission.stage as usize, tx)?;
+        PieceEvent::Done {
+            submission: stage_submission, outcome: PieceOutcome::InputGone, ..
+        } => {
+            restart_stage(ctx, runs, stage_submission.stage as usize, tx)?;
         }
-        PieceEvent::OwnerLost { submission } => {
+        PieceEvent::OwnerLost { submission: stage_submission } => {
             info!(ctx.app.log, "pieces submitted again"; "request" => %ctx.id,
-                "stage" => submission.stage, "why" => "the owner of the pool was lost");
-            let index = submission.stage as usize;
+                "stage" => stage_submission.stage, "why" => "the owner of the pool was lost");
+            let index = stage_submission.stage as usize;
             runs[index].reopen();
             if missing_input_cause(ctx, runs, index) != Cause::Unknown {
                 restart_stage(ctx, runs, index, tx)?;
@@ -301,9 +307,9 @@
 }
 
 /// Whether an event belongs to the latest submission of its stage.
-fn is_current(runs: &[StageRun], submission: StageSubmission) -> bool {
-    let run = runs.get(submission.stage as usize);
-    run.is_some_and(|run| run.submitted.is_some() && run.submissions == submission.number)
+fn is_current(runs: &[StageRun], stage_submission: StageSubmission) -> bool {
+    let run = runs.get(stage_submission.stage as usize);
+    run.is_some_and(|run| run.submitted.is_some() && run.submissions == stage_submission.number)
 }
 
 /// Repeats a stage after one of its inputs was gone: resets the stages that it needs, then submits
