--- a/gateway/src/call_counts.rs
+++ b/gateway/src/call_counts.rs
@@ -9,7 +9,7 @@
     pub(crate) made: usize,
     pub(crate) failed: usize,
     pub(crate) no_room: usize,
-    pub(crate) gone: usize,
+    pub(crate) input_gone: usize,
     pub(crate) late: usize,
 }
 
@@ -22,7 +22,7 @@
                 PieceAnswer::Stored(_) => &mut counts.made,
                 PieceAnswer::Failed => &mut counts.failed,
                 PieceAnswer::NoRoom => &mut counts.no_room,
-                PieceAnswer::InputGone => &mut counts.gone,
+                PieceAnswer::InputGone => &mut counts.input_gone,
                 PieceAnswer::Late => &mut counts.late,
             } += 1;
         }
--- a/gateway/src/callers.rs
+++ b/gateway/src/callers.rs
@@ -1,5 +1,5 @@
-//! Accepts callers' HTTP/1 connections and serves each in a task of its own. Closes those that are idle
-//! for too long, and all idle ones during shutdown.
+//! Accepts callers' HTTP/1 connections and serves each in a task of its own. Closes those that are
+//! idle for too long, and all idle ones during shutdown.
 
 use std::cell::Cell;
 use std::convert::Infallible;
@@ -22,7 +22,8 @@
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 /// Interval at which a connection is checked for being idle too long.
 const IDLE_CHECK_INTERVAL: Duration = Duration::from_secs(3);
-/// Factor on the configured idle time, so that a caller that keeps to that time is never disconnected.
+/// Factor on the configured idle time, so that a caller that keeps to that time is never
+/// disconnected.
 const IDLE_GRACE_FACTOR: f64 = 1.2;
 /// Idle time that is allowed while no configuration is known.
 const DEFAULT_IDLE_TIME: Duration = Duration::from_secs(60);
@@ -47,8 +48,8 @@
     }
 }
 
-/// Counts a caller's connection as open while this exists. Shutdown waits for it, since an answer may not have been
-/// written to the connection yet.
+/// Counts a caller's connection as open while this exists. Shutdown waits for it, since an answer
+/// may not have been written to the connection yet.
 struct OpenConnection(Rc<App>);
 
 impl OpenConnection {
@@ -64,29 +65,30 @@
     }
 }
 
+/// Serves the requests of one connection until it is closed.
 async fn serve(app: Rc<App>, stream: TcpStream) {
     let _open = OpenConnection::new(&app);
-    // Without TCP_NODELAY, an event waits until earlier ones are acknowledged. A failure is harmless: the connection
-    // works without it.
+    // Without TCP_NODELAY, an event waits until earlier ones are acknowledged. A failure is
+    // harmless: the connection works without it.
     drop(stream.set_nodelay(true));
-    let active = Rc::new(Cell::new(0u32));
+    let active_requests = Rc::new(Cell::new(0u32));
     let idle_since = Rc::new(Cell::new(now()));
-    let used = Rc::new(Cell::new(false));
+    let was_used = Rc::new(Cell::new(false));
     let service = service_fn({
-        let (app, active, idle_since) =
-            (Rc::clone(&app), Rc::clone(&active), Rc::clone(&idle_since));
-        let used = Rc::clone(&used);
+        let (app, active_requests, idle_since) =
+            (Rc::clone(&app), Rc::clone(&active_requests), Rc::clone(&idle_since));
+        let was_used = Rc::clone(&was_used);
         move |req| {
-            used.set(true);
-            let (app, active, idle_since) =
-                (Rc::clone(&app), Rc::clone(&active), Rc::clone(&idle_since));
+            was_used.set(true);
+            let (app, active_requests, idle_since) =
+                (Rc::clone(&app), Rc::clone(&active_requests), Rc::clone(&idle_since));
             async move {
-                active.set(active.get() + 1);
+                active_requests.set(active_requests.get() + 1);
                 let mut answer = requests::answer(Rc::clone(&app), req).await;
                 if *app.stopping.borrow() {
                     answer.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
                 }
-                active.set(active.get() - 1);
+                active_requests.set(active_requests.get() - 1);
                 idle_since.set(now());
                 Ok::<_, Infallible>(answer)
             }
@@ -103,8 +105,8 @@
             // Errors need no handling: the connection's requests ended with it.
             _ = connection.as_mut() => return,
             _ = closing.wait_for(|closing| *closing), if !is_closing => {
-                // A graceful shutdown in hyper would wait for the first request.
-                if !used.get() {
+                // hyper's graceful shutdown would wait for the first request of the connection.
+                if !was_used.get() {
                     return;
                 }
                 is_closing = true;
@@ -118,7 +120,7 @@
                         .map_or(DEFAULT_IDLE_TIME, |intent| intent.bounds.idle_wait)
                 });
                 let is_overdue = now() - idle_since.get() > allowed.mul_f64(IDLE_GRACE_FACTOR);
-                if active.get() == 0 && is_overdue {
+                if active_requests.get() == 0 && is_overdue {
                     connection.as_mut().graceful_shutdown();
                 }
             }
--- a/gateway/src/connections.rs
+++ b/gateway/src/connections.rs
@@ -31,9 +31,9 @@
 /// Time that a connection stays idle before it is reused, so that an unexpected extra answer to the
 /// last request is noticed and closes the connection.
 pub(crate) const REUSE_DELAY: Duration = Duration::from_millis(12);
-/// Longest idle time after which a connection is still reused; also the limit for targets that name
-/// no keep-alive time.
-const MAX_IDLE: Duration = Duration::from_secs(4);
+/// Longest idle time after which a connection is still reused, also if its target names no
+/// keep-alive time or a longer one.
+const MAX_IDLE_TIME: Duration = Duration::from_secs(4);
 /// Fraction of the target's keep-alive time for which a connection is reused.
 const KEEP_ALIVE_FRACTION: f64 = 0.6;
 /// Most idle connections to one target.
@@ -62,7 +62,7 @@
     task: AbortHandle,
 }
 
-/// A connection that may be reused until `until`.
+/// A connection that has been idle since `since` and may be reused until `until`.
 struct IdleConnection {
     connection: TargetConnection,
     since: Instant,
@@ -113,20 +113,25 @@
     }
 
     /// Stores a connection whose answer was read to its end, unless its target already has
-    /// `max_idle` idle ones.
-    fn put(&self, connection: TargetConnection, keep_alive: Option<Duration>, max_idle: usize) {
+    /// `max_idle_count` idle ones.
+    fn put(
+        &self,
+        connection: TargetConnection,
+        keep_alive: Option<Duration>,
+        max_idle_count: usize,
+    ) {
         let since = now();
-        let max_age = keep_alive
-            .map_or(MAX_IDLE, |keep_alive| keep_alive.mul_f64(KEEP_ALIVE_FRACTION))
-            .min(MAX_IDLE);
+        let max_idle_time = keep_alive
+            .map_or(MAX_IDLE_TIME, |keep_alive| keep_alive.mul_f64(KEEP_ALIVE_FRACTION))
+            .min(MAX_IDLE_TIME);
         let mut idle = self.idle.borrow_mut();
         let per_target = idle.entry(connection.target.clone()).or_default();
-        if per_target.len() < max_idle.min(MAX_IDLE_PER_TARGET) {
-            per_target.push(IdleConnection { connection, since, until: since + max_age });
+        if per_target.len() < max_idle_count.min(MAX_IDLE_PER_TARGET) {
+            per_target.push(IdleConnection { connection, since, until: since + max_idle_time });
         }
     }
 
-    /// Closes connections that have been idle for too long.
+    /// Closes connections that have been idle for too long, and drops those that their target closed.
     pub(crate) fn close_expired(&self) {
         let now = now();
         let mut idle = self.idle.borrow_mut();
@@ -158,13 +163,13 @@
         connection: TargetConnection,
         keep_alive: Option<Duration>,
     ) {
-        let max_idle = self.hub.with(|shared, _| {
+        let max_idle_count = self.hub.with(|shared, _| {
             let service = shared.targets.service_of(&connection.target)?;
             let limit = shared.intent.as_ref()?.services.get(service)?.connections;
             let share = usize::try_from(limit).unwrap_or(usize::MAX) / shared.fleet.size();
             (limit > 0).then_some(share)
         });
-        self.connections.put(connection, keep_alive, max_idle.unwrap_or(MAX_IDLE_PER_TARGET));
+        self.connections.put(connection, keep_alive, max_idle_count.unwrap_or(MAX_IDLE_PER_TARGET));
     }
 }
 
--- a/gateway/src/input_fetches.rs
+++ b/gateway/src/input_fetches.rs
@@ -1,8 +1,8 @@
 //! Determines when the inputs of a pool's call have been fetched, from the worker's load report.
 //!
-//! A worker fetches a call's inputs when it starts the call. A call that is queued behind a call of another VM has
-//! fetched none, and nothing that this VM learned before it sent the call can rule that out. Therefore the worker is
-//! asked for its report once the call has arrived.
+//! A worker fetches a call's inputs when it starts the call. None are fetched while the call is
+//! queued behind a call of another VM, and nothing that this VM learned before it sent the call can
+//! rule such a queue out. Therefore the worker is asked for its report once the call has arrived.
 
 use std::future::pending;
 use std::rc::Rc;
@@ -31,11 +31,12 @@
     AllStarted,
     /// Some may be queued, or the report did not arrive.
     SomeMayBeQueued,
-    /// The worker gives no such report.
+    /// The worker gives no report that can be read.
     Unavailable,
 }
 
-/// Completes once the worker of a call has fetched its inputs; never, if that can't be determined before the answer.
+/// Completes once the worker of a call has fetched its inputs; never, if that can't be determined
+/// before the answer.
 pub(crate) async fn wait_until_fetched(app: &Rc<App>, call: &Call) {
     let Some(fetch) = call.fetch_time else { return pending().await };
     sleep(ARRIVAL_TIME).await;
@@ -48,7 +49,7 @@
     }
 }
 
-/// Asks a worker for its report.
+/// Asks a worker for its report on the calls that arrived there.
 async fn fetch_report(app: &Rc<App>, worker: &Target) -> CallProgress {
     let Some(permit) = permits::for_report(app, worker) else { return CallProgress::Unavailable };
     let call = (app.adapter.calls.report)(&worker.id);
--- a/gateway/src/missing_inputs.rs
+++ b/gateway/src/missing_inputs.rs
@@ -1,4 +1,5 @@
-//! Why an input that a stage or a request needs is no longer available, as far as the VM of the request can tell.
+//! Why an input that a stage or a request needs is no longer available, as far as the VM that serves
+//! the request can tell.
 
 use crate::app::App;
 use crate::hub::now;
@@ -7,7 +8,7 @@
 /// Why an input is no longer available.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Cause {
-    /// The VM that had it computed released it.
+    /// The VM that owns its pool reclaimed it.
     Reclaimed,
     /// No target is known any more at its worker's address.
     WorkerGone,
@@ -36,6 +37,7 @@
 }
 
 fn cause_of(app: &App, handle: &str) -> Cause {
+    // A result that the owner reclaimed is no longer held.
     let Some(is_expired) = app.held.has_expired(handle, now()) else { return Cause::Reclaimed };
     let worker = (app.adapter.calls.worker_address)(handle);
     let is_known =
--- a/gateway/src/own_calls.rs
+++ b/gateway/src/own_calls.rs
@@ -1,5 +1,5 @@
-//! Calls to targets that this system makes by itself, not for one caller: calls of a pool, notices
-//! that results are released, and requests for a worker's report.
+//! Calls to targets that don't forward one caller's request: calls of a pool, notices that results
+//! are released, and requests for a worker's report.
 
 use std::rc::Rc;
 
@@ -16,20 +16,24 @@
 use crate::permits::Permit;
 use crate::target_announcements;
 
-/// Why a call of this system's own gave no answer.
+/// Why a call gave no answer.
 #[derive(Debug)]
 pub(crate) enum OwnCallError {
+    /// The target was too busy, or takes no new work any more.
     Declined,
+    /// Another target is at the address and said so.
     OtherTarget,
     /// Nothing was sent.
     NotReached,
     /// The connection ended before the answer was complete.
     Broke,
+    /// No answer arrived in time.
     TimedOut,
+    /// The answer has an error status.
     Failed,
 }
 
-/// Sends a call of this system's own and reads its answer.
+/// Sends a call and reads its answer.
 pub(crate) async fn own_call(
     app: &Rc<App>,
     target: &Target,
@@ -69,7 +73,7 @@
     }
 }
 
-/// Stands in for the request ID, which these calls don't have.
+/// A request ID to read an answer's head with, since these calls have none.
 fn placeholder_id() -> RequestId {
     RequestId::new("-").unwrap_or_else(|_| RequestId::generate())
 }
--- a/gateway/src/piece_events.rs
+++ b/gateway/src/piece_events.rs
@@ -45,7 +45,7 @@
     },
 }
 
-/// Receiver of the results of a submission.
+/// Where the events of a submission are delivered.
 pub(crate) enum Sink {
     /// A request on this VM.
     Local(UnboundedSender<PieceEvent>, StageSubmission),
@@ -56,12 +56,12 @@
 /// A peer that receives the results of a submission.
 pub(crate) struct PeerSink {
     pub(crate) tx: DialerSender,
-    /// The peer's number for the submission.
+    /// Number that the peer gave the submission.
     pub(crate) number: u64,
     /// The link that its leases belong to; `None` for a peer of an older build, which keeps no
     /// leases.
     pub(crate) lease_link: Option<LinkKey>,
-    /// When the results are no longer of any use.
+    /// When the results are no longer of any use to the peer.
     pub(crate) until: Instant,
 }
 
--- a/gateway/src/pool_calls.rs
+++ b/gateway/src/pool_calls.rs
@@ -133,7 +133,7 @@
     let counts = PieceCounts::of(&end);
     info!(app.log, "pool call"; "pool" => %pool, "target" => %call.target.id,
         "pieces" => call.pieces.len(), "made" => counts.made, "end" => name,
-        "failed" => counts.failed, "no_room" => counts.no_room, "input_gone" => counts.gone,
+        "failed" => counts.failed, "no_room" => counts.no_room, "input_gone" => counts.input_gone,
         "late" => counts.late,
         "room_used" => call.room_used, "waited_ms" => call.waited.as_millis(),
         "still_waiting" => call.still_waiting, "took_ms" => (now() - started).as_millis());
