--- a/gateway/src/pool_calls.rs
+++ b/gateway/src/pool_calls.rs
@@ -1,4 +1,6 @@
 //! Makes the calls of the pools that this VM owns and delivers the results of their pieces.
+//!
+//! A call is a batch of pieces, of one or more requests, that is sent to one worker of the pool.
 
 use std::collections::BTreeSet;
 use std::rc::Rc;
@@ -33,9 +35,9 @@
             let pool = shared.pools.get_mut(pool)?;
             Some((pool.next_call(now)?, pool.release_queued()))
         });
-        let Some((call, orphans)) = next else { break };
+        let Some((call, pending_releases)) = next else { break };
         let permit = permits::for_pool_call(app, &call.target);
-        releases::reclaim(app, pool, orphans);
+        releases::reclaim(app, pool, pending_releases);
         spawn_local(run_call(Rc::clone(app), pool.clone(), call, permit));
     }
     let wakeup = app.hub.with(|shared, now| shared.pools.get(pool)?.next_wakeup(now));
@@ -50,12 +52,12 @@
     let finished = app.hub.with(|shared, _| {
         let jobs = shared.jobs_with_unreachable_inputs(pool);
         let pool = shared.pools.get_mut(pool);
-        let release_results = |pool: &mut Pool| -> Vec<Finished> {
+        let finish_jobs = |pool: &mut Pool| -> Vec<Finished> {
             jobs.into_iter()
                 .flat_map(|job| pool.finish_waiting(job, &PieceOutcome::InputGone))
                 .collect()
         };
-        pool.map(release_results)
+        pool.map(finish_jobs)
     });
     if let Some(finished) = finished.filter(|finished| !finished.is_empty()) {
         deliver(app, pool, finished);
@@ -109,26 +111,27 @@
     });
 }
 
-/// Makes one call and delivers the outcome of its pieces.
+/// Makes one call, delivers the outcome of its pieces, and then makes the calls that can follow it.
 async fn run_call(app: Rc<App>, pool: ServiceName, call: Call, permit: Permit) {
     let pieces = piece_calls(&app, &pool, &call);
     let started = now();
-    let contents = crashes::request_digests_of_call(&app, &pool, &call);
+    let digests = crashes::request_digests_of_call(&app, &pool, &call);
     let end = if pieces.len() == call.pieces.len() {
         let lifetime = app.hub.with(|shared, _| shared.lifetime_of(&call.target));
         let req = (app.adapter.calls.pool_call)(&call.target.id, &pieces);
         match send(&app, &pool, &call, req, permit).await {
             Ok(end) => end,
             Err(ConnectionBroke) => {
-                crashes::check_broken_call(&app, &contents, &call.target, lifetime).await;
+                crashes::check_broken_call(&app, &digests, &call.target, lifetime).await;
                 CallEnd::Failed
             }
         }
     } else {
-        // A submission was cancelled after the call was planned; nothing was sent.
+        // A submission was cancelled after the call was planned. Nothing was sent; the other
+        // pieces are queued again, as after a call that a full worker rejected.
         CallEnd::Full
     };
-    crashes::pieces_completed(&app, &contents, &end);
+    crashes::pieces_completed(&app, &digests, &end);
     let name = end_name(&end);
     let counts = PieceCounts::of(&end);
     info!(app.log, "pool call"; "pool" => %pool, "target" => %call.target.id,
@@ -141,11 +144,12 @@
     if end == CallEnd::TargetGone {
         app.hub.with(|shared, now| shared.target_replaced(&call.target, now));
     }
-    let (finished, orphans) = app.hub.with(|shared, now| match shared.pools.get_mut(&pool) {
-        Some(pool) => (pool.call_ended(call.key, end, now), pool.release_queued()),
-        None => (Vec::new(), Vec::new()),
-    });
-    releases::reclaim(&app, &pool, orphans);
+    let (finished, pending_releases) =
+        app.hub.with(|shared, now| match shared.pools.get_mut(&pool) {
+            Some(pool) => (pool.call_ended(call.key, end, now), pool.release_queued()),
+            None => (Vec::new(), Vec::new()),
+        });
+    releases::reclaim(&app, &pool, pending_releases);
     deliver(&app, &pool, finished);
     dispatch_calls(&app, &pool);
 }
@@ -190,9 +194,9 @@
     }
 }
 
-/// Whether the worker is running a call, which closing the connection would not stop. If this VM
-/// has another call there, this one may still wait in the worker's queue, and closing the
-/// connection removes it from that queue.
+/// Whether the worker is taken to be running a call: it is the only call of this VM there. Closing
+/// the connection does not stop a running call. If this VM has another call there, this one may
+/// still wait in the worker's queue, and closing the connection removes it from that queue.
 fn is_running(app: &App, pool: &ServiceName, call: CallKey) -> bool {
     app.hub.with(|shared, _| shared.pools.get(pool).is_some_and(|pool| pool.is_only_call(call)))
 }
@@ -212,7 +216,8 @@
         _ => None,
     });
     let handles: Vec<String> = handles.collect();
-    info!(app.log, "results of a late answer released"; "pool" => %pool, "results" => handles.len());
+    info!(app.log, "results of a late answer released"; "pool" => %pool,
+        "results" => handles.len());
     app.metrics.results_given_up("late_answer", handles.len());
     drop(releases::release_as_owner(&app, handles));
 }
@@ -324,9 +329,9 @@
         }
     }
     app.hub.with(|shared, _| {
-        let done =
+        let is_done =
             |job: &JobKey| shared.pools.get(pool).is_none_or(|p| p.submission(*job).is_none());
-        for job in jobs.into_iter().filter(done) {
+        for job in jobs.into_iter().filter(is_done) {
             sinks.remove(&(pool.clone(), job));
         }
     });
--- a/gateway/src/stages.rs
+++ b/gateway/src/stages.rs
@@ -1,5 +1,9 @@
 //! Runs the stages of a request: submits each stage when its inputs are ready, collects the results
 //! and repeats what was lost.
+//!
+//! A stage consists of pieces, which the workers of the stage's pool run. A worker stores the
+//! result of a piece and returns its handle; the worker of a later stage, or the engine, fetches
+//! the result from there.
 
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -32,13 +36,13 @@
 /// Interval between two checks for an owner that is not known yet.
 const OWNER_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Stages whose results are smaller than this in total have no preferred hall: any free worker may
-/// run them.
+/// A stage without inputs whose results are smaller than this in total has no preferred hall: any
+/// free worker may run it.
 const MIN_BYTES_FOR_PREFERRED_HALL: u64 = 200_000;
 
 /// Time, beyond the transfer itself, within which an engine accepts a request and has fetched its
-/// inputs. With 25 ms, inputs were released before some engines had fetched them, though others
-/// gained from the earlier release.
+/// inputs. A shorter time frees the workers' memory earlier, but with 25 ms some engines find their
+/// inputs gone.
 const FETCH_OVERHEAD: Duration = Duration::from_millis(60);
 /// A result crosses two links: that of its worker and that of the engine.
 const FETCH_LINKS: f64 = 2.0;
@@ -54,16 +58,22 @@
 
 /// Results of the last stages. Their workers keep them until this is dropped.
 pub(crate) struct StageResults {
+    /// All stages, by index.
     runs: Vec<StageRun>,
+    /// Indices of the last stages.
     last: Vec<usize>,
 }
 
 /// State of one stage of a request.
 struct StageRun {
     app: Rc<App>,
+    /// Number of pieces.
     pieces: u32,
+    /// Handles of the results, by piece; `None` for pieces that are not finished.
     handles: Vec<Option<String>>,
+    /// The latest submission; `None` if the missing pieces have to be submitted.
     submitted: Option<SubmissionGuard>,
+    /// Number of submissions so far.
     submissions: u32,
     retention: Retention,
     /// Whether the workers have fetched this stage's inputs.
@@ -97,6 +107,7 @@
         self.handles.iter().all(Option::is_some)
     }
 
+    /// Indices of the pieces that are not finished.
     fn missing(&self) -> Vec<u32> {
         (0..self.pieces).filter(|piece| self.handles[*piece as usize].is_none()).collect()
     }
@@ -114,12 +125,14 @@
         self.fetched = false;
     }
 
+    /// Releases the results at their workers.
     fn release(&mut self) {
         if std::mem::replace(&mut self.retention, Retention::Released) != Retention::Released {
             releases::release_results(&self.app, &self.results());
         }
     }
 
+    /// Lets the workers drop the results as soon as their memory is scarce.
     fn release_if_scarce(&mut self) {
         if self.retention == Retention::Kept {
             self.retention = Retention::IfRoom;
@@ -261,7 +274,7 @@
 ) -> Result<(), StagesError> {
     let deadline = tokio::time::Instant::from_std(ctx.deadline);
     let event = timeout_at(deadline, events.next()).await.map_err(|_| StagesError::Late)?;
-    // This side holds a sender, so either another event comes or the deadline passes.
+    // `tx` is a sender of this channel, so either another event arrives or the deadline passes.
     match event.ok_or(StagesError::Broken)? {
         PieceEvent::Done {
             submission: stage_submission,
@@ -460,12 +473,13 @@
     pieces: &[u32],
     index: usize,
 ) -> Duration {
-    let has = |other: usize| pieces.get(other).copied().unwrap_or(0);
+    let piece_count = |other: usize| pieces.get(other).copied().unwrap_or(0);
     let stages = entry.stages.iter().enumerate();
-    let dependents = stages.filter(|(other, s)| has(*other) > 0 && s.needs.contains(&index));
+    let dependents =
+        stages.filter(|(other, s)| piece_count(*other) > 0 && s.needs.contains(&index));
     let time = |(other, stage): (usize, &intent::EntryStage)| {
         let pool = intent.pool(&stage.pool);
-        let own = pool.map_or(Duration::ZERO, |pool| pool.call + pool.piece * has(other));
+        let own = pool.map_or(Duration::ZERO, |pool| pool.call + pool.piece * piece_count(other));
         own + min_time_after(intent, entry, pieces, other)
     };
     dependents.map(time).max().unwrap_or(Duration::ZERO)
--- a/gateway/src/submissions.rs
+++ b/gateway/src/submissions.rs
@@ -18,7 +18,7 @@
     owner_ref: OwnerRef,
 }
 
-/// Where a submission went, and its number there.
+/// Where a submission went, and its key or number there.
 enum OwnerRef {
     Local(ServiceName, JobKey),
     Peer(Rc<Link>, u64),
