--- a/gateway/src/attempts.rs
+++ b/gateway/src/attempts.rs
@@ -57,8 +57,8 @@
     pub(crate) pick: Pick,
     /// The lifetime of the target that it was sent to; a crash is attributed to it.
     pub(crate) lifetime: Lifetime,
-    /// Time since the target announced that it is leaving, at the moment of the choice. Such targets
-    /// aren't chosen, so a value in the log reveals a code path that ignores announcements.
+    /// Time since the target announced that it is leaving, when it was chosen. Such targets aren't
+    /// chosen, so a value in the log reveals a code path that ignores announcements.
     leaving_age: Option<Duration>,
     /// The rate limit of the target, if one was known.
     rate: Option<RateLimit>,
@@ -187,7 +187,9 @@
             sent = sending => sent,
             // A request that must not run twice keeps waiting: the target's hall may become
             // reachable again, and the answer arrive.
-            () = hall_reachability::until_unreachable(&mut unreachable, &target.hall), if self.req.entry.repeatable => {
+            () = hall_reachability::until_unreachable(&mut unreachable, &target.hall),
+                if self.req.entry.repeatable =>
+            {
                 Err(SendError::GivenUp(HALL_UNREACHABLE.to_owned()))
             }
             // A quarantined request may still be queued at the target and would crash it as well,
@@ -200,7 +202,8 @@
                 attempt.end(TargetOutcome::Unreachable);
                 self.sent -= 1;
                 self.unreachable += 1;
-                slog::debug!(self.app.log, "target not reached"; "target" => %target.id, "why" => why);
+                slog::debug!(self.app.log, "target not reached"; "target" => %target.id,
+                    "why" => why);
                 Err(AttemptError::NotReached)
             }
             Err(SendError::Withheld) => {
@@ -370,10 +373,12 @@
     /// Logs and counts an attempt.
     fn log_attempt(&self, attempt: &Attempt, error: Option<&AttemptError>) {
         let pick = &attempt.pick;
-        info!(self.app.log, "try"; "request" => %self.req.id, "content" => %self.req.digest, "service" => %self.req.service,
+        info!(self.app.log, "try"; "request" => %self.req.id, "content" => %self.req.digest,
+            "service" => %self.req.service,
             "target" => %pick.target.id, "hall" => %pick.target.hall,
             "cost" => format!("{:.2}", pick.cost), "of" => pick.candidates,
-            "load_age_ms" => pick.load_age.map(|age| age.as_millis()), "unread" => pick.unread_tokens,
+            "load_age_ms" => pick.load_age.map(|age| age.as_millis()),
+            "unread" => pick.unread_tokens,
             "missed" => error.map(|error| format!("{error:?}")),
             "rate_per_s" => attempt.rate.map(RateLimit::per_s),
             "said_leaving_ms" => attempt.leaving_age.map(|age| age.as_millis()),
--- a/gateway/src/connections.rs
+++ b/gateway/src/connections.rs
@@ -131,7 +131,7 @@
         }
     }
 
-    /// Closes connections that have been idle for too long, and drops those that their target closed.
+    /// Closes connections that have been idle for too long, and drops those that targets closed.
     pub(crate) fn close_expired(&self) {
         let now = now();
         let mut idle = self.idle.borrow_mut();
--- a/gateway/src/missing_inputs.rs
+++ b/gateway/src/missing_inputs.rs
@@ -1,5 +1,5 @@
-//! Why an input that a stage or a request needs is no longer available, as far as the VM that serves
-//! the request can tell.
+//! Why an input that a stage or a request needs is no longer available, as far as the VM that
+//! serves the request can tell.
 
 use crate::app::App;
 use crate::hub::now;
--- a/gateway/src/permits.rs
+++ b/gateway/src/permits.rs
@@ -240,8 +240,8 @@
         }
     }
 
-    /// Whether the target that was chosen may still be sent new work: it is the same process as then
-    /// and still eligible, whatever its rate limit.
+    /// Whether a chosen target may still be sent new work: it is still the same process and still
+    /// eligible, whatever its rate limit.
     fn takes_new_work(&self, chosen: &Target, now: Instant) -> bool {
         let known = self.targets.get(&chosen.id);
         known.filter(|known| Lifetime::from(*known) == Lifetime::from(chosen)).is_some_and(
--- a/gateway/src/stream_forwarding.rs
+++ b/gateway/src/stream_forwarding.rs
@@ -55,7 +55,8 @@
     first: Vec<Event>,
     tx: Sender<Result<Bytes, StreamCut>>,
 ) {
-    // The engine has fetched the results before it sent the first event.
+    // The engine has fetched the stages' results before it sent the first event, so the workers
+    // need not keep them.
     stream.results = None;
     let end = forward_events(&mut stream, first, &tx).await;
     let (outcome, why) = match end {
@@ -64,13 +65,14 @@
         ForwardEnd::Cut(why) => ("cut", Some(why)),
     };
     let req = &stream.req;
-    info!(stream.app.log, "stream ended"; "request" => %req.id, "content" => %req.digest, "entry" => &req.entry.name,
-        "outcome" => outcome, "why" => &why, "last_event" => stream.last_event,
+    info!(stream.app.log, "stream ended"; "request" => %req.id, "content" => %req.digest,
+        "entry" => &req.entry.name, "outcome" => outcome, "why" => &why,
+        "last_event" => stream.last_event,
         "took_ms" => (now() - req.arrived).as_millis());
     let customer = req.customer.as_ref().map_or("-", |name| name.as_str());
     stream.app.metrics.request_ended(&req.entry.name, customer, outcome, now() - req.arrived);
     if why.is_some() {
-        // If the caller is gone there is nobody to notify.
+        // The error makes the connection close. Sending it fails if the caller is gone already.
         drop(tx.send(Err(StreamCut)).await);
         return;
     }
--- a/gateway/src/stream_reader.rs
+++ b/gateway/src/stream_reader.rs
@@ -22,6 +22,7 @@
 /// What a stream gives next.
 pub(crate) enum NextEvent {
     Event(Event),
+    /// The stream ended after a whole event, or without any.
     End,
     /// The connection ended, or the stream ended within an event.
     Broken(String),
@@ -53,7 +54,8 @@
         tokio::select! {
             biased;
             next = next_event(&mut answer.body, splitter) => next,
-            () = hall_reachability::until_unreachable(unreachable, hall), if repeatable => NextEvent::HallUnreachable,
+            () = hall_reachability::until_unreachable(unreachable, hall), if repeatable =>
+                NextEvent::HallUnreachable,
         }
     }
 }
--- a/gateway/src/streams.rs
+++ b/gateway/src/streams.rs
@@ -39,7 +39,7 @@
 const MIN_CALLER_TIMEOUT: Duration = Duration::from_secs(2);
 /// Pause after which callers abandon a stream, in longest event gaps.
 const CALLER_TIMEOUT_EVENT_GAPS: u32 = 8;
-/// A refusal at the deadline is sent this much earlier.
+/// A refusal at the deadline is sent this much earlier so that it still reaches the caller in time.
 const REPLY_MARGIN: Duration = Duration::from_millis(20);
 
 /// A value that is kept alive for as long as a stream runs.
@@ -74,6 +74,7 @@
 
 /// A stream that has started, or the answer given instead.
 enum Started {
+    /// A stream, with its first event if it has any.
     Stream(Box<Stream>, Vec<Event>),
     /// The target gave an answer that is no stream.
     Whole(Response<AnswerBody>),
@@ -166,9 +167,11 @@
     TokioInstant::from_std(if may_retry { retry_at.min(deadline) } else { deadline })
 }
 
-/// What a target answered: a stream up to its first event, or an error.
+/// What a target answered.
 enum Reply {
+    /// A stream, with its first event if it has any.
     Stream(Box<EventReader>, Vec<Event>),
+    /// An answer without success, which is no stream.
     Whole(Box<Answer>),
 }
 
--- a/gateway/src/whole_answers.rs
+++ b/gateway/src/whole_answers.rs
@@ -29,28 +29,30 @@
 ) -> (Response<AnswerBody>, &'static str) {
     let mut attempts = Attempts::new(app, req);
     loop {
-        let last = tokio::time::Instant::from_std(req.deadline - REPLY_MARGIN);
+        let reply_by = tokio::time::Instant::from_std(req.deadline - REPLY_MARGIN);
         let retry_at =
             tokio::time::Instant::from_std(now() + req.entry.latency_goal * ATTEMPT_LATENCY_GOALS);
-        let may_retry = req.entry.repeatable && req.entry.max_attempts > 1 && retry_at < last;
-        let limit = if may_retry { retry_at } else { last };
+        let may_retry = req.entry.repeatable && req.entry.max_attempts > 1 && retry_at < reply_by;
+        let limit = if may_retry { retry_at } else { reply_by };
         let error = match timeout_at(limit, attempt_once(app, &mut attempts)).await {
             Ok(Ok(Ok(answer))) => return answer,
             Ok(Ok(Err(error))) => error,
-            Ok(Err(reason)) => return (refusal(app, reason, Some(&req.id)), outcome_of(reason)),
+            Ok(Err(rejection)) => {
+                return (refusal(app, rejection, Some(&req.id)), outcome_of(rejection));
+            }
             Err(_) => {
                 attempts.record_timeout();
                 AttemptError::Lost("no answer in time".to_owned())
             }
         };
-        let expired = tokio::time::Instant::now() >= last;
+        let expired = tokio::time::Instant::now() >= reply_by;
         if expired || !attempts.take_retry(&error) {
-            let reason = match (expired, attempts.may_have_run()) {
+            let rejection = match (expired, attempts.may_have_run()) {
                 (true, true) => Refusal::TimedOut,
                 (true, false) => Refusal::NotRunTimedOut,
                 (false, _) => attempts.refusal(),
             };
-            return (refusal(app, reason, Some(&req.id)), outcome_of(reason));
+            return (refusal(app, rejection, Some(&req.id)), outcome_of(rejection));
         }
     }
 }
@@ -99,8 +101,8 @@
     attempt.end(if own_failure { TargetOutcome::OwnFailure } else { TargetOutcome::Answered });
     if own_failure {
         attempts.set_may_have_run();
-        let again = AttemptError::Lost(format!("status {}", head.status.as_u16()));
-        if attempts.take_retry(&again) {
+        let error = AttemptError::Lost(format!("status {}", head.status.as_u16()));
+        if attempts.take_retry(&error) {
             return Box::pin(attempt_once(app, attempts)).await;
         }
     }
