--- a/gateway/src/permits.rs
+++ b/gateway/src/permits.rs
@@ -120,8 +120,8 @@
 }
 
 /// Time for which release notices to a target are batched; `None` if it announces no rate limit.
-/// Batching keeps them few compared to the calls that the rate allows, also where the target counts
-/// them.
+/// Batching keeps them few compared to the calls that the rate allows, in case the target counts
+/// them against its limit.
 pub(crate) fn release_batch_window(app: &App, target: &Target) -> Option<Duration> {
     let interval = app.hub.with(|shared, _| shared.targets.get(&target.id)?.request_interval)?;
     Some((interval * RELEASE_BATCH_INTERVALS).min(MAX_RELEASE_BATCH_WINDOW))
--- a/gateway/src/request_stages.rs
+++ b/gateway/src/request_stages.rs
@@ -19,7 +19,8 @@
 /// Retry time for the caller after a piece failed.
 const FAILED_PIECE_RETRY_AFTER: Duration = Duration::from_millis(800);
 
-/// Runs the stages of a request; `None` if it has none.
+/// Runs the stages of a request until `deadline`, after which their results are of no use; `None`
+/// if it has none.
 ///
 /// # Errors
 /// The refusal for the caller: the stages failed or took too long, or the request is quarantined.
--- a/gateway/src/requests.rs
+++ b/gateway/src/requests.rs
@@ -34,10 +34,14 @@
     pub(crate) head: CallerHead,
     pub(crate) parts: Parts,
     pub(crate) body: Bytes,
+    /// The configuration that the request was checked against.
     pub(crate) intent: Arc<Intent>,
     pub(crate) entry: Arc<Entry>,
+    /// The service that answers the request, after its stages if it has any.
     pub(crate) service: ServiceName,
+    /// The customer whose key the request carries, if the entry requires one.
     pub(crate) customer: Option<CustomerName>,
+    /// Urgency; 0 is the most urgent.
     pub(crate) urgency: u8,
     pub(crate) arrived: Instant,
     /// When the caller no longer has a use for the answer, or the entry's longest duration is over.
--- a/gateway/src/whole_answers.rs
+++ b/gateway/src/whole_answers.rs
@@ -37,9 +37,7 @@
         let error = match timeout_at(limit, attempt_once(app, &mut attempts)).await {
             Ok(Ok(Ok(answer))) => return answer,
             Ok(Ok(Err(error))) => error,
-            Ok(Err(rejection)) => {
-                return (refusal(app, rejection, Some(&req.id)), outcome_of(rejection));
-            }
+            Ok(Err(reason)) => return (refusal(app, reason, Some(&req.id)), outcome_of(reason)),
             Err(_) => {
                 attempts.record_timeout();
                 AttemptError::Lost("no answer in time".to_owned())
@@ -47,12 +45,12 @@
         };
         let expired = tokio::time::Instant::now() >= reply_by;
         if expired || !attempts.take_retry(&error) {
-            let rejection = match (expired, attempts.may_have_run()) {
+            let reason = match (expired, attempts.may_have_run()) {
                 (true, true) => Refusal::TimedOut,
                 (true, false) => Refusal::NotRunTimedOut,
                 (false, _) => attempts.refusal(),
             };
-            return (refusal(app, rejection, Some(&req.id)), outcome_of(rejection));
+            return (refusal(app, reason, Some(&req.id)), outcome_of(reason));
         }
     }
 }
