--- a/gateway/src/own_calls.rs
+++ b/gateway/src/own_calls.rs
@@ -1,5 +1,5 @@
-//! Calls to targets that don't forward one caller's request: calls of a pool, notices that results
-//! are released, and requests for a worker's report.
+//! Calls that the gateway makes to targets itself, instead of forwarding a caller's request: calls
+//! of a pool, notices that results are released, and requests for a worker's report.
 
 use std::rc::Rc;
 
--- a/gateway/src/streams.rs
+++ b/gateway/src/streams.rs
@@ -171,7 +171,7 @@
 enum Reply {
     /// A stream, with its first event if it has any.
     Stream(Box<EventReader>, Vec<Event>),
-    /// An answer without success, which is no stream.
+    /// An answer with another status than success, which is no stream.
     Whole(Box<Answer>),
 }
 
