--- a/gateway/src/stages.rs
+++ b/gateway/src/stages.rs
@@ -1,5 +1,9 @@
 //! Runs the stages of a request: submits each stage when its inputs are ready, collects the results
 //! and repeats what was lost.
+//!
+//! A stage consists of pieces, which the workers of the stage's pool run. A worker stores the
+//! result of a piece and returns its handle; the worker of a later stage, or the engine, fetches
+//! the result from there.
 
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -19,7 +23,7 @@
 use crate::app::App;
 use crate::hub::now;
 use crate::missing_inputs::{self, Cause};
-use crate::piece_events::{PieceEvent, PieceEventReceiver, StageAttempt};
+use crate::piece_events::{PieceEvent, PieceEventReceiver, StageSubmission};
 use crate::releases;
 use crate::requests::AcceptedRequest;
 use crate::shared::Shared;
@@ -32,13 +36,13 @@
 /// Interval between two checks for an owner that is not known yet.
 const OWNER_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Stages whose results are smaller than this in total have no preferred hall: any free worker may
-/// run them.
+/// A stage without inputs whose results are smaller than this in total has no preferred hall: any
+/// free worker may run it.
 const MIN_BYTES_FOR_PREFERRED_HALL: u64 = 200_000;
 
 /// Time, beyond the transfer itself, within which an engine accepts a request and has fetched its
-/// inputs. With 25 ms, inputs were released before some engines had fetched them, though others
-/// gained from the earlier release.
+/// inputs. A shorter time frees the workers' memory earlier, but with 25 ms some engines find their
+/// inputs gone.
 const FETCH_OVERHEAD: Duration = Duration::from_millis(60);
 /// A result crosses two links: that of its worker and that of the engine.
 const FETCH_LINKS: f64 = 2.0;
@@ -54,16 +58,22 @@
 
 /// Results of the last stages. Their workers keep them until this is dropped.
 pub(crate) struct StageResults {
+    /// All stages, by index.
     runs: Vec<StageRun>,
+    /// Indices of the last stages.
     last: Vec<usize>,
 }
 
 /// State of one stage of a request.
 struct StageRun {
     app: Rc<App>,
+    /// Number of pieces.
     pieces: u32,
+    /// Handles of the results, by piece; `None` for pieces that are not finished.
     handles: Vec<Option<String>>,
+    /// The latest submission; `None` if the missing pieces have to be submitted.
     submitted: Option<SubmissionGuard>,
+    /// Number of submissions so far.
     submissions: u32,
     retention: Retention,
     /// Whether the workers have fetched this stage's inputs.
@@ -97,6 +107,7 @@
         self.handles.iter().all(Option::is_some)
     }
 
+    /// Indices of the pieces that are not finished.
     fn missing(&self) -> Vec<u32> {
         (0..self.pieces).filter(|piece| self.handles[*piece as usize].is_none()).collect()
     }
@@ -114,12 +125,14 @@
         self.fetched = false;
     }
 
+    /// Releases the results at their workers.
     fn release(&mut self) {
         if std::mem::replace(&mut self.retention, Retention::Released) != Retention::Released {
             releases::release_results(&self.app, &self.results());
         }
     }
 
+    /// Lets the workers drop the results as soon as their memory is scarce.
     fn release_if_scarce(&mut self) {
         if self.retention == Retention::Kept {
             self.retention = Retention::IfRoom;
@@ -261,10 +274,14 @@
 ) -> Result<(), StagesError> {
     let deadline = tokio::time::Instant::from_std(ctx.deadline);
     let event = timeout_at(deadline, events.next()).await.map_err(|_| StagesError::Late)?;
-    // This side holds a sender, so either another event comes or the deadline passes.
+    // `tx` is a sender of this channel, so either another event arrives or the deadline passes.
     match event.ok_or(StagesError::Broken)? {
-        PieceEvent::Done { submission: attempt, piece, outcome: PieceOutcome::Stored(handle) } => {
-            let index = attempt.stage as usize;
+        PieceEvent::Done {
+            submission: stage_submission,
+            piece,
+            outcome: PieceOutcome::Stored(handle),
+        } => {
+            let index = stage_submission.stage as usize;
             if !runs[index].record_result(piece, &handle) {
                 releases::release_results(ctx.app, &[handle]);
             } else if runs[index].is_done() {
@@ -272,23 +289,25 @@
                 submit_ready(ctx, runs, tx);
             }
         }
-        PieceEvent::Done { submission: attempt, .. }
-        | PieceEvent::Fetched { submission: attempt }
-        | PieceEvent::OwnerLost { submission: attempt }
-            if !is_current(runs, attempt) => {}
-        PieceEvent::Fetched { submission: attempt } => {
-            runs[attempt.stage as usize].fetched = true;
+        PieceEvent::Done { submission: stage_submission, .. }
+        | PieceEvent::Fetched { submission: stage_submission }
+        | PieceEvent::OwnerLost { submission: stage_submission }
+            if !is_current(runs, stage_submission) => {}
+        PieceEvent::Fetched { submission: stage_submission } => {
+            runs[stage_submission.stage as usize].fetched = true;
             release_unneeded(ctx.entry, runs);
         }
         PieceEvent::Done { outcome: PieceOutcome::Late, .. } => return Err(StagesError::Late),
         PieceEvent::Done { outcome: PieceOutcome::Failed, .. } => return Err(StagesError::Broken),
-        PieceEvent::Done { submission: attempt, outcome: PieceOutcome::InputGone, .. } => {
-            restart_stage(ctx, runs, attempt.stage as usize, tx)?;
+        PieceEvent::Done {
+            submission: stage_submission, outcome: PieceOutcome::InputGone, ..
+        } => {
+            restart_stage(ctx, runs, stage_submission.stage as usize, tx)?;
         }
-        PieceEvent::OwnerLost { submission: attempt } => {
+        PieceEvent::OwnerLost { submission: stage_submission } => {
             info!(ctx.app.log, "pieces submitted again"; "request" => %ctx.id,
-                "stage" => attempt.stage, "why" => "the owner of the pool was lost");
-            let index = attempt.stage as usize;
+                "stage" => stage_submission.stage, "why" => "the owner of the pool was lost");
+            let index = stage_submission.stage as usize;
             runs[index].reopen();
             if missing_input_cause(ctx, runs, index) != Cause::Unknown {
                 restart_stage(ctx, runs, index, tx)?;
@@ -301,9 +320,9 @@
 }
 
 /// Whether an event belongs to the latest submission of its stage.
-fn is_current(runs: &[StageRun], attempt: StageAttempt) -> bool {
-    let run = runs.get(attempt.stage as usize);
-    run.is_some_and(|run| run.submitted.is_some() && run.submissions == attempt.attempt)
+fn is_current(runs: &[StageRun], stage_submission: StageSubmission) -> bool {
+    let run = runs.get(stage_submission.stage as usize);
+    run.is_some_and(|run| run.submitted.is_some() && run.submissions == stage_submission.number)
 }
 
 /// Repeats a stage after one of its inputs was gone: resets the stages that it needs, then submits
@@ -398,14 +417,14 @@
     let preferred_hall = preferred_hall_for(ctx, runs, index, &inputs);
     let piece_key = inputs.is_empty().then(|| ctx.head.piece_key.clone()).flatten();
     runs[index].submissions += 1;
-    let attempt = StageAttempt {
+    let stage_submission = StageSubmission {
         stage: u32::try_from(index).unwrap_or(u32::MAX),
-        attempt: runs[index].submissions,
+        number: runs[index].submissions,
     };
     let submission = Submission {
         request: ctx.id.clone(),
-        digest: Some(ctx.digest.for_stage(attempt.stage)),
-        stage: attempt.stage,
+        digest: Some(ctx.digest.for_stage(stage_submission.stage)),
+        stage: stage_submission.stage,
         pieces: runs[index].missing(),
         piece_key,
         inputs,
@@ -417,7 +436,7 @@
         preferred_hall,
     };
     runs[index].submitted =
-        Some(submissions::submit_to_owner(ctx.app, &stage.pool, submission, attempt, tx));
+        Some(submissions::submit_to_owner(ctx.app, &stage.pool, submission, stage_submission, tx));
 }
 
 /// The hall in which a stage is best run: that of its inputs or, for large results that go to the
@@ -454,12 +473,13 @@
     pieces: &[u32],
     index: usize,
 ) -> Duration {
-    let has = |other: usize| pieces.get(other).copied().unwrap_or(0);
+    let piece_count = |other: usize| pieces.get(other).copied().unwrap_or(0);
     let stages = entry.stages.iter().enumerate();
-    let dependents = stages.filter(|(other, s)| has(*other) > 0 && s.needs.contains(&index));
+    let dependents =
+        stages.filter(|(other, s)| piece_count(*other) > 0 && s.needs.contains(&index));
     let time = |(other, stage): (usize, &intent::EntryStage)| {
         let pool = intent.pool(&stage.pool);
-        let own = pool.map_or(Duration::ZERO, |pool| pool.call + pool.piece * has(other));
+        let own = pool.map_or(Duration::ZERO, |pool| pool.call + pool.piece * piece_count(other));
         own + min_time_after(intent, entry, pieces, other)
     };
     dependents.map(time).max().unwrap_or(Duration::ZERO)
