--- a/gateway/src/settings.rs
+++ b/gateway/src/settings.rs
@@ -73,7 +73,7 @@
 impl Settings {
     /// Time within which any change made by operators must take effect: the shorter of the limits for
     /// configuration changes and for evacuations.
-    pub fn in_force(&self) -> Duration {
+    pub fn max_apply_time(&self) -> Duration {
         let limit_ms = self.evacuation_ms.map_or(self.in_force_ms, |ms| ms.min(self.in_force_ms));
         Duration::from_millis(limit_ms)
     }
--- a/gateway/src/shared.rs
+++ b/gateway/src/shared.rs
@@ -62,9 +62,9 @@
     pub(crate) contact: StoreContact,
     /// Detects that this VM's watch on the store is silent while peers learn of newer changes.
     pub(crate) stall_detector: StallDetector,
-    pub(crate) behind: ConfigurationLag,
+    pub(crate) configuration_lag: ConfigurationLag,
     /// Time within which a configuration change must take effect.
-    pub(crate) in_force: Duration,
+    pub(crate) max_apply_time: Duration,
     /// Times of the shutdown in progress, if any.
     pub(crate) stop: Option<StopPlan>,
     /// Targets that announced their departure in answers to this VM or to peers.
@@ -137,8 +137,8 @@
             own_hall: cfg.hall.clone(),
             contact: StoreContact::default(),
             stall_detector: StallDetector::default(),
-            behind: ConfigurationLag::default(),
-            in_force: cfg.in_force(),
+            configuration_lag: ConfigurationLag::default(),
+            max_apply_time: cfg.max_apply_time(),
             stop: None,
             departures: Departures::default(),
             backoffs: Backoffs::default(),
--- a/gateway/src/store_watch.rs
+++ b/gateway/src/store_watch.rs
@@ -195,7 +195,7 @@
     let (as_of, changed) = (page.as_of, !page.items.is_empty());
     apply_changes(app, page);
     if changed {
-        sleep(app.cfg.in_force() / batch_divisor(app)).await;
+        sleep(app.cfg.max_apply_time() / batch_divisor(app)).await;
     }
     Ok(as_of)
 }
