--- a/components/catalogue/src/check.rs
+++ b/components/catalogue/src/check.rs
@@ -11,8 +11,8 @@
 /// Maximum number of slots of a target.
 pub const MAX_SLOTS: u32 = 4096;
 
-/// Validates value ranges and the rules that span documents, such as unique names and addresses and
-/// selectors that match at least one target.
+/// Validates value ranges, and rules that no single document can show: stage names and target
+/// addresses are unique, and each selector matches at least one target.
 ///
 /// # Errors
 /// `BadInput` for the first problem, with the object and field as its place.
--- a/components/catalogue/src/diff.rs
+++ b/components/catalogue/src/diff.rs
@@ -22,7 +22,7 @@
 /// A difference in one object.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct Change {
-    /// Kind of difference of the object.
+    /// Whether the object was added, changed or removed.
     pub kind: ChangeKind,
     /// Object that differs.
     pub object: ObjectKey,
--- a/components/catalogue/src/lib.rs
+++ b/components/catalogue/src/lib.rs
@@ -1,8 +1,8 @@
 //! The configuration that operators declare: services with stages, targets, customers, labels and
 //! selectors.
 //!
-//! A [`Catalogue`] is the complete configuration of one revision. It is validated before it is
-//! accepted, so the rest of the system can rely on every name in it.
+//! A [`Catalogue`] is the complete configuration of one revision. It is validated by [`check`]
+//! before it is accepted, so the rest of the system can rely on every name in it.
 
 mod check;
 mod diff;
@@ -132,7 +132,7 @@
 }
 
 impl Catalogue {
-    /// Adds the document and replaces one of the same kind and name.
+    /// Adds the object of a document; replaces an object of the same kind and name.
     pub fn put(&mut self, document: Document) {
         match document {
             Document::Service(object) => drop(self.services.insert(object.name.clone(), object)),
--- a/components/catalogue/tests/documents.rs
+++ b/components/catalogue/tests/documents.rs
@@ -24,7 +24,8 @@
     Ok(())
 }
 
-/// Checks that the file is accepted, and that the catalogue written as YAML and read again is equal.
+/// Checks that the file is accepted, and that its catalogue stays equal when it is written as YAML
+/// and read again.
 fn accepted(path: &Path) -> datatest_stable::Result<()> {
     let catalogue = catalogue_of(&std::fs::read_to_string(path)?)?;
 
--- a/components/errors/src/lib.rs
+++ b/components/errors/src/lib.rs
@@ -85,7 +85,8 @@
         Error::Io { what: what.into(), source }
     }
 
-    /// Prepends `outer` to the place of a `BadInput` error; other errors are returned unchanged.
+    /// Prepends `outer` and a colon to the place of a `BadInput` error; other errors are returned
+    /// unchanged.
     #[must_use]
     pub fn with_outer_place(self, outer: &str) -> Self {
         match self {
--- a/components/hashing/src/lib.rs
+++ b/components/hashing/src/lib.rs
@@ -2,7 +2,8 @@
 //! pool, the target for a prompt prefix, the part of a traffic split.
 //!
 //! VMs of two builds run together during a rolling upgrade, so the algorithm must not depend on the
-//! compiler version, as that of `std`'s default hasher may. 64-bit XXH3 has a fixed specification (<https://github.com/Cyan4973/xxHash/blob/dev/doc/xxhash_spec.md>).
+//! compiler version, as that of `std`'s default hasher may. 64-bit XXH3 has a fixed specification:
+//! <https://github.com/Cyan4973/xxHash/blob/dev/doc/xxhash_spec.md>.
 
 use xxhash_rust::xxh3::xxh3_64;
 
@@ -22,7 +23,8 @@
     xxh3_64(&bytes)
 }
 
-/// Maps a hash to a fraction greater than 0 and less than 1.
+/// Maps a hash to a fraction greater than 0 and at most 1. The highest hashes map to 1 because of
+/// rounding.
 pub fn unit_fraction(hash: u64) -> f64 {
     (hash as f64 + 1.0) / (u64::MAX as f64 + 2.0)
 }
--- a/components/hashing/tests/vectors.rs
+++ b/components/hashing/tests/vectors.rs
@@ -1,5 +1,6 @@
-//! The hash values must never change, or VMs of two builds would make different choices. The expected
-//! values come from the reference implementation, through version 3 of its Python binding `xxhash`.
+//! The hash values must never change, or VMs of two builds would make different choices. The
+//! expected values come from the reference implementation, through version 3 of its Python binding
+//! `xxhash`.
 
 use hashing::{combine, hash_text, unit_fraction};
 
--- a/components/http_server/src/lib.rs
+++ b/components/http_server/src/lib.rs
@@ -49,8 +49,8 @@
 
 /// Maximum size of a request's head, in bytes.
 const MAX_HEAD_BYTES: usize = 16 * 1024;
-/// A body that is too large is read up to this multiple of its limit, so that the caller can receive
-/// the response, before the connection closes.
+/// A body that is too large is read and discarded up to this multiple of its limit before the
+/// connection closes, so that a caller that is still sending receives the response.
 const DISCARD_LIMIT_FACTOR: usize = 8;
 /// Delay before the next accept after one failed, for example because no file descriptor was free.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
@@ -135,7 +135,7 @@
 /// the connection closes would see a reset instead of the response.
 ///
 /// # Errors
-/// [`BodyError`] if the body is too large, incomplete after `wait` or broken off.
+/// [`BodyError`] if the body is too large, incomplete after `wait`, or can't be read to its end.
 pub async fn read_body(body: Incoming, limit: usize, wait: Duration) -> Result<Bytes, BodyError> {
     match tokio::time::timeout(wait, collect(body, limit)).await {
         Err(_) => Err(BodyError::TooSlow),
@@ -159,20 +159,21 @@
     if read > limit { Err(BodyError::TooLarge) } else { Ok(buf.freeze()) }
 }
 
-/// Creates a body from bytes that are complete.
+/// Creates a body whose bytes are all available.
 pub fn full_body(bytes: impl Into<Bytes>) -> Body {
     Full::new(bytes.into()).map_err(|never| match never {}).boxed()
 }
 
-/// Creates a streamed body, which sends each part from the channel immediately. An `Err` aborts it.
+/// Creates a streamed body, which sends each part from the channel as soon as it arrives. An `Err`
+/// aborts the body.
 pub fn stream_body(rx: mpsc::Receiver<Result<Bytes, BodyAborted>>) -> Body {
     ReceiverBody { rx, abort_next: false }.boxed()
 }
 
 struct ReceiverBody {
     rx: mpsc::Receiver<Result<Bytes, BodyAborted>>,
-    /// Whether an abort was received; it is returned by the next poll, when the preceding parts have
-    /// been written.
+    /// Whether an abort was received; the next poll returns it, when the preceding parts have been
+    /// written.
     abort_next: bool,
 }
 
--- a/components/ids/src/lib.rs
+++ b/components/ids/src/lib.rs
@@ -37,8 +37,8 @@
             /// Creates a name from `text`, if it is valid.
             ///
             /// # Errors
-            /// `BadInput` if the text is empty, longer than [`MAX_NAME_LEN`] or has characters other
-            /// than ASCII letters, digits, `-`, `_` and `.`.
+            /// `BadInput` if the text is empty, longer than [`MAX_NAME_LEN`] or has characters
+            /// other than ASCII letters, digits, `-`, `_` and `.`.
             pub fn new(text: &str) -> Result<Self, Error> {
                 check_name($kind, text)?;
                 Ok(Self(Arc::from(text)))
@@ -147,14 +147,14 @@
     }
 }
 
-/// Id of one attempt to run one stage. A response that names another attempt does not belong to the
-/// call.
+/// Id of one attempt to run one stage. A response that names another attempt doesn't belong to this
+/// call and is discarded.
 #[derive(Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct AttemptId(Arc<str>);
 
 impl AttemptId {
-    /// Creates the id of attempt `number` at stage `stage` of `request`. A random part distinguishes
-    /// two submissions with the same request id.
+    /// Creates the id of attempt `number` at the stage with index `stage` of `request`. A random
+    /// part distinguishes two submissions with the same request id.
     pub fn new(request: &RequestId, stage: usize, number: u32) -> Self {
         let salt: u32 = rand::random();
         Self(Arc::from(format!("{request}/{stage}.{number}-{salt:08x}")))
--- a/components/journal/src/lib.rs
+++ b/components/journal/src/lib.rs
@@ -94,7 +94,8 @@
 }
 
 impl Journal {
-    /// Adds a record, and removes the oldest one if there are more than [`MAX_RECORDS`].
+    /// Adds the record of a new submission, and removes the oldest record if there are more than
+    /// [`MAX_RECORDS`].
     pub fn open(&mut self, record: RequestRecord) -> SubmissionId {
         let number = self.next;
         self.next += 1;
--- a/components/telemetry/src/metrics.rs
+++ b/components/telemetry/src/metrics.rs
@@ -40,7 +40,7 @@
     pub const CONFIGURATION_BEHIND: &str = "saddlerail_configuration_behind_seconds";
     /// Number of data halls that operators took out of service.
     pub const HALLS_EVACUATED: &str = "saddlerail_halls_evacuated";
-    /// Number of cold targets.
+    /// Number of cold targets, which have just started and get fewer requests for a while.
     pub const TARGETS_COLD: &str = "saddlerail_targets_cold";
     /// Number of requests refused because such requests crash targets, by service.
     pub const QUARANTINED: &str = "saddlerail_requests_quarantined";
@@ -49,13 +49,13 @@
     /// Number of target lifetimes reported as leaving, by service and the source of the first
     /// report: `answer` or `peer`.
     pub const TARGETS_DEPARTED: &str = "saddlerail_targets_departed";
-    /// Number of permits requested for targets with a declared rate, by service and end (granted or
+    /// Number of permits requested for targets with a rate limit, by service and end (granted or
     /// denied).
     pub const PERMITS: &str = "saddlerail_permits";
     /// Number of unknown headers in targets' responses, by service.
     pub const UNKNOWN_HEADERS: &str = "saddlerail_unknown_words";
-    /// Number of stage results that were released, or could not be because the worker was not
-    /// reached, by cause.
+    /// Number of results of stages that this VM gave up, by cause: no longer needed, the end of
+    /// their lease, an answer that came too late, or a release that the worker did not confirm.
     pub const RESULTS_GIVEN_UP: &str = "saddlerail_results_given_up";
     /// Number of times that stages of a request were rerun because an input was lost, by cause.
     pub const INPUTS_GONE: &str = "saddlerail_inputs_gone";
@@ -175,8 +175,8 @@
         self.unknown_headers.add(1, &[KeyValue::new("service", service.to_owned())]);
     }
 
-    /// Counts stage results by the cause of their release, or as `not_heard` if their worker was not
-    /// reached.
+    /// Counts results of stages that were given up, by cause; `not_heard` if their worker did not
+    /// confirm the release.
     pub fn results_given_up(&self, cause: &'static str, results: usize) {
         self.results_given_up.add(results as u64, &[KeyValue::new("cause", cause)]);
     }
@@ -186,8 +186,8 @@
         self.inputs_gone.add(1, &[KeyValue::new("cause", cause)]);
     }
 
-    /// Counts a request that was refused because the shutdown left no time for it, by what it was waiting
-    /// for.
+    /// Counts a request that was ended because the shutdown left no time for it, by what it was
+    /// waiting for.
     pub fn request_ended_by_stop(&self, waits_for: &'static str) {
         self.ended_by_stop.add(1, &[KeyValue::new("waits_for", waits_for)]);
     }
@@ -197,7 +197,7 @@
         self.closed_by_stop.add(1, &[KeyValue::new("waits_for", waits_for)]);
     }
 
-    /// Counts the first report that a target's lifetime is ending.
+    /// Counts the first report that a target's lifetime is ending; `source` is `answer` or `peer`.
     pub fn target_departed(&self, service: &str, source: &'static str) {
         let labels =
             [KeyValue::new("service", service.to_owned()), KeyValue::new("source", source)];
@@ -223,12 +223,13 @@
         self.attempts.add(1, &labels);
     }
 
-    /// Adds the cost that a target charged for a stage.
-    pub fn stage_charged(&self, stage: &str, customer: &str, whole: bool, cost: u64) {
+    /// Adds the cost that a target charged for a stage; `is_complete` tells whether the request got
+    /// a complete response.
+    pub fn stage_charged(&self, stage: &str, customer: &str, is_complete: bool, cost: u64) {
         let labels = [
             KeyValue::new("stage", stage.to_owned()),
             KeyValue::new("customer", customer.to_owned()),
-            KeyValue::new("whole", whole),
+            KeyValue::new("whole", is_complete),
         ];
         self.cost.add(cost, &labels);
     }
@@ -256,10 +257,10 @@
         self.revision.record(revision, &[]);
     }
 
-    /// Sets the time since the store last responded, and the time for which a newer configuration has
-    /// been missing.
-    pub fn set_staleness(&self, store: Option<Duration>, behind: Option<Duration>) {
-        if let Some(age) = store {
+    /// Sets the time since the store last responded (`None` if it never did, which leaves the gauge
+    /// unset), and the time for which a newer configuration has been missing (`None` if none is).
+    pub fn set_staleness(&self, store_age: Option<Duration>, behind: Option<Duration>) {
+        if let Some(age) = store_age {
             self.store_age.record(age.as_secs_f64(), &[]);
         }
         self.behind.record(behind.unwrap_or_default().as_secs_f64(), &[]);
