--- a/components/catalogue/src/lib.rs
+++ b/components/catalogue/src/lib.rs
@@ -1,7 +1,7 @@
 //! The configuration that operators declare: services with stages, targets, customers, labels and
 //! selectors.
 //!
-//! A [`Catalogue`] is the complete configuration of one revision. It is validated by [`check`]
+//! A [`Catalogue`] is the complete configuration of one revision. It is validated by [`check()`]
 //! before it is accepted, so the rest of the system can rely on every name in it.
 
 mod check;
--- a/gateway/src/lib.rs
+++ b/gateway/src/lib.rs
@@ -2,7 +2,7 @@
 //! to targets, and keeps links to peer VMs and a connection to the platform's store.
 //!
 //! Everything runs as tasks on one thread; the shared state is held by a single actor
-//! (`hub::Hub`). The entry point is [`run`].
+//! (`hub::Hub`). The entry point is [`run()`].
 
 mod active_requests;
 mod admission;
