--- a/gateway/src/configuration_lag.rs
+++ b/gateway/src/configuration_lag.rs
@@ -25,13 +25,13 @@
     pub(crate) fn compare_versions(&mut self, now: Instant) {
         let own = self.intent.as_ref().map_or(0, |intent| intent.version);
         let newest = self.fleet.newest_configuration(now);
-        let before = self.behind.missing;
-        self.behind.missing = match before {
+        let before = self.configuration_lag.missing;
+        self.configuration_lag.missing = match before {
             _ if newest <= own => None,
             Some((_, since)) => Some((newest, since)),
             None => Some((newest, now)),
         };
-        match (before, self.behind.missing) {
+        match (before, self.configuration_lag.missing) {
             (None, Some(_)) => {
                 warn!(self.log, "configuration behind"; "in_force" => own, "newest" => newest);
             }
@@ -46,12 +46,12 @@
     /// Whether there may be a version that this VM does not have: a peer has one, or the store is unreachable. A request
     /// for something unknown is then not rejected as unknown, since a newer version may contain it.
     pub(crate) fn may_be_behind(&self, now: Instant) -> bool {
-        self.behind.missing.is_some() || self.contact.is_lost(now)
+        self.configuration_lag.missing.is_some() || self.contact.is_lost(now)
     }
 
     /// Whether a version that peers have is missing here for longer than a change may take to come into force. New
     /// connections should then go to other VMs.
     pub(crate) fn is_behind(&self, now: Instant) -> bool {
-        self.behind.age(now).is_some_and(|age| age > self.in_force)
+        self.configuration_lag.age(now).is_some_and(|age| age > self.in_force_limit)
     }
 }
--- a/gateway/src/held_results.rs
+++ b/gateway/src/held_results.rs
@@ -24,7 +24,7 @@
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct ResultExpiry {
     /// Deadline of its request.
-    pub(crate) until: Instant,
+    pub(crate) request_deadline: Instant,
     /// Time after which the worker drops it.
     pub(crate) life: Duration,
 }
@@ -32,7 +32,7 @@
 /// A result that a request of this VM holds.
 struct Held {
     origin: Origin,
-    until: Instant,
+    request_deadline: Instant,
     expires_at: Instant,
 }
 
@@ -40,7 +40,7 @@
     /// Until when this VM releases the result. After the request's deadline its origin does, and may have begun to; a VM
     /// that was paused would release it at the worker a second time.
     fn release_until(&self) -> Instant {
-        self.expires_at.min(self.until + REQUEST_GRACE / 2)
+        self.expires_at.min(self.request_deadline + REQUEST_GRACE / 2)
     }
 
     fn is_released_here(&self, now: Instant) -> bool {
@@ -50,7 +50,7 @@
         }
     }
 
-    fn is_available(&self, now: Instant) -> bool {
+    fn needs_release(&self, now: Instant) -> bool {
         matches!(self.origin, Origin::Local) || now < self.expires_at
     }
 }
@@ -98,7 +98,11 @@
 impl HeldResults {
     /// Records a result that was handed to a request.
     pub(crate) fn add(&self, handle: &str, origin: Origin, expiry: ResultExpiry, now: Instant) {
-        let held = Held { origin, until: expiry.until, expires_at: now + expiry.life };
+        let held = Held {
+            origin,
+            request_deadline: expiry.request_deadline,
+            expires_at: now + expiry.life,
+        };
         self.by_handle.borrow_mut().insert(handle.to_owned(), held);
     }
 
@@ -112,7 +116,7 @@
         let mut by_handle = self.by_handle.borrow_mut();
         let mut taken: Vec<ReleaseBatch> = Vec::new();
         for handle in handles {
-            let held = by_handle.remove(handle).filter(|held| held.is_available(now));
+            let held = by_handle.remove(handle).filter(|held| held.needs_release(now));
             let Some(held) = held else { continue };
             let (is_released_here, until) = (held.is_released_here(now), held.release_until());
             let is_same_batch = |other: &&mut ReleaseBatch| {
@@ -138,7 +142,7 @@
     }
 
     /// Removes results that their origin released.
-    pub(crate) fn forget(&self, handles: &[String]) {
+    pub(crate) fn remove_reclaimed(&self, handles: &[String]) {
         let mut by_handle = self.by_handle.borrow_mut();
         for handle in handles {
             by_handle.remove(handle);
--- a/gateway/src/http_endpoints.rs
+++ b/gateway/src/http_endpoints.rs
@@ -89,7 +89,7 @@
         let version = shared.intent.as_ref().map_or(0, |intent| intent.version);
         app.metrics
             .set_state(u64::try_from(shared.active_requests.len()).unwrap_or(u64::MAX), version);
-        app.metrics.set_staleness(shared.contact.age(now), shared.behind.age(now));
+        app.metrics.set_staleness(shared.contact.age(now), shared.configuration_lag.age(now));
         let evacuated = u64::try_from(shared.halls.evacuated().len()).unwrap_or(u64::MAX);
         let cold = u64::try_from(shared.cold_targets).unwrap_or(u64::MAX);
         app.metrics.set_out_of_service(evacuated, cold);
@@ -202,7 +202,7 @@
         let state = json!({
             "configuration": shared.intent.as_ref().map(|intent| intent.version),
             "as_of": shared.view.as_of(),
-            "behind_ms": shared.behind.age(now).map(|age| age.as_millis() as u64),
+            "behind_ms": shared.configuration_lag.age(now).map(|age| age.as_millis() as u64),
             "watches_store": shared.watches_store,
             "store_lost": shared.contact.is_lost(now),
             "store_heard_ms": shared.contact.age(now).map(|age| age.as_millis() as u64),
--- a/gateway/src/outbound_links.rs
+++ b/gateway/src/outbound_links.rs
@@ -106,7 +106,7 @@
         news: UnboundedSender<PieceEvent>,
     ) -> u64 {
         let job = self.next_number();
-        let expiry = ResultExpiry { until: submission.deadline, life };
+        let expiry = ResultExpiry { request_deadline: submission.deadline, life };
         let waiting = PendingJob { news, of, expiry, left: submission.pieces.len() };
         self.jobs.borrow_mut().insert(job, waiting);
         let millis = |at: Instant| u32::try_from(left(at).as_millis()).unwrap_or(u32::MAX);
@@ -257,7 +257,7 @@
     /// waits for are released at once.
     fn expiry_of(&self, job: u64, now: Instant) -> ResultExpiry {
         let expiry = self.jobs.borrow().get(&job).map(|waiting| waiting.expiry);
-        expiry.unwrap_or(ResultExpiry { until: now, life: REQUEST_GRACE })
+        expiry.unwrap_or(ResultExpiry { request_deadline: now, life: REQUEST_GRACE })
     }
 
     fn deliver_fetched(&self, job: u64) {
@@ -403,7 +403,7 @@
                             link.record_confirmed(app, released.number);
                         }
                         from_owner::Kind::Reclaimed(reclaimed) => {
-                            app.held.forget(&reclaimed.handles);
+                            app.held.remove_reclaimed(&reclaimed.handles);
                         }
                         from_owner::Kind::Hello(_) => {}
                     },
--- a/gateway/src/peer_sync.rs
+++ b/gateway/src/peer_sync.rs
@@ -78,7 +78,7 @@
 
 /// Whether the watch has stalled: it returns nothing while peers know more. It is then restarted.
 fn detect_stalled_watch(app: &App, shared: &Shared, now: Instant) -> bool {
-    let limit = shared.in_force.mul_f64(STALL_FRACTION);
+    let limit = shared.in_force_limit.mul_f64(STALL_FRACTION);
     let has_stalled =
         shared.stall_detector.has_stalled_for(limit, now) && !shared.contact.is_receiving(now);
     if has_stalled {
--- a/gateway/src/pool_calls.rs
+++ b/gateway/src/pool_calls.rs
@@ -301,7 +301,7 @@
                     app.held.add(
                         handle,
                         Origin::Local,
-                        ResultExpiry { until: now + life, life },
+                        ResultExpiry { request_deadline: now + life, life },
                         now,
                     );
                 }
--- a/gateway/src/releases.rs
+++ b/gateway/src/releases.rs
@@ -227,7 +227,7 @@
 /// hold them are notified, so that the workers are called only once.
 pub(crate) fn reclaim(app: &Rc<App>, pool: &ServiceName, pending: Vec<PendingRelease>) {
     for pending in pending {
-        app.held.forget(&pending.handles);
+        app.held.remove_reclaimed(&pending.handles);
         let links = app.hub.with(|shared, _| shared.leases.reclaimed(&pending.handles));
         for (link, handles) in links {
             if let Some(tx) = app.lease_links.borrow().get(&link) {
--- a/gateway/src/shared.rs
+++ b/gateway/src/shared.rs
@@ -27,9 +27,9 @@
 use crate::settings::{ColdMargin, Policy, Settings};
 
 /// Estimated time to the first event of a service that has not been observed yet.
-const FIRST_EVENT: Duration = Duration::from_millis(200);
+const DEFAULT_FIRST_EVENT_TIME: Duration = Duration::from_millis(200);
 /// Weight of a new sample in the exponential moving average of first-event times.
-const FIRST_EVENT_WEIGHT: f64 = 0.1;
+const FIRST_EVENT_TIME_WEIGHT: f64 = 0.1;
 
 /// Prefix of the store keys under which VMs register themselves.
 pub(crate) fn vms_prefix(adapter: &Adapter) -> String {
@@ -62,9 +62,9 @@
     pub(crate) contact: StoreContact,
     /// Detects that this VM's watch on the store is silent while peers learn of newer changes.
     pub(crate) stall_detector: StallDetector,
-    pub(crate) behind: ConfigurationLag,
+    pub(crate) configuration_lag: ConfigurationLag,
     /// Time within which a configuration change must take effect.
-    pub(crate) in_force: Duration,
+    pub(crate) in_force_limit: Duration,
     /// Times of the shutdown in progress, if any.
     pub(crate) stop: Option<StopPlan>,
     /// Targets that announced their departure in answers to this VM or to peers.
@@ -74,7 +74,7 @@
     /// Rate limits that targets announced.
     pub(crate) rates: RateLimits,
     /// Names of unrecognized headers in targets' answers, by service.
-    pub(crate) unknown_words: BTreeSet<(ServiceName, String)>,
+    pub(crate) unknown_headers: BTreeSet<(ServiceName, String)>,
     /// Token buckets of rate-limited targets that this VM owns.
     pub(crate) token_buckets: TokenBuckets,
     /// Owner of the token buckets of each service at the last check.
@@ -91,10 +91,10 @@
     pub(crate) cold_targets: usize,
     /// Requests in progress.
     pub(crate) active_requests: ActiveRequests,
-    order: Order,
-    rules: FleetRetryRules,
-    budgets: HashMap<ServiceName, FleetRetryBudget>,
-    first_events: HashMap<ServiceName, Duration>,
+    queue_order: Order,
+    retry_rules: FleetRetryRules,
+    retry_budgets: HashMap<ServiceName, FleetRetryBudget>,
+    first_event_times: HashMap<ServiceName, Duration>,
     /// Time from sending a request to its target to the end of the answer, by entry.
     response_times: HashMap<String, ResponseTime>,
     pub(crate) admission: Admission,
@@ -117,7 +117,7 @@
         log: Logger,
         now: Instant,
     ) -> Self {
-        let (policy, order) = match cfg.policy {
+        let (policy, queue_order) = match cfg.policy {
             Policy::Adaptive => (selection::Policy::Adaptive, Order::Slack),
             Policy::RoundRobin => (selection::Policy::RoundRobin, Order::Arrival),
             Policy::FirstInOrder => (selection::Policy::FirstInOrder, Order::Arrival),
@@ -137,13 +137,13 @@
             own_hall: cfg.hall.clone(),
             contact: StoreContact::default(),
             stall_detector: StallDetector::default(),
-            behind: ConfigurationLag::default(),
-            in_force: cfg.in_force(),
+            configuration_lag: ConfigurationLag::default(),
+            in_force_limit: cfg.in_force(),
             stop: None,
             departures: Departures::default(),
             backoffs: Backoffs::default(),
             rates: RateLimits::default(),
-            unknown_words: BTreeSet::new(),
+            unknown_headers: BTreeSet::new(),
             token_buckets: TokenBuckets::default(),
             token_bucket_owners: BTreeMap::new(),
             peer_update_pending: watch::channel(()).0,
@@ -152,14 +152,14 @@
             cold_margin: cfg.cold,
             cold_targets: 0,
             active_requests: ActiveRequests::default(),
-            order,
-            rules: FleetRetryRules {
+            queue_order,
+            retry_rules: FleetRetryRules {
                 ratio: cfg.repeats.ratio,
                 slack: cfg.repeats.slack,
                 window: cfg.repeats.window(),
             },
-            budgets: HashMap::new(),
-            first_events: HashMap::new(),
+            retry_budgets: HashMap::new(),
+            first_event_times: HashMap::new(),
             response_times: HashMap::new(),
             admission: Admission::default(),
             quarantine: Quarantine::new(cfg.quarantine.rules()),
@@ -192,37 +192,37 @@
     }
 
     fn apply(&mut self, changes: Vec<Change>, from: &str, now: Instant) {
-        let (intent_key, prefix) =
+        let (intent_key, targets_prefix) =
             (self.adapter.intents.intent_key, self.adapter.intents.targets_prefix);
-        let evacuations = self.adapter.intents.evacuations_prefix;
-        let mut new_targets = false;
+        let evacuations_prefix = self.adapter.intents.evacuations_prefix;
+        let mut targets_changed = false;
         for change in changes {
             match change {
                 Change::Put(key, value) if key == intent_key => {
                     self.apply_intent(&value, from);
                     self.compare_versions(now);
                 }
-                Change::Put(key, value) if key.starts_with(prefix) => {
+                Change::Put(key, value) if key.starts_with(targets_prefix) => {
                     self.apply_target(&key, &value, from, now);
-                    new_targets = true;
+                    targets_changed = true;
                 }
-                Change::Put(key, value) if key.starts_with(evacuations) => {
+                Change::Put(key, value) if key.starts_with(evacuations_prefix) => {
                     self.apply_evacuation(&key, &value, from, now);
                 }
                 Change::Put(key, value) => self.apply_own_entry(&key, Some(&value), now),
-                Change::Removed(key) if key.starts_with(evacuations) => {
+                Change::Removed(key) if key.starts_with(evacuations_prefix) => {
                     self.end_evacuation(&key, from, now);
                 }
-                Change::Removed(key) => match key.strip_prefix(prefix) {
+                Change::Removed(key) => match key.strip_prefix(targets_prefix) {
                     Some(id) => {
                         self.target_entry_removed(id, from, now);
-                        new_targets = true;
+                        targets_changed = true;
                     }
                     None => self.apply_own_entry(&key, None, now),
                 },
             }
         }
-        if new_targets {
+        if targets_changed {
             self.sync_pools();
         }
         self.update_cold_shares(now);
@@ -249,15 +249,15 @@
         match (self.adapter.intents.intent)(value) {
             Ok(intent) => {
                 let at_least_as_new =
-                    self.intent.as_ref().filter(|have| have.version >= intent.version);
-                if let Some(have) = at_least_as_new {
+                    self.intent.as_ref().filter(|current| current.version >= intent.version);
+                if let Some(current) = at_least_as_new {
                     warn!(self.log, "configuration kept out"; "version" => intent.version,
-                        "in_force" => have.version, "from" => from, "why" => "not newer");
+                        "in_force" => current.version, "from" => from, "why" => "not newer");
                     return;
                 }
                 info!(self.log, "configuration in force"; "version" => intent.version,
                     "entries" => intent.entries().count(), "from" => from, "as_of" => as_of);
-                self.forget_response_times(&intent);
+                self.drop_obsolete_response_times(&intent);
                 self.intent = Some(Arc::new(intent));
                 self.sync_pools();
             }
@@ -270,7 +270,7 @@
     }
 
     /// Drops the response times of entries that the configuration doesn't contain.
-    fn forget_response_times(&mut self, intent: &Intent) {
+    fn drop_obsolete_response_times(&mut self, intent: &Intent) {
         let names: HashSet<&str> = intent.entries().map(|entry| entry.name.as_str()).collect();
         self.response_times.retain(|name, _| names.contains(name.as_str()));
     }
@@ -286,10 +286,10 @@
             let first_seen = *self.first_seen.entry(name.clone()).or_insert(intent.version);
             let split = split.first_seen(first_seen);
             let own = split.part_of(&self.own_hall);
-            let order = self.order;
+            let queue_order = self.queue_order;
             let halls = &self.halls;
             let pool = self.pools.entry(name.clone()).or_insert_with(|| {
-                let mut pool = Pool::new(spec, order);
+                let mut pool = Pool::new(spec, queue_order);
                 pool.set_halls(halls.clone());
                 pool
             });
@@ -310,24 +310,25 @@
 
     /// Counts a request of a service towards its retry budget.
     pub(crate) fn count_request(&mut self, service: &ServiceName, now: Instant) {
-        self.budgets.entry(service.clone()).or_default().record_request(now);
+        self.retry_budgets.entry(service.clone()).or_default().record_request(now);
     }
 
     /// Takes one retry from the budget of a service; false if none is left.
     pub(crate) fn try_take_retry(&mut self, service: &ServiceName, now: Instant) -> bool {
         let vms = self.fleet.size();
-        self.budgets.entry(service.clone()).or_default().try_take(&self.rules, vms, now)
+        self.retry_budgets.entry(service.clone()).or_default().try_take(&self.retry_rules, vms, now)
     }
 
     /// Adds a sample to the moving average of a service's time to the first event.
     pub(crate) fn record_first_event_time(&mut self, service: &ServiceName, took: Duration) {
-        let average = self.first_events.entry(service.clone()).or_insert(took);
-        *average = average.mul_f64(1.0 - FIRST_EVENT_WEIGHT) + took.mul_f64(FIRST_EVENT_WEIGHT);
+        let average = self.first_event_times.entry(service.clone()).or_insert(took);
+        *average =
+            average.mul_f64(1.0 - FIRST_EVENT_TIME_WEIGHT) + took.mul_f64(FIRST_EVENT_TIME_WEIGHT);
     }
 
     /// Expected time to the first event of a service.
     pub(crate) fn first_event_time(&self, service: &ServiceName) -> Duration {
-        self.first_events.get(service).copied().unwrap_or(FIRST_EVENT)
+        self.first_event_times.get(service).copied().unwrap_or(DEFAULT_FIRST_EVENT_TIME)
     }
 
     /// Records the time from sending a request of an entry to its target to the end of the answer.
--- a/gateway/src/target_announcements.rs
+++ b/gateway/src/target_announcements.rs
@@ -73,7 +73,7 @@
     for name in (app.adapter.calls.unknown_headers)(answer) {
         let is_new = app.hub.with(|shared, _| {
             let key = (target.service.clone(), name.clone());
-            shared.unknown_words.len() < MAX_LOGGED_HEADERS && shared.unknown_words.insert(key)
+            shared.unknown_headers.len() < MAX_LOGGED_HEADERS && shared.unknown_headers.insert(key)
         });
         if is_new {
             warn!(app.log, "unknown header in answer"; "header" => &name,
