--- a/gateway/src/crashes.rs
+++ b/gateway/src/crashes.rs
@@ -1,5 +1,6 @@
-//! Requests that crash targets. Detects whether a target crashed when its connection broke under a request,
-//! records and exchanges the crashes, and refuses requests that crashed too many targets.
+//! Requests that crash targets. When a connection to a target breaks under a request, this module
+//! probes whether the target has crashed, shares the crashes with peers, and refuses requests that
+//! crashed too many targets.
 
 use std::collections::BTreeSet;
 use std::rc::Rc;
@@ -21,18 +22,19 @@
 use crate::shared::Shared;
 use crate::stages::pieces_of;
 
-/// Time limit of the first probe of a target whose connection broke. The next try waits for it, and the delay
-/// between halls is a few milliseconds. Without this wait, a request is sent once more before its last crash
-/// counts, and crashes one target more than the rules allow (four instead of three).
+/// Time limit of the first probe of a target whose connection broke. The next try of the request
+/// waits for the probe; without that wait a request is sent once more before its last crash counts,
+/// and crashes one target more than the rules allow (four instead of three). The limit is short
+/// because the latency between halls is a few milliseconds.
 const FIRST_PROBE_TIMEOUT: Duration = Duration::from_millis(20);
-/// Pause before each later probe: a process that exits closes its connections and its port shortly after each
-/// other, in either order.
+/// Pause before each later probe: a process that exits closes its connections and its port shortly
+/// after each other, in either order.
 const LATER_PROBE_PAUSES: [Duration; 2] = [Duration::from_millis(40), Duration::from_millis(160)];
 /// Time limit of each later probe.
 const LATER_PROBE_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// Checks whether a target has crashed after its connection broke under a request, before or during its
-/// answer.
+/// Checks whether a target has crashed after its connection broke under a request, before or during
+/// its answer.
 pub(crate) async fn check_broken_connection(
     app: &Rc<App>,
     req: &AcceptedRequest,
@@ -41,8 +43,8 @@
     check_target(app, &[req.digest], &attempt.pick.target, attempt.lifetime).await;
 }
 
-/// Checks whether a worker has crashed after its connection broke under a call; `digests` are the request
-/// digests of the call's pieces.
+/// Checks whether a worker has crashed after its connection broke under a call; `digests` are the
+/// request digests of the call's pieces.
 pub(crate) async fn check_broken_call(
     app: &Rc<App>,
     digests: &[RequestDigest],
@@ -52,8 +54,8 @@
     check_target(app, digests, target, lifetime).await;
 }
 
-/// Records the lost connection and probes the target. The caller waits for the first probe only; if the port isn't
-/// closed yet, a separate task probes again.
+/// Records the lost connection and probes the target. Returns after the first probe; if the port
+/// isn't closed by then, a separate task runs the later probes.
 async fn check_target(
     app: &Rc<App>,
     digests: &[RequestDigest],
@@ -72,8 +74,9 @@
     });
 }
 
-/// Whether a target's address refuses connections after all, by the later probes. A target that is unreachable doesn't
-/// answer at all, and one that only aborted an answer accepts the connection; neither counts as ended.
+/// Runs the later probes; returns whether the target's address refuses connections. A target that
+/// is unreachable doesn't answer at all, and one that only aborted an answer accepts the
+/// connection; neither counts as ended.
 async fn has_ended(target: &Target) -> bool {
     for pause in LATER_PROBE_PAUSES {
         sleep(pause).await;
@@ -106,7 +109,7 @@
     app.hub.with(|shared, now| shared.quarantine.request_completed(req.digest, now));
 }
 
-/// Digests of the stages of requests to which the pieces of a call belong, without duplicates.
+/// Digests of the requests' stages to which the pieces of a call belong, without duplicates.
 pub(crate) fn request_digests_of_call(
     app: &App,
     pool: &ServiceName,
@@ -114,13 +117,14 @@
 ) -> Vec<RequestDigest> {
     app.hub.with(|shared, _| {
         let pool = shared.pools.get(pool);
-        let of = |(job, _): &(JobKey, u32)| pool?.submission(*job)?.digest;
-        let digests: BTreeSet<RequestDigest> = call.pieces.iter().filter_map(of).collect();
+        let digest_of = |(job, _): &(JobKey, u32)| pool?.submission(*job)?.digest;
+        let digests: BTreeSet<RequestDigest> = call.pieces.iter().filter_map(digest_of).collect();
         digests.into_iter().collect()
     })
 }
 
-/// Records that a worker answered a call: whatever the results, none of its pieces crashed the worker.
+/// Records that a worker answered a call: whatever the results, none of its pieces crashed the
+/// worker.
 pub(crate) fn pieces_completed(app: &App, digests: &[RequestDigest], end: &CallEnd) {
     if matches!(end, CallEnd::Answered(_)) {
         app.hub.with(|shared, now| {
@@ -129,8 +133,8 @@
     }
 }
 
-/// Refusal of a request that crashed too many targets; `None` if it is not refused. `may_have_run` says whether this
-/// attempt may have run at a target.
+/// Refusal of a request that crashed too many targets; `None` if it is not refused. `may_have_run`
+/// says whether this attempt may have run at a target.
 pub(crate) fn refusal(app: &App, req: &AcceptedRequest, may_have_run: bool) -> Option<Refusal> {
     let left = app.hub.with(|shared, now| shared.refused_for(req, now))?;
     app.metrics.request_quarantined(req.service.as_str());
@@ -139,13 +143,13 @@
     Some(if may_have_run { Refusal::Failed } else { Refusal::NotRun { retry_after: left } })
 }
 
-/// Waits until a request is refused because of a crash that becomes known meanwhile, and returns the refusal.
-/// It is raced against the stages or the target of the request.
+/// Waits until a request is refused because of a crash that becomes known while it runs, and
+/// returns the refusal. Callers wait for this and for the request's stages or target at once.
 pub(crate) async fn until_refused(app: &App, req: &AcceptedRequest, may_have_run: bool) -> Refusal {
-    let mut known = app.hub.with(|shared, _| shared.crashes_changed.subscribe());
+    let mut crash_changes = app.hub.with(|shared, _| shared.crashes_changed.subscribe());
     loop {
         // The sender lives as long as the shared state.
-        if known.changed().await.is_err() {
+        if crash_changes.changed().await.is_err() {
             std::future::pending::<()>().await;
         }
         if let Some(refusal) = refusal(app, req, may_have_run) {
@@ -160,8 +164,8 @@
         self.quarantine.current_lifetime(lifetime_hash_of(target))
     }
 
-    /// Records that a connection to a target broke under these requests. A leaving target is not counted: it
-    /// exits by itself.
+    /// Records that a connection to a target broke under these requests. A leaving target is not
+    /// counted: it exits by itself.
     fn record_lost_connections(
         &mut self,
         digests: &[RequestDigest],
@@ -177,7 +181,8 @@
         }
     }
 
-    /// How much longer a request is refused, for itself or for the pieces of one of its stages; `None` if it is not.
+    /// How much longer a request is refused, for itself or for the pieces of one of its stages;
+    /// `None` if it is not.
     fn refused_for(&mut self, req: &AcceptedRequest, now: Instant) -> Option<Duration> {
         if !self.quarantine.has_records() {
             return None;
@@ -194,14 +199,17 @@
         Some(left)
     }
 
-    /// Waiting submissions to a pool of this VM whose pieces crash their workers and are refused.
+    /// Waiting submissions to a pool of this VM that are refused because their pieces crash
+    /// workers.
     pub(crate) fn refused_jobs(&self, pool: &ServiceName, now: Instant) -> Vec<JobKey> {
         if !self.quarantine.has_records() {
             return Vec::new();
         }
         let waiting = self.pools.get(pool).into_iter().flat_map(Pool::waiting_submissions);
         let is_refused = |(_, submission): &(JobKey, &Submission)| {
-            submission.digest.is_some_and(|c| self.quarantine.refused_for(&c, now).is_some())
+            submission
+                .digest
+                .is_some_and(|digest| self.quarantine.refused_for(&digest, now).is_some())
         };
         waiting.filter(is_refused).map(|(job, _)| job).collect()
     }
@@ -209,27 +217,28 @@
     /// Records the end of a target's lifetime as seen by this VM.
     fn lifetime_ended(&mut self, lifetime: Lifetime, now: Instant) {
         let new = self.quarantine.lifetime_ended(lifetime, now);
-        self.announce(&new, "own", now);
+        self.publish_crashes(&new, "own", now);
     }
 
-    /// Records that a target is gone or was restarted, according to the platform or to the process that now
-    /// has its address.
+    /// Records that a target's lifetime has ended, according to its entry in the store or to the
+    /// process that now has its address. A leaving target exits by itself and is not counted.
     pub(crate) fn target_ended(&mut self, target: &Target, now: Instant) {
         if !target.leaving {
             let new = self.quarantine.target_gone(lifetime_hash_of(target), now);
-            self.announce(&new, "its entry", now);
+            self.publish_crashes(&new, "its entry", now);
         }
     }
 
-    /// Merges crashes received from a peer or the store; `from` is logged.
+    /// Merges crashes received from a peer or the store; `from` names the source in the log.
     pub(crate) fn merge_crashes(&mut self, crashes: &[Crash], from: &str, now: Instant) {
         let new = self.quarantine.merge(crashes, now);
-        self.announce(&new, from, now);
+        self.publish_crashes(&new, from, now);
     }
 
-    /// Logs new crashes and has them sent to peers at once. If they waited for the next heartbeat, up to 0.2 s later, a
-    /// request that is retried every 0.1 s could crash six targets within 0.6 s before all VMs refuse it.
-    fn announce(&self, new: &[Crash], from: &str, now: Instant) {
+    /// Logs new crashes and has them sent to peers at once. If they waited for the next heartbeat,
+    /// up to 0.2 s later, a request that is retried every 0.1 s could crash six targets in 0.6 s
+    /// before all VMs refuse it.
+    fn publish_crashes(&self, new: &[Crash], from: &str, now: Instant) {
         if !new.is_empty() {
             self.crashes_changed.send_replace(());
             self.peer_update_pending.send_replace(());
--- a/gateway/src/stored_refusals.rs
+++ b/gateway/src/stored_refusals.rs
@@ -1,5 +1,5 @@
-//! Persists refused requests (those that crash targets) in the platform's store, so that a fleet whose VMs all lose
-//! power still refuses them after the restart.
+//! Persists refused requests (those that crash targets) in the platform's store, so that a fleet
+//! whose VMs all lose power still refuses them after the restart.
 
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -18,9 +18,10 @@
 use crate::store_connection::{StoreCallError, StoreConnection};
 use crate::store_watch::unreadable;
 
-/// Interval at which refused requests are written to the store; peers hear of them sooner, over links.
+/// Interval at which refused requests are written to the store; peers hear of them sooner, over
+/// links.
 const WRITE_INTERVAL: Duration = Duration::from_millis(500);
-/// Interval at which expired records are removed.
+/// Interval at which expired records of crashes are removed from memory.
 const EXPIRY_INTERVAL: Duration = Duration::from_secs(10);
 /// Longest lease that the platform grants; longer ones are capped to it.
 const MAX_LEASE: Duration = Duration::from_secs(600);
@@ -31,7 +32,8 @@
 /// Value of a refused request in the store, as JSON.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 struct StoredRefusal {
-    /// Lifetimes of targets that it crashed, as text; empty if an operator released it.
+    /// Lifetimes of targets that the request crashed, as text; empty if an operator released the
+    /// request.
     ended: Vec<String>,
 }
 
@@ -47,7 +49,8 @@
 }
 
 impl Shared {
-    /// Applies an entry under this system's own prefix if it is a refused request; false if it is something else.
+    /// Applies an entry under this system's own prefix if it is a refused request; false if it is
+    /// something else.
     pub(crate) fn apply_stored_refusal(&mut self, key: &str, value: &[u8], now: Instant) -> bool {
         let prefix = key_prefix(self);
         let Some(request) = key.strip_prefix(&prefix) else { return false };
@@ -65,7 +68,8 @@
     }
 }
 
-/// Writes refused requests to the store and removes expired records, for as long as the process runs.
+/// Writes refused requests to the store and removes expired records, for as long as the process
+/// runs.
 pub(crate) async fn run(app: Rc<App>) {
     let mut store = StoreConnection::new(&app);
     let mut ticks = interval(WRITE_INTERVAL);
@@ -97,19 +101,20 @@
     refused: &RefusedRequest,
 ) -> Result<(), StoreCallError> {
     let key = app.hub.with(|shared, _| key_of(shared, &refused.digest));
-    let known = StoredRefusal::of(refused);
+    let current = StoredRefusal::of(refused);
     let is_stored = app.hub.with(|shared, _| {
         let stored = shared.view.get(&key).and_then(|value| serde_json::from_slice(value).ok());
-        stored.is_some_and(|stored: StoredRefusal| stored.covers(&known))
+        stored.is_some_and(|stored: StoredRefusal| stored.covers(&current))
     });
     if !is_stored {
-        put(app, store, &key, &known).await?;
+        put(app, store, &key, &current).await?;
     }
     app.hub.with(|shared, _| shared.quarantine.mark_written(&refused.digest));
     Ok(())
 }
 
-/// Puts a refused request into the store under a new lease, after which the store deletes it.
+/// Puts a refused request into the store under a new lease; the store deletes it when the lease
+/// expires.
 async fn put(
     app: &App,
     store: &mut StoreConnection,
@@ -128,11 +133,11 @@
     Ok(())
 }
 
-/// Releases a refused request on behalf of an operator; false if no crashes count against it. The store's entry is
-/// overwritten with an empty one in the background.
+/// Releases a refused request on behalf of an operator; false if no crashes count against it. The
+/// store's entry is overwritten with an empty one in the background.
 pub(crate) fn release(app: &Rc<App>, digest: RequestDigest) -> bool {
-    let known = app.hub.with(|shared, now| shared.quarantine.clear(&digest, now));
-    if known {
+    let had_crashes = app.hub.with(|shared, now| shared.quarantine.clear(&digest, now));
+    if had_crashes {
         warn!(app.log, "refused request released"; "content" => %digest);
         let app = Rc::clone(app);
         spawn_local(async move {
@@ -145,7 +150,7 @@
             }
         });
     }
-    known
+    had_crashes
 }
 
 fn key_prefix(shared: &Shared) -> String {
