--- a/gateway/src/held_results.rs
+++ b/gateway/src/held_results.rs
@@ -1,5 +1,6 @@
-//! Results that requests of this VM hold, until they are released or reclaimed, and released results until the VM that
-//! had them computed (their origin) has confirmed that it knows.
+//! Keeps track of the results that requests of this VM hold. The origin of a result is the VM that
+//! had it computed. A result is held until it is released here or reclaimed by its origin; a
+//! released result of a peer is kept until the peer has confirmed that it knows of the release.
 
 use std::cell::RefCell;
 use std::collections::{BTreeSet, HashMap};
@@ -20,12 +21,12 @@
     Peer(Rc<Link>),
 }
 
-/// How long this VM is responsible for releasing a result.
+/// Bounds on the time for which this VM is responsible for releasing a result.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct ResultExpiry {
-    /// Deadline of its request.
+    /// Deadline of the request; matters only for results of a peer, see [`Held::release_until`].
     pub(crate) request_deadline: Instant,
-    /// Time after which the worker drops it.
+    /// Time for which the worker keeps the result.
     pub(crate) life: Duration,
 }
 
@@ -37,12 +38,14 @@
 }
 
 impl Held {
-    /// Until when this VM releases the result. After the request's deadline its origin does, and may have begun to; a VM
-    /// that was paused would release it at the worker a second time.
+    /// Until when this VM releases a result of a peer. Once the grace period after the request's
+    /// deadline is over, the origin releases it. This VM stops in the middle of that period, since
+    /// a VM that was paused could otherwise release the result at the worker a second time.
     fn release_until(&self) -> Instant {
         self.expires_at.min(self.request_deadline + REQUEST_GRACE / 2)
     }
 
+    /// Whether this VM has to release the result, not its origin.
     fn is_released_here(&self, now: Instant) -> bool {
         match self.origin {
             Origin::Local => true,
@@ -50,6 +53,8 @@
         }
     }
 
+    /// Whether the result is still to be released. The worker has dropped an expired one by itself;
+    /// those of this VM are released nevertheless.
     fn needs_release(&self, now: Instant) -> bool {
         matches!(self.origin, Origin::Local) || now < self.expires_at
     }
@@ -61,7 +66,7 @@
     pub(crate) handles: Vec<String>,
     /// Whether this VM has to release them, not their origin.
     pub(crate) is_released_here: bool,
-    /// After this their origin releases them.
+    /// After this a peer that is the origin releases them.
     pub(crate) until: Instant,
 }
 
@@ -85,10 +90,12 @@
     Reported,
 }
 
-/// How long a release is remembered for an origin that can't be reached: many times the lifetime of a result.
+/// How long a release is remembered for an origin that can't be reached: many times the lifetime of
+/// a result.
 const RELEASE_RETENTION: Duration = Duration::from_secs(30);
 
-/// Results that requests of this VM hold, and released results whose origin does not know yet, by handle.
+/// Results that requests of this VM hold, and released results whose origin does not know yet, by
+/// handle.
 #[derive(Default)]
 pub(crate) struct HeldResults {
     by_handle: RefCell<HashMap<String, Held>>,
@@ -111,7 +118,7 @@
         Some(self.by_handle.borrow().get(handle)?.expires_at <= now)
     }
 
-    /// Removes results; returns those that have not expired, grouped by origin.
+    /// Removes results; returns those that are still to be released, grouped by origin.
     pub(crate) fn take(&self, handles: &[String], now: Instant) -> Vec<ReleaseBatch> {
         let mut by_handle = self.by_handle.borrow_mut();
         let mut taken: Vec<ReleaseBatch> = Vec::new();
@@ -141,7 +148,7 @@
         taken
     }
 
-    /// Removes results that their origin released.
+    /// Removes results that their origin reclaimed: it releases them at their workers itself.
     pub(crate) fn remove_reclaimed(&self, handles: &[String]) {
         let mut by_handle = self.by_handle.borrow_mut();
         for handle in handles {
@@ -149,7 +156,7 @@
         }
     }
 
-    /// Those among `handles` that are held, each with its origin.
+    /// The held results among `handles`, each with its origin.
     pub(crate) fn look_up(&self, handles: &[String]) -> Vec<(Origin, String)> {
         let by_handle = self.by_handle.borrow();
         let held = |handle: &String| Some((by_handle.get(handle)?.origin.clone(), handle.clone()));
@@ -173,7 +180,8 @@
         }
     }
 
-    /// Records the outcome: the origin is to be notified of results whose release the worker confirmed.
+    /// Records whether the worker confirmed the release of results. Confirmed releases are to be
+    /// reported to the origin; others are dropped.
     pub(crate) fn record_release_outcome(&self, handles: &[String], is_confirmed: bool) {
         let mut released = self.released.borrow_mut();
         for handle in handles {
@@ -185,7 +193,8 @@
         }
     }
 
-    /// Results whose release is to be reported to an origin on the open link; marks them as reported.
+    /// Results whose release is to be reported to an origin on the open link; marks them as
+    /// reported.
     pub(crate) fn take_unreported(&self, origin: SocketAddr) -> Vec<String> {
         let mut released = self.released.borrow_mut();
         let is_unreported = |released: &ReleasedResult| {
@@ -207,7 +216,8 @@
         }
     }
 
-    /// Records that the link to an origin ended: reports that were not confirmed are to be sent again.
+    /// Records that the link to an origin ended: reports that were not confirmed are to be sent
+    /// again.
     pub(crate) fn link_ended(&self, origin: SocketAddr) {
         let mut released = self.released.borrow_mut();
         let reported = released.values_mut().filter(|released| released.origin == origin);
@@ -216,8 +226,8 @@
         }
     }
 
-    /// Results whose origin is the peer that accepts links at an address: those held, and released ones that it has
-    /// not confirmed.
+    /// Results whose origin is the peer that accepts links at an address: those held, and released
+    /// ones that it has not confirmed.
     pub(crate) fn handles_from(&self, address: SocketAddr) -> Vec<String> {
         let by_handle = self.by_handle.borrow();
         let held = by_handle.iter().filter(|(_, held)| held.origin.address() == Some(address));
--- a/gateway/src/releases.rs
+++ b/gateway/src/releases.rs
@@ -1,11 +1,12 @@
-//! Releases results of stages that are no longer needed: sends their workers release calls, so that the workers can
-//! reuse the memory.
+//! Releases results of stages that are no longer needed: sends release calls to the workers that
+//! hold them, so that the workers can reuse the memory.
 //!
-//! Exactly one VM is responsible for a result at any time: the owner, which had it computed, until it hands the result
-//! over; then the VM of the request (the requester); and the owner again once the lease ended ([`result_leases`]). The
-//! requester calls workers itself, so that no release is lost together with an owner, and reports the release to the
-//! owner, which tracks the workers' memory. If a worker announces a rate limit, the release goes through the owner,
-//! which combines the releases of all VMs.
+//! Exactly one VM is responsible for a result at any time: first the owner, which had it computed;
+//! once the owner has handed the result over, the VM of the request (the requester); and the owner
+//! again once the requester's lease has ended ([`result_leases`]). The requester calls workers
+//! itself, so that no release is lost together with an owner, and reports the release to the owner,
+//! which tracks the workers' memory. If a worker announces a rate limit, the release goes through
+//! the owner, which combines the releases of all VMs.
 
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
@@ -34,21 +35,22 @@
 
 /// Longest wait for a worker to confirm a release.
 const RELEASE_WAIT: Duration = Duration::from_millis(500);
-/// Longest time for which a release is held back because the worker asked for backoff. Most results expire by
-/// themselves after some seconds, so that a later release frees little.
+/// Longest backoff of a worker for which a release waits. Most results expire by themselves after
+/// some seconds, so that a later release frees little.
 const MAX_BACKOFF_WAIT: Duration = Duration::from_secs(2);
-/// Pause before the first retry of a release that was not confirmed; doubles with each further retry.
+/// Pause before the first retry of a release that was not confirmed; doubles with each further
+/// retry.
 const FIRST_RETRY_PAUSE: Duration = Duration::from_millis(250);
-/// Most attempts to send a release. Together with the pauses they last longer than the time for which a worker's entry
-/// can lapse before the worker writes it again.
+/// Most attempts to send a release. Together with the pauses they last longer than the time for
+/// which a worker's entry can lapse before the worker writes it again.
 const MAX_ATTEMPTS: u32 = 5;
 /// Interval between two checks for leases that ended.
 const LEASE_CHECK_INTERVAL: Duration = Duration::from_millis(250);
 
-/// A check that runs this long after the previous one shows that this process was paused.
+/// If a check runs this long after the previous one, this process was paused in between.
 const PAUSE_DETECTED_AFTER: Duration = Duration::from_secs(1);
-/// Time within which VMs that lost their links to this one reconnect and claim the results that they hold: they dial
-/// every 0.4 s.
+/// Time within which VMs that lost their links to this one reconnect and claim the results that
+/// they hold: they dial every 0.4 s.
 const RECONNECT_TIME: Duration = Duration::from_millis(1500);
 
 /// Role in which this VM sends a release; logged with the release.
@@ -75,7 +77,8 @@
     }
 }
 
-/// Releases results for which the owner is responsible by now, if the owner's process has ended: no other VM does.
+/// Releases results for which the owner is responsible by now, if the owner's process has ended: no
+/// other VM would release them.
 async fn release_if_owner_ended(app: Rc<App>, link: Rc<Link>, handles: Vec<String>) {
     if has_process_ended(link.address).await {
         release_as_requester(&app, &link, handles, None);
@@ -92,8 +95,8 @@
     }
 }
 
-/// Releases results that a peer had computed: directly at their workers, or through the peer if a worker announces a
-/// rate limit and the link is open.
+/// Releases results that a peer had computed: directly at their workers, or through the peer if a
+/// worker announces a rate limit and the link is open.
 fn release_through_link(app: &Rc<App>, link: &Rc<Link>, handles: Vec<String>, until: Instant) {
     let is_sent_here = |handle: &String| link.is_closed() || calls_worker_directly(app, handle);
     let (here, through_owner): (Vec<_>, Vec<_>) = handles.into_iter().partition(is_sent_here);
@@ -104,8 +107,8 @@
     }
 }
 
-/// Whether this VM calls the worker of a result itself. A worker with a rate limit is called by the owner only, which
-/// combines the releases of all VMs.
+/// Whether this VM calls the worker of a result itself. A worker with a rate limit is called by the
+/// owner only, which combines the releases of all VMs.
 fn calls_worker_directly(app: &App, handle: &str) -> bool {
     let Some(worker) = (app.adapter.calls.worker_address)(handle) else { return true };
     app.hub.with(|shared, _| {
@@ -117,8 +120,8 @@
     })
 }
 
-/// Releases results that a peer had computed at their workers, before `until` if that is set, and reports to the peer
-/// what the workers confirmed.
+/// Calls the workers of results that a peer had computed to release them, before `until` if that is
+/// set, and reports to the peer which releases the workers confirmed.
 pub(crate) fn release_as_requester(
     app: &Rc<App>,
     link: &Rc<Link>,
@@ -132,7 +135,7 @@
             let is_confirmed =
                 release_until_confirmed(&app, worker, &handles, Role::Requester, until).await;
             app.held.record_release_outcome(&handles, is_confirmed);
-            // Without a link the report is sent on the next one.
+            // Without a link, the report is sent on the next one to the origin.
             if let Some(link) = link_to(&app, origin) {
                 link.report_releases(&app);
             }
@@ -145,7 +148,8 @@
     app.links.borrow().values().find(|link| link.address == address).cloned()
 }
 
-/// Groups handles by the address of their worker. Handles that can't be parsed are logged and left out.
+/// Groups handles by the address of their worker. Handles that can't be parsed are logged and left
+/// out.
 fn group_by_worker(app: &App, handles: Vec<String>) -> HashMap<SocketAddr, Vec<String>> {
     let mut handles_by_worker: HashMap<SocketAddr, Vec<String>> = HashMap::new();
     for handle in handles {
@@ -186,7 +190,7 @@
     })
 }
 
-/// Records that workers confirmed the release of results to the requester.
+/// Records a requester's report that workers confirmed the release of results.
 pub(crate) fn record_worker_releases(app: &Rc<App>, handles: &[String]) {
     app.hub.with(|shared, _| shared.leases.released(handles));
     for (pool, pending) in take_from_pools(app, handles) {
@@ -194,6 +198,7 @@
     }
 }
 
+/// Releases results that this VM had computed, if their workers are short of memory.
 fn release_as_owner_if_scarce(app: &Rc<App>, handles: &[String]) {
     let pending = app.hub.with(|shared, _| {
         let pools = shared.pools.iter_mut();
@@ -208,8 +213,8 @@
     }
 }
 
-/// Handles a peer's release of results: unconditional, or only if the workers are short of memory. Returns the tasks
-/// that call the workers.
+/// Handles a peer's release of results: unconditional, or only if the workers are short of memory.
+/// Returns the tasks that call the workers.
 pub(crate) fn release_for_peer(
     app: &Rc<App>,
     handles: Vec<String>,
@@ -223,8 +228,9 @@
     release_as_owner(app, handles)
 }
 
-/// Releases results that no request released by itself: nobody waits for them, or their memory is needed. The VMs that
-/// hold them are notified, so that the workers are called only once.
+/// Releases results that no request released by itself, since nobody waits for them or their memory
+/// is needed. The VMs that hold them under leases are notified, so that the workers are called only
+/// once.
 pub(crate) fn reclaim(app: &Rc<App>, pool: &ServiceName, pending: Vec<PendingRelease>) {
     for pending in pending {
         app.held.remove_reclaimed(&pending.handles);
@@ -248,7 +254,8 @@
     loop {
         checks.tick().await;
         if now().saturating_duration_since(last) > PAUSE_DETECTED_AFTER {
-            // Holders may have released results meanwhile and could not report it.
+            // The holders of leases may have released results during the pause without being able
+            // to report it.
             sleep(RECONNECT_TIME).await;
         }
         last = now();
@@ -274,7 +281,8 @@
     }
 }
 
-/// Releases results at a worker of a pool of this VM. The pool reuses the memory once the worker confirmed.
+/// Starts a task that releases results at a worker of a pool of this VM. The pool counts the memory
+/// as free once the worker has confirmed.
 fn release_in_background(
     app: &Rc<App>,
     pool: ServiceName,
@@ -289,6 +297,8 @@
     })
 }
 
+/// Records the outcome of a release in the pool, and dispatches calls that may have waited for the
+/// memory.
 fn complete_release(app: &Rc<App>, pool: &ServiceName, pending: &PendingRelease, confirmed: bool) {
     app.hub.with(|shared, now| {
         let pool = shared.pools.get_mut(pool);
@@ -305,7 +315,8 @@
     })
 }
 
-/// Whether a target is not the one, or not the lifetime, that was called before.
+/// Whether a target is another one, or another lifetime, than the one called before; false if none
+/// was.
 fn is_replaced(target: &Target, before: Option<&Target>) -> bool {
     before.is_some_and(|before| target.id != before.id || target.is_other_lifetime_than(before))
 }
@@ -313,7 +324,8 @@
 /// Outcome of a release call.
 enum SendOutcome {
     Confirmed,
-    /// Another lifetime has the worker's address: the results ended with the earlier one.
+    /// Another target or lifetime has the worker's address; the results were lost with the earlier
+    /// process.
     Replaced,
     /// The worker may not have received the call; with the reason.
     Unconfirmed(String),
@@ -322,21 +334,24 @@
 /// A release that waits to be sent to a worker, and the task that waits for the outcome.
 pub(crate) struct QueuedRelease {
     handles: Vec<String>,
-    /// After this the results are not this VM's to release any more.
+    /// After this, another VM is responsible for the results, and this one no longer sends the
+    /// release.
     until: Option<Instant>,
     /// Receives whether the worker confirmed.
     confirmed: oneshot::Sender<bool>,
 }
 
 impl QueuedRelease {
+    /// Whether this VM is still responsible for releasing the results.
     fn is_still_due(&self, now: Instant) -> bool {
         self.until.is_none_or(|until| now < until)
     }
 }
 
-/// Sends a release until the worker confirmed it; false if it may not have received it. Calls to one worker are made
-/// one after the other, and releases that arrive meanwhile are sent together: requests whose pieces were computed in
-/// one call release them at the same moment.
+/// Sends a release, with retries, until the worker confirms it; false if the worker may not have
+/// received it. Calls to one worker are made one after the other, and releases that arrive
+/// meanwhile are sent together: requests whose pieces were computed in one call release them at the
+/// same moment.
 async fn release_until_confirmed(
     app: &Rc<App>,
     worker: SocketAddr,
@@ -378,13 +393,14 @@
             // The waiting task may have ended.
             release.confirmed.send(confirmed).ok();
         }
-        // The connection can be reused after that.
+        // After this delay the next call can reuse the connection.
         sleep(REUSE_DELAY).await;
     }
 }
 
-/// Sends releases to a worker, with retries, until it confirmed them. The worker is looked up for each attempt: its
-/// entry may have lapsed for a moment, or another target may have its address by now.
+/// Sends releases to a worker, with retries, until it confirmed them. The worker is looked up for
+/// each attempt: its entry may have lapsed for a moment, or another target may have its address by
+/// now.
 async fn send_with_retries(
     app: &Rc<App>,
     worker: SocketAddr,
@@ -419,7 +435,7 @@
     false
 }
 
-/// Handles that are still this VM's to release.
+/// Handles of the results that this VM is still responsible for releasing.
 fn pending_handles(releases: &[QueuedRelease]) -> Vec<String> {
     let now = now();
     let releases = releases.iter().filter(|release| release.is_still_due(now));
@@ -444,8 +460,8 @@
 
 /// Makes one release call, once the worker's backoff time is over.
 async fn call_worker(app: &Rc<App>, target: &Target, handles: &[String]) -> SendOutcome {
-    // Without backoff the call is made at once: even a sleep of zero length takes a timer tick, in which this VM may
-    // be killed.
+    // Without a backoff no sleep is made: even one of zero length takes a timer tick, during which
+    // this VM may be killed before it sends the release.
     if let Some(until) = app.hub.with(|shared, _| shared.backoffs.until(target)) {
         let pause = left(until);
         if pause > MAX_BACKOFF_WAIT {
@@ -458,7 +474,7 @@
     match tokio::time::timeout(RELEASE_WAIT, own_call(app, target, call, permit)).await {
         Ok(Ok(_)) => SendOutcome::Confirmed,
         Ok(Err(OwnCallError::OtherTarget)) => SendOutcome::Replaced,
-        Ok(Err(miss)) => SendOutcome::Unconfirmed(format!("{miss:?}")),
+        Ok(Err(error)) => SendOutcome::Unconfirmed(format!("{error:?}")),
         Err(_) => SendOutcome::Unconfirmed("no answer in time".to_owned()),
     }
 }
