--- a/gateway/src/inbound_links.rs
+++ b/gateway/src/inbound_links.rs
@@ -1,4 +1,6 @@
-//! Links that peers dial: accepts their pieces and hands results back.
+//! Links that peers dialed. On such a link this VM is the owner: it accepts the peer's pieces for
+//! its pools, hands the results back, and ends the peer's leases on results once the peer's process
+//! has ended.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -31,7 +33,8 @@
 use crate::piece_events::{PeerSink, Sink};
 use crate::{peer_sync, permits, releases, submissions, target_announcements};
 
-/// Pauses before the checks whether the process of a peer whose link ended has ended: its port may close a little later.
+/// Pauses before each check whether the process of a peer has ended after its link did: its port
+/// may close a little later than the link.
 const END_CHECK_PAUSES: [Duration; 3] =
     [Duration::from_millis(50), Duration::from_millis(200), Duration::from_millis(800)];
 /// Timeout for each check: the latency between halls is a few milliseconds.
@@ -43,7 +46,7 @@
     tx: DialerSender,
 }
 
-/// The gRPC service; passes accepted links on.
+/// The gRPC service; passes accepted links to [`serve_accepted`].
 struct Acceptor {
     accepted: UnboundedSender<AcceptedLink>,
 }
@@ -68,7 +71,8 @@
     let (tx, rx) = unbounded_channel();
     spawn_local(serve_accepted(Rc::clone(&app), rx));
     let server = Server::builder().add_service(WorkServer::new(Acceptor { accepted: tx }));
-    // Without it small messages wait for the acknowledgement of the previous one, 40 ms on some systems.
+    // Without TCP_NODELAY, small messages wait for the acknowledgement of the previous one, 40 ms
+    // on some systems.
     let incoming = TcpListenerStream::new(listener)
         .map(|stream| stream.and_then(|stream| stream.set_nodelay(true).map(|()| stream)));
     if let Err(e) = server.serve_with_incoming(incoming).await {
@@ -117,7 +121,7 @@
                     let process = address.map(|address| (address, hello.incarnation));
                     app.new_peer_addresses.borrow_mut().extend(process);
                     app.vms_changed.notify_one();
-                    leases = open_leases(&app, &name, hello, &tx);
+                    leases = register_lease_link(&app, &name, hello, &tx);
                     vm = Some(name);
                     continue;
                 }
@@ -136,7 +140,7 @@
             }
         }
     }
-    // The submitter resubmits them to another VM, or has ended.
+    // The peer submits these to another VM, or has ended.
     for (pool, job) in jobs.into_values() {
         submissions::cancel(&app, &pool, job);
     }
@@ -144,48 +148,54 @@
         app.lease_links.borrow_mut().remove(&leases.key);
         app.hub.with(|shared, _| shared.leases.link_ended(leases.key));
         if !app.hub.with(|shared, _| shared.leases.is_empty()) {
-            end_leases_if_gone(&app, leases).await;
+            end_leases_if_process_ended(&app, leases).await;
         }
     }
 }
 
-/// A link of a peer that holds results under leases.
+/// A peer's link, to which its leases on results belong.
 struct LeaseLink {
     key: LinkKey,
     holder: Holder,
     /// Where the peer accepts links.
-    peers: SocketAddr,
+    address: SocketAddr,
 }
 
-/// Ends the leases of a peer whose link ended, if its process has ended.
-async fn end_leases_if_gone(app: &App, leases: LeaseLink) {
-    if has_process_ended(leases.peers).await {
+/// After a peer's link ended: ends the peer's leases if its process has ended as well.
+async fn end_leases_if_process_ended(app: &App, leases: LeaseLink) {
+    if has_process_ended(leases.address).await {
         app.hub.with(|shared, now| shared.leases.holder_gone(&leases.holder, now));
     }
 }
 
-/// Whether the process of a peer has ended: then connections to the address where it accepted links are refused. A
-/// process that is paused or unreachable does not refuse connections.
-pub(crate) async fn has_process_ended(peers: SocketAddr) -> bool {
+/// Whether the process of a peer has ended: then connections to the address where it accepted links
+/// are refused. A process that is paused or unreachable does not refuse connections.
+pub(crate) async fn has_process_ended(address: SocketAddr) -> bool {
     for pause in END_CHECK_PAUSES {
         sleep(pause).await;
-        if is_refused(peers, END_CHECK_TIMEOUT).await {
+        if is_refused(address, END_CHECK_TIMEOUT).await {
             return true;
         }
     }
     false
 }
 
-/// Registers a link from a peer that holds results; `None` for a peer of an older build, which does not claim any.
-fn open_leases(app: &App, vm: &VmName, hello: &Hello, tx: &DialerSender) -> Option<LeaseLink> {
-    let peers = hello.peers.parse().ok().filter(|_| hello.claims)?;
+/// Registers a link of a peer, under which it holds leases on results; `None` for a peer of an
+/// older build, which keeps no leases.
+fn register_lease_link(
+    app: &App,
+    vm: &VmName,
+    hello: &Hello,
+    tx: &DialerSender,
+) -> Option<LeaseLink> {
+    let address = hello.peers.parse().ok().filter(|_| hello.claims)?;
     let holder = Holder { vm: vm.clone(), incarnation: hello.incarnation };
     let key = app.hub.with(|shared, now| shared.leases.link_opened(holder.clone(), now));
     app.lease_links.borrow_mut().insert(key, tx.clone());
-    Some(LeaseLink { key, holder, peers })
+    Some(LeaseLink { key, holder, address })
 }
 
-/// The peer at the other end of a link.
+/// The peer at the other end of a link, for handling its messages.
 struct Peer<'a> {
     vm: &'a VmName,
     tx: &'a DialerSender,
@@ -229,9 +239,9 @@
             apply_heartbeat(app, vm, &beat);
         }
         from_dialer::Kind::Ask(ask) => {
-            let news = app.hub.with(|shared, _| peer_sync::answer_request(&shared.view, ask));
+            let changes = app.hub.with(|shared, _| peer_sync::answer_request(&shared.view, ask));
             // A peer whose link ended asks another VM.
-            drop(tx.send(Ok(FromOwner { kind: Some(from_owner::Kind::News(news)) })));
+            drop(tx.send(Ok(FromOwner { kind: Some(from_owner::Kind::News(changes)) })));
         }
         from_dialer::Kind::Crashes(crashes) => {
             app.hub.with(|shared, now| {
@@ -261,7 +271,8 @@
     }
 }
 
-/// Handles a peer's release of results that this VM had computed for it; confirms it if the peer asks for that.
+/// Handles a peer's release of results that this VM had computed for it; confirms it if the peer
+/// asks for that.
 fn handle_release(app: &Rc<App>, release: Release, tx: &DialerSender) {
     let Release { handles, if_scarce, number, told } = release;
     let tasks = if told {
@@ -274,11 +285,11 @@
     let tx = tx.clone();
     spawn_local(async move {
         for task in tasks {
-            // A task that panics ends the process.
+            // A task fails only by a panic, which ends the process.
             drop(task.await);
         }
         let kind = from_owner::Kind::Released(Released { number });
-        // A peer whose link ended calls the workers itself, or tells this VM on its next link.
+        // A peer whose link ended calls the workers itself, or repeats its report on the next link.
         drop(tx.send(Ok(FromOwner { kind: Some(kind) })));
     });
 }
--- a/gateway/src/link_dialer.rs
+++ b/gateway/src/link_dialer.rs
@@ -1,4 +1,5 @@
-//! Keeps links to the VMs that this VM needs: which addresses are dialed, and when a dial is restarted.
+//! Decides which VMs this VM dials and when a dial is restarted. [`crate::outbound_links`] serves
+//! the links themselves.
 
 use std::collections::{BTreeSet, HashMap};
 use std::net::SocketAddr;
@@ -15,7 +16,7 @@
 /// Longest interval between two checks of which links are wanted.
 const CHECK_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Tasks that dial an address or serve its link.
+/// The tasks that dial addresses and serve the links, one per address.
 #[derive(Default)]
 struct Dials {
     tasks: HashMap<SocketAddr, AbortHandle>,
@@ -24,9 +25,10 @@
 }
 
 impl Dials {
-    /// A link from the process at an address arrived, so it accepts links now: cancels a dial that may have begun before
-    /// that, once for each process. If it were cancelled more often, two VMs that dial each other would cancel each
-    /// other's dials forever.
+    /// Cancels the dial of an address after a link from the process there arrived: that process
+    /// accepts links by now, and the dial may have begun before it did. A dial is cancelled only
+    /// once for each process; otherwise two VMs that dial each other would cancel each other's
+    /// dials forever.
     fn restart_dial(&mut self, app: &App, address: SocketAddr, incarnation: u64) {
         if app.has_link_to(address)
             || self.restarted_for.insert(address, incarnation) == Some(incarnation)
@@ -48,14 +50,15 @@
     }
 }
 
-/// Time until the next check; no later than the end of the next grace period of a lapsed target, so that the target is
-/// removed on time.
+/// Time until the next check: at most [`CHECK_INTERVAL`], and no later than the end of the grace
+/// period of a target whose entry lapsed, so that the target is removed on time.
 fn until_next_check(app: &App) -> Duration {
     let grace_end = app.hub.with(|shared, _| shared.next_grace_end());
     grace_end.map_or(CHECK_INTERVAL, |at| left(at).min(CHECK_INTERVAL))
 }
 
-/// Keeps a link to each VM to which one is wanted, and removes expired state; runs as long as the process.
+/// Keeps a link to each VM to which one is wanted, and removes expired state; runs as long as the
+/// process.
 pub(crate) async fn maintain_links(app: Rc<App>) {
     let mut dials = Dials::default();
     loop {
@@ -85,7 +88,8 @@
     if wanted_addresses.is_empty() {
         wanted_addresses.extend(&app.cfg.seeds);
     }
-    // An owner releases the results of a VM that does not reconnect to it.
+    // Owners of results that this VM holds: an owner releases the results of a VM that does not
+    // reconnect to it.
     wanted_addresses.extend(app.held.origins());
     wanted_addresses.remove(&app.cfg.peers);
     wanted_addresses
--- a/gateway/src/link_messages.rs
+++ b/gateway/src/link_messages.rs
@@ -1,4 +1,5 @@
-//! Encodes and decodes the messages that VMs exchange over links.
+//! Encodes and decodes the messages that VMs exchange over links, applies peers' hellos and
+//! heartbeats, and tracks which changes were already sent on a link.
 
 use std::time::Duration;
 
@@ -34,8 +35,8 @@
     })
 }
 
-/// This VM's heartbeat. It is the same for all peers and therefore assembled once for many links: in a fleet of 295 VMs
-/// an owner sends it to 294 peers five times a second.
+/// This VM's heartbeat. It is the same for all peers and therefore assembled once for many links:
+/// in a fleet of 295 VMs, an owner sends it to 294 peers five times a second.
 pub(crate) fn own_heartbeat(app: &App) -> Beat {
     let now = tokio::time::Instant::now();
     let mut last = app.last_heartbeat.borrow_mut();
@@ -83,11 +84,11 @@
 }
 
 fn encode_queue(queue: &Queue) -> Vec<Waiting> {
-    let of_urgency = |(urgency, counts): (u8, &[u32])| Waiting {
+    let encode_waiting = |(urgency, counts): (u8, &[u32])| Waiting {
         urgency: urgency.into(),
         counts: counts.to_vec(),
     };
-    queue.counts().map(of_urgency).collect()
+    queue.counts().map(encode_waiting).collect()
 }
 
 fn decode_queue(waiting: &[Waiting]) -> Queue {
@@ -103,7 +104,7 @@
     Some(VmEntry { peers: hello.peers.parse().ok()?, hall, cores: hello.cores })
 }
 
-/// Records that a peer is alive, and its identity if it sent a hello.
+/// Records that a message from a peer arrived, and its identity if the message is a hello.
 pub(crate) fn record_peer(app: &App, vm: &VmName, hello: Option<&Hello>) {
     let entry = hello.and_then(decode_entry);
     app.hub.with(|shared, now| {
@@ -151,7 +152,7 @@
         starts_draining
     });
     if starts_draining {
-        // Links to the VM that takes its place are dialed at once.
+        // Wakes the link dialer: other VMs become owners in place of the draining one.
         app.vms_changed.notify_one();
     }
 }
@@ -213,10 +214,10 @@
 /// Decodes a peer's reports of requests that crash targets; invalid ones are left out.
 pub(crate) fn decode_crashes(message: &Crashes) -> Vec<Crash> {
     let crash = |crash: &work::Crash| {
-        let content = RequestDigest::from_bytes(&crash.content)?;
+        let request_digest = RequestDigest::from_bytes(&crash.content)?;
         let lifetime =
             Lifetime { lifetime_hash: LifetimeHash(crash.birth), ends_before: crash.ends_before };
-        Some(Crash { digest: content, lifetime, cleared: crash.cleared })
+        Some(Crash { digest: request_digest, lifetime, cleared: crash.cleared })
     };
     message.crashes.iter().filter_map(crash).collect()
 }
@@ -235,7 +236,8 @@
     message.departures.iter().filter_map(departure).collect()
 }
 
-/// What was already sent on a link: requests that crash targets, leaving targets and targets' rate limits.
+/// Positions up to which changes were already sent on a link: crashes of targets, leaving targets
+/// and targets' rate limits.
 #[derive(Debug, Default)]
 pub(crate) struct SentCursors {
     crashes: CrashCursor,
--- a/gateway/src/outbound_links.rs
+++ b/gateway/src/outbound_links.rs
@@ -1,5 +1,7 @@
-//! Links that this VM dials. Each VM dials the VMs that batch calls for it and some more. The dialer submits pieces, the
-//! accepting side (the owner) batches them into calls, and both sides exchange heartbeats and changes in the store.
+//! Links that this VM dialed. Each VM dials the VMs that batch calls for it and some more. The
+//! dialer submits pieces, the accepting side (the owner) batches them into calls, and both sides
+//! send heartbeats, crashes, departures and rate limits. The dialer also requests changes in the
+//! store and permits for calls.
 
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, HashMap};
@@ -37,19 +39,20 @@
 /// Sends messages to the VM that dialed a link.
 pub(crate) type DialerSender = UnboundedSender<Result<FromOwner, Status>>;
 
-/// Timeout for a TCP connection to a VM: a lost packet is sent again only after a second, and a starting VM accepts
-/// connections long before that.
+/// Timeout for a TCP connection to a VM. TCP sends a lost packet again only after a second, and a
+/// starting VM accepts connections long before that: a new dial connects sooner.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
 /// Timeout for each answer on a new link.
 const HANDSHAKE_TIMEOUT: Duration = Duration::from_millis(800);
 /// Pause before a link that ended is dialed again.
 const REDIAL_PAUSE: Duration = Duration::from_millis(400);
-/// Pause before a dial that failed is repeated. Short, since after a power loss of the whole fleet VMs that were dialed
-/// before they accepted links were dialed again only after 1.2 s.
+/// Pause before a dial that failed is repeated. With a longer pause, after a power loss of the
+/// whole fleet, VMs that were dialed before they accepted links were dialed again only 1.2 s later.
 const FAILED_DIAL_PAUSE: Duration = Duration::from_millis(150);
 /// A link that was not needed for this long is closed.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(5);
-/// Most releases that wait for the peer's confirmation: a peer of an older version confirms none.
+/// Most releases of a link that wait for the peer's confirmation; bounds the memory, since a peer
+/// of an older version confirms none.
 const MAX_UNCONFIRMED: usize = 1024;
 /// Reason for closing a link after [`IDLE_TIMEOUT`].
 const IDLE_REASON: &str = "not needed any more";
@@ -59,8 +62,10 @@
     /// Where the peer accepts links.
     pub(crate) address: SocketAddr,
     tx: UnboundedSender<FromDialer>,
+    /// Number of the next submission, release, report or permit request on this link.
     next_number: Cell<u64>,
     closed: Cell<bool>,
+    /// Submissions whose results are awaited, by number.
     jobs: RefCell<HashMap<u64, PendingJob>>,
     /// Where to deliver the answer to the last request for changes in the store.
     pending_changes: RefCell<Option<oneshot::Sender<News>>>,
@@ -68,17 +73,19 @@
     permits: RefCell<HashMap<u64, oneshot::Sender<Permit>>>,
     /// Results released through this link, until the peer confirms, by the release's number.
     unconfirmed: RefCell<BTreeMap<u64, Vec<String>>>,
-    /// Results reported to the peer as released at their workers, until it confirms, by the report's number.
+    /// Results reported to the peer as released at their workers, until it confirms, by the
+    /// report's number.
     reported: RefCell<HashMap<u64, Vec<String>>>,
 }
 
 /// A submission whose results are awaited.
 struct PendingJob {
-    news: UnboundedSender<PieceEvent>,
-    of: StageAttempt,
+    /// Where to deliver events about its pieces.
+    events: UnboundedSender<PieceEvent>,
+    attempt: StageAttempt,
     expiry: ResultExpiry,
     /// Pieces that are not done.
-    left: usize,
+    pieces_left: usize,
 }
 
 impl Link {
@@ -96,19 +103,20 @@
         }
     }
 
-    /// Submits pieces; returns the submission's number.
+    /// Submits pieces; returns the submission's number. `life` is the time for which workers keep
+    /// their results.
     pub(crate) fn submit(
         &self,
         pool: &ServiceName,
         submission: &Submission,
-        of: StageAttempt,
+        attempt: StageAttempt,
         life: Duration,
-        news: UnboundedSender<PieceEvent>,
+        events: UnboundedSender<PieceEvent>,
     ) -> u64 {
         let job = self.next_number();
         let expiry = ResultExpiry { request_deadline: submission.deadline, life };
-        let waiting = PendingJob { news, of, expiry, left: submission.pieces.len() };
-        self.jobs.borrow_mut().insert(job, waiting);
+        let pending = PendingJob { events, attempt, expiry, pieces_left: submission.pieces.len() };
+        self.jobs.borrow_mut().insert(job, pending);
         let millis = |at: Instant| u32::try_from(left(at).as_millis()).unwrap_or(u32::MAX);
         self.send(from_dialer::Kind::Submit(Submit {
             job,
@@ -136,9 +144,10 @@
         }
     }
 
-    /// Releases results that were computed through this link. The peer may end before it confirms that their workers
-    /// were called; then this VM calls them itself. Returns results that this VM has to release at their workers
-    /// now, since too many releases wait for a confirmation.
+    /// Has the peer release results that were computed through this link. If the link ends before
+    /// the peer confirms that it called their workers, this VM calls them itself. Returns results
+    /// that this VM has to release at their workers now, since only [`MAX_UNCONFIRMED`] releases
+    /// may wait for a confirmation.
     pub(crate) fn release(&self, handles: Vec<String>) -> Vec<String> {
         let number = self.next_number();
         let mut unconfirmed = self.unconfirmed.borrow_mut();
@@ -151,7 +160,7 @@
         oldest.map(|(_, handles)| handles).unwrap_or_default()
     }
 
-    /// Reports to the peer which results were released at their workers.
+    /// Reports to the peer which of its results this VM has released at their workers.
     pub(crate) fn report_releases(&self, app: &App) {
         let handles = app.held.take_unreported(self.address);
         if handles.is_empty() {
@@ -176,7 +185,8 @@
         }
     }
 
-    /// Releases results that were computed through this link if their workers are short of memory.
+    /// Has the peer release results that were computed through this link if their workers are short
+    /// of memory.
     pub(crate) fn release_if_scarce(&self, handles: &[String]) {
         let handles = handles.to_vec();
         let release = Release { handles, if_scarce: true, number: None, told: false };
@@ -195,7 +205,7 @@
     pub(crate) fn request_permit(&self, ask: PermitAsk) -> oneshot::Receiver<Permit> {
         let (tx, rx) = oneshot::channel();
         let mut permits = self.permits.borrow_mut();
-        // Drops requests whose task stopped waiting.
+        // Drops permit requests whose task stopped waiting.
         permits.retain(|_, tx| !tx.is_closed());
         let number = self.next_number();
         permits.insert(number, tx);
@@ -216,10 +226,10 @@
         }
     }
 
-    fn deliver_changes(&self, news: News) {
+    fn deliver_changes(&self, changes: News) {
         if let Some(tx) = self.pending_changes.take() {
             // The task that asked may have stopped waiting.
-            drop(tx.send(news));
+            drop(tx.send(changes));
         }
     }
 
@@ -229,7 +239,7 @@
     }
 
     fn send(&self, kind: from_dialer::Kind) {
-        // If the link has just ended, its pending requests are notified separately.
+        // If the link has just ended, [`Self::close`] notifies everything that waits for the peer.
         drop(self.tx.send(FromDialer { kind: Some(kind) }));
     }
 
@@ -240,40 +250,42 @@
         for piece in done.pieces {
             let outcome = piece_outcome(&piece);
             let handle = outcome.handle().map(str::to_owned);
-            let is_delivered = jobs.get_mut(&done.job).is_some_and(|waiting| {
-                waiting.left = waiting.left.saturating_sub(1);
-                let news = PieceEvent::Done { submission: waiting.of, piece: piece.piece, outcome };
-                waiting.news.send(news).is_ok()
+            let is_delivered = jobs.get_mut(&done.job).is_some_and(|pending| {
+                pending.pieces_left = pending.pieces_left.saturating_sub(1);
+                let event =
+                    PieceEvent::Done { submission: pending.attempt, piece: piece.piece, outcome };
+                pending.events.send(event).is_ok()
             });
             unclaimed.extend(handle.filter(|_| !is_delivered));
         }
-        if jobs.get(&done.job).is_some_and(|waiting| waiting.left == 0) {
+        if jobs.get(&done.job).is_some_and(|pending| pending.pieces_left == 0) {
             jobs.remove(&done.job);
         }
         unclaimed
     }
 
-    /// How long this VM is responsible for releasing the results of a submission; those of a submission that nobody
-    /// waits for are released at once.
+    /// How long this VM is responsible for releasing the results of a submission; those of a
+    /// submission that nobody waits for are released at once.
     fn expiry_of(&self, job: u64, now: Instant) -> ResultExpiry {
-        let expiry = self.jobs.borrow().get(&job).map(|waiting| waiting.expiry);
+        let expiry = self.jobs.borrow().get(&job).map(|pending| pending.expiry);
         expiry.unwrap_or(ResultExpiry { request_deadline: now, life: REQUEST_GRACE })
     }
 
     fn deliver_fetched(&self, job: u64) {
-        if let Some(waiting) = self.jobs.borrow().get(&job) {
+        if let Some(pending) = self.jobs.borrow().get(&job) {
             // A request that has ended releases its results itself.
-            drop(waiting.news.send(PieceEvent::Fetched { submission: waiting.of }));
+            drop(pending.events.send(PieceEvent::Fetched { submission: pending.attempt }));
         }
     }
 
-    /// Ends everything that waits for the peer; returns results that it may not have released at their workers.
+    /// Fails everything that waits for the peer; returns results that the peer may not have
+    /// released at their workers.
     fn close(&self) -> Vec<String> {
         self.closed.set(true);
         self.pending_changes.take();
         self.permits.borrow_mut().clear();
-        for (_, waiting) in self.jobs.borrow_mut().drain() {
-            drop(waiting.news.send(PieceEvent::OwnerLost { submission: waiting.of }));
+        for (_, pending) in self.jobs.borrow_mut().drain() {
+            drop(pending.events.send(PieceEvent::OwnerLost { submission: pending.attempt }));
         }
         self.unconfirmed.take().into_values().flatten().collect()
     }
@@ -387,7 +399,7 @@
                         from_owner::Kind::Beat(beat) => {
                             apply_heartbeat(app, vm, &beat);
                         }
-                        from_owner::Kind::News(news) => link.deliver_changes(news),
+                        from_owner::Kind::News(changes) => link.deliver_changes(changes),
                         from_owner::Kind::Crashes(crashes) => app.hub.with(|shared, now| {
                             shared.merge_crashes(&decode_crashes(&crashes), vm.as_str(), now);
                         }),
