--- a/gateway/src/store_connection.rs
+++ b/gateway/src/store_connection.rs
@@ -1,5 +1,5 @@
-//! A connection to the platform's store. Its timeouts depend on progress: a call continues while bytes arrive, whatever
-//! the size of the answer and the bandwidth, and fails when none arrive.
+//! A connection to the platform's store. Its timeouts depend on progress: a call continues while
+//! bytes arrive, whatever the size of the answer and the bandwidth, and fails when none arrive.
 
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -21,9 +21,9 @@
 use crate::connections::connect;
 use crate::hub::now;
 
-/// Longest time for the body of one answer, against a store that sends very slowly. The store keeps its history about
-/// as long, so that an answer that takes longer would have to be read again. A page of 1 MB takes this long on a link
-/// of 0.5 Mbit/s.
+/// Longest time for the body of one answer, against a store that sends very slowly. The store keeps
+/// its history about as long, so that an answer that takes longer would have to be read again. A
+/// page of 1 MB takes this long on a link of 0.5 Mbit/s.
 const MAX_ANSWER_TIME: Duration = Duration::from_secs(20);
 
 /// Why a call to the store failed. The doc comments of the variants are the displayed texts.
@@ -37,14 +37,17 @@
     Failed(String),
 }
 
-/// A connection to the store. A call without a complete answer closes it; the next call opens a new one.
+/// A connection to the store. A call without a complete answer closes it; the next call opens a new
+/// one.
 pub(crate) struct StoreConnection {
     app: Rc<App>,
+    /// The open HTTP connection, and the task that drives it.
     open: Option<(SendRequest<Full<Bytes>>, AbortHandle)>,
 }
 
-/// An answer whose head has arrived and whose body is still to be read.
+/// An answer of which the head has arrived and the body is still to be read.
 pub(crate) struct OpenAnswer {
+    /// Kind of the call, as metrics name it.
     kind: &'static str,
     status: StatusCode,
     body: Incoming,
@@ -69,7 +72,8 @@
         }
     }
 
-    /// Makes a call and reads its whole answer; `wait` is how long the store may delay the answer.
+    /// Makes a call and reads its whole answer. `kind` names the call in metrics; `wait` is how
+    /// long the store may hold back the answer.
     pub(crate) async fn call(
         &mut self,
         kind: &'static str,
@@ -80,7 +84,8 @@
         self.finish(begun).await
     }
 
-    /// Makes a call; returns the answer once its head has arrived. `wait` is how long the store may delay that.
+    /// Makes a call; returns the answer once its head has arrived. The parameters are those of
+    /// [`Self::call`].
     pub(crate) async fn begin(
         &mut self,
         kind: &'static str,
@@ -155,7 +160,7 @@
             let handshake_result =
                 Builder::new().handshake::<_, Full<Bytes>>(TokioIo::new(stream)).await;
             let (sender, connection) = handshake_result.map_err(|e| e.to_string())?;
-            // The end of the connection shows in the sender.
+            // `SendRequest::is_closed` shows when the connection has ended.
             let task = tokio::task::spawn_local(async move { drop(connection.await) });
             self.open = Some((sender, task.abort_handle()));
         }
--- a/gateway/src/store_watch.rs
+++ b/gateway/src/store_watch.rs
@@ -14,21 +14,23 @@
 use crate::shared::vms_prefix;
 use crate::store_connection::{OpenAnswer, StoreCallError, StoreConnection};
 
-/// Longest wait of one watch call. The platform counts each call. That the store is unreachable shows
-/// sooner, in the renewals of this VM's lease, which cost a tenth of a watch call.
+/// Longest wait of one watch call. It is long because the platform counts each call. It need not be
+/// short to detect that the store is unreachable: the renewals of this VM's lease show that sooner,
+/// and cost a tenth of a watch call each.
 const MAX_WATCH_TIME: Duration = Duration::from_secs(20);
-/// After a change the watch pauses for this fraction (1/n) of the time within which changes must be in force, so that
-/// many changes in a row cost few calls.
+/// After a change the watch pauses for this fraction (1/n) of the time within which changes must be
+/// in force, so that many changes in a row cost few calls.
 const BATCH_DIVISOR: u32 = 2;
 /// The same if other VMs receive changes from this VM: the rest of the time is left for them.
 const RELAYED_BATCH_DIVISOR: u32 = 4;
 /// Pause after the first failed call; doubles with each further failure in a row.
 const FIRST_RETRY_PAUSE: Duration = Duration::from_millis(80);
-/// Longest pause after a failed call. The platform counts refused calls too, and the return of the store is noticed
-/// well within the seconds that changes may take after it.
+/// Longest pause after a failed call. The platform counts refused calls too, so the pause is not
+/// shorter; the return of the store is still noticed well within the seconds that changes may take
+/// after it.
 pub(crate) const MAX_RETRY_PAUSE: Duration = Duration::from_millis(500);
 
-/// Exponential backoff between failed calls.
+/// Exponential backoff between failed calls; holds the next pause.
 struct Backoff(Duration);
 
 impl Backoff {
@@ -45,10 +47,11 @@
 /// Follows the store; runs as long as the process.
 pub(crate) async fn follow(app: Rc<App>) {
     let mut store = StoreConnection::new(&app);
-    // What came complete from a peer is not listed again; the watch continues from its revision.
-    // The first listing may be stale, since the watch continues from the revision that it states. A later listing must
-    // be current, since the history that the store has dropped may be newer than a stale listing. The stale listing
-    // saves two thirds of the counted calls at a start.
+    // If peers deliver everything before the first listing is complete, the watch continues from
+    // their revision instead. The first listing may be stale, since the watch continues from the
+    // revision that it states; that saves two thirds of the counted calls at a start. A later
+    // listing must be current, since the history that the store has dropped may be newer than a
+    // stale listing.
     let mut known = list_all(&app, &mut store, Freshness::MayBeStale).await;
     loop {
         follow_from(&app, &mut store, known).await;
@@ -56,8 +59,8 @@
     }
 }
 
-/// Follows the store from a revision on, by watching it or through peers, until the store no longer has the history
-/// after the known revision.
+/// Follows the store from a revision on, by watching it or through peers, until the store no longer
+/// has the history after the known revision.
 async fn follow_from(app: &Rc<App>, store: &mut StoreConnection, mut known: u64) {
     let mut backoff = Backoff::new();
     loop {
@@ -88,18 +91,19 @@
     }
 }
 
-/// Waits until this VM has to watch the store itself: while the store is reachable and other VMs watch it, their
-/// changes suffice.
+/// Waits until this VM has to watch the store itself. While the store is reachable and other VMs
+/// watch it, the changes that they pass on suffice.
 async fn wait_until_watch_needed(app: &App) {
     loop {
-        let reached = *app.store_reachable.borrow();
+        let is_reachable = *app.store_reachable.borrow();
         let (watched, watches) = app.hub.with(|shared, now| {
-            let watches = !reached || shared.prefers_store || shared.fleet.must_watch_store(now);
+            let watches =
+                !is_reachable || shared.prefers_store || shared.fleet.must_watch_store(now);
             (std::mem::replace(&mut shared.watches_store, watches), watches)
         });
         if watched != watches {
             info!(app.log, "role of this VM in watching the store changed";
-                "this_vm" => watches, "reached" => reached);
+                "this_vm" => watches, "reached" => is_reachable);
         }
         if watches {
             return;
@@ -121,8 +125,8 @@
     known: Option<u64>,
 }
 
-/// Lists everything that this VM has to know; returns the revision from which to watch for changes. A listing that may
-/// be stale also ends once peers delivered everything.
+/// Lists everything that this VM has to know; returns the revision from which to watch for changes.
+/// A listing that may be stale also ends if a call fails after peers delivered everything.
 async fn list_all(app: &Rc<App>, store: &mut StoreConnection, freshness: Freshness) -> u64 {
     let mut listing = Listing::default();
     let mut backoff = Backoff::new();
@@ -182,13 +186,14 @@
     Ok(())
 }
 
-/// Makes one watch call for changes after a revision; returns the revision up to which everything is known then.
+/// Makes one watch call for changes after a revision; returns the revision up to which everything
+/// is known then.
 async fn watch(
     app: &Rc<App>,
     store: &mut StoreConnection,
     known: u64,
 ) -> Result<u64, StoreCallError> {
-    let Some(begun) = changes_after(app, store, known).await? else { return Ok(known) };
+    let Some(begun) = begin_watch(app, store, known).await? else { return Ok(known) };
     let body = store.finish(begun).await?;
     let page = (app.adapter.store.read_watch)(&body).map_err(unreadable)?;
     record_success(app);
@@ -200,41 +205,43 @@
     Ok(as_of)
 }
 
-/// Fraction (1/n) of the time within which changes must be in force for which this VM pauses after a change.
+/// Fraction (1/n) of the time within which changes must be in force for which this VM pauses after
+/// a change.
 fn batch_divisor(app: &App) -> u32 {
     let is_relayed = app.hub.with(|shared, _| shared.fleet.is_relayed());
     if is_relayed { RELAYED_BATCH_DIVISOR } else { BATCH_DIVISOR }
 }
 
-/// Reads this VM's own entry from a store that was unreachable: an answer shows that it is back. The read may be stale,
-/// which costs a tenth of a counted call. Refused calls are counted too, and an outage of 5 s takes a dozen probes of
-/// each VM.
+/// Reads this VM's own entry from a store that was unreachable: an answer shows that it is back.
+/// The read may be stale, since such a read costs only a tenth of a call, and refused calls are
+/// counted too: each VM sends a dozen probes in an outage of 5 s.
 async fn probe(app: &Rc<App>, store: &mut StoreConnection) -> Result<(), StoreCallError> {
     let key = format!("{}{}", vms_prefix(&app.adapter), app.cfg.vm);
     let call = (app.adapter.store.list)(&key, None, Freshness::MayBeStale);
     store.call("probe", call, Duration::ZERO).await.map(|_| record_success(app))
 }
 
-/// Starts a watch call; `None` if the store became unreachable meanwhile, or the watch stalled while peers know more.
-/// Once the answer has begun, it is read as long as bytes arrive.
-async fn changes_after(
+/// Starts a watch call and returns the answer once it begins; `None` if the store became
+/// unreachable meanwhile, or the watch stalled while peers know more. An answer that has begun is
+/// not interrupted by either: it is read as long as bytes arrive.
+async fn begin_watch(
     app: &Rc<App>,
     store: &mut StoreConnection,
     known: u64,
 ) -> Result<Option<OpenAnswer>, StoreCallError> {
-    let mut reached = app.store_reachable.subscribe();
+    let mut reachable = app.store_reachable.subscribe();
     // One watch over all keys: the platform counts each watch, and all keys share one revision.
     let call = (app.adapter.store.watch)("", known, MAX_WATCH_TIME);
     tokio::select! {
         begun = store.begin("watch", call, MAX_WATCH_TIME) => return begun.map(Some),
-        () = wait_until_unreachable(&mut reached) => {}
+        () = wait_until_unreachable(&mut reachable) => {}
         () = app.watch_stalled.notified() => {}
     }
     store.close();
     Ok(None)
 }
 
-/// Applies the changes of a watch's answer.
+/// Applies the changes in the answer to a watch call.
 fn apply_changes(app: &Rc<App>, page: Page) {
     let own_prefix = app.adapter.intents.own_prefix;
     let vms = page.items.iter().any(|item| item.key.starts_with(own_prefix));
@@ -260,8 +267,8 @@
 }
 
 /// Completes when the store becomes unreachable.
-async fn wait_until_unreachable(reached: &mut tokio::sync::watch::Receiver<bool>) {
-    if reached.wait_for(|reached| !reached).await.is_err() {
+async fn wait_until_unreachable(reachable: &mut tokio::sync::watch::Receiver<bool>) {
+    if reachable.wait_for(|reachable| !reachable).await.is_err() {
         // The process is ending.
         std::future::pending::<()>().await;
     }
@@ -269,20 +276,20 @@
 
 /// Records a complete answer from the store.
 pub(crate) fn record_success(app: &App) {
-    app.store_reachable.send_if_modified(|reached| !std::mem::replace(reached, true));
+    app.store_reachable.send_if_modified(|reachable| !std::mem::replace(reachable, true));
     if app.hub.with(|shared, now| shared.contact.record_answer(now)) {
         info!(app.log, "store reachable again");
     }
 }
 
-/// Records a failed call to the store; `what` is the call's kind.
+/// Records a failed call to the store; `what` names the kind of call in the log.
 pub(crate) fn record_failure(app: &App, what: &str, error: &StoreCallError) {
     let (is_newly_lost, is_unreachable, age) = app.hub.with(|shared, now| {
         let is_newly_lost = shared.contact.record_failure(now);
         (is_newly_lost, !shared.contact.is_receiving(now), shared.contact.age(now))
     });
     if is_unreachable {
-        app.store_reachable.send_if_modified(|reached| std::mem::replace(reached, false));
+        app.store_reachable.send_if_modified(|reachable| std::mem::replace(reachable, false));
     }
     if is_newly_lost {
         warn!(app.log, "store lost"; "call" => what, "why" => %error,
