--- a/gateway/src/shared.rs
+++ b/gateway/src/shared.rs
@@ -1,5 +1,5 @@
-//! The mutable state that the tasks of a VM share: the store view, the configuration, targets, pools,
-//! peers and requests, and how changes from the store or from peers are applied to it.
+//! The mutable state that the tasks of a VM share: the store view, the configuration, targets,
+//! pools, peers and requests, and how changes from the store or from peers are applied to it.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet};
 use std::net::SocketAddr;
@@ -26,7 +26,7 @@
 use crate::configuration_lag::ConfigurationLag;
 use crate::settings::{ColdMargin, Policy, Settings};
 
-/// Estimated time to the first event of a service that has not been observed yet.
+/// Estimated time to the first event of a service of which none was observed yet.
 const DEFAULT_FIRST_EVENT_TIME: Duration = Duration::from_millis(200);
 /// Weight of a new sample in the exponential moving average of first-event times.
 const FIRST_EVENT_TIME_WEIGHT: f64 = 0.1;
@@ -44,24 +44,31 @@
 pub(crate) struct Shared {
     pub(crate) adapter: Adapter,
     pub(crate) log: Logger,
+    /// Copy of the store's content, as far as this VM knows it.
     pub(crate) view: View,
+    /// The configuration in force; `None` until the first one is known.
     pub(crate) intent: Option<Arc<Intent>>,
     pub(crate) targets: Targets,
+    /// This VM's parts of the pools, whether it currently owns them or not.
     pub(crate) pools: BTreeMap<ServiceName, Pool>,
+    /// The VMs that this one knows, itself included.
     pub(crate) fleet: Fleet,
+    /// The data hall of this VM.
     pub(crate) own_hall: HallName,
     /// Configuration version in which this VM first saw each pool.
     first_seen: HashMap<ServiceName, u64>,
     /// How each pool is split into parts by data hall.
     pub(crate) splits: BTreeMap<ServiceName, Split>,
-    /// Whether this VM watches the store itself, instead of hearing changes from peers.
+    /// Whether this VM watches the store itself instead of receiving changes from peers.
     pub(crate) watches_store: bool,
-    /// Whether the next changes are to be read from the store because too many are missing to fetch them
-    /// from a peer.
+    /// Whether the next changes are to be read from the store because too many are missing to fetch
+    /// them from a peer.
     pub(crate) prefers_store: bool,
+    /// When the store last answered, and whether it is lost.
     pub(crate) contact: StoreContact,
     /// Detects that this VM's watch on the store is silent while peers learn of newer changes.
     pub(crate) stall_detector: StallDetector,
+    /// Whether and since when a newer configuration is missing on this VM.
     pub(crate) configuration_lag: ConfigurationLag,
     /// Time within which a configuration change must take effect.
     pub(crate) in_force_limit: Duration,
@@ -91,9 +98,11 @@
     pub(crate) cold_targets: usize,
     /// Requests in progress.
     pub(crate) active_requests: ActiveRequests,
+    /// Order in which pools take waiting pieces.
     queue_order: Order,
     retry_rules: FleetRetryRules,
     retry_budgets: HashMap<ServiceName, FleetRetryBudget>,
+    /// Moving average of the time to the first event, by service.
     first_event_times: HashMap<ServiceName, Duration>,
     /// Time from sending a request to its target to the end of the answer, by entry.
     response_times: HashMap<String, ResponseTime>,
@@ -169,11 +178,13 @@
         }
     }
 
+    /// Constructor of the `stakker` actor.
     pub(crate) fn init(_cx: CX![], shared: Shared) -> Option<Self> {
         Some(shared)
     }
 
-    /// Applies changes read from the store or received from a peer; `from` is logged.
+    /// Applies changes read from the store or received from a peer; `from` names the source in the
+    /// log.
     pub(crate) fn merge(&mut self, items: Vec<Item>, from: &str, now: Instant) {
         let changes = self.view.merge(items);
         self.apply(changes, from, now);
@@ -269,14 +280,14 @@
         }
     }
 
-    /// Drops the response times of entries that the configuration doesn't contain.
+    /// Drops the response times of entries that a new configuration doesn't contain.
     fn drop_obsolete_response_times(&mut self, intent: &Intent) {
         let names: HashSet<&str> = intent.entries().map(|entry| entry.name.as_str()).collect();
         self.response_times.retain(|name, _| names.contains(name.as_str()));
     }
 
-    /// Creates and updates the pools from the configuration and the current workers. A pool of this VM
-    /// holds only the workers of the part to which this VM's hall belongs.
+    /// Creates and updates the pools from the configuration and the known workers. A pool of this
+    /// VM contains only the workers of the part to which this VM's hall belongs.
     pub(crate) fn sync_pools(&mut self) {
         let Some(intent) = &self.intent else { return };
         for (name, service) in &intent.services {
@@ -300,7 +311,8 @@
         }
     }
 
-    /// Addresses of the VMs to which this VM should have links: owners of pools and of token buckets.
+    /// Addresses of the VMs to which this VM should have links: owners of pools and of token
+    /// buckets.
     pub(crate) fn wanted_links(&self) -> BTreeSet<SocketAddr> {
         let pools = self.splits.iter().map(|(name, split)| (name.as_str(), split));
         let (rated, whole) = (self.rate_limited_services(), Split::default());
@@ -339,7 +351,8 @@
         }
     }
 
-    /// Upper bound on the response times of an entry, exceeded by few requests; `None` if none was observed.
+    /// Upper bound on the response times of an entry, exceeded by few requests; `None` if none was
+    /// observed.
     pub(crate) fn response_time(&self, entry: &str) -> Option<Duration> {
         self.response_times.get(entry).map(ResponseTime::upper_bound)
     }
--- a/gateway/src/target_announcements.rs
+++ b/gateway/src/target_announcements.rs
@@ -1,7 +1,8 @@
-//! What targets announce about themselves in the headers of their answers: that they are leaving, that they want no
-//! calls for some time (backoff), or a rate limit. An entry in the platform's store says the first one as well, but
-//! seconds later, and not at all while the store is unreachable. Therefore a departure holds as soon as either source
-//! reports it, and an entry never revokes it.
+//! What targets announce about themselves in the headers of their answers: that they are leaving,
+//! that they want no calls for some time (backoff), or a rate limit. A target's entry in the
+//! platform's store also says that it is leaving, but seconds later, and not at all while the store
+//! is unreachable. Therefore a departure holds as soon as either source reports it, and an entry
+//! never revokes it.
 
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -20,11 +21,11 @@
 use crate::rate_messages::decode_rates;
 use crate::shared::Shared;
 
-/// Most unknown headers that are logged: targets may send any names.
+/// Most names of unknown headers that are logged; bounded, since targets may send any names.
 const MAX_LOGGED_HEADERS: usize = 64;
 
-/// Applies what the answer to a request announces about the target that gave it; the request was sent at `sent` or
-/// later.
+/// Applies what the answer to a request announces about the target that gave it; the request was
+/// sent at `sent` or later.
 pub(crate) fn apply_answer(app: &Rc<App>, target: &Target, answer: &AnswerHead, sent: Instant) {
     let is_trusted = match answer.evidence {
         Evidence::Answered | Evidence::Declined | Evidence::InputGone => true,
@@ -36,7 +37,8 @@
     }
 }
 
-/// Applies what the answer to a call of the system's own announces; such a call carries no request id.
+/// Applies what the answer to a call of the system's own announces; such a call carries no request
+/// id.
 pub(crate) fn apply_own_call_answer(
     app: &Rc<App>,
     target: &Target,
@@ -67,8 +69,8 @@
     recheck_pools(app);
 }
 
-/// Counts unknown headers in an answer and logs each name once per service, so that an announcement that this system
-/// ignores is noticed before it causes harm.
+/// Counts unknown headers in an answer and logs each name once per service, so that an announcement
+/// that this system ignores is noticed before it causes harm.
 pub(crate) fn report_unknown_headers(app: &App, target: &Target, answer: &Parts) {
     for name in (app.adapter.calls.unknown_headers)(answer) {
         let is_new = app.hub.with(|shared, _| {
@@ -83,7 +85,8 @@
     }
 }
 
-/// Applies the rate limit that an answer announces. An answer without one ends an earlier limit.
+/// Applies the rate limit that an answer announces. An answer without a limit ends an earlier one;
+/// an unreadable limit changes nothing.
 fn apply_rate(app: &Rc<App>, target: &Target, rate: AnnouncedRate, sent: Instant) {
     let limit = match rate {
         AnnouncedRate::Absent => None,
@@ -108,8 +111,8 @@
     on_rates_changed(app);
 }
 
-/// After rate limits changed: links to the VMs that hold the token buckets are needed, and pools may choose other
-/// targets.
+/// Updates what depends on rate limits: links to the VMs that hold the token buckets are needed,
+/// and pools may choose other targets.
 pub(crate) fn on_rates_changed(app: &Rc<App>) {
     app.vms_changed.notify_one();
     recheck_pools(app);
@@ -202,7 +205,8 @@
         self.announcements_changed(lifetime);
     }
 
-    /// Updates target selection and pools with what a target announced, if this lifetime of it is known.
+    /// Updates target selection and pools with what a target announced, if this lifetime of it is
+    /// known.
     pub(crate) fn announcements_changed(&mut self, lifetime: &Lifetime) {
         let known = self.targets.get(&lifetime.target).cloned();
         let Some(mut target) = known.filter(|known| Lifetime::from(known) == *lifetime) else {
@@ -225,8 +229,9 @@
         target.request_interval = limit.map(|limit| Duration::from_secs_f64(1.0 / limit.per_s()));
     }
 
-    /// Time until some target of a service may be sent requests, that is, until the first backoff or rate limit ends.
-    /// `None` if a target may be sent requests now, or if no such time is known.
+    /// Time until some target of a service may be sent requests, that is, until the first backoff
+    /// or rate limit ends. `None` if a target may be sent requests now, or if no such time is
+    /// known.
     pub(crate) fn time_until_open(&self, service: &ServiceName, now: Instant) -> Option<Duration> {
         let opens = self.targets.opens_at(service, now)?;
         Some(opens.saturating_duration_since(now)).filter(|time| !time.is_zero())
--- a/gateway/src/target_entries.rs
+++ b/gateway/src/target_entries.rs
@@ -1,5 +1,6 @@
-//! Applies changes of the entries that targets keep about themselves in the platform's store: new, lapsed and removed
-//! entries.
+//! Applies changes of the entries that targets keep about themselves in the platform's store. An
+//! entry that is overwritten with something invalid, or removed around an outage of the store,
+//! lapses: its target is kept for a grace period, in which the target can write the entry again.
 
 use std::time::{Duration, Instant};
 
@@ -9,12 +10,12 @@
 
 use crate::shared::Shared;
 
-/// Time within which a running target has written its entry again after another writer overwrote it: longer than the
-/// interval between two of its writes, 1.2 s on the known platforms.
+/// Time within which a running target has written its entry again after another writer overwrote
+/// it: longer than the interval between two of its writes, 1.2 s on the known platforms.
 const REWRITE_TIME: Duration = Duration::from_millis(2100);
 
 impl Shared {
-    /// Applies a target's entry, unless it is from an earlier lifetime than the known one.
+    /// Parses and applies a target's entry; `from` names its source in the log.
     pub(crate) fn apply_target(&mut self, key: &str, value: &[u8], from: &str, now: Instant) {
         match (self.adapter.intents.target)(key, value) {
             Ok(target) => self.put_target(target, from, now),
@@ -26,8 +27,9 @@
         }
     }
 
-    /// Starts the grace period of a target whose entry was overwritten with something invalid: a running target writes
-    /// its entry again soon, and one that has ended would otherwise be called forever.
+    /// Starts the grace period of a target whose entry was overwritten with something invalid: a
+    /// running target writes its entry again soon, and one that has ended would otherwise be called
+    /// forever.
     fn entry_overwritten(&mut self, key: &str, now: Instant) {
         let id = key.strip_prefix(self.adapter.intents.targets_prefix);
         let id = id.and_then(|id| TargetName::new(id).ok());
@@ -36,6 +38,7 @@
         }
     }
 
+    /// Adds or updates a target, unless the entry is from an earlier lifetime than the known one.
     fn put_target(&mut self, mut target: Target, from: &str, now: Instant) {
         self.add_announcements(&mut target);
         info!(self.log, "target known"; "target" => %target.id,
@@ -58,7 +61,8 @@
         self.targets.upsert(target, now);
     }
 
-    /// A target's entry was removed from the store. Around an outage of the store the target is kept for a grace period.
+    /// Handles the removal of a target's entry from the store. Around an outage of the store the
+    /// target is kept for a grace period.
     pub(crate) fn target_entry_removed(&mut self, id: &str, from: &str, now: Instant) {
         let Ok(id) = TargetName::new(id) else { return };
         if let Some(until) = self.contact.grace_until(now) {
@@ -73,7 +77,8 @@
         }
     }
 
-    /// Removes a target. Calls that failed on it recently count as failures by its end. Returns whether it was known.
+    /// Removes a target; returns whether it was known. Connections to it that broke recently count
+    /// as crashes under the requests that they carried.
     fn remove_target(&mut self, id: &TargetName, now: Instant) -> bool {
         let Some(target) = self.targets.remove(id) else { return false };
         self.target_ended(&target, now);
@@ -101,7 +106,8 @@
         self.sync_pools();
     }
 
-    /// Removes a target after another one answered at its address, before the store reports the removal.
+    /// Removes a target after another one answered at its address, before the store reports the
+    /// removal.
     pub(crate) fn target_replaced(&mut self, target: &Target, now: Instant) {
         if self.remove_target(&target.id, now) {
             info!(self.log, "target gone"; "target" => %target.id, "from" => "its address");
