--- a/gateway/src/inbound_links.rs
+++ b/gateway/src/inbound_links.rs
@@ -91,6 +91,7 @@
     let AcceptedLink { mut inbound, tx } = accepted;
     let send = |kind| tx.send(Ok(FromOwner { kind: Some(kind) })).is_ok();
     send(from_owner::Kind::Hello(own_hello(&app)));
+    // The peer's submissions, by the numbers that the peer gave them.
     let mut jobs: HashMap<u64, (ServiceName, JobKey)> = HashMap::new();
     let mut vm = None;
     let mut leases = None;
@@ -125,6 +126,7 @@
                     vm = Some(name);
                     continue;
                 }
+                // The first message has to be a hello.
                 let Some(vm) = &vm else { break };
                 let lease_link = leases.as_ref().map(|leases: &LeaseLink| leases.key);
                 let peer = Peer { vm, tx: &tx, lease_link };
@@ -136,6 +138,7 @@
                 {
                     break;
                 }
+                // What is unsent is sent with each heartbeat as well.
                 updates.mark_changed();
             }
         }
@@ -233,6 +236,7 @@
             }
         }
         from_dialer::Kind::Beat(beat) => {
+            // A submission without a sink is finished.
             let sinks = app.sinks.borrow();
             jobs.retain(|_, job| sinks.contains_key(job));
             drop(sinks);
--- a/gateway/src/outbound_links.rs
+++ b/gateway/src/outbound_links.rs
@@ -440,6 +440,7 @@
                     return IDLE_REASON.to_owned();
                 }
                 link.send(from_dialer::Kind::Beat(own_heartbeat(app)));
+                // What is unsent is sent with each heartbeat as well.
                 updates.mark_changed();
             }
         }
--- a/gateway/src/releases.rs
+++ b/gateway/src/releases.rs
@@ -68,7 +68,7 @@
         match origin {
             Origin::Local => drop(release_as_owner(app, handles)),
             Origin::Peer(link) if is_released_here => {
-                release_through_link(app, &link, handles, until)
+                release_peer_results(app, &link, handles, until)
             }
             Origin::Peer(link) => {
                 spawn_local(release_if_owner_ended(Rc::clone(app), link, handles));
@@ -97,7 +97,7 @@
 
 /// Releases results that a peer had computed: directly at their workers, or through the peer if a
 /// worker announces a rate limit and the link is open.
-fn release_through_link(app: &Rc<App>, link: &Rc<Link>, handles: Vec<String>, until: Instant) {
+fn release_peer_results(app: &Rc<App>, link: &Rc<Link>, handles: Vec<String>, until: Instant) {
     let is_sent_here = |handle: &String| link.is_closed() || calls_worker_directly(app, handle);
     let (here, through_owner): (Vec<_>, Vec<_>) = handles.into_iter().partition(is_sent_here);
     release_as_requester(app, link, here, Some(until));
@@ -161,7 +161,8 @@
     handles_by_worker
 }
 
-/// Releases results that this VM had computed; returns the tasks that call their workers.
+/// Releases results that this VM had computed; returns the tasks that call their workers. Results
+/// that no pool knows are released at the worker that their handle names.
 pub(crate) fn release_as_owner(app: &Rc<App>, handles: Vec<String>) -> Vec<JoinHandle<()>> {
     let taken = take_from_pools(app, &handles);
     let known: Vec<&String> = taken.iter().flat_map(|(_, pending)| &pending.handles).collect();
