--- a/gateway/src/shared.rs
+++ b/gateway/src/shared.rs
@@ -1,5 +1,5 @@
-//! The mutable state that the tasks of a VM share: the store view, the configuration, targets, pools,
-//! peers and requests, and how changes from the store or from peers are applied to it.
+//! The mutable state that the tasks of a VM share: the store view, the configuration, targets,
+//! pools, peers and requests, and how changes from the store or from peers are applied to it.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet};
 use std::net::SocketAddr;
@@ -26,10 +26,10 @@
 use crate::configuration_lag::ConfigurationLag;
 use crate::settings::{ColdMargin, Policy, Settings};
 
-/// Estimated time to the first event of a service that has not been observed yet.
-const FIRST_EVENT: Duration = Duration::from_millis(200);
+/// Estimated time to the first event of a service of which none was observed yet.
+const DEFAULT_FIRST_EVENT_TIME: Duration = Duration::from_millis(200);
 /// Weight of a new sample in the exponential moving average of first-event times.
-const FIRST_EVENT_WEIGHT: f64 = 0.1;
+const FIRST_EVENT_TIME_WEIGHT: f64 = 0.1;
 
 /// Prefix of the store keys under which VMs register themselves.
 pub(crate) fn vms_prefix(adapter: &Adapter) -> String {
@@ -44,24 +44,31 @@
 pub(crate) struct Shared {
     pub(crate) adapter: Adapter,
     pub(crate) log: Logger,
+    /// Copy of the store's content, as far as this VM knows it.
     pub(crate) view: View,
+    /// The configuration in force; `None` until the first one is known.
     pub(crate) intent: Option<Arc<Intent>>,
     pub(crate) targets: Targets,
+    /// This VM's parts of the pools, whether it currently owns them or not.
     pub(crate) pools: BTreeMap<ServiceName, Pool>,
+    /// The VMs that this one knows, itself included.
     pub(crate) fleet: Fleet,
+    /// The data hall of this VM.
     pub(crate) own_hall: HallName,
     /// Configuration version in which this VM first saw each pool.
     first_seen: HashMap<ServiceName, u64>,
     /// How each pool is split into parts by data hall.
     pub(crate) splits: BTreeMap<ServiceName, Split>,
-    /// Whether this VM watches the store itself, instead of hearing changes from peers.
+    /// Whether this VM watches the store itself instead of receiving changes from peers.
     pub(crate) watches_store: bool,
-    /// Whether the next changes are to be read from the store because too many are missing to fetch them
-    /// from a peer.
+    /// Whether the next changes are to be read from the store because too many are missing to fetch
+    /// them from a peer.
     pub(crate) prefers_store: bool,
+    /// When the store last answered, and whether it is lost.
     pub(crate) contact: StoreContact,
     /// Detects that this VM's watch on the store is silent while peers learn of newer changes.
     pub(crate) stall_detector: StallDetector,
+    /// Whether and since when a newer configuration is missing on this VM.
     pub(crate) configuration_lag: ConfigurationLag,
     /// Time within which a configuration change must take effect.
     pub(crate) max_apply_time: Duration,
@@ -74,7 +81,7 @@
     /// Rate limits that targets announced.
     pub(crate) rates: RateLimits,
     /// Names of unrecognized headers in targets' answers, by service.
-    pub(crate) unknown_words: BTreeSet<(ServiceName, String)>,
+    pub(crate) unknown_headers: BTreeSet<(ServiceName, String)>,
     /// Token buckets of rate-limited targets that this VM owns.
     pub(crate) token_buckets: TokenBuckets,
     /// Owner of the token buckets of each service at the last check.
@@ -91,10 +98,12 @@
     pub(crate) cold_targets: usize,
     /// Requests in progress.
     pub(crate) active_requests: ActiveRequests,
-    order: Order,
-    rules: FleetRetryRules,
-    budgets: HashMap<ServiceName, FleetRetryBudget>,
-    first_events: HashMap<ServiceName, Duration>,
+    /// Order in which pools take waiting pieces.
+    queue_order: Order,
+    retry_rules: FleetRetryRules,
+    retry_budgets: HashMap<ServiceName, FleetRetryBudget>,
+    /// Moving average of the time to the first event, by service.
+    first_event_times: HashMap<ServiceName, Duration>,
     /// Time from sending a request to its target to the end of the answer, by entry.
     response_times: HashMap<String, ResponseTime>,
     pub(crate) admission: Admission,
@@ -117,7 +126,7 @@
         log: Logger,
         now: Instant,
     ) -> Self {
-        let (policy, order) = match cfg.policy {
+        let (policy, queue_order) = match cfg.policy {
             Policy::Adaptive => (selection::Policy::Adaptive, Order::Slack),
             Policy::RoundRobin => (selection::Policy::RoundRobin, Order::Arrival),
             Policy::FirstInOrder => (selection::Policy::FirstInOrder, Order::Arrival),
@@ -143,7 +152,7 @@
             departures: Departures::default(),
             backoffs: Backoffs::default(),
             rates: RateLimits::default(),
-            unknown_words: BTreeSet::new(),
+            unknown_headers: BTreeSet::new(),
             token_buckets: TokenBuckets::default(),
             token_bucket_owners: BTreeMap::new(),
             peer_update_pending: watch::channel(()).0,
@@ -152,14 +161,14 @@
             cold_margin: cfg.cold,
             cold_targets: 0,
             active_requests: ActiveRequests::default(),
-            order,
-            rules: FleetRetryRules {
+            queue_order,
+            retry_rules: FleetRetryRules {
                 ratio: cfg.repeats.ratio,
                 slack: cfg.repeats.slack,
                 window: cfg.repeats.window(),
             },
-            budgets: HashMap::new(),
-            first_events: HashMap::new(),
+            retry_budgets: HashMap::new(),
+            first_event_times: HashMap::new(),
             response_times: HashMap::new(),
             admission: Admission::default(),
             quarantine: Quarantine::new(cfg.quarantine.rules()),
@@ -169,11 +178,13 @@
         }
     }
 
+    /// Constructor of the `stakker` actor.
     pub(crate) fn init(_cx: CX![], shared: Shared) -> Option<Self> {
         Some(shared)
     }
 
-    /// Applies changes read from the store or received from a peer; `from` is logged.
+    /// Applies changes read from the store or received from a peer; `from` names the source in the
+    /// log.
     pub(crate) fn merge(&mut self, items: Vec<Item>, from: &str, now: Instant) {
         let changes = self.view.merge(items);
         self.apply(changes, from, now);
@@ -192,37 +203,37 @@
     }
 
     fn apply(&mut self, changes: Vec<Change>, from: &str, now: Instant) {
-        let (intent_key, prefix) =
+        let (intent_key, targets_prefix) =
             (self.adapter.intents.intent_key, self.adapter.intents.targets_prefix);
-        let evacuations = self.adapter.intents.evacuations_prefix;
-        let mut new_targets = false;
+        let evacuations_prefix = self.adapter.intents.evacuations_prefix;
+        let mut targets_changed = false;
         for change in changes {
             match change {
                 Change::Put(key, value) if key == intent_key => {
                     self.apply_intent(&value, from);
                     self.compare_versions(now);
                 }
-                Change::Put(key, value) if key.starts_with(prefix) => {
+                Change::Put(key, value) if key.starts_with(targets_prefix) => {
                     self.apply_target(&key, &value, from, now);
-                    new_targets = true;
+                    targets_changed = true;
                 }
-                Change::Put(key, value) if key.starts_with(evacuations) => {
+                Change::Put(key, value) if key.starts_with(evacuations_prefix) => {
                     self.apply_evacuation(&key, &value, from, now);
                 }
                 Change::Put(key, value) => self.apply_own_entry(&key, Some(&value), now),
-                Change::Removed(key) if key.starts_with(evacuations) => {
+                Change::Removed(key) if key.starts_with(evacuations_prefix) => {
                     self.end_evacuation(&key, from, now);
                 }
-                Change::Removed(key) => match key.strip_prefix(prefix) {
+                Change::Removed(key) => match key.strip_prefix(targets_prefix) {
                     Some(id) => {
                         self.target_entry_removed(id, from, now);
-                        new_targets = true;
+                        targets_changed = true;
                     }
                     None => self.apply_own_entry(&key, None, now),
                 },
             }
         }
-        if new_targets {
+        if targets_changed {
             self.sync_pools();
         }
         self.update_cold_shares(now);
@@ -249,15 +260,15 @@
         match (self.adapter.intents.intent)(value) {
             Ok(intent) => {
                 let at_least_as_new =
-                    self.intent.as_ref().filter(|have| have.version >= intent.version);
-                if let Some(have) = at_least_as_new {
+                    self.intent.as_ref().filter(|current| current.version >= intent.version);
+                if let Some(current) = at_least_as_new {
                     warn!(self.log, "configuration kept out"; "version" => intent.version,
-                        "in_force" => have.version, "from" => from, "why" => "not newer");
+                        "in_force" => current.version, "from" => from, "why" => "not newer");
                     return;
                 }
                 info!(self.log, "configuration in force"; "version" => intent.version,
                     "entries" => intent.entries().count(), "from" => from, "as_of" => as_of);
-                self.forget_response_times(&intent);
+                self.drop_obsolete_response_times(&intent);
                 self.intent = Some(Arc::new(intent));
                 self.sync_pools();
             }
@@ -269,14 +280,14 @@
         }
     }
 
-    /// Drops the response times of entries that the configuration doesn't contain.
-    fn forget_response_times(&mut self, intent: &Intent) {
+    /// Drops the response times of entries that a new configuration doesn't contain.
+    fn drop_obsolete_response_times(&mut self, intent: &Intent) {
         let names: HashSet<&str> = intent.entries().map(|entry| entry.name.as_str()).collect();
         self.response_times.retain(|name, _| names.contains(name.as_str()));
     }
 
-    /// Creates and updates the pools from the configuration and the current workers. A pool of this VM
-    /// holds only the workers of the part to which this VM's hall belongs.
+    /// Creates and updates the pools from the configuration and the known workers. A pool of this
+    /// VM contains only the workers of the part to which this VM's hall belongs.
     pub(crate) fn sync_pools(&mut self) {
         let Some(intent) = &self.intent else { return };
         for (name, service) in &intent.services {
@@ -286,10 +297,10 @@
             let first_seen = *self.first_seen.entry(name.clone()).or_insert(intent.version);
             let split = split.first_seen(first_seen);
             let own = split.part_of(&self.own_hall);
-            let order = self.order;
+            let queue_order = self.queue_order;
             let halls = &self.halls;
             let pool = self.pools.entry(name.clone()).or_insert_with(|| {
-                let mut pool = Pool::new(spec, order);
+                let mut pool = Pool::new(spec, queue_order);
                 pool.set_halls(halls.clone());
                 pool
             });
@@ -300,7 +311,8 @@
         }
     }
 
-    /// Addresses of the VMs to which this VM should have links: owners of pools and of token buckets.
+    /// Addresses of the VMs to which this VM should have links: owners of pools and of token
+    /// buckets.
     pub(crate) fn wanted_links(&self) -> BTreeSet<SocketAddr> {
         let pools = self.splits.iter().map(|(name, split)| (name.as_str(), split));
         let (rated, whole) = (self.rate_limited_services(), Split::default());
@@ -310,24 +322,25 @@
 
     /// Counts a request of a service towards its retry budget.
     pub(crate) fn count_request(&mut self, service: &ServiceName, now: Instant) {
-        self.budgets.entry(service.clone()).or_default().record_request(now);
+        self.retry_budgets.entry(service.clone()).or_default().record_request(now);
     }
 
     /// Takes one retry from the budget of a service; false if none is left.
     pub(crate) fn try_take_retry(&mut self, service: &ServiceName, now: Instant) -> bool {
         let vms = self.fleet.size();
-        self.budgets.entry(service.clone()).or_default().try_take(&self.rules, vms, now)
+        self.retry_budgets.entry(service.clone()).or_default().try_take(&self.retry_rules, vms, now)
     }
 
     /// Adds a sample to the moving average of a service's time to the first event.
     pub(crate) fn record_first_event_time(&mut self, service: &ServiceName, took: Duration) {
-        let average = self.first_events.entry(service.clone()).or_insert(took);
-        *average = average.mul_f64(1.0 - FIRST_EVENT_WEIGHT) + took.mul_f64(FIRST_EVENT_WEIGHT);
+        let average = self.first_event_times.entry(service.clone()).or_insert(took);
+        *average =
+            average.mul_f64(1.0 - FIRST_EVENT_TIME_WEIGHT) + took.mul_f64(FIRST_EVENT_TIME_WEIGHT);
     }
 
     /// Expected time to the first event of a service.
     pub(crate) fn first_event_time(&self, service: &ServiceName) -> Duration {
-        self.first_events.get(service).copied().unwrap_or(FIRST_EVENT)
+        self.first_event_times.get(service).copied().unwrap_or(DEFAULT_FIRST_EVENT_TIME)
     }
 
     /// Records the time from sending a request of an entry to its target to the end of the answer.
@@ -338,7 +351,8 @@
         }
     }
 
-    /// Upper bound on the response times of an entry, exceeded by few requests; `None` if none was observed.
+    /// Upper bound on the response times of an entry, exceeded by few requests; `None` if none was
+    /// observed.
     pub(crate) fn response_time(&self, entry: &str) -> Option<Duration> {
         self.response_times.get(entry).map(ResponseTime::upper_bound)
     }
