--- a/tests/at_most_once.rs
+++ b/tests/at_most_once.rs
@@ -1,4 +1,9 @@
-//! A request that may not be repeated runs at most once, however often and to whichever VMs it is sent under its id.
+//! A request that may not be repeated runs at most once, however often it is sent under its id and
+//! to whichever VMs. Before a VM runs it, the VM claims the id in the store.
+//!
+//! Guards against second runs when VMs get the id at the same time, when the VM that runs the
+//! request is killed or paused, and when the store or its answers are lost; and against an answer
+//! "not-run" from a VM that can't know whether another one runs the request.
 
 // A failing `expect` in a helper fails the test.
 #![allow(clippy::expect_used)]
@@ -12,6 +17,7 @@
 use serde_json::json;
 use support::{Fleet, Reply, caller_request, usual_fleet, wait_until};
 
+/// Number of calls at targets for the request `id`.
 fn runs_of(fleet: &Fleet, id: &str) -> usize {
     let start = format!("{id}/");
     let records = fleet.records();
@@ -79,7 +85,8 @@
         caller_request("hold", 3000).once("before").send(fleet.vms[1].callers).expect("an answer");
     let no_id = caller_request("hold", 3000).send(fleet.vms[1].callers).expect("an answer");
 
-    // The second request has run, so "not-run" would be wrong, and this VM can't tell the two apart.
+    // The request "before" has run, so "not-run" would be wrong, and without the store this VM
+    // can't tell the two requests apart.
     for reply in [&fresh, &before] {
         assert_eq!(
             (reply.outcome.as_str(), &reply.body["reason"]),
@@ -138,8 +145,8 @@
 #[test]
 fn a_refused_request_stays_refused_under_its_id() {
     let fleet = usual_fleet(2);
-    let gone = fleet.run_cli(&["label", "target/plain-1", "state=x"]);
-    assert!(gone.status.success());
+    let labeled = fleet.run_cli(&["label", "target/plain-1", "state=x"]);
+    assert!(labeled.status.success());
     for target in ["plain-1", "plain-2", "plain-3", "plain-4"] {
         fleet.set_faults(target, &json!({ "fault": "busy" }));
     }
@@ -150,7 +157,8 @@
         fleet.set_faults(target, &json!({}));
     }
     assert_eq!(refused.outcome, "not-run", "{refused:?}");
-    // The refusal is written to the store after the caller is answered; until then the id is reported as taken.
+    // The refusal is written to the store after the caller is answered; until then the id is
+    // reported as taken.
     wait_until("the id is known as refused", || {
         let again = caller_request("hold", 1000).once("refused").send(fleet.vms[1].callers);
         let again = again.expect("an answer");
@@ -160,7 +168,8 @@
     });
 }
 
-/// An answer must not wait for the store: after the claim the store is only informed of how the request ended.
+/// An answer must not wait for the store: after the claim the store is only informed of how the
+/// request ended.
 #[test]
 fn a_slow_store_does_not_delay_the_answer_after_the_claim() {
     let fleet = usual_fleet(1);
@@ -177,18 +186,20 @@
     assert!(began.elapsed() < Duration::from_millis(1400), "{:?}", began.elapsed());
 }
 
-/// A VM that refuses a request before it has claimed the id can't know whether another VM runs it, so it must not
-/// report "not-run".
+/// A VM that refuses a request before it has claimed the id can't know whether another VM runs it,
+/// so it must not report "not-run".
 #[test]
 fn a_refusal_before_the_claim_is_not_reported_as_not_run() {
     let mut fleet = usual_fleet(1);
     fleet.start_vm("hall-a", "limits: {requests: 1}\n");
     slow_targets(&fleet, 1500);
     let full = fleet.vms[1].callers;
-    let occupies = thread::spawn(move || caller_request("hold", 5000).repeatable().send(full));
+    let occupying_sender =
+        thread::spawn(move || caller_request("hold", 5000).repeatable().send(full));
     wait_until("the VM is at its limit", || fleet.records().len() == 1);
     let to = fleet.vms[0].callers;
-    let runs = thread::spawn(move || caller_request("hold", 5000).once("elsewhere").send(to));
+    let running_sender =
+        thread::spawn(move || caller_request("hold", 5000).once("elsewhere").send(to));
     wait_until("the other VM runs it", || runs_of(&fleet, "elsewhere") == 1);
 
     let refused = caller_request("hold", 5000).once("elsewhere").send(full).expect("an answer");
@@ -200,6 +211,6 @@
     );
     assert!(refused.body["retry_after_ms"].is_u64());
     assert_eq!(no_id.outcome, "not-run");
-    assert_eq!(runs.join().expect("sender").expect("an answer").outcome, "whole");
-    assert!(occupies.join().expect("sender").is_some());
+    assert_eq!(running_sender.join().expect("sender").expect("an answer").outcome, "whole");
+    assert!(occupying_sender.join().expect("sender").is_some());
 }
--- a/tests/configuration.rs
+++ b/tests/configuration.rs
@@ -1,5 +1,5 @@
-//! Changes of the configuration: concurrent changes are linearizable, an accepted one is in force at every VM
-//! within five seconds, and no VM goes back to an earlier revision.
+//! Changes of the configuration: concurrent changes are linearizable, an accepted one is in force
+//! at every VM within five seconds, and no VM goes back to an earlier revision.
 
 // A failing `expect` in a helper fails the test.
 #![allow(clippy::expect_used)]
@@ -22,12 +22,14 @@
 use todc_utils::linearizability::history::History;
 use todc_utils::specifications::Specification;
 
-/// An operation on the head of the configuration, as an operator sees it.
+/// An operation on the head of the configuration, the key in the store that holds its current
+/// revision, as an operator sees it.
 #[derive(Debug, Clone, PartialEq)]
 enum HeadOp {
     /// Reads the current revision; `None` until it is answered.
     Read(Option<u64>),
-    /// Publishes a change on top of a base revision; `Some(true)` if it was accepted, `None` until it is answered.
+    /// Publishes a change on top of a base revision; `Some(true)` if it was accepted, `None` until
+    /// it is answered.
     Change(u64, Option<bool>),
 }
 
@@ -51,6 +53,7 @@
     }
 }
 
+/// A configuration with `count` customers.
 fn customers(count: usize) -> Catalogue {
     let mut catalogue = Catalogue::default();
     for number in 0..count {
@@ -60,28 +63,29 @@
     catalogue
 }
 
-/// Runs four operators that publish changes concurrently, and returns the history of their operations.
+/// Runs four operators that publish changes concurrently, and returns the history of their
+/// operations, each with the operator's number.
 fn change_concurrently(
     fleet: &Fleet,
     rounds: usize,
 ) -> Vec<(usize, todc_utils::linearizability::history::Action<HeadOp>)> {
     let history = Mutex::new(Vec::new());
-    let note = |who: usize, action| history.lock().expect("lock").push((who, action));
+    let record = |operator: usize, action| history.lock().expect("lock").push((operator, action));
     thread::scope(|scope| {
         for operator in 0..4 {
-            let note = &note;
+            let record = &record;
             let platform = fleet.platform;
             scope.spawn(move || {
                 let store = Store::new(platform);
                 for round in 0..rounds {
-                    note(operator, Call(HeadOp::Read(None)));
+                    record(operator, Call(HeadOp::Read(None)));
                     let (head, version) = read_head(&store).expect("head");
                     let base = head.revision.0;
-                    note(operator, Response(HeadOp::Read(Some(base))));
+                    record(operator, Response(HeadOp::Read(Some(base))));
                     let before = read_catalogue(&store, &head).unwrap_or_default();
                     let after = customers(operator * 100 + round);
                     let id = format!("change-{operator}-{round}");
-                    note(operator, Call(HeadOp::Change(base, None)));
+                    record(operator, Call(HeadOp::Change(base, None)));
                     let result = publish(&store, (&head, version), &before, &after, &id);
                     let accepted = match result {
                         Ok(revision) => {
@@ -91,7 +95,7 @@
                         Err(Error::ChangeRefused { .. }) => false,
                         Err(e) => panic!("{e}"),
                     };
-                    note(operator, Response(HeadOp::Change(base, Some(accepted))));
+                    record(operator, Response(HeadOp::Change(base, Some(accepted))));
                 }
             });
         }
@@ -142,12 +146,12 @@
     let store = Store::new(fleet.platform);
     let (head, version) = read_head(&store).expect("head");
     let before = read_catalogue(&store, &head).expect("catalogue");
-    let other = fleet.run_cli(&["label", "target/plain-1", "version=v2"]);
-    assert!(other.status.success());
+    let conflicting = fleet.run_cli(&["label", "target/plain-1", "version=v2"]);
+    assert!(conflicting.status.success());
 
-    let mine = publish(&store, (&head, version), &before, &customers(1), "mine");
+    let result = publish(&store, (&head, version), &before, &customers(1), "mine");
 
-    let message = mine.expect_err("refused").to_string();
+    let message = result.expect_err("refused").to_string();
     assert!(message.contains("revision 2") && message.contains("~ target/plain-1"), "{message}");
 }
 
@@ -170,18 +174,19 @@
     assert_eq!(some.status.code(), Some(10));
 }
 
-/// Changes labels while the revision of every VM is polled: it must never decrease.
+/// Guards against a VM that goes back to an earlier revision, for instance because a peer still has
+/// it: the revision of every VM is polled while labels are changed, and must never decrease.
 #[test]
 fn changes_reach_every_vm_within_five_seconds_and_never_revert() {
     let mut fleet = usual_fleet(5);
-    let over = AtomicBool::new(false);
+    let finished = AtomicBool::new(false);
 
     thread::scope(|scope| {
         for index in 0..fleet.vms.len() {
-            let (fleet, over) = (&fleet, &over);
+            let (fleet, finished) = (&fleet, &finished);
             scope.spawn(move || {
                 let mut last = 0;
-                while !over.load(Ordering::Relaxed) {
+                while !finished.load(Ordering::Relaxed) {
                     let found = fleet.revision(index).expect("a revision");
                     assert!(found >= last, "VM {index} reverted from revision {last} to {found}");
                     last = found;
@@ -189,7 +194,7 @@
                 }
             });
         }
-        let _ends = StopOnDrop(&over);
+        let _stop_guard = StopOnDrop(&finished);
         for number in 0..10 {
             let label = format!("round=r{number}");
             let changed = fleet.run_cli(&["label", "target/plain-1", &label, "--wait"]);
@@ -227,8 +232,8 @@
     fleet.wait_ready(index);
 }
 
-/// A request keeps the revision under which it began: its later stages use the selectors and targets of
-/// that revision, even if a change has removed them since.
+/// A request keeps the revision under which it began: its later stages use the selectors and targets
+/// of that revision, even if a change has removed them since.
 #[test]
 fn a_request_uses_one_revision_for_all_its_stages() {
     let fleet = usual_fleet(1);
@@ -244,14 +249,14 @@
     // First the last stage is moved to plain targets, then the engines are removed.
     let plain = SERVICES.replace("pool: engine}}, streams: true", "pool: plain}}");
     assert!(fleet.apply(&plain).status.success());
-    let gone = fleet.run_cli(&["remove", "target/engine-1", "target/engine-2", "--wait"]);
-    assert!(gone.status.success(), "{}", String::from_utf8_lossy(&gone.stderr));
+    let removed = fleet.run_cli(&["remove", "target/engine-1", "target/engine-2", "--wait"]);
+    assert!(removed.status.success(), "{}", String::from_utf8_lossy(&removed.stderr));
     assert!(fleet.records().len() < 4, "the request ended before the change");
     let reply = sender.join().expect("sender");
     let next = caller_request("check", 8000).repeatable().send(to).expect("an answer");
 
-    let last = |reply: &support::Reply| reply.targets().pop().unwrap_or_default();
+    let last_target = |reply: &support::Reply| reply.targets().pop().unwrap_or_default();
     assert_eq!((reply.outcome.as_str(), next.outcome.as_str()), ("whole", "whole"));
-    assert!(last(&reply).starts_with("engine-"), "{reply:?}");
-    assert!(last(&next).starts_with("plain-"), "{next:?}");
+    assert!(last_target(&reply).starts_with("engine-"), "{reply:?}");
+    assert!(last_target(&next).starts_with("plain-"), "{next:?}");
 }
--- a/tests/halls.rs
+++ b/tests/halls.rs
@@ -1,5 +1,6 @@
-//! Halls that are cut off from the platform, from other halls' targets or from each other: what is served, what
-//! is refused, and how they recover. There is a test for each row of `docs/design/cut-off.md`.
+//! Data halls that are cut off from the platform, from other halls' targets or from each other: what
+//! is served, what is refused, and how they recover. There is a test for each row of
+//! `docs/design/cut-off.md`.
 
 // A failing `expect` in a helper fails the test.
 #![allow(clippy::expect_used)]
@@ -12,8 +13,8 @@
 use support::forwarder::Forwarder;
 use support::{Fleet, SERVICES, caller_request, get_json, usual_pools, wait_until};
 
-/// Two halls with a VM each. hall-b's VM reaches the platform over a link that can be cut; both VMs reach
-/// hall-a's plain targets over such links.
+/// Two halls with a VM each: VM 0 in hall-a, VM 1 in hall-b. VM 1 reaches the platform over a link
+/// that can be cut; both VMs reach hall-a's plain targets over such links.
 struct TwoHalls {
     fleet: Fleet,
     platform_link: Forwarder,
@@ -52,11 +53,11 @@
     let cut_off = fleet.vms[1].callers;
 
     let served = caller_request("check", 5000).repeatable().send(cut_off).expect("an answer");
-    let once = caller_request("hold", 5000).send(cut_off).expect("an answer");
+    let not_repeatable = caller_request("hold", 5000).send(cut_off).expect("an answer");
     let with_own_id =
         caller_request("hold", 5000).once("cut-off").send(cut_off).expect("an answer");
 
-    assert_eq!((served.outcome.as_str(), once.outcome.as_str()), ("whole", "whole"));
+    assert_eq!((served.outcome.as_str(), not_repeatable.outcome.as_str()), ("whole", "whole"));
     assert_eq!(
         (with_own_id.outcome.as_str(), &with_own_id.body["reason"]),
         ("unknown", &json!("store-out"))
@@ -89,9 +90,9 @@
         .collect();
 
     assert!(served.iter().all(|r| r.outcome == "whole"), "{served:?}");
-    let last: BTreeSet<String> = served[20..].iter().flat_map(|r| r.targets()).collect();
-    let own_targets = BTreeSet::from(["plain-2".to_owned(), "plain-4".to_owned()]);
-    assert!(last.is_subset(&own_targets), "{last:?}");
+    let last_targets: BTreeSet<String> = served[20..].iter().flat_map(|r| r.targets()).collect();
+    let hall_b_targets = BTreeSet::from(["plain-2".to_owned(), "plain-4".to_owned()]);
+    assert!(last_targets.is_subset(&hall_b_targets), "{last_targets:?}");
 
     // hall-a has lost its own targets and uses those of the other hall.
     let served_by_other_hall =
@@ -103,7 +104,7 @@
             .repeatable()
             .send(fleet.vms[0].callers)
             .expect("an answer");
-        !own_targets.is_superset(&reply.targets().into_iter().collect())
+        !hall_b_targets.is_superset(&reply.targets().into_iter().collect())
     });
 }
 
@@ -128,14 +129,15 @@
 fn halls_cut_off_from_each_other_serve_requests_and_reconnect() {
     let mut fleet = Fleet::start(&usual_pools());
     assert!(fleet.apply(&fleet.catalogue(SERVICES)).status.success());
+    // Ports at which the fleet's first two VMs listen for peers.
     let links: Vec<Forwarder> = [9001, 9011]
         .iter()
         .map(|port| Forwarder::start(std::net::SocketAddr::new(fleet.ip, *port)))
         .collect();
     for (hall, link) in ["hall-a", "hall-b"].iter().zip(&links) {
         fleet.start_vm(hall, &format!("peers_advertised: '{}'\n", link.address));
-        let advertised = fleet.vms.len() - 1;
-        fleet.vms[advertised].peers = link.address;
+        let index = fleet.vms.len() - 1;
+        fleet.vms[index].peers = link.address;
     }
     fleet.publish_vm_list(&[]);
     fleet.wait_for_peer_discovery();
@@ -152,7 +154,8 @@
         let reply = caller_request("check", 5000).repeatable().send(fleet.vms[vm].callers);
         assert_eq!(reply.expect("an answer").outcome, "whole");
     }
-    // Through the store, a request with one id at both halls still runs once, and both VMs still get a change.
+    // Both VMs still reach the store: a request that both get under one id runs once, and both get a
+    // change.
     let replies =
         [0, 1].map(|vm| caller_request("hold", 5000).once("cut").send(fleet.vms[vm].callers));
     let whole = replies.iter().flatten().filter(|reply| reply.outcome == "whole").count();
