--- a/tests/lapsed_entries.rs
+++ b/tests/lapsed_entries.rs
@@ -1,9 +1,12 @@
-//! Entries of targets that lapse: kept for some time around an outage of the store, removed at once otherwise.
+//! Targets' entries that disappear from the store, for instance because their leases lapse: kept for
+//! some time around an outage of the store, removed at once otherwise.
 //!
-//! Guards against requests to a target after its entry was removed. A VM that has lost the store, for instance because
-//! a renewal of its lease was late, must not take that for an outage while its peers report that the store answers
-//! them. If a peer tells such a VM of a removal, it has to apply the removal at once instead of keeping the entry until
-//! an outage would be over.
+//! Guards against requests to a target after its entry was removed. A VM can lose the store while
+//! its peers still reach it, for instance because a renewal of its lease was late. If it takes that
+//! for an outage and hears of a removal from a peer, it keeps the entry for the time that an outage
+//! takes to be over, counted from then: a request reached a target 3,048 ms after its departure,
+//! where 3,000 ms are allowed. While its peers report that the store answers them, the VM has to
+//! apply the removal at once.
 
 // A failing `expect` in a fixture fails the test.
 #![allow(clippy::expect_used)]
@@ -19,13 +22,14 @@
 /// Time after which a removed target must get no more requests.
 const REMOVED_WITHIN: Duration = Duration::from_secs(2);
 
-/// Time from the store's return within which an entry that lapsed in the outage may be written again.
+/// Time from the store's return within which a target may write its entry again if it lapsed in the
+/// outage.
 const BACK_WITHIN: Duration = Duration::from_secs(2);
-/// Time from the store's return for which a lapsed entry must be kept: [`BACK_WITHIN`] less the time that VMs take
-/// to notice the return.
+/// Time from the store's return for which a lapsed entry must be kept: [`BACK_WITHIN`] less the time
+/// that VMs take to notice the return.
 const KEPT_FOR: Duration = Duration::from_millis(1500);
 
-/// Starts a VM that keeps the store, and one whose link to the store can be cut.
+/// Starts a VM that stays connected to the store, and one whose link to the store can be cut.
 fn start(site: &Site, name: &str) -> (Vm, Vm, FaultyLink) {
     let link = FaultyLink::start(site.store.address).expect("a link");
     let connected = site.start_vm(&format!("{name}-has-it"), "");
@@ -44,10 +48,10 @@
     let before = cut_off.targets();
 
     site.store.remove(&format!("servers/{}", site.plain[0].id));
-    let gone = Instant::now();
+    let removed_at = Instant::now();
     wait_until("the target is gone", || cut_off.targets() == before - 1);
 
-    assert!(gone.elapsed() < REMOVED_WITHIN, "{:?}", gone.elapsed());
+    assert!(removed_at.elapsed() < REMOVED_WITHIN, "{:?}", removed_at.elapsed());
 }
 
 #[test]
@@ -65,14 +69,18 @@
     wait_until("one VM has the store again", || {
         vms.iter().any(|vm| vm.state()["store_lost"] == json!(false))
     });
-    let back = Instant::now();
+    let store_back_at = Instant::now();
 
     let mut kept = true;
-    while back.elapsed() < KEPT_FOR {
+    while store_back_at.elapsed() < KEPT_FOR {
         kept &= vms.iter().all(|vm| vm.targets() == before);
     }
     wait_until("the target is gone", || vms.iter().all(|vm| vm.targets() == before - 1));
 
     assert!(kept, "the entry was removed before it could have been written again");
-    assert!(back.elapsed() < BACK_WITHIN + REMOVED_WITHIN, "{:?}", back.elapsed());
+    assert!(
+        store_back_at.elapsed() < BACK_WITHIN + REMOVED_WITHIN,
+        "{:?}",
+        store_back_at.elapsed()
+    );
 }
--- a/tests/leaving.rs
+++ b/tests/leaving.rs
@@ -1,5 +1,5 @@
-//! A leaving target gets no new calls within three seconds, whether the VM list or its own answer announces the
-//! departure, and a target that refuses connections costs no request.
+//! A leaving target gets no new calls later than three seconds after the VM list or its own answer
+//! has announced the departure, and a target that refuses connections makes no request fail.
 
 // A failing `expect` in a helper fails the test.
 #![allow(clippy::expect_used)]
@@ -18,25 +18,26 @@
 /// Name of the target that leaves.
 const LEAVING_TARGET: &str = "plain-1";
 
-/// Sends requests to all VMs until `during` returns; every answer must be whole.
+/// Sends requests to all VMs until `during` returns; every answer must have the outcome "whole".
 fn under_load(fleet: &Fleet, during: impl FnOnce()) {
-    let over = AtomicBool::new(false);
+    let finished = AtomicBool::new(false);
     thread::scope(|scope| {
         for vm in &fleet.vms {
-            let over = &over;
+            let finished = &finished;
             scope.spawn(move || {
-                while !over.load(Ordering::Relaxed) {
+                while !finished.load(Ordering::Relaxed) {
                     let reply = caller_request("hold", 3000).repeatable().send(vm.callers);
                     let reply = reply.expect("an answer");
                     assert_eq!(reply.outcome, "whole", "{reply:?}");
                 }
             });
         }
-        let _ends = StopOnDrop(&over);
+        let _stop_guard = StopOnDrop(&finished);
         during();
     });
 }
 
+/// Number of calls that the leaving target has recorded.
 fn calls(fleet: &Fleet) -> usize {
     fleet.record(LEAVING_TARGET).len()
 }
@@ -44,9 +45,9 @@
 /// Checks that the target gets no new calls after [`LAST_CALL_WITHIN`].
 fn assert_no_new_calls(fleet: &Fleet) {
     thread::sleep(LAST_CALL_WITHIN);
-    let then = calls(fleet);
+    let calls_before = calls(fleet);
     thread::sleep(Duration::from_millis(1500));
-    assert_eq!(calls(fleet), then, "new calls came later than {LAST_CALL_WITHIN:?}");
+    assert_eq!(calls(fleet), calls_before, "new calls came later than {LAST_CALL_WITHIN:?}");
 }
 
 #[test]
@@ -110,20 +111,21 @@
 }
 
 #[test]
-fn dead_targets_cost_no_request() {
+fn unreachable_targets_fail_no_request() {
     let mut fleet = usual_fleet(2);
     // A target at whose address nothing listens: every connection is refused.
-    let dead = format!(
+    let unreachable_target = format!(
         "target: {{name: plain-9, hall: hall-a, address: '{}:1', labels: {{pool: plain}}}}\n",
         fleet.ip
     );
-    assert!(fleet.apply(&dead).status.success());
+    assert!(fleet.apply(&unreachable_target).status.success());
     wait_until("all VMs know the target", || (0..2).all(|i| fleet.revision(i) == Some(2)));
 
     let began = Instant::now();
     let mut sent = 0;
     while began.elapsed() < Duration::from_secs(3) {
-        // The request may not be repeated: another target may be tried only if certainly nothing was sent.
+        // The request may not be repeated: another target may be tried only if certainly nothing
+        // was sent.
         let reply =
             caller_request("hold", 3000).send(fleet.vms[sent % 2].callers).expect("an answer");
         assert_eq!(reply.outcome, "whole", "{reply:?}");
@@ -132,8 +134,9 @@
 
     let state = get_json(fleet.vms[0].operations, "/state").expect("state");
     let targets = state["targets"].as_array().cloned().unwrap_or_default();
-    let dead = targets.iter().find(|t| t["name"] == "plain-9").expect("known").clone();
-    let tries = dead["calls"].as_u64().expect("a count");
-    assert!(tries <= 6, "{tries} tries at a dead target in 3 s, {sent} requests");
+    let state_of_target =
+        targets.iter().find(|t| t["name"] == "plain-9").expect("the target is known").clone();
+    let tries = state_of_target["calls"].as_u64().expect("a count");
+    assert!(tries <= 6, "{tries} tries at an unreachable target in 3 s, {sent} requests");
     fleet.kill(0);
 }
--- a/tests/mixed_versions.rs
+++ b/tests/mixed_versions.rs
@@ -1,4 +1,9 @@
-//! VMs with different versions of the configuration serve requests together, also while it changes repeatedly.
+//! VMs with different versions of the configuration serve requests together, also while it changes
+//! repeatedly.
+//!
+//! Guards against requests that fail because the pool's owner, the VM that makes the calls to its
+//! workers, has an older version without that pool; and against requests that are cut or run twice
+//! when VMs reload their settings during changes.
 
 // A failing `expect` in a fixture fails the test.
 #![allow(clippy::expect_used)]
@@ -33,6 +38,7 @@
     let worker = Runner::start("i-new-1", Behavior::Answer).expect("a runner starts");
     site.store.put("servers/i-new-1", &worker.entry("new-pool", "hall-a", "ready"));
     let link = FaultyLink::start(site.store.address).expect("a link");
+    // A VM with many more cores is preferred as the owner of a pool.
     let owner = Vm::start("mixed-owner", "hall-a", link.address, "cores: 64\n");
     site.wait_for_all_runners(&owner);
     let vm = site.start_vm("mixed-small", "cores: 0.1\n");
@@ -57,15 +63,15 @@
 
 /// Pause between two changes, shorter than the interval over which VMs collect changes.
 const CHANGE_PAUSE: Duration = Duration::from_millis(150);
-/// Changes of the configuration.
+/// Number of changes of the configuration.
 const CHANGES: u64 = 12;
 
-/// Sends requests that may not be repeated, and requests for the chain, to one VM until `over` is set. Returns how
-/// often each of the former ran, and the statuses other than 200.
-fn send_until(over: &AtomicBool, site: &Site, vm: &Vm, name: &str) -> (Vec<usize>, Vec<u16>) {
-    let (mut runs, mut other) = (Vec::new(), Vec::new());
+/// Sends requests that may not be repeated, and requests for a chain of two stages, to one VM until
+/// `finished` is set. Returns how often each of the former ran, and the statuses other than 200.
+fn send_until(finished: &AtomicBool, site: &Site, vm: &Vm, name: &str) -> (Vec<usize>, Vec<u16>) {
+    let (mut runs, mut failed_statuses) = (Vec::new(), Vec::new());
     let mut number = 0;
-    while !over.load(Ordering::Relaxed) {
+    while !finished.load(Ordering::Relaxed) {
         number += 1;
         let once = format!("once-{name}-{number}");
         let chain = format!("chain-{name}-{number}");
@@ -73,22 +79,22 @@
             post("/chain/", &chain).with_header("Pieces", "1,1").with_header("Piece-Key", "k");
         let statuses =
             [post("/once/", &once), chain].map(|call| send_expecting_answer(&call, vm).status());
-        other.extend(statuses.into_iter().filter(|status| *status != 200));
+        failed_statuses.extend(statuses.into_iter().filter(|status| *status != 200));
         runs.push(site.runs(&once));
     }
-    (runs, other)
+    (runs, failed_statuses)
 }
 
 #[test]
 fn reloads_during_a_series_of_changes_cut_and_repeat_no_request() {
     let site = Site::start();
     let vms: Vec<Vm> = ["mixed-a", "mixed-b", "mixed-c"].map(|name| site.start_vm(name, "")).into();
-    let over = AtomicBool::new(false);
+    let finished = AtomicBool::new(false);
 
     let ended = thread::scope(|scope| {
-        let (site, over) = (&site, &over);
+        let (site, finished) = (&site, &finished);
         let send = |(number, vm): (usize, _)| {
-            scope.spawn(move || send_until(over, site, vm, &number.to_string()))
+            scope.spawn(move || send_until(finished, site, vm, &number.to_string()))
         };
         let senders: Vec<_> = vms.iter().enumerate().map(send).collect();
         for version in 2..2 + CHANGES {
@@ -96,15 +102,15 @@
             vms.iter().step_by(2).for_each(|vm| vm.signal("-HUP"));
             thread::sleep(CHANGE_PAUSE);
         }
-        over.store(true, Ordering::Relaxed);
+        finished.store(true, Ordering::Relaxed);
         let ended = senders.into_iter().map(|sender| sender.join().expect("a sender ends"));
         ended.collect::<Vec<_>>()
     });
 
-    for (runs, other) in ended {
+    for (runs, failed_statuses) in ended {
         assert!(runs.len() > 5, "{}", runs.len());
         assert!(runs.iter().all(|runs| *runs == 1), "{runs:?}");
-        assert!(other.is_empty(), "{other:?}");
+        assert!(failed_statuses.is_empty(), "{failed_statuses:?}");
     }
     wait_until("the last version is in force at all VMs", || {
         vms.iter().all(|vm| vm.state()["configuration"] == json!(1 + CHANGES))
