--- a/tests/configuration.rs
+++ b/tests/configuration.rs
@@ -232,8 +232,8 @@
     fleet.wait_ready(index);
 }
 
-/// A request keeps the revision under which it began: its later stages use the selectors and targets
-/// of that revision, even if a change has removed them since.
+/// A request keeps the revision under which it began: its later stages use the selectors and
+/// targets of that revision, even if a change has removed them since.
 #[test]
 fn a_request_uses_one_revision_for_all_its_stages() {
     let fleet = usual_fleet(1);
--- a/tests/halls.rs
+++ b/tests/halls.rs
@@ -1,5 +1,5 @@
-//! Data halls that are cut off from the platform, from other halls' targets or from each other: what
-//! is served, what is refused, and how they recover. There is a test for each row of
+//! Data halls that are cut off from the platform, from other halls' targets or from each other:
+//! what is served, what is refused, and how they recover. There is a test for each row of
 //! `docs/design/cut-off.md`.
 
 // A failing `expect` in a helper fails the test.
@@ -154,8 +154,8 @@
         let reply = caller_request("check", 5000).repeatable().send(fleet.vms[vm].callers);
         assert_eq!(reply.expect("an answer").outcome, "whole");
     }
-    // Both VMs still reach the store: a request that both get under one id runs once, and both get a
-    // change.
+    // Both VMs still reach the store: a request that both get under one id runs once, and both get
+    // a change.
     let replies =
         [0, 1].map(|vm| caller_request("hold", 5000).once("cut").send(fleet.vms[vm].callers));
     let whole = replies.iter().flatten().filter(|reply| reply.outcome == "whole").count();
--- a/tests/input_release.rs
+++ b/tests/input_release.rs
@@ -32,8 +32,8 @@
     (site, vm)
 }
 
-/// Sends a request for two stages from a thread of its own; `pieces` are the numbers of pieces of the
-/// first and the second stage.
+/// Sends a request for two stages from a thread of its own; `pieces` are the numbers of pieces of
+/// the first and the second stage.
 fn send_chain_with_pieces(vm: &Vm, pieces: &str) -> JoinHandle<Option<HttpMessage>> {
     let address = vm.callers;
     let call = post("/chain/", "c-1").with_header("Pieces", pieces).with_header("Piece-Key", "k");
--- a/tests/lapsed_entries.rs
+++ b/tests/lapsed_entries.rs
@@ -1,5 +1,5 @@
-//! Targets' entries that disappear from the store, for instance because their leases lapse: kept for
-//! some time around an outage of the store, removed at once otherwise.
+//! Targets' entries that disappear from the store, for instance because their leases lapse: kept
+//! for some time around an outage of the store, removed at once otherwise.
 //!
 //! Guards against requests to a target after its entry was removed. A VM can lose the store while
 //! its peers still reach it, for instance because a renewal of its lease was late. If it takes that
@@ -25,8 +25,8 @@
 /// Time from the store's return within which a target may write its entry again if it lapsed in the
 /// outage.
 const BACK_WITHIN: Duration = Duration::from_secs(2);
-/// Time from the store's return for which a lapsed entry must be kept: [`BACK_WITHIN`] less the time
-/// that VMs take to notice the return.
+/// Time from the store's return for which a lapsed entry must be kept: [`BACK_WITHIN`] less the
+/// time that VMs take to notice the return.
 const KEPT_FOR: Duration = Duration::from_millis(1500);
 
 /// Starts a VM that stays connected to the store, and one whose link to the store can be cut.
--- a/tests/large_configuration.rs
+++ b/tests/large_configuration.rs
@@ -1,7 +1,7 @@
 //! Transfer of a large configuration to a VM, from the store over a slow link or from a peer.
 //!
-//! Guards against a VM that times out during such a transfer although bytes arrive, that reads again
-//! what it already has, or that answers 404 for a path which a newer version may have.
+//! Guards against a VM that times out during such a transfer although bytes arrive, that reads
+//! again what it already has, or that answers 404 for a path which a newer version may have.
 
 // A failing `expect` in a fixture fails the test.
 #![allow(clippy::expect_used)]
@@ -11,8 +11,8 @@
 use standins::serving_path::faulty_link::{FaultyLink, LinkMode};
 use standins::serving_path::site::{Site, Vm, default_configuration, get, send_expecting_answer};
 
-/// Rate of the slow link in bytes per second. The configuration takes over two seconds at this rate,
-/// longer than the timeout of any single answer.
+/// Rate of the slow link in bytes per second. The configuration takes over two seconds at this
+/// rate, longer than the timeout of any single answer.
 const SLOW_BYTES_PER_S: u32 = 400_000;
 /// Additional routes: almost one megabyte in the store's protocol.
 const FURTHER_ROUTES: usize = 2200;
--- a/tests/orders.rs
+++ b/tests/orders.rs
@@ -1,5 +1,5 @@
-//! Orders that bring engines into their wanted condition, such as the model to load. In each hall one
-//! VM holds the lease for giving orders, and a fencing token keeps a paused former holder from
+//! Orders that bring engines into their wanted condition, such as the model to load. In each hall
+//! one VM holds the lease for giving orders, and a fencing token keeps a paused former holder from
 //! giving outdated ones.
 
 // A failing `expect` in a helper fails the test.
@@ -76,8 +76,8 @@
         let holder = [0, 2].into_iter().find(|vm| fence(&fleet, *vm).is_some());
         let holder = holder.expect("a holder");
         let other = 2 - holder;
-        // The holder is paused at a different point of its work in each round, while it has an order
-        // to give.
+        // The holder is paused at a different point of its work in each round, while it has an
+        // order to give.
         apply_wanted_model(&fleet, &format!("old-{round}"), true);
         thread::sleep(Duration::from_millis(300 * round));
         fleet.signal(holder, "STOP");
@@ -95,8 +95,8 @@
     }
 }
 
-/// Sends an order with an outdated fence, as a former holder would that was paused between the check
-/// of its lease and the order; returns the HTTP status.
+/// Sends an order with an outdated fence, as a former holder would that was paused between the
+/// check of its lease and the order; returns the HTTP status.
 fn stale_order(fleet: &Fleet) -> u16 {
     let order = json!({ "fence": 0, "wanted": { "model": "stale" } });
     let url = format!("http://{}/v1/orders", fleet.target(ENGINE));
@@ -120,8 +120,8 @@
     apply_wanted_model(&fleet, "m1", false);
     wait_until("m1 is ordered", || model(&fleet) == "m1");
 
-    // The stale order takes effect: for about a second the engine is in the condition that the order
-    // names.
+    // The stale order takes effect: for about a second the engine is in the condition that the
+    // order names.
     assert_eq!(stale_order(&fleet), 200);
     assert_eq!(model(&fleet), "stale");
     wait_until("the holder restores the wanted model", || model(&fleet) == "m1");
--- a/tests/outcome_evidence.rs
+++ b/tests/outcome_evidence.rs
@@ -1,5 +1,8 @@
-//! Outcomes reported to callers, checked against the targets' own records of what they ran, and answers that
-//! must belong to their requests.
+//! Outcomes reported to callers, checked against the targets' own records of what they ran.
+//!
+//! Guards against outcomes that the records contradict, answers that belong to other requests,
+//! streams with lost or duplicate tokens, and engines that go on after their caller has
+//! disconnected.
 
 // A failing `expect` in a helper fails the test.
 #![allow(clippy::expect_used)]
@@ -14,9 +17,9 @@
 use standins::callers::{Calls, Submission, calls_by_request, violations};
 use support::{CallerRequest, Fleet, caller_request, usual_fleet};
 
-/// Concurrent callers.
+/// Number of concurrent callers.
 const CALLERS: usize = 8;
-/// Requests of each caller.
+/// Number of requests that each caller sends.
 const REQUESTS: usize = 40;
 
 /// Sends requests of many concurrent callers; every second request may not be repeated.
@@ -25,14 +28,14 @@
         let number = (caller * REQUESTS + index) as u64;
         let repeatable = number.is_multiple_of(2);
         let id = format!("{service}-{number}");
-        let ask = caller_request(service, 4000).body(&json!({ "q": number }).to_string());
-        let ask: CallerRequest<'_> = if repeatable {
-            ask.repeatable().header("saddlerail-request-id", &id)
+        let request = caller_request(service, 4000).body(&json!({ "q": number }).to_string());
+        let request: CallerRequest<'_> = if repeatable {
+            request.repeatable().header("saddlerail-request-id", &id)
         } else {
-            ask.once(&id)
+            request.once(&id)
         };
         let vm = &fleet.vms[index % fleet.vms.len()];
-        Submission { reply: ask.send(vm.callers), id, number, repeatable }
+        Submission { reply: request.send(vm.callers), id, number, repeatable }
     };
     thread::scope(|scope| {
         let callers: Vec<_> = (0..CALLERS)
@@ -44,36 +47,40 @@
     })
 }
 
-/// Checks that every request got an answer, that no answer contradicts the records, and that each answer lists
-/// exactly the attempts that reached a target.
+/// Checks that every request got an answer, that no answer contradicts the records, and that each
+/// answer lists exactly the attempts that reached a target.
 fn check(sent: &[Submission], calls: &Calls) {
     assert_eq!(violations(sent, calls), Vec::<String>::new());
-    for one in sent {
-        let reply = one.reply.as_ref().unwrap_or_else(|| panic!("{} got no answer", one.id));
-        let calls = calls.get(&one.id).map(Vec::as_slice).unwrap_or_default();
+    for submission in sent {
+        let reply =
+            submission.reply.as_ref().unwrap_or_else(|| panic!("{} got no answer", submission.id));
+        let calls = calls.get(&submission.id).map(Vec::as_slice).unwrap_or_default();
         if reply.outcome == "whole" {
-            let wraps = reply.body["output"]["of"]["q"].as_u64();
-            assert_eq!(wraps, Some(one.number), "{reply:?}");
+            let echoed = reply.body["output"]["of"]["q"].as_u64();
+            assert_eq!(echoed, Some(submission.number), "{reply:?}");
         }
         let mut reported = reply.targets();
         let mut ran: Vec<String> = calls.iter().map(|(target, _)| target.clone()).collect();
         reported.sort();
         ran.sort();
-        assert_eq!(reported, ran, "{}: {:?}", one.id, reply.body);
+        assert_eq!(reported, ran, "{}: {:?}", submission.id, reply.body);
     }
 }
 
+/// Sends many requests to a fleet in which three of the four plain targets show the fault in this
+/// percentage of their calls; checks and returns the answers.
 fn run_with(fault: &str, percent: u8) -> Vec<Submission> {
     let fleet = usual_fleet(2);
     for target in ["plain-1", "plain-2", "plain-3"] {
-        let switches = json!({ "fault": fault, "fault_percent": percent, "service_ms": 2 });
-        fleet.set_faults(target, &switches);
+        let faults = json!({ "fault": fault, "fault_percent": percent, "service_ms": 2 });
+        fleet.set_faults(target, &faults);
     }
     let sent = send_many(&fleet, "hold");
     check(&sent, &calls_by_request(&fleet));
     sent
 }
 
+/// Number of answers with this outcome.
 fn count(sent: &[Submission], outcome: &str) -> usize {
     sent.iter().filter(|s| s.reply.as_ref().is_some_and(|r| r.outcome == outcome)).count()
 }
@@ -114,8 +121,9 @@
         .map(|number| {
             let id = format!("hang-{number}");
             let body = json!({ "q": number }).to_string();
-            let ask = caller_request("hold", 400).repeatable().header("saddlerail-request-id", &id);
-            let reply = ask.body(&body).send(fleet.vms[0].callers);
+            let request =
+                caller_request("hold", 400).repeatable().header("saddlerail-request-id", &id);
+            let reply = request.body(&body).send(fleet.vms[0].callers);
             Submission { id, number, repeatable: true, reply }
         })
         .collect();
@@ -124,6 +132,8 @@
     assert!(count(&sent, "whole") > 0 && count(&sent, "failed") > 0);
 }
 
+/// Requests a stream and returns the raw bytes of the response, with their chunk framing, so that
+/// the final chunk or its absence is visible.
 fn raw_stream(fleet: &Fleet, repeatable: &str) -> String {
     let mut stream = TcpStream::connect(fleet.vms[0].callers).expect("connect");
     stream.set_read_timeout(Some(support::MAX_WAIT)).expect("set");
@@ -145,6 +155,7 @@
     String::from_utf8(text).expect("text")
 }
 
+/// Event ids of a stream: the numbers of its tokens.
 fn token_numbers(text: &str) -> Vec<u64> {
     text.lines().filter_map(|l| l.strip_prefix("id: ")?.parse().ok()).collect()
 }
@@ -153,8 +164,8 @@
 fn a_truncated_stream_is_recognizable() {
     let fleet = usual_fleet(1);
     for engine in ["engine-1", "engine-2"] {
-        let switches = json!({ "fault": "cut", "service_ms": 2, "token_ms": 2, "tokens": 16 });
-        fleet.set_faults(engine, &switches);
+        let faults = json!({ "fault": "cut", "service_ms": 2, "token_ms": 2, "tokens": 16 });
+        fleet.set_faults(engine, &faults);
     }
 
     let text = raw_stream(&fleet, "no");
@@ -167,11 +178,11 @@
 #[test]
 fn a_broken_stream_is_resumed_without_lost_or_duplicate_tokens() {
     let fleet = usual_fleet(1);
-    let whole = raw_stream(&fleet, "yes");
+    let uninterrupted = raw_stream(&fleet, "yes");
     for engine in ["engine-1", "engine-2"] {
-        let switches = json!({ "fault": "cut", "fault_percent": 60, "service_ms": 2, "token_ms": 2,
+        let faults = json!({ "fault": "cut", "fault_percent": 60, "service_ms": 2, "token_ms": 2,
             "tokens": 16 });
-        fleet.set_faults(engine, &switches);
+        fleet.set_faults(engine, &faults);
     }
 
     let texts: Vec<String> = (0..10).map(|_| raw_stream(&fleet, "yes")).collect();
@@ -181,11 +192,11 @@
     };
     let resumed = fleet.records().iter().filter(|(_, c)| c["resumed_after"] != 0).count();
     assert!(resumed > 0, "nothing was resumed");
-    let ended: Vec<&String> = texts.iter().filter(|t| t.ends_with("0\r\n\r\n")).collect();
-    assert!(!ended.is_empty(), "no stream was completed");
-    for text in &ended {
+    let completed: Vec<&String> = texts.iter().filter(|t| t.ends_with("0\r\n\r\n")).collect();
+    assert!(!completed.is_empty(), "no stream was completed");
+    for text in &completed {
         assert_eq!(token_numbers(text), (1..=16).collect::<Vec<_>>());
-        assert_eq!(tokens(text), tokens(&whole));
+        assert_eq!(tokens(text), tokens(&uninterrupted));
     }
     for text in texts.iter().filter(|t| !t.ends_with("0\r\n\r\n")) {
         let numbers = token_numbers(text);
@@ -199,8 +210,8 @@
 fn the_engine_stops_when_the_caller_disconnects() {
     let fleet = usual_fleet(1);
     for engine in ["engine-1", "engine-2"] {
-        let switches = json!({ "service_ms": 2, "token_ms": 5, "tokens": 2000 });
-        fleet.set_faults(engine, &switches);
+        let faults = json!({ "service_ms": 2, "token_ms": 5, "tokens": 2000 });
+        fleet.set_faults(engine, &faults);
     }
     let head = |accept: &str| {
         format!(
--- a/tests/platform_names.rs
+++ b/tests/platform_names.rs
@@ -1,4 +1,5 @@
-//! Checks on the sources: names of the users' platform occur only in its adapter, and the adapter stays small.
+//! Checks on the sources: names of the users' platform occur only in its adapter, the directory
+//! `platform`, and the adapter stays small.
 
 // A failing `unwrap` in a fixture fails the test.
 #![allow(clippy::unwrap_used)]
@@ -6,8 +7,8 @@
 use std::fs;
 use std::path::{Path, PathBuf};
 
-/// Names of the platform's protocols and data that may occur only in the adapter. Terms of the field that the platform
-/// happens to use as well are not listed.
+/// Names of the platform's protocols and data that may occur only in the adapter. Terms of the
+/// field that the platform happens to use as well are not listed.
 const PLATFORM_NAMES: [&str; 20] = [
     "deadline-milliseconds",
     "expected-instance",
@@ -34,6 +35,7 @@
 /// Directories of the sources that must not contain these names.
 const SOURCE_DIRS: [&str; 6] = ["src", "components", "daemon", "gateway", "load", "tools"];
 
+/// Adds all Rust sources below a directory to `found`, except tests and build output.
 fn rust_files(dir: &Path, found: &mut Vec<PathBuf>) {
     for entry in fs::read_dir(dir).unwrap().flatten() {
         let path = entry.path();
--- a/tests/relayed_changes.rs
+++ b/tests/relayed_changes.rs
@@ -1,4 +1,9 @@
-//! Relaying of changes in a large fleet: two VMs of each hall watch the store and pass changes on to the others.
+//! Relaying of changes in a large fleet: two VMs of each hall watch the store and pass changes on
+//! to the others.
+//!
+//! Guards against VMs that miss a change when the watching VMs are killed or lose the store, after
+//! an outage of the store, or when the store has compacted the history from which a watch would
+//! resume.
 
 // A failing `expect` in a fixture fails the test.
 #![allow(clippy::expect_used)]
@@ -9,12 +14,14 @@
 use standins::serving_path::site::{Site, Vm, default_configuration};
 use standins::serving_path::store::StoreMode;
 
-/// VMs of each hall; so many that the VMs of both halls are not all linked to each other.
+/// Number of VMs in each hall, so many that not every VM is linked to all others.
 const VMS_PER_HALL: usize = 6;
-/// Polls of the fleet between two changes that end watches.
+/// Number of polls of the fleet after which an unrelated key is changed, which ends watches that
+/// are in progress.
 const POLLS_PER_CHANGE: u32 = 20;
 const HALLS: [&str; 2] = ["hall-a", "hall-b"];
 
+/// A VM of the fleet.
 struct Member {
     vm: Vm,
     /// The VM's link to the store.
@@ -27,11 +34,13 @@
         self.vm.state()["watches_store"] == json!(true)
     }
 
+    /// Version of the configuration that is in force; 0 if none.
     fn version(&self) -> u64 {
         self.vm.state()["configuration"].as_u64().unwrap_or(0)
     }
 }
 
+/// Starts the VMs of all halls, each with a link of its own to the store.
 fn start_fleet(site: &Site, name: &str) -> Vec<Member> {
     let start = |(number, hall): (usize, &'static str)| {
         let link = FaultyLink::start(site.store.address).expect("a link");
@@ -45,12 +54,14 @@
     fleet
 }
 
-fn watchers(fleet: &[Member], hall: &str) -> usize {
+/// Number of VMs in the hall that watch the store.
+fn count_watchers(fleet: &[Member], hall: &str) -> usize {
     fleet.iter().filter(|member| member.hall == hall && member.watches()).count()
 }
 
-/// Waits until two VMs of each hall watch the store. A watch that was begun lasts until the next change, so an unrelated
-/// key is changed from time to time.
+/// Waits until two VMs of each hall watch the store. A VM that should no longer watch finishes the
+/// watch that it has begun, which lasts until the next change, so an unrelated key is changed from
+/// time to time.
 fn wait_for_two_watchers_per_hall(site: &Site, fleet: &[Member]) {
     let mut polls = 0;
     wait_until("two VMs of each hall watch", || {
@@ -58,7 +69,7 @@
         if polls % POLLS_PER_CHANGE == 0 {
             site.store.put("op/other", &json!(polls));
         }
-        HALLS.iter().all(|hall| watchers(fleet, hall) == 2)
+        HALLS.iter().all(|hall| count_watchers(fleet, hall) == 2)
     });
 }
 
--- a/tests/request_path.rs
+++ b/tests/request_path.rs
@@ -1,5 +1,5 @@
-//! The path of a request from its caller through four stages and back, the checks of its input, and the operations
-//! pages and the command-line tool, with real processes.
+//! The path of a request from its caller through four stages and back, the checks of its input, and
+//! the operations pages and the command-line tool, with real processes.
 
 // A failing `expect` in a helper fails the test.
 #![allow(clippy::expect_used)]
@@ -34,8 +34,8 @@
 fn a_stream_contains_every_token_and_the_outcome() {
     let fleet = usual_fleet(1);
 
-    let ask = caller_request("check", 5000).repeatable().header("accept", "text/event-stream");
-    let reply = ask.send(fleet.vms[0].callers).expect("an answer");
+    let request = caller_request("check", 5000).repeatable().header("accept", "text/event-stream");
+    let reply = request.send(fleet.vms[0].callers).expect("an answer");
 
     assert_eq!((reply.status, reply.outcome.as_str()), (200, "streaming"));
     let text = reply.body.as_str().expect("events").to_owned();
@@ -87,10 +87,11 @@
         let reply = request.send(to).expect("an answer");
         assert_eq!((reply.status, reply.outcome.as_str()), (status, "not-run"), "{detail}");
         assert_eq!(reply.body["reason"], reason);
-        let told = reply.body["detail"].as_str().unwrap_or_default();
-        assert!(told.contains(detail), "{told}");
+        let found = reply.body["detail"].as_str().unwrap_or_default();
+        assert!(found.contains(detail), "{found}");
     }
     let mut no_deadline = caller_request("check", 1);
+    // The deadline is the last header, and the customer the first.
     no_deadline.headers.pop();
     assert_eq!(no_deadline.send(to).expect("an answer").status, 400);
     let mut no_customer = caller_request("check", 100);
@@ -109,22 +110,25 @@
     let idle: Vec<TcpStream> = (0..1000).map(|_| TcpStream::connect(to).expect("idle")).collect();
     let mut slow = TcpStream::connect(to).expect("slow");
     slow.write_all(b"P").expect("one byte");
-    let mut half = TcpStream::connect(to).expect("half a body");
-    half.write_all(
-        b"POST /v1/services/hold HTTP/1.1\r\nhost: a\r\nsaddlerail-customer: small\r\n\
+    let mut half_sent = TcpStream::connect(to).expect("half a body");
+    half_sent
+        .write_all(
+            b"POST /v1/services/hold HTTP/1.1\r\nhost: a\r\nsaddlerail-customer: small\r\n\
           saddlerail-deadline-ms: 1000\r\ncontent-length: 100\r\n\r\n{",
-    )
-    .expect("head");
+        )
+        .expect("head");
     let served = caller_request("hold", 2000).repeatable().send(to).expect("an answer");
 
     assert_eq!(served.outcome, "whole");
     for mut connection in idle.into_iter().chain([slow]) {
         connection.set_read_timeout(Some(Duration::from_secs(10))).expect("set");
         // The daemon closes the connection, with or without an error response.
-        let _ = connection.read_to_end(&mut Vec::new()).expect("the end within the wait");
+        let _ = connection
+            .read_to_end(&mut Vec::new())
+            .expect("the connection is closed within the read timeout");
     }
     let mut answer = [0; 12];
-    half.read_exact(&mut answer).expect("an answer");
+    half_sent.read_exact(&mut answer).expect("an answer");
     assert_eq!(&answer, b"HTTP/1.1 400");
 }
 
@@ -132,8 +136,8 @@
 fn operations_pages_show_health_metrics_and_decisions() {
     let fleet = usual_fleet(2);
     let id = "explained-1";
-    let ask = caller_request("check", 5000).repeatable().header("saddlerail-request-id", id);
-    ask.send(fleet.vms[1].callers).expect("an answer");
+    let request = caller_request("check", 5000).repeatable().header("saddlerail-request-id", id);
+    request.send(fleet.vms[1].callers).expect("an answer");
 
     let page = |path: &str| {
         let url = format!("http://{}{path}", fleet.vms[1].operations);
@@ -148,9 +152,9 @@
         records[0]["outcome"] == "whole"
     });
     // The tool queries the first VM, which gets the record from the second.
-    let told = fleet.run_cli(&["explain", id]);
-    let text = String::from_utf8_lossy(&told.stdout).into_owned();
-    assert!(told.status.success() && text.matches("answered").count() == 4, "{text}");
+    let explained = fleet.run_cli(&["explain", id]);
+    let text = String::from_utf8_lossy(&explained.stdout).into_owned();
+    assert!(explained.status.success() && text.matches("answered").count() == 4, "{text}");
     assert!(!fleet.run_cli(&["explain", "no-such-id"]).status.success());
 }
 
@@ -166,7 +170,7 @@
         .expect("the tool");
     drop(tool.stdout.take());
 
-    let ended = tool.wait_with_output().expect("its end");
+    let ended = tool.wait_with_output().expect("the tool exits");
 
     assert!(ended.status.success(), "{}", String::from_utf8_lossy(&ended.stderr));
 }
--- a/tests/serving_logs.rs
+++ b/tests/serving_logs.rs
@@ -1,5 +1,8 @@
-//! Logging of the serving path when nobody reads the log, with a real process and the stand-ins of the users'
-//! platform.
+//! Logging of the serving path when nobody reads the log, with a real process and the stand-ins of
+//! the users' platform.
+//!
+//! Guards against requests that wait because a write to the full pipe of the log blocks: lines have
+//! to be dropped and counted instead.
 
 // A failing `expect` in a fixture fails the test.
 #![allow(clippy::expect_used)]
@@ -9,16 +12,18 @@
 
 use standins::serving_path::site::{Site, Vm, get, send_expecting_answer};
 
-/// Requests whose log lines are several times what the pipe and the queue of lines in memory hold.
+/// Number of requests, whose log lines are several times what the pipe and the queue of lines in
+/// memory hold.
 const FLOOD_REQUESTS: u32 = 2500;
 
-/// Longest permitted time of an answer while nobody reads the log, far below the pause that a blocked write causes.
+/// Longest permitted time of an answer while nobody reads the log, far below the pause that a
+/// blocked write causes.
 const MAX_LATENCY: Duration = Duration::from_secs(1);
 
 #[test]
 fn an_unread_log_does_not_delay_requests_and_dropped_lines_are_counted() {
     let site = Site::start();
-    let (vm, out) = Vm::start_piped("flood", site.store.address);
+    let (vm, log_pipe) = Vm::start_piped("flood", site.store.address);
     site.wait_for_all_runners(&vm);
 
     let slowest = (0..FLOOD_REQUESTS)
@@ -30,7 +35,7 @@
             began.elapsed()
         })
         .max();
-    let mut lines = BufReader::new(out).lines().map_while(Result::ok);
+    let mut lines = BufReader::new(log_pipe).lines().map_while(Result::ok);
     let dropped = lines.by_ref().find(|line| line.contains("log lines dropped"));
 
     assert!(slowest.is_some_and(|slowest| slowest < MAX_LATENCY), "{slowest:?}");
--- a/tests/silent_watches.rs
+++ b/tests/silent_watches.rs
@@ -1,4 +1,5 @@
-//! A watch of the store whose connection has become silent permanently, while new connections work.
+//! A watch of the store whose connection delivers nothing any more but stays open, while new
+//! connections work.
 
 // A failing `expect` in a fixture fails the test.
 #![allow(clippy::expect_used)]
@@ -10,14 +11,17 @@
 use standins::serving_path::faulty_link::FaultyLink;
 use standins::serving_path::site::{Site, Vm, get, send_expecting_answer};
 
-/// Time after the announcement of a departure from which the target must get no requests.
+/// Time after the announcement of a departure from which the platform tolerates no requests at the
+/// target.
 const NO_REQUESTS_AFTER: Duration = Duration::from_secs(2);
 
-fn knows_one_leaving(vm: &Vm) -> bool {
+/// Whether the VM has logged that a target leaves.
+fn has_logged_departure(vm: &Vm) -> bool {
     vm.log().contains("leaving=true")
 }
 
-/// Guards against a VM that sends requests to targets that left, because its silent watch is still waiting.
+/// Guards against a VM that sends requests to targets that left, for as long as its silent watch
+/// may wait.
 #[test]
 fn a_vm_whose_watch_is_silent_learns_of_departures_from_its_peers() {
     let site = Site::start();
@@ -26,6 +30,7 @@
     site.wait_for_all_runners(&vm);
     let peer = site.start_vm("silent-watch-peer", "");
     wait_until("the VMs are linked", || vm.linked_peers() == 1 && peer.linked_peers() == 1);
+    // Lets the VM begin its watch: only connections that wait for an answer become silent.
     std::thread::sleep(Duration::from_secs(1));
 
     link.blackhole_waiting();
@@ -33,7 +38,7 @@
     let mut entry = leaving.entry("plain", "hall-a", "draining");
     entry["sequence"] = json!(2);
     site.store.put(&format!("servers/{}", leaving.id), &entry);
-    wait_until("the peer knows of the departure", || knows_one_leaving(&peer));
+    wait_until("the peer knows of the departure", || has_logged_departure(&peer));
     let known_at = Instant::now();
     std::thread::sleep(NO_REQUESTS_AFTER);
     for number in 0..20 {
--- a/tests/soak.rs
+++ b/tests/soak.rs
@@ -1,4 +1,5 @@
-//! Short randomized runs with fixed seeds. Every seed that ever failed is among them, with the cause of its failure.
+//! Short randomized runs with fixed seeds. Every seed that ever failed is among them, with the
+//! cause of its failure.
 
 use std::time::Duration;
 
@@ -7,14 +8,15 @@
 
 /// Seeds of runs with random faults.
 ///
-/// 503 guards against VMs that don't share a crash at once: one request crashes six runners.
-/// 803 guards against VMs that ignore departures announced in answers: engines and plain targets get requests seconds
-/// after such an announcement.
+/// 503 guards against VMs that don't tell each other of a crash at once: one request then crashes
+/// six runners.
+/// 803 guards against VMs that ignore departures announced in answers: engines and plain targets
+/// then get requests seconds after such an announcement.
 const SEEDS: [u64; 4] = [1, 2, 503, 803];
-/// Seeds of runs with planned stops. Both guard against a stopping VM that doesn't answer the requests that it can't
-/// serve.
+/// Seeds of runs with planned stops. Both guard against a stopping VM that doesn't answer the
+/// requests that it can't serve.
 const STOP_SEEDS: [u64; 2] = [1, 2];
-/// Callers in a run with planned stops.
+/// Number of callers in a run with planned stops.
 const STOP_CALLERS: u64 = 12;
 /// Time for which a run injects faults.
 const FAULT_TIME: Duration = Duration::from_secs(4);
--- a/tests/stops.rs
+++ b/tests/stops.rs
@@ -1,4 +1,5 @@
-//! A planned stop of a VM cuts no request and no stream, and callers behind a balancer don't notice it.
+//! A planned stop of a VM cuts no request and no stream, and callers behind a load balancer don't
+//! notice it.
 
 // A failing `expect` in a helper fails the test.
 #![allow(clippy::expect_used)]
@@ -15,14 +16,16 @@
     CallerRequest, Fleet, Reply, StopOnDrop, agent, caller_request, usual_fleet, wait_until,
 };
 
-/// A load balancer that probes the readiness of each VM and sends a request to one that is ready. If a connection is
-/// refused, it tries the next VM.
+/// A load balancer that probes the readiness of each VM and sends a request to one that is ready.
+/// If a connection is refused, it tries the next VM.
 struct Balancer {
+    /// Whether each VM was ready at its last probe.
     ready: Vec<AtomicBool>,
+    /// Number of the next try; its remainder selects the VM.
     next: AtomicUsize,
 }
 
-/// Pause between two probes.
+/// Pause between two probes of all VMs.
 const PROBE_PAUSE: Duration = Duration::from_millis(50);
 
 impl Balancer {
@@ -31,17 +34,22 @@
         Balancer { ready, next: AtomicUsize::new(0) }
     }
 
-    fn probe(&self, pages: &[std::net::SocketAddr], over: &AtomicBool) {
-        while !over.load(Ordering::Relaxed) {
-            for (page, ready) in pages.iter().zip(&self.ready) {
-                let status = agent().get(format!("http://{page}/ready")).call();
-                ready.store(status.is_ok_and(|rx| rx.status() == 200), Ordering::Relaxed);
+    /// Probes the readiness page of each VM until `finished` is set.
+    fn probe(&self, operations: &[std::net::SocketAddr], finished: &AtomicBool) {
+        while !finished.load(Ordering::Relaxed) {
+            for (address, ready) in operations.iter().zip(&self.ready) {
+                let status = agent().get(format!("http://{address}/ready")).call();
+                ready.store(
+                    status.is_ok_and(|response| response.status() == 200),
+                    Ordering::Relaxed,
+                );
             }
             thread::sleep(PROBE_PAUSE);
         }
     }
 
-    fn send(&self, callers: &[std::net::SocketAddr], ask: &CallerRequest<'_>) -> Option<Reply> {
+    /// Sends a request to a ready VM; `None` if none accepts it or the connection is cut.
+    fn send(&self, callers: &[std::net::SocketAddr], request: &CallerRequest<'_>) -> Option<Reply> {
         for _ in 0..100 {
             let index = self.next.fetch_add(1, Ordering::Relaxed) % callers.len();
             if !self.ready[index].load(Ordering::Relaxed) {
@@ -51,13 +59,14 @@
             if std::net::TcpStream::connect(callers[index]).is_err() {
                 continue;
             }
-            return ask.send(callers[index]);
+            return request.send(callers[index]);
         }
         None
     }
 }
 
-/// A fleet whose requests take longer than the notice period of a stop, so that some are in work during the stop.
+/// A fleet whose requests take longer than the notice period of a stop, so that some are in work
+/// during the stop.
 fn slow_fleet() -> Fleet {
     let fleet = usual_fleet(3);
     for target in ["plain-1", "plain-2", "plain-3", "plain-4"] {
@@ -69,28 +78,32 @@
     fleet
 }
 
-/// Sends plain and streamed requests through the balancer while `during` stops VMs; every answer must be whole. Returns
-/// the number of answers.
+/// Sends plain and streamed requests through the balancer while `during` stops VMs; every answer
+/// must have the outcome "whole". Returns the number of answers.
 fn under_load(fleet: &Mutex<Fleet>, during: impl FnOnce()) -> usize {
-    let over = AtomicBool::new(false);
-    let (callers, pages): (Vec<_>, Vec<_>) = {
+    let finished = AtomicBool::new(false);
+    let (callers, operations): (Vec<_>, Vec<_>) = {
         let fleet = fleet.lock().expect("fleet");
         fleet.vms.iter().map(|vm| (vm.callers, vm.operations)).unzip()
     };
     let balancer = Balancer::new(callers.len());
     let answered = AtomicUsize::new(0);
     thread::scope(|scope| {
-        scope.spawn(|| balancer.probe(&pages, &over));
+        scope.spawn(|| balancer.probe(&operations, &finished));
         for number in 0..6 {
-            let (balancer, callers, over, answered) = (&balancer, &callers, &over, &answered);
+            let (balancer, callers, finished, answered) =
+                (&balancer, &callers, &finished, &answered);
             scope.spawn(move || {
-                while !over.load(Ordering::Relaxed) {
+                while !finished.load(Ordering::Relaxed) {
                     let streamed = number % 2 == 0;
-                    let ask = caller_request("check", 10_000);
-                    let ask =
-                        if streamed { ask.header("accept", "text/event-stream") } else { ask };
+                    let request = caller_request("check", 10_000);
+                    let request = if streamed {
+                        request.header("accept", "text/event-stream")
+                    } else {
+                        request
+                    };
                     let reply = balancer
-                        .send(callers, &ask)
+                        .send(callers, &request)
                         .expect("the request was cut, or no VM is ready");
                     let whole = if streamed {
                         let text = reply.body.as_str().unwrap_or_default().to_owned();
@@ -103,7 +116,7 @@
                 }
             });
         }
-        let _ends = StopOnDrop(&over);
+        let _stop_guard = StopOnDrop(&finished);
         during();
     });
     answered.into_inner()
@@ -114,8 +127,8 @@
     let fleet = Mutex::new(slow_fleet());
     let answered = under_load(&fleet, || {
         thread::sleep(Duration::from_millis(500));
-        let took = fleet.lock().expect("fleet").stop(0);
-        assert!(took < Duration::from_secs(15), "{took:?}");
+        let stop_time = fleet.lock().expect("fleet").stop(0);
+        assert!(stop_time < Duration::from_secs(15), "{stop_time:?}");
         thread::sleep(Duration::from_millis(500));
     });
     assert!(answered > 10, "{answered}");
@@ -148,14 +161,17 @@
     let to = fleet.vms[0].callers;
     let began = Instant::now();
     let repeatable = thread::spawn(move || caller_request("hold", 20_000).repeatable().send(to));
-    let once = thread::spawn(move || caller_request("hold", 20_000).send(to));
+    let not_repeatable = thread::spawn(move || caller_request("hold", 20_000).send(to));
     wait_until("both calls run", || fleet.records().len() == 2);
 
     fleet.stop(0);
 
     let repeatable = repeatable.join().expect("sender").expect("an answer");
-    let once = once.join().expect("sender").expect("an answer");
+    let not_repeatable = not_repeatable.join().expect("sender").expect("an answer");
     assert!(began.elapsed() < Duration::from_secs(6));
-    assert_eq!((repeatable.outcome.as_str(), once.outcome.as_str()), ("failed", "unknown"));
-    assert_eq!(once.body["reason"], "stopping");
+    assert_eq!(
+        (repeatable.outcome.as_str(), not_repeatable.outcome.as_str()),
+        ("failed", "unknown")
+    );
+    assert_eq!(not_repeatable.body["reason"], "stopping");
 }
--- a/tests/support/forwarder.rs
+++ b/tests/support/forwarder.rs
@@ -10,7 +10,9 @@
 pub struct Forwarder {
     /// Address at which it listens.
     pub address: SocketAddr,
+    /// Whether new connections are closed at once.
     cut: Arc<AtomicBool>,
+    /// Both sides of the connections that were opened since the last cut.
     open: Arc<Mutex<Vec<TcpStream>>>,
 }
 
@@ -23,17 +25,17 @@
         let open: Arc<Mutex<Vec<TcpStream>>> = Arc::default();
         let (is_cut, opened) = (Arc::clone(&cut), Arc::clone(&open));
         thread::spawn(move || {
-            for near in listener.incoming().flatten() {
+            for client in listener.incoming().flatten() {
                 if is_cut.load(Ordering::SeqCst) {
                     // The connection is closed at once, similar to a refused one.
                     continue;
                 }
-                let Ok(far) = TcpStream::connect(to) else { continue };
+                let Ok(server) = TcpStream::connect(to) else { continue };
                 let mut open = opened.lock().expect("lock");
-                open.extend([near.try_clone(), far.try_clone()].into_iter().flatten());
+                open.extend([client.try_clone(), server.try_clone()].into_iter().flatten());
                 drop(open);
-                forward(&near, &far);
-                forward(&far, &near);
+                forward(&client, &server);
+                forward(&server, &client);
             }
         });
         Forwarder { address, cut, open }
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -1,4 +1,5 @@
-//! Shared fixtures of the tests with real processes: requests of callers, the usual services, pools and fleet.
+//! Shared fixtures of the tests with real processes: requests of callers, the usual services, pools
+//! and fleet.
 
 // Each test file uses only some of the items; a failing `expect` in a fixture fails the test.
 #![allow(dead_code, unused_imports, clippy::expect_used)]
@@ -19,7 +20,8 @@
     }
 }
 
-/// Configuration of the services: `hold` with one plain stage, and `check` with three plain stages and a streamed one.
+/// Configuration of the services: `hold` with one plain stage, and `check` with three plain stages
+/// and a streamed one.
 pub const SERVICES: &str = "\
 service: {name: hold, priority: interactive, stages: [{name: place, select: {all: {pool: plain}}}]}
 ---
@@ -44,8 +46,8 @@
     ]
 }
 
-/// Starts a fleet with the usual pools and services and with this many VMs, alternately in hall-a and hall-b; waits until
-/// the VMs know each other.
+/// Starts a fleet with the usual pools and services and with this many VMs, alternately in hall-a
+/// and hall-b; waits until the VMs know each other.
 pub fn usual_fleet(vms: usize) -> Fleet {
     let mut fleet = Fleet::start(&usual_pools());
     let applied = fleet.apply(&fleet.catalogue(SERVICES));
--- a/tests/tool.rs
+++ b/tests/tool.rs
@@ -1,4 +1,5 @@
-//! The command-line tool's commands that only read files: `trace` and `report` on logs, `check` on configurations.
+//! The command-line tool's commands that only read files: `trace` and `report` on logs, `check` on
+//! configurations.
 
 // A failing `expect` in a fixture fails the test.
 #![allow(clippy::expect_used)]
@@ -7,7 +8,8 @@
 
 use serde_json::Value;
 
-fn tool(args: &[&str]) -> Output {
+/// Runs the tool in the directory of the sources.
+fn run_tool(args: &[&str]) -> Output {
     let out = Command::new(env!("CARGO_BIN_EXE_saddlerail"))
         .args(args)
         .current_dir(env!("CARGO_MANIFEST_DIR"))
@@ -15,7 +17,7 @@
     out.expect("the tool runs")
 }
 
-fn text(out: &Output) -> String {
+fn stdout_text(out: &Output) -> String {
     String::from_utf8_lossy(&out.stdout).into_owned()
 }
 
@@ -24,10 +26,10 @@
 
 #[test]
 fn trace_shows_the_events_of_a_request_in_order() {
-    let out = tool(&["trace", "3e9861d31f5c3ff3", LOG]);
+    let out = run_tool(&["trace", "3e9861d31f5c3ff3", LOG]);
 
     assert!(out.status.success());
-    let text = text(&out);
+    let text = stdout_text(&out);
     let lines: Vec<&str> = text.lines().collect();
     assert_eq!(lines.len(), 4, "{text}");
     assert!(lines[0].contains("0 ms") && lines[0].contains("admitted"));
@@ -38,9 +40,9 @@
 #[test]
 fn trace_shows_all_attempts_at_one_request() {
     let fatal = "tests/fixtures/logs/fatal.log";
-    let out = tool(&["trace", "156569f2d3d67849f56b3f9cb420d20c", fatal]);
+    let out = run_tool(&["trace", "156569f2d3d67849f56b3f9cb420d20c", fatal]);
 
-    let text = text(&out);
+    let text = stdout_text(&out);
     let lines: Vec<&str> = text.lines().collect();
     assert_eq!(lines.len(), 7, "{text}");
     assert!(lines[0].contains("connection broke under a request"));
@@ -50,9 +52,9 @@
 
 #[test]
 fn trace_shows_how_each_vm_learned_of_a_departure() {
-    let out = tool(&["trace", "i-plain-1", "tests/fixtures/logs/leaving.log"]);
+    let out = run_tool(&["trace", "i-plain-1", "tests/fixtures/logs/leaving.log"]);
 
-    let text = text(&out);
+    let text = stdout_text(&out);
     let announcements: Vec<&str> =
         text.lines().filter(|line| line.contains("that it leaves")).collect();
     assert_eq!(announcements.len(), 2, "{text}");
@@ -66,9 +68,9 @@
 
 #[test]
 fn trace_prints_fields_as_json() {
-    let out = tool(&["trace", "3e9861d31f5c3ff3", LOG, "--output", "json"]);
+    let out = run_tool(&["trace", "3e9861d31f5c3ff3", LOG, "--output", "json"]);
 
-    let lines: Value = serde_json::from_str(&text(&out)).expect("JSON");
+    let lines: Value = serde_json::from_str(&stdout_text(&out)).expect("JSON");
     assert_eq!(lines[2]["missed"], "Lost(\"connection error\")");
     assert_eq!(lines[2]["at_ms"], "2675");
     assert_eq!(lines[3]["outcome"], "unknown");
@@ -76,8 +78,8 @@
 
 #[test]
 fn trace_fails_if_no_line_names_the_request_or_a_file_is_missing() {
-    let unknown = tool(&["trace", "nobody", LOG]);
-    let missing = tool(&["trace", "nobody", "tests/fixtures/logs/none.log"]);
+    let unknown = run_tool(&["trace", "nobody", LOG]);
+    let missing = run_tool(&["trace", "nobody", "tests/fixtures/logs/none.log"]);
 
     assert!(!unknown.status.success() && !missing.status.success());
     assert!(String::from_utf8_lossy(&unknown.stderr).contains("no line"));
@@ -86,11 +88,11 @@
 
 #[test]
 fn check_summarizes_a_valid_configuration_and_reports_errors_of_an_invalid_one() {
-    let good = tool(&["check", "platform/tests/fixtures/good/whole.json"]);
-    let bad = tool(&["check", "platform/tests/fixtures/bad/stage-needs-later.json"]);
+    let good = run_tool(&["check", "platform/tests/fixtures/good/whole.json"]);
+    let bad = run_tool(&["check", "platform/tests/fixtures/bad/stage-needs-later.json"]);
 
     assert!(good.status.success());
-    let text = text(&good);
+    let text = stdout_text(&good);
     assert!(text.starts_with("version 7, 3 services, 3 keys"), "{text}");
     assert!(text.contains("jepu9.example/cufi/: engine (1), stream, runs once"), "{text}");
     assert!(!bad.status.success());
@@ -108,38 +110,39 @@
     std::fs::write(&path, newer.to_string()).expect("a file for the test");
     let newer = path.display().to_string();
 
-    let same = tool(&["check", file, "--against", file]);
-    let changed = tool(&["check", &newer, "--against", file]);
-    let json = tool(&["check", &newer, "--against", file, "--output", "json"]);
+    let same = run_tool(&["check", file, "--against", file]);
+    let changed = run_tool(&["check", &newer, "--against", file]);
+    let json = run_tool(&["check", &newer, "--against", file, "--output", "json"]);
 
-    assert_eq!(text(&same), "nothing would change\n");
-    let lines = text(&changed);
+    assert_eq!(stdout_text(&same), "nothing would change\n");
+    let lines = stdout_text(&changed);
     let lines: Vec<&str> = lines.lines().collect();
     assert_eq!(lines.len(), 2, "{lines:?}");
     assert!(lines[0].starts_with("- entry ") && lines[1].starts_with("+ entry "), "{lines:?}");
     assert!(lines[1].contains("longest 77 ms"), "{lines:?}");
-    let json: Value = serde_json::from_str(&text(&json)).expect("JSON");
+    let json: Value = serde_json::from_str(&stdout_text(&json)).expect("JSON");
     assert_eq!(json.as_array().map(Vec::len), Some(1));
     drop(std::fs::remove_file(path));
 }
 
 #[test]
 fn report_shows_the_use_of_room_and_the_callers_of_workers() {
-    let report = tool(&["report", LOG, "--output", "json"]);
+    let report = run_tool(&["report", LOG, "--output", "json"]);
 
-    let charts: Value = serde_json::from_str(&text(&report)).expect("JSON");
+    let charts: Value = serde_json::from_str(&stdout_text(&report)).expect("JSON");
+    // Points of one line of the chart with this title.
     let points = |title: &str, line: &str| {
         let charts = charts.as_array().expect("charts");
         let chart = charts.iter().find(|chart| chart["title"] == title).expect("the chart");
         chart["lines"][line].clone()
     };
-    let at = |second: f64, value: f64| serde_json::json!([[second, value]]);
+    let one_point = |second: f64, value: f64| serde_json::json!([[second, value]]);
     let room = "Room of all pools, by what takes it";
-    assert_eq!(points(room, "waiting to be used"), at(2.0, 30.0));
-    assert_eq!(points("Room used, by pool", "encode"), at(2.0, 90.0));
-    assert_eq!(points("Pieces not made, by cause", "no room"), at(3.0, 2.0));
-    assert_eq!(points("VMs that fill calls, by pool", "encode"), at(3.0, 2.0));
-    assert_eq!(points("Workers that two VMs or more call, by pool", "encode"), at(3.0, 1.0));
+    assert_eq!(points(room, "waiting to be used"), one_point(2.0, 30.0));
+    assert_eq!(points("Room used, by pool", "encode"), one_point(2.0, 90.0));
+    assert_eq!(points("Pieces not made, by cause", "no room"), one_point(3.0, 2.0));
+    assert_eq!(points("VMs that fill calls, by pool", "encode"), one_point(3.0, 2.0));
+    assert_eq!(points("Workers that two VMs or more call, by pool", "encode"), one_point(3.0, 1.0));
 }
 
 #[test]
@@ -147,11 +150,11 @@
     let page = std::env::temp_dir().join(format!("saddlerail-report-{}.html", std::process::id()));
     let path = page.display().to_string();
 
-    let report = tool(&["report", LOG, "--output", "json"]);
-    let page_report = tool(&["report", LOG, "--page", &path]);
-    let nothing = tool(&["report", "tests/fixtures/logs/empty.log"]);
+    let report = run_tool(&["report", LOG, "--output", "json"]);
+    let page_report = run_tool(&["report", LOG, "--page", &path]);
+    let nothing = run_tool(&["report", "tests/fixtures/logs/empty.log"]);
 
-    let charts: Value = serde_json::from_str(&text(&report)).expect("JSON");
+    let charts: Value = serde_json::from_str(&stdout_text(&report)).expect("JSON");
     assert_eq!(charts[0]["title"], "Requests by outcome");
     assert_eq!(charts[0]["lines"]["unknown"].as_array().map(Vec::len), Some(1), "{charts}");
     assert_eq!(charts[2]["lines"].as_object().map(|lines| lines.len()), Some(1), "{charts}");
