--- a/tests/departures.rs
+++ b/tests/departures.rs
@@ -1,11 +1,14 @@
-//! Targets that announce in their answers that they are leaving, or that they request a backoff.
+//! Targets that announce in their answers that they are leaving (`Server-Leaving`), or that ask for
+//! a backoff (`Retry-After`).
 //!
-//! Guards against requests to a target whose own answers have announced its departure. While the store is
-//! silent, a leaving target can't update its entry. A VM that relied on the entry alone and ignored the answers
-//! would keep sending it requests until the store is back, many seconds later.
+//! Guards against requests to a target whose own answers have announced its departure. During an
+//! outage of the store, a leaving target can't update its store entry: 13 s have passed before an
+//! engine could do so. A VM that relied on the entry alone and ignored the answers would keep
+//! sending requests to the target until then; some arrived 10 s after the announcement.
 //!
-//! In a log the failure shows as `target says that it leaves` with `entry_leaving=false`, followed by tries at
-//! that target with `said_leaving_ms` of up to several thousand.
+//! In a log the failure shows as `target says that it leaves` with `entry_leaving=false`, followed
+//! by tries at that target whose `said_leaving_ms` (milliseconds since the announcement) is up to
+//! several thousand.
 
 // A failing `expect` in a fixture fails the test.
 #![allow(clippy::expect_used)]
@@ -19,12 +22,14 @@
 use standins::serving_path::site::{Site, Vm, get, post, send_expecting_answer};
 use standins::serving_path::store::StoreMode;
 
-/// Requests after an announcement: so many that each of two targets in use would get some of them.
+/// Requests after an announcement. There are so many that each of two targets in use would get
+/// some.
 const REQUESTS: usize = 24;
 /// A request that was sent before its VM learned of an announcement arrives within this time.
 const IN_FLIGHT: Duration = Duration::from_millis(300);
 
-/// Additional time that the second worker of the pool takes, so that the first is preferred whenever it is eligible.
+/// Additional time that the second worker of the pool takes, so that the first is preferred
+/// whenever it is eligible.
 const EXTRA_TIME: Duration = Duration::from_millis(60);
 
 /// Makes the second worker the slower one.
@@ -34,11 +39,11 @@
 
 /// Upper bound for an answer that is given without waiting.
 const IMMEDIATE: Duration = Duration::from_millis(250);
-/// Time within which a linked VM learns of a departure, including the time to read its state. Announcements are
-/// sent at once, not with the next heartbeat.
+/// Time within which a linked VM learns of a departure, including the time to read its state.
+/// Announcements are sent at once, not with the next heartbeat.
 const PROPAGATED_WITHIN: Duration = Duration::from_millis(500);
 
-/// A request with two stages before its engine.
+/// A request with two stages of one piece each before its engine.
 fn chain(id: &str) -> Call {
     post("/chain/", id).with_header("Pieces", "1,1").with_header("Piece-Key", "secret")
 }
@@ -97,17 +102,17 @@
     let vm = site.start_vm("alone", "");
     let repeat = |id: &str| get("/repeat/", id);
     slow_second_worker(&site);
-    let wants = [&site.plain[0], &site.pool[0]];
-    wants.iter().for_each(|target| target.queue_behaviors(&[Behavior::DeclineFor("30")]));
-    send_until_answered_by(wants[0], &vm, repeat, "repeat");
-    send_until_answered_by(wants[1], &vm, chain, "chain");
+    let backing_off = [&site.plain[0], &site.pool[0]];
+    backing_off.iter().for_each(|target| target.queue_behaviors(&[Behavior::DeclineFor("30")]));
+    send_until_answered_by(backing_off[0], &vm, repeat, "repeat");
+    send_until_answered_by(backing_off[1], &vm, chain, "chain");
     std::thread::sleep(IN_FLIGHT);
 
     let since = Instant::now();
     let not_ok = [statuses_not_ok(&vm, repeat, "repeat"), statuses_not_ok(&vm, chain, "chain")];
 
     assert_eq!(
-        wants.map(|target| target.received_after(since)),
+        backing_off.map(|target| target.received_after(since)),
         [0, 0],
         "requests during the backoff"
     );
@@ -120,41 +125,42 @@
     let vm = site.start_vm("back", "");
     let (leaving, repeat) = (&site.plain[0], |id: &str| get("/repeat/", id));
     let key = format!("servers/{}", leaving.id);
-    let write = |sequence: u64, born: u64| {
+    let write_entry = |sequence: u64, born: u64| {
         let mut entry = leaving.entry("plain", "hall-a", "ready");
         entry["sequence"] = json!(sequence);
         entry["born"] = json!(born);
         site.store.put(&key, &entry);
     };
-    let wait_logged = |what: &str, count: usize| {
+    let wait_logged = |event: &str, count: usize| {
         let line = format!("target={}", leaving.id);
-        let known = || vm.log().lines().filter(|l| l.contains(what) && l.contains(&line)).count();
-        wait_until("the VM knows of the entry", || known() >= count);
+        let logged_count =
+            || vm.log().lines().filter(|l| l.contains(event) && l.contains(&line)).count();
+        wait_until("the VM knows of the entry", || logged_count() >= count);
     };
-    write(2, 1_000);
+    write_entry(2, 1_000);
     wait_logged("target known", 2);
     leaving.set_leaving(true);
     send_until_answered_by(leaving, &vm, repeat, "back");
     std::thread::sleep(IN_FLIGHT);
     let since = Instant::now();
 
-    write(3, 1_000);
+    write_entry(3, 1_000);
     wait_logged("target known", 3);
     let not_ok_rewritten = statuses_not_ok(&vm, repeat, "rewritten");
     site.store.remove(&key);
     wait_logged("target gone", 1);
-    write(4, 1_000);
+    write_entry(4, 1_000);
     wait_logged("target known", 4);
     let not_ok_returned = statuses_not_ok(&vm, repeat, "returned");
-    let later = leaving.received_after(since);
+    let received = leaving.received_after(since);
     leaving.set_leaving(false);
-    write(5, 2_000);
+    write_entry(5, 2_000);
     wait_logged("target known", 5);
     site.plain[1].set_leaving(true);
     send_until_answered_by(&site.plain[1], &vm, repeat, "other");
     let not_ok_reborn = statuses_not_ok(&vm, repeat, "reborn");
 
-    assert_eq!(later, 0, "requests within the lifetime that announced its departure");
+    assert_eq!(received, 0, "requests within the lifetime that announced its departure");
     assert_eq!([not_ok_rewritten, not_ok_returned].concat(), Vec::<u16>::new());
     assert_eq!(not_ok_reborn, Vec::<u16>::new(), "a later lifetime is used like any other target");
 }
@@ -168,23 +174,23 @@
     site.store.set_mode(StoreMode::Unresponsive);
     leaving.set_leaving(true);
     send_until_answered_by(leaving, &vms[0], repeat, "tells");
-    let told = Instant::now();
+    let announced_at = Instant::now();
     wait_until("the other VM knows of the departure", || {
         !vms[1].state_list("targets_leaving").is_empty()
     });
-    let took = told.elapsed();
+    let took = announced_at.elapsed();
 
     let since = Instant::now();
     let not_ok = statuses_not_ok(&vms[1], repeat, "hears");
     site.store.set_mode(StoreMode::Normal);
-    let starts = site.start_vm("starts", "");
+    let started = site.start_vm("starts", "");
     wait_until("a VM that starts knows of the departure", || {
-        !starts.state_list("targets_leaving").is_empty()
+        !started.state_list("targets_leaving").is_empty()
     });
-    let not_ok_later = statuses_not_ok(&starts, repeat, "starts");
+    let not_ok_started = statuses_not_ok(&started, repeat, "starts");
 
     assert_eq!(leaving.received_after(since), 0, "requests from a VM that knows of the departure");
-    assert_eq!([not_ok, not_ok_later].concat(), Vec::<u16>::new());
+    assert_eq!([not_ok, not_ok_started].concat(), Vec::<u16>::new());
     assert!(took < PROPAGATED_WITHIN, "{took:?}");
 }
 
@@ -217,22 +223,23 @@
 fn an_announcement_in_an_unverified_answer_is_ignored() {
     let site = Site::start();
     let vm = site.start_vm("not-own", "");
-    let (other, sound) = (&site.plain[0], &site.plain[1]);
+    let (other, tested) = (&site.plain[0], &site.plain[1]);
     let repeat = |id: &str| get("/repeat/", id);
-    // A target that failed is chosen only after the other one. The other one leaves, so that this one is used.
+    // After a failure a target is chosen only after the other one. The other one therefore leaves,
+    // so that all requests go to the target under test.
     other.set_leaving(true);
     send_until_answered_by(other, &vm, repeat, "other");
-    sound.set_leaving(true);
-    sound.queue_behaviors(&[Behavior::Cross, Behavior::Unsigned, Behavior::Encoded]);
+    tested.set_leaving(true);
+    tested.queue_behaviors(&[Behavior::Cross, Behavior::Unsigned, Behavior::Encoded]);
     for number in 0..3 {
-        send_until_answered_by(sound, &vm, repeat, &format!("spoilt-{number}"));
+        send_until_answered_by(tested, &vm, repeat, &format!("spoilt-{number}"));
     }
-    sound.set_leaving(false);
+    tested.set_leaving(false);
 
     let since = Instant::now();
-    send_until_answered_by(sound, &vm, repeat, "own");
+    send_until_answered_by(tested, &vm, repeat, "own");
 
-    assert!(sound.received_after(since) > 0);
+    assert!(tested.received_after(since) > 0);
     assert_eq!(vm.state_list("targets_leaving").len(), 1, "{:?}", vm.state()["targets_leaving"]);
 }
 
@@ -243,15 +250,15 @@
     let repeat = |id: &str| get("/repeat/", id);
     Site::queue_behavior(&site.plain, &Behavior::DeclineFor("1.5"));
 
-    let turned_away = send_expecting_answer(&repeat("when-1"), &vm);
-    let asked = Instant::now();
+    let declined = send_expecting_answer(&repeat("when-1"), &vm);
+    let sent_at = Instant::now();
     let refused = send_expecting_answer(&repeat("when-2"), &vm);
-    let took = asked.elapsed();
+    let took = sent_at.elapsed();
     let retry_after: f64 = refused.header("retry-after").parse().expect("seconds");
     std::thread::sleep(Duration::from_secs_f64(retry_after));
     let served = send_expecting_answer(&repeat("when-3"), &vm);
 
-    assert_eq!((turned_away.status(), refused.status()), (503, 503));
+    assert_eq!((declined.status(), refused.status()), (503, 503));
     assert!(took < IMMEDIATE, "{took:?}");
     assert!((1.0..2.5).contains(&retry_after), "{retry_after}");
     assert_eq!(served.status(), 200);
@@ -264,18 +271,18 @@
     let vm = site.start_vm("pieces", "");
     Site::queue_behavior(&site.pool, &Behavior::DeclineFor("0.3"));
     let began = Instant::now();
-    let waited = send_expecting_answer(&chain("waits"), &vm);
+    let served = send_expecting_answer(&chain("waits"), &vm);
     let took = began.elapsed();
     Site::queue_behavior(&site.pool, &Behavior::DeclineFor("20"));
 
     let began = Instant::now();
     let refused = send_expecting_answer(&chain("given-up"), &vm);
-    let told = began.elapsed();
+    let refused_after = began.elapsed();
 
-    assert_eq!(waited.status(), 200);
+    assert_eq!(served.status(), 200);
     assert!(took >= Duration::from_millis(300), "{took:?}");
     assert_eq!(refused.status(), 503);
-    assert!(told < IMMEDIATE * 2, "{told:?}");
+    assert!(refused_after < IMMEDIATE * 2, "{refused_after:?}");
     assert_eq!(vm.state_list("targets_left_alone").len(), 2);
 }
 
@@ -310,11 +317,11 @@
 
     wait_until("the header is logged", || vm.log().contains("unknown header in answer"));
     let log = vm.log();
-    let told: Vec<&str> =
+    let logged: Vec<&str> =
         log.lines().filter(|line| line.contains("unknown header in answer")).collect();
-    assert_eq!(told.len(), 1, "{told:?}");
-    assert!(told[0].contains("header=server-mood"), "{told:?}");
-    let counted = vm.operations_page("/metrics");
-    let line = counted.lines().find(|line| line.starts_with("saddlerail_unknown_words"));
+    assert_eq!(logged.len(), 1, "{logged:?}");
+    assert!(logged[0].contains("header=server-mood"), "{logged:?}");
+    let metrics = vm.operations_page("/metrics");
+    let line = metrics.lines().find(|line| line.starts_with("saddlerail_unknown_words"));
     assert!(line.is_some_and(|line| line.contains("plain")), "{line:?}");
 }
