--- a/tests/rates.rs
+++ b/tests/rates.rs
@@ -1,11 +1,14 @@
-//! Rate limits that targets announce in their answers, as a rate of requests from all VMs together.
+//! Rate limits that targets announce in their answers (`Server-Limit`, in requests per second from
+//! all VMs together).
 //!
-//! Guards against VMs that exceed such a rate, either because they ignore the announcement or because none of them
-//! knows what the others send at the same time. Tolerated are one and a half times the rate and five requests more.
-//! One VM therefore holds the token bucket of each such target, and no request is sent without a permit from it.
+//! Guards against VMs that exceed such a rate, either because they ignore the announcement or
+//! because none of them knows what the others send at the same time. One and a half times the rate
+//! plus five requests are tolerated: 11 within four seconds at a rate of one per second. Without a
+//! limit, a target gets about a hundred in that time. One VM therefore holds the token bucket of
+//! each such target, and no request is sent without a permit from it.
 //!
-//! In a log the failure shows as `target's rate changed` with `per_s=1`, followed by too many tries at that target
-//! with `rate_per_s=1`.
+//! In a log the failure shows as `target's rate changed` with `per_s=1`, followed by too many tries
+//! at that target with `rate_per_s=1`.
 
 // A failing `expect` in a fixture fails the test.
 #![allow(clippy::expect_used)]
@@ -27,7 +30,7 @@
 const SPAN: Duration = Duration::from_secs(4);
 /// Time for which requests are sent; longer than one [`SPAN`].
 const LOAD: Duration = Duration::from_secs(6);
-/// Pause between two requests of a kind.
+/// Pause after each request that [`load`] sends.
 const PAUSE: Duration = Duration::from_millis(40);
 /// A request that was sent before its VM learned of a rate arrives within this time.
 const IN_FLIGHT: Duration = Duration::from_millis(500);
@@ -55,7 +58,7 @@
 /// A kind of request.
 struct Kind {
     call: MakeCall,
-    /// Act with which one such request keeps its target busy.
+    /// Behavior that keeps a target busy with one such request.
     busy: Behavior,
 }
 
@@ -67,7 +70,7 @@
     Kind { call: |id| post("/stream/", id), busy: Behavior::SlowStream(5, BUSY_TIME / 5) }
 }
 
-/// A request with two stages before its engine.
+/// A request with two stages of one piece each before its engine.
 fn chain(id: &str) -> Call {
     post("/chain/", id).with_header("Pieces", "1,1").with_header("Piece-Key", "secret")
 }
@@ -84,20 +87,20 @@
     vm.log().lines().any(names_rate)
 }
 
-/// Sends requests to each VM until it knows the rates of these targets. Two requests are sent at a time, so that the
-/// second goes to the target that the first doesn't keep busy.
+/// Sends requests to each VM until it knows the rates of these targets. Two requests are sent at a
+/// time, so that the second goes to the target that the first doesn't keep busy.
 fn send_until_known(vms: &[Vm], kind: &Kind, targets: &[Runner], name: &str) {
-    for (index, vm) in vms.iter().enumerate() {
+    for (vm_number, vm) in vms.iter().enumerate() {
         let mut number = 0;
         wait_until("the VM knows the rates", || {
             number += 1;
             targets[0].queue_behaviors(std::slice::from_ref(&kind.busy));
             thread::scope(|scope| {
                 scope.spawn(|| {
-                    send_expecting_answer(&(kind.call)(&format!("{name}-{index}-{number}")), vm)
+                    send_expecting_answer(&(kind.call)(&format!("{name}-{vm_number}-{number}")), vm)
                 });
                 thread::sleep(BUSY_TIME / 2);
-                send_expecting_answer(&(kind.call)(&format!("{name}-{index}-{number}-b")), vm);
+                send_expecting_answer(&(kind.call)(&format!("{name}-{vm_number}-{number}-b")), vm);
             });
             targets.iter().all(|target| knows_rate(vm, target))
         });
@@ -155,8 +158,8 @@
         "{most:?} where {} are allowed",
         max_requests(1.0)
     );
-    let missed: Vec<u16> = statuses.concat().into_iter().filter(|status| *status != 200).collect();
-    assert_eq!(missed, Vec::<u16>::new(), "the other target serves all");
+    let not_ok: Vec<u16> = statuses.concat().into_iter().filter(|status| *status != 200).collect();
+    assert_eq!(not_ok, Vec::<u16>::new(), "the other target serves all");
 }
 
 #[test]
@@ -209,16 +212,19 @@
     site.plain.iter().for_each(|target| target.set_rate(Some("4")));
     send_until_known(&vms, &repeat(), &site.plain, "first");
     thread::sleep(IN_FLIGHT);
-    let held_at: Vec<_> =
+    let bucket_owners: Vec<_> =
         vms.iter().map(|vm| vm.state_list("targets_rates")[0]["account_at"].clone()).collect();
-    let holder = held_at.iter().position(|at| at == "this VM");
-    drop(vms.remove(holder.unwrap_or_else(|| panic!("no VM holds the buckets: {held_at:?}"))));
+    let owner = bucket_owners.iter().position(|at| at == "this VM");
+    drop(vms.remove(owner.unwrap_or_else(|| panic!("no VM holds the buckets: {bucket_owners:?}"))));
 
     let since = Instant::now();
     let statuses = load(&vms, repeat().call, "after");
 
     let most: Vec<usize> = site.plain.iter().map(|t| t.most_within(SPAN, since)).collect();
-    assert!(most.iter().all(|most| *most <= max_requests(per_s)), "{most:?}, held at {held_at:?}");
+    assert!(
+        most.iter().all(|most| *most <= max_requests(per_s)),
+        "{most:?}, held at {bucket_owners:?}"
+    );
     // A silent peer is considered gone after a second, and a new bucket starts empty.
     let allowed = per_s * site.plain.len() as f64 * (LOAD - Duration::from_secs(2)).as_secs_f64();
     let served = served(&statuses);
@@ -284,10 +290,10 @@
 #[test]
 fn a_request_that_waits_for_a_permit_is_not_sent_to_a_target_that_starts_leaving() {
     let site = Site::start();
-    let mut patient = default_configuration(2);
+    let mut config = default_configuration(2);
     // A request may wait for half a second.
-    patient["routes"][0]["target_latency_ms"] = json!(2000);
-    site.store.put("op/config", &patient);
+    config["routes"][0]["target_latency_ms"] = json!(2000);
+    site.store.put("op/config", &config);
     site.store.remove(&format!("servers/{}", site.plain[1].id));
     let vm = site.start_vm("waits", "");
     wait_until("the configuration is in force", || vm.state()["configuration"] == 2);
@@ -299,18 +305,18 @@
         send_expecting_answer(&get("/repeat/", "first"), &vm).status() == 200
     });
 
-    let (status, left) = thread::scope(|scope| {
+    let (status, leaving_known_at) = thread::scope(|scope| {
         let waits = scope.spawn(|| send_expecting_answer(&get("/repeat/", "waits"), &vm).status());
         wait_until("the request waits", || vm.state()["in_work"] == 1);
         let leaving = target.entry("plain", "hall-a", "draining");
         site.store.put(&format!("servers/{}", target.id), &leaving);
         wait_until("the VM knows of the departure", || vm.log().contains("leaving=true"));
-        let left = Instant::now();
-        (waits.join().expect("a caller"), left)
+        let leaving_known_at = Instant::now();
+        (waits.join().expect("a caller"), leaving_known_at)
     });
 
     assert_eq!(
-        target.received_after(left),
+        target.received_after(leaving_known_at),
         0,
         "the request was sent after the departure of its target was known"
     );
@@ -371,20 +377,23 @@
 
     // Requests share calls, but the results of each request are released separately.
     let served = thread::scope(|scope| {
-        let ask = |n| {
+        let send = |n| {
             let vm = &vm;
             scope.spawn(move || {
                 send_expecting_answer(&chain(&format!("together-{n}")), vm).status() == 200
             })
         };
-        let asked: Vec<_> = (0..CONCURRENT_CHAINS).map(ask).collect();
-        asked.into_iter().filter_map(|one| one.join().ok()).filter(|served| *served).count()
+        let callers: Vec<_> = (0..CONCURRENT_CHAINS).map(send).collect();
+        callers.into_iter().filter_map(|caller| caller.join().ok()).filter(|served| *served).count()
     });
     thread::sleep(IN_FLIGHT);
-    let held: Vec<u64> =
-        vm.state_list("targets_rates").iter().filter_map(|one| one["held_ms"].as_u64()).collect();
+    let wait_ms: Vec<u64> =
+        vm.state_list("targets_rates").iter().filter_map(|rate| rate["held_ms"].as_u64()).collect();
 
     assert_eq!(served, CONCURRENT_CHAINS);
-    assert_eq!(held.len(), 2);
-    assert!(held.iter().all(|held| *held <= 500), "half a second for each call: {held:?}");
+    assert_eq!(wait_ms.len(), 2);
+    assert!(
+        wait_ms.iter().all(|wait_ms| *wait_ms <= 500),
+        "at a rate of 2 per second each call costs 500 ms: {wait_ms:?}"
+    );
 }
