--- a/tests/serving.rs
+++ b/tests/serving.rs
@@ -1,5 +1,5 @@
-//! The serving path with real processes and the stand-ins of the users' platform: what callers get, and what reaches
-//! the runners.
+//! The serving path with real processes and the stand-ins of the users' platform: what callers get,
+//! and what reaches the runners.
 
 // A failing `expect` in a fixture fails the test.
 #![allow(clippy::expect_used)]
@@ -22,6 +22,7 @@
     let site = Site::start();
     let vm = site.start_vm("whole", "");
 
+    // `Hold` is reserved for the serving system; one that a caller sends is dropped.
     let call =
         post("/once/x?y=z", "r-1").with_header("X-Own", "kept").with_header("Hold", "smuggled");
     let answer = send_expecting_answer(&call, &vm);
@@ -36,8 +37,8 @@
     assert_eq!(seen[0].body, b"a body");
     assert_eq!(seen[0].header("x-own"), "kept");
     assert_eq!(seen[0].header("hold"), "");
-    let left: u64 = seen[0].header("deadline-milliseconds").parse().expect("a number");
-    assert!((1000..=2000).contains(&left), "{left}");
+    let remaining_ms: u64 = seen[0].header("deadline-milliseconds").parse().expect("a number");
+    assert!((1000..=2000).contains(&remaining_ms), "{remaining_ms}");
 }
 
 #[test]
@@ -81,7 +82,7 @@
 fn a_request_that_may_not_be_repeated_runs_once_whatever_its_target_answers() {
     let site = Site::start();
     let vm = site.start_vm("once", "");
-    let acts = [
+    let behaviors = [
         Behavior::Lose,
         Behavior::CutBody,
         Behavior::Cross,
@@ -91,15 +92,15 @@
         Behavior::Fail,
     ];
 
-    for (number, act) in acts.iter().enumerate() {
-        Site::queue_behavior(&site.plain, act);
+    for (number, behavior) in behaviors.iter().enumerate() {
+        Site::queue_behavior(&site.plain, behavior);
         let id = format!("once-{number}");
         let answer = send_expecting_answer(&post("/once/", &id), &vm);
 
-        let expected = if *act == Behavior::Fail { 500 } else { 502 };
-        assert_eq!(answer.status(), expected, "{act:?}");
-        assert_eq!(site.runs(&id), 1, "{act:?}");
-        // The runner that got no request still has its act queued.
+        let expected = if *behavior == Behavior::Fail { 500 } else { 502 };
+        assert_eq!(answer.status(), expected, "{behavior:?}");
+        assert_eq!(site.runs(&id), 1, "{behavior:?}");
+        // The runner that got no request still has its behavior queued.
         site.plain.iter().for_each(|runner| runner.clear_script());
     }
 }
@@ -125,8 +126,9 @@
 #[test]
 fn a_request_that_may_be_repeated_is_served_despite_invalid_answers() {
     let site = Site::start();
+    // With this slack the retry budget permits all repeats of this test.
     let vm = site.start_vm("repeat", "repeats: {slack: 100}\n");
-    for (number, act) in [
+    for (number, behavior) in [
         Behavior::Lose,
         Behavior::CutBody,
         Behavior::Cross,
@@ -137,12 +139,12 @@
     .into_iter()
     .enumerate()
     {
-        site.plain[number % 2].queue_behaviors(std::slice::from_ref(&act));
+        site.plain[number % 2].queue_behaviors(std::slice::from_ref(&behavior));
         site.plain[1 - number % 2].queue_behaviors(&[Behavior::Answer]);
         let id = format!("repeat-{number}");
         let answer = send_expecting_answer(&get("/repeat/", &id), &vm);
 
-        assert_eq!(answer.status(), 200, "{act:?}");
+        assert_eq!(answer.status(), 200, "{behavior:?}");
         assert!(
             answer.is_complete && answer.text().ends_with(&format!("answers {id}")),
             "{answer:?}"
@@ -269,19 +271,20 @@
 #[test]
 fn a_vm_that_starts_during_a_store_outage_gets_the_configuration_from_a_peer() {
     let site = Site::start();
-    let near = site.start_vm("near", "");
-    // Both VMs use the store, which falls silent below; the one that starts then has only its peers.
-    let far = site.start_vm("far", "");
-    wait_until("the VMs are linked", || far.state()["peers"][0]["linked"] == json!(true));
+    let seed_peer = site.start_vm("near", "");
+    // Both VMs use the store, which falls silent below; the one that starts then has only its
+    // peers.
+    let other_peer = site.start_vm("far", "");
+    wait_until("the VMs are linked", || other_peer.state()["peers"][0]["linked"] == json!(true));
     let newer = default_configuration(9);
     site.store.put("op/config", &newer);
     wait_until("both VMs have the configuration", || {
-        [&near, &far].iter().all(|vm| vm.state()["configuration"] == json!(9))
+        [&seed_peer, &other_peer].iter().all(|vm| vm.state()["configuration"] == json!(9))
     });
     site.store.set_mode(StoreMode::Unresponsive);
-    let seed = format!("seeds: [{}]\n", near.peers());
+    let seeds = format!("seeds: [{}]\n", seed_peer.peers());
 
-    let started = Vm::start("started", "hall-a", site.store.address, &seed);
+    let started = Vm::start("started", "hall-a", site.store.address, &seeds);
 
     started.wait_ready();
     assert_eq!(started.state()["configuration"], json!(9));
@@ -293,8 +296,9 @@
 fn a_leaving_runner_gets_no_new_requests_and_lapsed_entries_are_kept_for_a_time() {
     let site = Site::start();
     let vm = site.start_vm("leaving", "");
-    let gone = &site.plain[0];
-    site.store.put(&format!("servers/{}", gone.id), &gone.entry("plain", "hall-a", "draining"));
+    let leaving = &site.plain[0];
+    site.store
+        .put(&format!("servers/{}", leaving.id), &leaving.entry("plain", "hall-a", "draining"));
     thread::sleep(SETTLE_TIME);
     for number in 0..10 {
         assert_eq!(
@@ -302,7 +306,7 @@
             200
         );
     }
-    assert_eq!(gone.ran().len(), 0);
+    assert_eq!(leaving.ran().len(), 0);
 
     site.store.set_mode(StoreMode::Unavailable);
     wait_until("the VM has lost the store", || vm.state()["store_lost"] == json!(true));
@@ -328,14 +332,14 @@
     thread::sleep(SETTLE_TIME);
     let before = site.store.calls();
     thread::sleep(Duration::from_secs(7));
-    let asked = site.store.calls() - before;
+    let calls = site.store.calls() - before;
 
     site.store.set_mode(StoreMode::Unresponsive);
     wait_until("the VM has lost the store", || vm.log().contains("store lost"));
     site.store.put("op/config", &default_configuration(3));
     site.store.set_mode(StoreMode::Normal);
 
-    assert!(asked <= 4, "{asked} calls in 7 s, although only the lease is renewed, every 1.9 s");
+    assert!(calls <= 4, "{calls} calls in 7 s, although only the lease is renewed, every 1.9 s");
     assert!(
         vm.log().contains("call=renew"),
         "the failed renewal reveals the outage, not the waiting watch"
@@ -344,7 +348,7 @@
 }
 
 #[test]
-fn a_change_is_not_lost_with_the_history_of_the_store() {
+fn a_change_is_not_lost_when_the_store_compacts_its_history() {
     let site = Site::start();
     let vm = site.start_vm("history", "");
     site.store.set_mode(StoreMode::Unavailable);
@@ -362,36 +366,36 @@
 fn a_hall_is_out_of_reach_if_its_vms_are_silent_and_its_targets_unreachable() {
     let site = Site::start();
     let vm = site.start_vm("asks", "");
-    let other = Vm::start("silent", "hall-b", site.store.address, "");
-    other.wait_ready();
+    let silent_vm = Vm::start("silent", "hall-b", site.store.address, "");
+    silent_vm.wait_ready();
     wait_until("the VMs are linked", || vm.state()["peers"][0]["linked"] == json!(true));
-    let far = Runner::start("i-far", Behavior::Answer).expect("a runner starts");
-    site.store.put("servers/i-far", &far.entry("plain", "hall-b", "ready"));
+    let target = Runner::start("i-far", Behavior::Answer).expect("a runner starts");
+    site.store.put("servers/i-far", &target.entry("plain", "hall-b", "ready"));
     wait_until("the target is known", || vm.state()["targets"] == json!(7));
 
-    other.signal("-STOP");
+    silent_vm.signal("-STOP");
     thread::sleep(SETTLE_TIME * 2);
-    let with_a_target = vm.state()["halls_out_of_reach"].clone();
-    let mut closed = far.entry("plain", "hall-b", "ready");
-    closed["address"] = json!(closed_address());
-    site.store.put("servers/i-far", &closed);
+    let while_target_reachable = vm.state()["halls_out_of_reach"].clone();
+    let mut unreachable = target.entry("plain", "hall-b", "ready");
+    unreachable["address"] = json!(closed_address());
+    site.store.put("servers/i-far", &unreachable);
     wait_until("the hall is out of reach", || {
         vm.state()["halls_out_of_reach"] == json!(["hall-b"])
     });
     let answers: Vec<u16> = (0..8)
         .map(|number| send_expecting_answer(&get("/repeat/", &format!("r-{number}")), &vm).status())
         .collect();
-    other.signal("-CONT");
+    silent_vm.signal("-CONT");
 
     assert_eq!(
-        with_a_target,
+        while_target_reachable,
         json!([]),
         "a silent VM alone does not mean that its hall is out of reach"
     );
     assert_eq!(answers, [200; 8]);
     wait_until("the hall is in reach again", || vm.state()["halls_out_of_reach"] == json!([]));
     wait_until("both changes are logged", || {
-        ["hall out of reach", "hall within reach"].iter().all(|told| vm.log().contains(told))
+        ["hall out of reach", "hall within reach"].iter().all(|event| vm.log().contains(event))
     });
 }
 
@@ -456,13 +460,13 @@
 
     send_expecting_answer(&post("/once/", "lost-1"), &vm);
 
-    let lines = |what: &str| {
+    let is_logged = |text: &str| {
         let log = vm.log();
-        log.lines().any(|line| line.contains("request=lost-1") && line.contains(what))
+        log.lines().any(|line| line.contains("request=lost-1") && line.contains(text))
     };
-    wait_until("the try is logged", || lines("msg=try") && lines("missed=\"Lost"));
+    wait_until("the try is logged", || is_logged("msg=try") && is_logged("missed=\"Lost"));
     wait_until("the outcome is logged", || {
-        lines("msg=\"request ended\"") && lines("outcome=unknown")
+        is_logged("msg=\"request ended\"") && is_logged("outcome=unknown")
     });
     let page = vm.operations_page("/metrics");
     assert!(page.contains("saddlerail_requests_total"), "{page}");
