--- a/tests/serving_stops.rs
+++ b/tests/serving_stops.rs
@@ -1,4 +1,5 @@
-//! Planned stops of the serving path, with requests whose timeout is longer than the grace period of a stop.
+//! Planned stops of the serving path, with requests whose timeout is longer than the grace period
+//! of a stop: each request is answered before the process exits, if only with an error.
 
 // A failing `expect` in a fixture fails the test.
 #![allow(clippy::expect_used)]
@@ -20,26 +21,26 @@
 const GRACE: Duration = Duration::from_secs(4);
 /// Notice period: time after the signal during which requests are still accepted.
 const NOTICE: Duration = Duration::from_secs(1);
-/// Timeout of requests, in milliseconds.
-const LONG_MS: u32 = 20_000;
+/// Timeout of requests, in milliseconds; longer than [`GRACE`].
+const TIMEOUT_MS: u32 = 20_000;
 /// Requests in each case.
 const REQUESTS: usize = 6;
 /// Pause between two requests: some arrive before the signal, some during the notice period.
 const PAUSE: Duration = Duration::from_millis(250);
 /// Time from the first request to the signal.
 const SIGNAL_AFTER: Duration = Duration::from_millis(700);
-/// No answer for longer than a stop takes.
+/// Makes a runner answer only after the end of a stop.
 const SILENT: Behavior = Behavior::Hang(Duration::from_secs(15));
 
 /// A site whose requests have a timeout of [`LONG_MS`] and may wait for most of it.
-fn long_site() -> Site {
+fn start_site() -> Site {
     let site = Site::start();
-    let mut cfg = default_configuration(2);
-    for route in cfg["routes"].as_array_mut().expect("routes") {
-        route["timeout_ms"] = json!(LONG_MS);
+    let mut config = default_configuration(2);
+    for route in config["routes"].as_array_mut().expect("routes") {
+        route["timeout_ms"] = json!(TIMEOUT_MS);
         route["target_latency_ms"] = json!(2500);
     }
-    site.store.put("op/config", &cfg);
+    site.store.put("op/config", &config);
     site
 }
 
@@ -49,9 +50,10 @@
     vm
 }
 
+/// A request with a timeout of [`TIMEOUT_MS`]; one to `/chain/` has three pieces.
 fn long_call(path: &str, id: &str) -> Call {
     let call = Call::new("POST", HOST, path, id)
-        .with_header("Deadline-Milliseconds", &LONG_MS.to_string())
+        .with_header("Deadline-Milliseconds", &TIMEOUT_MS.to_string())
         .body(b"a body");
     if path == "/chain/" {
         call.with_header("Pieces", "1,2").with_header("Piece-Key", "k")
@@ -60,12 +62,12 @@
     }
 }
 
-/// Sends requests at intervals of [`PAUSE`], without waiting for answers, and stops the VM between them; returns the
-/// answers.
-fn ask_and_stop(vm: &mut Vm, path: &str) -> Vec<Option<HttpMessage>> {
+/// Sends requests at intervals of [`PAUSE`], without waiting for answers, and stops the VM between
+/// them; returns the answers.
+fn send_and_stop(vm: &mut Vm, path: &str) -> Vec<Option<HttpMessage>> {
     let address = vm.callers;
     thread::scope(|scope| {
-        let asked: Vec<_> = (0..REQUESTS)
+        let callers: Vec<_> = (0..REQUESTS)
             .map(|number| {
                 scope.spawn(move || {
                     thread::sleep(PAUSE * u32::try_from(number).unwrap_or(u32::MAX));
@@ -78,7 +80,7 @@
         vm.signal("-TERM");
         assert_eq!(vm.wait_exit(), Some(0));
         assert!(signalled.elapsed() < GRACE, "{:?}", signalled.elapsed());
-        asked.into_iter().map(|one| one.join().expect("no panic")).collect()
+        callers.into_iter().map(|caller| caller.join().expect("no panic")).collect()
     })
 }
 
@@ -86,31 +88,33 @@
     answers.iter().map(|answer| answer.as_ref().map_or(0, HttpMessage::status)).collect()
 }
 
-/// Lets all these runners use this act from now on.
-fn always(runners: &[Runner], act: &Behavior) {
-    runners.iter().for_each(|runner| runner.queue_behaviors(&vec![act.clone(); 1000]));
+/// Queues a behavior so often that all these runners use it until the end of the test.
+fn set_behavior(runners: &[Runner], behavior: &Behavior) {
+    runners.iter().for_each(|runner| runner.queue_behaviors(&vec![behavior.clone(); 1000]));
 }
 
-/// Guards against connections that a stopping VM closes without an answer to their request, which callers see as lost.
+/// Guards against connections that a stopping VM closes without an answer to their request, which
+/// callers see as lost.
 #[test]
 fn unanswered_requests_get_an_error_at_the_end_of_a_stop() {
+    /// Name, path of the requests, fault, and status of a request that can't be served.
     type Case = (&'static str, &'static str, fn(&Site), u16);
     let cases: [Case; 6] = [
-        ("workers-silent", "/chain/", |site| always(&site.pool, &SILENT), 503),
-        ("workers-full", "/chain/", |site| always(&site.pool, &Behavior::Decline), 503),
-        ("no-worker", "/chain/", |site| remove(site, &site.pool), 503),
-        ("engines-silent", "/stream/", |site| always(&site.engines, &SILENT), 502),
-        ("resumable-engines-silent", "/resumed/", |site| always(&site.engines, &SILENT), 502),
-        ("targets-silent", "/once/", |site| always(&site.plain, &SILENT), 502),
+        ("workers-silent", "/chain/", |site| set_behavior(&site.pool, &SILENT), 503),
+        ("workers-full", "/chain/", |site| set_behavior(&site.pool, &Behavior::Decline), 503),
+        ("no-worker", "/chain/", |site| remove_entries(site, &site.pool), 503),
+        ("engines-silent", "/stream/", |site| set_behavior(&site.engines, &SILENT), 502),
+        ("resumable-engines-silent", "/resumed/", |site| set_behavior(&site.engines, &SILENT), 502),
+        ("targets-silent", "/once/", |site| set_behavior(&site.plain, &SILENT), 502),
     ];
     thread::scope(|scope| {
         for (name, path, inject_fault, expected_status) in cases {
             scope.spawn(move || {
-                let site = long_site();
+                let site = start_site();
                 let mut vm = start_vm(&site, &format!("stop-{name}"));
                 inject_fault(&site);
 
-                let answers = ask_and_stop(&mut vm, path);
+                let answers = send_and_stop(&mut vm, path);
 
                 let statuses = statuses(&answers);
                 let is_expected = |status: &u16| [200, expected_status, 503].contains(status);
@@ -131,57 +135,57 @@
     });
 }
 
-/// Number of messages that the workers have received.
-fn calls(site: &Site) -> usize {
+/// Number of calls that the workers have received.
+fn worker_calls(site: &Site) -> usize {
     site.pool.iter().map(|worker| worker.received().len()).sum()
 }
 
-fn remove(site: &Site, runners: &[Runner]) {
+fn remove_entries(site: &Site, runners: &[Runner]) {
     runners.iter().for_each(|runner| site.store.remove(&format!("servers/{}", runner.id)));
 }
 
-/// Guards against requests that wait for the end of a stop although it is already known that they can't be served by
-/// then.
+/// Guards against requests that wait for the end of a stop although it is already known that they
+/// can't be served by then.
 #[test]
 fn a_request_that_can_not_complete_before_the_stop_is_refused_immediately() {
-    let site = long_site();
+    let site = start_site();
     let mut vm = start_vm(&site, "stop-known");
     let slow = Behavior::SlowStream(30, Duration::from_millis(100));
     site.engines.iter().for_each(|engine| engine.queue_behaviors(&vec![slow.clone(); 8]));
     let address = vm.callers;
-    let ask = move |path, id: &str| {
+    let send = move |path, id: &str| {
         let call = long_call(path, id);
         thread::spawn(move || {
             let began = Instant::now();
             (call.send(address).expect("an answer"), began.elapsed())
         })
     };
-    let completed: Vec<_> = (0..8).map(|number| ask("/chain/", &format!("l-{number}"))).collect();
-    assert!(completed.into_iter().all(|one| one.join().expect("no panic").0.is_complete));
+    let completed: Vec<_> = (0..8).map(|number| send("/chain/", &format!("l-{number}"))).collect();
+    assert!(completed.into_iter().all(|caller| caller.join().expect("no panic").0.is_complete));
 
-    always(&site.pool, &SILENT);
-    let made_before = calls(&site);
-    let before = ask("/chain/", "before");
-    wait_until("the request waits for its stages", || calls(&site) > made_before);
+    set_behavior(&site.pool, &SILENT);
+    let calls_before = worker_calls(&site);
+    let before = send("/chain/", "before");
+    wait_until("the request waits for its stages", || worker_calls(&site) > calls_before);
     vm.signal("-TERM");
     wait_until("the VM is stopping", || vm.state()["stopping"] == json!(true));
-    let (during, took) = ask("/chain/", "during").join().expect("no panic");
-    let (short, _) = ask("/repeat/", "short").join().expect("no panic");
-    let (before, held) = before.join().expect("no panic");
+    let (during, during_took) = send("/chain/", "during").join().expect("no panic");
+    let (short, _) = send("/repeat/", "short").join().expect("no panic");
+    let (before, before_took) = before.join().expect("no panic");
 
     assert_eq!((during.status(), before.status(), short.status()), (503, 503, 200));
-    assert!(took < Duration::from_millis(300), "{took:?}");
-    assert!(held < Duration::from_secs(2), "{held:?}");
+    assert!(during_took < Duration::from_millis(300), "{during_took:?}");
+    assert!(before_took < Duration::from_secs(2), "{before_took:?}");
     assert_eq!(site.runs("before") + site.runs("during"), 0);
     assert_eq!(vm.wait_exit(), Some(0));
 }
 
-/// Guards against a wrong Retry-After: a short one where no other VM can serve the caller, or a long one where another
-/// VM can.
+/// Guards against a wrong Retry-After: a short one where no other VM can serve the caller, or a
+/// long one where another VM can.
 #[test]
 fn retry_after_of_a_stopping_vm_depends_on_whether_another_vm_serves() {
     for has_peer in [true, false] {
-        let site = long_site();
+        let site = start_site();
         let mut vm = start_vm(&site, "stop-elsewhere");
         let peer = has_peer.then(|| start_vm(&site, "stop-elsewhere-peer"));
         let peers = usize::from(has_peer);
@@ -205,12 +209,12 @@
 /// Guards against further signals that end a stop early or restart it.
 #[test]
 fn further_signals_do_not_change_a_stop() {
-    let site = long_site();
+    let site = start_site();
     let mut vm = start_vm(&site, "stop-signals");
-    always(&site.engines, &SILENT);
+    set_behavior(&site.engines, &SILENT);
     let (address, id) = (vm.callers, "r-1");
-    let asked = thread::spawn(move || long_call("/stream/", id).send(address));
-    wait_until("it is at an engine", || site.runs(id) == 1);
+    let caller = thread::spawn(move || long_call("/stream/", id).send(address));
+    wait_until("an engine runs the request", || site.runs(id) == 1);
 
     let signalled = Instant::now();
     for signal in ["-TERM", "-HUP", "-TERM", "-INT", "-HUP", "-TERM"] {
@@ -218,20 +222,21 @@
         thread::sleep(Duration::from_millis(150));
     }
 
-    assert_eq!(asked.join().expect("no panic").map(|answer| answer.status()), Some(502));
+    assert_eq!(caller.join().expect("no panic").map(|answer| answer.status()), Some(502));
     assert_eq!(vm.wait_exit(), Some(0));
     assert!(signalled.elapsed() < GRACE, "{:?}", signalled.elapsed());
 }
 
-/// Guards against a VM that was paused until after the end of its stop and then exits without answering its requests.
+/// Guards against a VM that was paused until after the end of its stop and then exits without
+/// answering its requests.
 #[test]
 fn a_vm_paused_beyond_the_end_of_its_stop_still_answers() {
-    let site = long_site();
+    let site = start_site();
     let mut vm = start_vm(&site, "stop-asleep");
-    always(&site.engines, &SILENT);
+    set_behavior(&site.engines, &SILENT);
     let (address, id) = (vm.callers, "r-1");
-    let asked = thread::spawn(move || long_call("/stream/", id).send(address));
-    wait_until("it is at an engine", || site.runs(id) == 1);
+    let caller = thread::spawn(move || long_call("/stream/", id).send(address));
+    wait_until("an engine runs the request", || site.runs(id) == 1);
 
     vm.signal("-TERM");
     wait_until("the VM is stopping", || vm.state()["stopping"] == json!(true));
@@ -239,17 +244,18 @@
     thread::sleep(GRACE + SIGNAL_AFTER);
     vm.signal("-CONT");
 
-    assert_eq!(asked.join().expect("no panic").map(|answer| answer.status()), Some(502));
+    assert_eq!(caller.join().expect("no panic").map(|answer| answer.status()), Some(502));
     assert_eq!(vm.wait_exit(), Some(0));
 }
 
-/// Guards against answers that a stopping VM has begun to send and truncates because the caller reads slowly.
+/// Guards against answers that a stopping VM has begun to send and truncates because the caller
+/// reads slowly.
 #[test]
 fn a_caller_that_reads_late_gets_its_whole_answer_from_a_vm_that_stops() {
     const BYTES: usize = 48 << 20;
-    let site = long_site();
+    let site = start_site();
     let mut vm = start_vm(&site, "stop-slow-reader");
-    always(&site.plain, &Behavior::Large(BYTES));
+    set_behavior(&site.plain, &Behavior::Large(BYTES));
     let (address, is_answered) = (vm.callers, || vm.log().contains("outcome=whole"));
     let read_late = || {
         wait_until("the VM has answered", is_answered);
@@ -268,11 +274,11 @@
 /// Guards against stops that take the whole grace period because of idle connections.
 #[test]
 fn idle_connections_do_not_delay_a_stop() {
-    let site = long_site();
+    let site = start_site();
     let mut vm = start_vm(&site, "stop-rest");
     let _unused = TcpStream::connect(vm.callers).expect("a connection");
-    let mut kept = HttpConnection::new(TcpStream::connect(vm.callers).expect("a connection"));
-    let answer = long_call("/repeat/", "r-1").send_on(&mut kept).expect("an answer");
+    let mut idle = HttpConnection::new(TcpStream::connect(vm.callers).expect("a connection"));
+    let answer = long_call("/repeat/", "r-1").send_on(&mut idle).expect("an answer");
     assert!(answer.is_complete);
 
     let signalled = Instant::now();
