--- a/tests/serving_streams.rs
+++ b/tests/serving_streams.rs
@@ -1,4 +1,5 @@
-//! Streams and stages of the serving path, with real processes and the stand-ins of the users' platform.
+//! Streams and stages of the serving path, with real processes and the stand-ins of the users'
+//! platform.
 
 // A failing `expect` in a fixture fails the test.
 #![allow(clippy::expect_used)]
@@ -22,12 +23,12 @@
 
     let whole = send_expecting_answer(&post("/stream/", "s-1"), &vm);
     Site::queue_behavior(&site.engines, &Behavior::BreakStream(3));
-    let cut = send_expecting_answer(&post("/stream/", "s-2"), &vm);
+    let truncated = send_expecting_answer(&post("/stream/", "s-2"), &vm);
 
     assert!(whole.is_complete);
     assert_eq!(event_ids(&whole), [1, 2, 3, 4, 5]);
-    assert!(!cut.is_complete, "{cut:?}");
-    assert_eq!(event_ids(&cut), [1, 2, 3], "no part of an event is passed on");
+    assert!(!truncated.is_complete, "{truncated:?}");
+    assert_eq!(event_ids(&truncated), [1, 2, 3], "no part of an event is passed on");
     assert_eq!(site.runs("s-2"), 1);
 }
 
@@ -83,10 +84,10 @@
 
     post("/stream/", "s-1").send_and_disconnect(vm.callers, Duration::from_millis(300));
 
-    let cut_off = || site.engines.iter().map(|engine| engine.aborted_streams()).sum::<u64>();
-    let left = Instant::now();
-    wait_until("the engine's reader is gone", || cut_off() == 1);
-    assert!(left.elapsed() < Duration::from_millis(500));
+    let aborted = || site.engines.iter().map(|engine| engine.aborted_streams()).sum::<u64>();
+    let disconnected_at = Instant::now();
+    wait_until("the engine's stream is aborted", || aborted() == 1);
+    assert!(disconnected_at.elapsed() < Duration::from_millis(500));
 }
 
 #[test]
@@ -101,17 +102,17 @@
     assert_eq!(event_ids(&answer), [1, 2, 3, 4, 5]);
     let mut pieces: Vec<_> = site.pool.iter().flat_map(|runner| runner.pieces()).collect();
     pieces.sort();
-    let of = |stage, piece| ("c-1".to_owned(), stage, piece);
-    assert_eq!(pieces, [of(0, 0), of(0, 1), of(1, 0), of(1, 1), of(1, 2)]);
+    let piece = |stage, number| ("c-1".to_owned(), stage, number);
+    assert_eq!(pieces, [piece(0, 0), piece(0, 1), piece(1, 0), piece(1, 1), piece(1, 2)]);
     let engine = site.engines.iter().flat_map(|engine| engine.messages()).next().expect("a run");
     assert_eq!(engine.header("inputs").split(',').count(), 3);
-    let second: Vec<HttpMessage> = site
+    let second_stage: Vec<HttpMessage> = site
         .pool
         .iter()
         .flat_map(|runner| runner.messages())
         .filter(|call| call.text().contains("inputs"))
         .collect();
-    assert!(second.iter().all(|call| !call.text().contains("private_key")));
+    assert!(second_stage.iter().all(|call| !call.text().contains("private_key")));
     let released = || site.pool.iter().map(|runner| runner.released().len()).sum::<usize>();
     wait_until("all results are released", || released() == 5);
 }
@@ -125,7 +126,7 @@
     });
 
     let answers: Vec<HttpMessage> = thread::scope(|scope| {
-        let asked: Vec<_> = (0..12)
+        let callers: Vec<_> = (0..12)
             .map(|number| {
                 let vm = &vms[number % 2];
                 let call = post("/chain/", &format!("c-{number}"));
@@ -133,7 +134,7 @@
                 scope.spawn(move || send_expecting_answer(&call, vm))
             })
             .collect();
-        asked.into_iter().map(|asked| asked.join().expect("no panic")).collect()
+        callers.into_iter().map(|caller| caller.join().expect("no panic")).collect()
     });
 
     assert!(answers.iter().all(|answer| answer.is_complete && event_ids(answer).len() == 5));
@@ -153,10 +154,10 @@
     Site::queue_behavior(&site.pool, &Behavior::Lose);
     let lost = send_expecting_answer(&call("c-1"), &vm);
     Site::queue_behavior(&site.engines, &Behavior::InputGone);
-    let gone = send_expecting_answer(&call("c-2"), &vm);
+    let missing = send_expecting_answer(&call("c-2"), &vm);
 
     assert!(lost.is_complete && event_ids(&lost).len() == 5, "{lost:?}");
-    assert_eq!(gone.status(), 503, "both engines could not fetch the input: {gone:?}");
+    assert_eq!(missing.status(), 503, "both engines could not fetch the input: {missing:?}");
     assert_eq!(site.runs("c-2"), 0);
 }
 
@@ -193,14 +194,14 @@
         .for_each(|runner| runner.queue_behaviors(&[Behavior::Hang(Duration::from_millis(400))]));
     let address = vms[requester].callers;
     let call = post("/chain/", "c-1").with_header("Pieces", "1,1").with_header("Piece-Key", "k");
-    let asked = thread::spawn(move || call.send(address));
+    let caller = thread::spawn(move || call.send(address));
     wait_until("a worker executes the piece", || {
         site.pool.iter().any(|r| !r.messages().is_empty())
     });
 
     drop(vms.remove(owner));
 
-    let answer = asked.join().expect("no panic").expect("an answer");
+    let answer = caller.join().expect("no panic").expect("an answer");
     assert!(answer.is_complete && event_ids(&answer).len() == 5, "{answer:?}");
 }
 
@@ -213,14 +214,14 @@
     let address = vms[1 - owner].callers;
     Site::queue_behavior(&site.engines, &Behavior::Hang(Duration::from_millis(900)));
     let call = post("/chain/", "c-1").with_header("Pieces", "1,2").with_header("Piece-Key", "k");
-    let asked = thread::spawn(move || call.send(address));
+    let caller = thread::spawn(move || call.send(address));
     wait_until("an engine has received the request", || {
         site.engines.iter().any(|e| !e.messages().is_empty())
     });
 
     drop(vms.remove(owner));
 
-    drop(asked.join().expect("no panic"));
+    drop(caller.join().expect("no panic"));
     let released = || site.pool.iter().map(|runner| runner.released().len()).sum::<usize>();
     wait_until("all three results are released", || released() == 3);
     let results: BTreeSet<String> = site.pool.iter().flat_map(Runner::released).collect();
@@ -230,30 +231,31 @@
 #[test]
 fn results_are_released_before_the_first_event_if_room_is_scarce() {
     let site = Site::start();
-    let mut scarce = default_configuration(2);
-    // Three results take 0.9 of the 1 MB that a worker has.
-    scarce["routes"][4]["stages"][1]["bytes"] = json!(300_000);
-    site.store.put("op/config", &scarce);
+    let mut config = default_configuration(2);
+    // Three results take 0.9 of the 1 MB that a worker has for results.
+    config["routes"][4]["stages"][1]["bytes"] = json!(300_000);
+    site.store.put("op/config", &config);
     let vm = site.start_vm("scarce", "");
     wait_until("the configuration is in force", || vm.state()["configuration"] == json!(2));
     Site::queue_behavior(&site.engines, &Behavior::Hang(Duration::from_millis(1500)));
     let call = post("/chain/", "c-1").with_header("Pieces", "1,3").with_header("Piece-Key", "k");
     let address = vm.callers;
 
-    let asked = thread::spawn(move || call.send(address));
+    let caller = thread::spawn(move || call.send(address));
 
     let released = || site.pool.iter().map(|runner| runner.released().len()).sum::<usize>();
     wait_until("the results of both stages are released", || released() == 4);
-    assert!(!asked.is_finished(), "the engine has not answered yet");
-    drop(asked.join().expect("no panic"));
+    assert!(!caller.is_finished(), "the engine has not answered yet");
+    drop(caller.join().expect("no panic"));
 }
 
 #[test]
 fn a_misdirected_call_does_not_count_as_a_try() {
     let site = Site::start();
-    let mut one_try = default_configuration(2);
-    one_try["routes"][4]["max_attempts"] = json!(1);
-    site.store.put("op/config", &one_try);
+    let mut config = default_configuration(2);
+    // One try for each request to `/chain/`.
+    config["routes"][4]["max_attempts"] = json!(1);
+    site.store.put("op/config", &config);
     let vm = site.start_vm("replaced", "");
     wait_until("the configuration is in force", || vm.state()["configuration"] == json!(2));
     let chain = |id: &str| {
@@ -286,8 +288,8 @@
     site.store.put("op/config", &config);
     let vm = site.start_vm("may-have-run", "");
     wait_until("the configuration is in force", || vm.state()["configuration"] == json!(2));
-    // The first engine runs the request and its answer is lost, the second one misses an input, and no worker can make
-    // that input again.
+    // The first engine runs the request and its answer is lost, the second one misses an input, and
+    // no worker can make that input again.
     site.engines[0].queue_behaviors(&[Behavior::Lose]);
     site.engines[1].queue_behaviors(&[Behavior::InputGone]);
     site.pool[0].queue_behaviors(&[Behavior::Answer]);
