--- a/demo.sh
+++ b/demo.sh
@@ -1,7 +1,8 @@
 #!/usr/bin/env bash
-# Demonstration on one machine: builds the workspace, starts stand-ins and three entry VMs in two
-# data halls, sends requests to three services, then moves a label between targets and shows that
-# the traffic follows. On exit it stops the processes that it started, by process id.
+# Demonstration on one machine: builds the workspace, starts stand-ins for the platform and the
+# targets and three entry VMs in two data halls, sends requests to three services, then moves a
+# label between targets and shows that the traffic follows. On exit it stops the processes that it
+# started, by process id.
 set -euo pipefail
 cd "$(dirname "$0")"
 
@@ -35,7 +36,7 @@
     return 1
 }
 
-ask() { # arguments: service, deadline in ms, body, further arguments of curl
+send_request() { # arguments: service, deadline in ms, body, further arguments of curl
     local service=$1 deadline=$2 body=$3
     shift 3
     curl -sS -N "http://127.0.0.1:17001/v1/services/$service" -d "$body" \
@@ -53,7 +54,7 @@
     curl -sf -o /dev/null -X PUT "http://127.0.0.1:17000/vms" -d "[${list%,}]"
 }
 
-count_by_target() { # argument: number of requests; counts the engines that served them
+count_by_target() { # argument: number of requests to send; counts how many each engine served
     local n=$1 i
     for i in $(seq "$n"); do
         curl -sS "http://127.0.0.1:17001/v1/services/heading-check" -d "{\"heading\":\"quipus $i\"}" \
@@ -68,6 +69,7 @@
 
 echo "== start the stand-ins and three entry VMs"
 start platform $bin/standin-platform --listen 127.0.0.1:17000
+# Pools of two targets each; these are the middle digits of their ports in the catalogue.
 for pool in 10 11 12 13; do
     start "pool-$pool" $bin/standin-target --listen "127.0.0.1:17${pool}1" --count 2 --service-ms 4
 done
@@ -79,7 +81,7 @@
     start "entry-$vm" $bin/saddleraild --settings "examples/quipu/vm-$vm.yaml"
 done
 for vm in 1 2 3; do wait_ready "127.0.0.1:1702$vm" /ready; done
-wait_discovered() { # waits until the VM at SADDLERAIL_VM knows the other two, at most 5 s
+wait_discovered() { # waits until the VM at SADDLERAIL_VM knows the other two, or for 100 tries
     for _ in $(seq 100); do
         [ "$($bin/saddlerail state | grep -c 'vm=entry-')" = 2 ] && return 0
         sleep 0.05
@@ -89,13 +91,14 @@
 wait_discovered
 
 echo "== a heading check (plain answer)"
-ask heading-check 1000 '{"heading":"Quipus -- Peru"}' -H "saddlerail-repeatable: yes"
+send_request heading-check 1000 '{"heading":"Quipus -- Peru"}' -H "saddlerail-repeatable: yes"
 echo "== a record enrichment (streamed; the last event is the outcome)"
-ask record-enrichment 10000 '{"record":4711}' -H "accept: text/event-stream" \
+send_request record-enrichment 10000 '{"record":4711}' -H "accept: text/event-stream" \
     -H "saddlerail-request-id: enrich-4711" -H "saddlerail-repeatable: yes" | tail -n 5
 echo "== a hold, which must run at most once, sent twice under one id"
 for _ in 1 2; do
-    ask hold 1000 '{"copy":12}' -H "saddlerail-request-id: hold-12" -H "saddlerail-repeatable: no"
+    send_request hold 1000 '{"copy":12}' -H "saddlerail-request-id: hold-12" \
+        -H "saddlerail-repeatable: no"
 done
 echo "== targets chosen for the enrichment"
 $bin/saddlerail explain enrich-4711
