--- a/load/src/arrivals.rs
+++ b/load/src/arrivals.rs
@@ -1,4 +1,5 @@
-//! Open-loop arrivals: the intended send time of each request, determined by a seed.
+//! Open-loop arrivals: the intended send time of each request, determined by a seed. Requests are
+//! sent at these times whether or not earlier ones have been answered.
 
 use std::time::Duration;
 
--- a/load/src/choice.rs
+++ b/load/src/choice.rs
@@ -13,9 +13,9 @@
 /// expected size.
 const ENGINE_COUNTS: [u16; 3] = [24, 240, 740];
 
-/// Prints the mean time of a selection in microseconds. It shows whether the engine that holds the
-/// prompt's prefix is looked up once per selection (7 us among 240 engines in a release build) or
-/// once per candidate (1,151 us).
+/// Prints the mean time of a selection in microseconds. The engine that holds the prompt's prefix
+/// must be looked up once per selection (7 us among 240 engines in a release build); a lookup per
+/// candidate took 1,151 us.
 pub(crate) fn measure() -> errors::Result<()> {
     for engines in ENGINE_COUNTS {
         let took = mean_choice_time(engines)?;
--- a/load/src/main.rs
+++ b/load/src/main.rs
@@ -1,5 +1,5 @@
-//! `saddlerail-load`, the benchmark tool: measures real daemons in front of stand-in targets, all
-//! on one machine.
+//! `saddlerail-load`, the benchmark tool: measures real daemons in front of stand-in targets (test
+//! servers that simulate targets), all on one machine.
 
 mod arrivals;
 mod choice;
--- a/load/src/overhead.rs
+++ b/load/src/overhead.rs
@@ -201,7 +201,7 @@
     (gaps, parts)
 }
 
-/// Prints the 50th, 95th and 99th percentile.
+/// Prints the 50th, 95th and 99th percentile in microseconds.
 fn print_times(what: &str, times: &Histogram<u64>) {
     println!(
         "{what}: 50 {} us, 95 {} us, 99 {} us",
--- a/load/src/process.rs
+++ b/load/src/process.rs
@@ -20,6 +20,6 @@
 pub(crate) fn memory_mb(pid: u32) -> f64 {
     let status = fs::read_to_string(format!("/proc/{pid}/status")).unwrap_or_default();
     let line = status.lines().find_map(|l| l.strip_prefix("VmRSS:")).unwrap_or_default();
-    let kb: f64 = line.split_whitespace().next().and_then(|v| v.parse().ok()).unwrap_or(0.0);
-    kb / 1024.0
+    let kib: f64 = line.split_whitespace().next().and_then(|v| v.parse().ok()).unwrap_or(0.0);
+    kib / 1024.0
 }
--- a/load/src/prove.rs
+++ b/load/src/prove.rs
@@ -16,6 +16,7 @@
 
 use crate::fleet::{Layout, start};
 
+/// Number of entry VMs.
 const VMS: usize = 4;
 /// Threads that send requests, each one request after the other.
 const CALLERS: u64 = 8;
@@ -37,11 +38,11 @@
 enum Failure {
     /// A stand-in target applies this fault to half of its calls.
     Target(&'static str),
-    /// A VM is killed and restarted.
+    /// A VM is killed with SIGKILL and restarted.
     Kill,
-    /// A VM is suspended for a while.
+    /// A VM is suspended with SIGSTOP and resumed.
     Freeze,
-    /// A VM is stopped cleanly and restarted.
+    /// A VM is stopped with SIGTERM and restarted.
     PlannedStop,
     /// The platform is unavailable.
     Outage,
@@ -127,8 +128,8 @@
     fleet.lock().unwrap_or_else(std::sync::PoisonError::into_inner)
 }
 
-/// Sends requests of all kinds until the run is finished. Some that may run at most once are sent to
-/// two VMs under one id.
+/// Sends requests to random services until the run is finished. Some that may run at most once are
+/// sent to two VMs at the same time under one id.
 fn send_requests(
     callers: &[SocketAddr],
     finished: &AtomicBool,
@@ -169,9 +170,10 @@
     let mut problems = Vec::new();
     while !finished.load(Ordering::Relaxed) {
         for (address, last) in operations_addresses.iter().zip(&mut last) {
-            let view = standins::fleet::get_json(*address, "/revision").and_then(|v| v.as_u64());
+            let reported =
+                standins::fleet::get_json(*address, "/revision").and_then(|v| v.as_u64());
             // A VM that is starting has no revision yet.
-            let Some(revision) = view.filter(|revision| *revision > 0) else { continue };
+            let Some(revision) = reported.filter(|revision| *revision > 0) else { continue };
             if revision < *last {
                 problems.push(format!(
                     "the VM at {address} went back from revision {last} to {revision}"
@@ -220,8 +222,8 @@
 ) {
     match failure {
         Failure::Target(fault) => {
-            let switches = json!({ "fault": fault, "fault_percent": 50, "service_ms": 3 });
-            fleet.set_faults(target, &switches);
+            let settings = json!({ "fault": fault, "fault_percent": 50, "service_ms": 3 });
+            fleet.set_faults(target, &settings);
             thread::sleep(duration);
             if fault != "hang" {
                 fleet.set_faults(target, &json!({ "service_ms": 3 }));
--- a/load/src/rates.rs
+++ b/load/src/rates.rs
@@ -18,7 +18,7 @@
 const OVERLOAD_FACTOR: f64 = 2.0;
 /// Duration of the load.
 const LOAD_DURATION: Duration = Duration::from_secs(120);
-/// Window over which the limit on requests at the target is checked.
+/// Window in which the requests to the target are counted.
 const RATE_WINDOW: Duration = Duration::from_secs(4);
 
 /// How the VMs of a fleet share the rate.
@@ -73,6 +73,7 @@
             for vms in VMS {
                 for per_s in RATES {
                     let sent = simulate(scheme, entry, vms, per_s, seed)?;
+                    // What the tests tolerate: 1.5 times the rate, and 5 requests more.
                     let allowed = 1.5 * per_s * RATE_WINDOW.as_secs_f64() + 5.0;
                     let used = sent.len() as f64 / (per_s * LOAD_DURATION.as_secs_f64());
                     println!(
--- a/load/src/report.rs
+++ b/load/src/report.rs
@@ -43,16 +43,18 @@
     pub(crate) rows: Vec<KindRow>,
     /// Fraction of all requests answered whole within their deadline.
     attainment: f64,
-    /// Cost of all calls that the targets recorded.
+    /// Cost of all calls that the targets recorded, in the targets' own units.
     cost: u64,
     cost_by_stage: BTreeMap<String, u64>,
-    /// Cost that did not lead to a whole answer in time or to a successful retry.
+    /// Cost that led neither to a whole answer in time nor to a whole answer of a retry.
     cost_wasted_percent: f64,
+    /// Cost divided by the number of requests answered whole, in time or by a retry.
     cost_per_whole: f64,
-    /// Calls per stage of a request.
+    /// Mean number of calls per stage of a request.
     tries_per_stage: f64,
-    /// Calls to engines that found the prompt's prefix in the cache.
+    /// Share of the calls to engines that found the prompt's prefix in the cache.
     prefix_hits_percent: f64,
+    /// Number of answers by the reason that they give.
     reasons: BTreeMap<String, usize>,
     /// Fraction of the retries that were answered whole; `None` without retries.
     again_whole: Option<f64>,
@@ -123,17 +125,20 @@
         let deadline = Duration::from_millis(kinds[e.kind].deadline_ms);
         e.outcome == Some(Outcome::Whole) && e.took <= deadline
     };
-    let first_try_cost: u64 = completed.iter().filter(in_time).map(|e| e.cost).sum();
+    let in_time_cost: u64 = completed.iter().filter(in_time).map(|e| e.cost).sum();
     let whole_retries = completed.iter().filter_map(|e| e.retry).filter(|a| a.whole);
-    let used = first_try_cost + whole_retries.map(|a| a.cost).sum::<u64>();
+    let used = in_time_cost + whole_retries.map(|a| a.cost).sum::<u64>();
     let whole: usize = rows.iter().map(|r| r.whole).sum();
     let later: usize = rows.iter().map(|r| r.later).sum();
     let mut calls_by_stage_run: BTreeMap<String, usize> = BTreeMap::new();
+    // Attempt ids have the form REQUEST/STAGE.NUMBER-SALT, so all attempts at a stage of a request
+    // have the part before the dot in common.
     for (_, call) in &records {
         let attempt = call["attempt"].as_str().unwrap_or_default();
         let stage = attempt.split('.').next().unwrap_or_default();
         *calls_by_stage_run.entry(stage.to_owned()).or_default() += 1;
     }
+    // In all scenarios the engines are the pool `modelo`.
     let engine_calls = records.iter().filter(|(name, _)| name.starts_with("modelo"));
     let hits: Vec<bool> = engine_calls.map(|(_, c)| c["prefix_hit"] == true).collect();
     let percent = |part: usize, all: usize| 100.0 * part as f64 / all.max(1) as f64;
@@ -144,10 +149,11 @@
     let retried: Vec<bool> = completed.iter().filter_map(|e| Some(e.retry?.whole)).collect();
     let last = completed.iter().map(|e| e.at).max().unwrap_or_default();
     let by_tenth = (0..10).map(|tenth| {
-        let part =
+        // Just below 10, so that the last request is in the last tenth.
+        let position =
             |e: &&CompletedRequest| e.at.as_secs_f64() / last.as_secs_f64().max(1e-9) * 9.999;
         let sent: Vec<&CompletedRequest> =
-            completed.iter().filter(|e| part(e) as usize == tenth).collect();
+            completed.iter().filter(|e| position(e) as usize == tenth).collect();
         sent.iter().copied().filter(in_time).count() as f64 / sent.len().max(1) as f64
     });
     Report {
--- a/load/src/run.rs
+++ b/load/src/run.rs
@@ -22,7 +22,7 @@
     /// `None` if no complete HTTP answer was received.
     pub(crate) outcome: Option<Outcome>,
     pub(crate) reason: Option<Reason>,
-    /// Cost of the answered stages.
+    /// Cost of the answered stages, in the targets' own units.
     pub(crate) cost: u64,
     /// Result of the retry, if the request was refused with a time at which to retry.
     pub(crate) retry: Option<Retry>,
@@ -33,6 +33,7 @@
 pub(crate) struct Retry {
     /// Whether the answer was whole.
     pub(crate) whole: bool,
+    /// Cost of the answered stages of the retry.
     pub(crate) cost: u64,
 }
 
@@ -54,8 +55,8 @@
         let connections = Arc::clone(&connections);
         let arrival = *arrival;
         in_flight.spawn(async move { send(&connections, arrival, intended, &post).await });
-        while let Some(Ok(one)) = in_flight.try_join_next() {
-            completed.push(one);
+        while let Some(Ok(request)) = in_flight.try_join_next() {
+            completed.push(request);
         }
     }
     while let Some(joined) = in_flight.join_next().await {
@@ -66,6 +67,7 @@
 
 /// Builds the HTTP request of an arrival.
 fn build_post(kind: &RequestKind, number: u64, to: SocketAddr) -> Post {
+    // A prime factor, so that successive requests visit all prefixes in a scattered order.
     let prefix = if kind.prefixes == 0 { number } else { number * 7919 % kind.prefixes };
     let mut headers = vec![
         ("saddlerail-customer", kind.customer.to_owned()),
@@ -110,7 +112,7 @@
     answer.stages.iter().filter_map(|stage| stage.cost).sum()
 }
 
-/// Sends a request that was not run again, at the time that the refusal named.
+/// Sends a request again that was refused with a time at which to retry; `None` if it was not.
 async fn retry_refused(
     connections: &Connections,
     request: &Post,
--- a/load/src/scenario.rs
+++ b/load/src/scenario.rs
@@ -31,7 +31,7 @@
     /// Numbers of entry VMs to run with; empty for the number that the scenario defines.
     pub(crate) vms: Vec<usize>,
     pub(crate) seed: u64,
-    /// Duration of the arrivals.
+    /// Time in which requests arrive, in seconds.
     pub(crate) seconds: u64,
     /// Print reports as JSON instead of tables.
     pub(crate) json: bool,
@@ -53,9 +53,13 @@
 struct Scenario {
     halls: &'static [&'static str],
     pools: Vec<Pool>,
+    /// Slots per target that the catalogue declares, for each pool.
     slots: Vec<u32>,
+    /// Name and share of each customer.
     customers: &'static [(&'static str, u32)],
+    /// Catalogue documents of the services, as YAML.
     services: &'static str,
+    /// Number of entry VMs.
     vms: usize,
     kinds: Vec<RequestKind>,
     injected_fault: InjectedFault,
@@ -210,6 +214,7 @@
 /// The scenario of a name; Quipu's steady load if the name is none of the others.
 fn scenario(name: &str, seconds: f64) -> Scenario {
     let base = quipu();
+    // The middle half of the run.
     let middle = Some((seconds / 4.0, seconds * 0.75));
     match name {
         "quipu-burst" => {
@@ -242,10 +247,10 @@
     if let Some((from, to)) = scenario.pause {
         postpone(&mut sent, from, to);
     }
-    let numbers = if plan.vms.is_empty() { vec![scenario.vms] } else { plan.vms.clone() };
+    let vm_counts = if plan.vms.is_empty() { vec![scenario.vms] } else { plan.vms.clone() };
     println!("scenario {name}, seed {}, {} s, {} requests", plan.seed, plan.seconds, sent.len());
     for policy in &plan.policies {
-        for vms in &numbers {
+        for vms in &vm_counts {
             let report = run_once(&scenario, policy, *vms, &sent, seconds);
             if plan.json {
                 println!("{}", json!(report));
@@ -282,24 +287,24 @@
         policy,
     });
     let callers: Vec<SocketAddr> = fleet.vms.iter().map(|vm| vm.callers).collect();
-    let ended = thread::scope(|scope| {
+    let completed = thread::scope(|scope| {
         scope.spawn(|| inject_fault(&fleet, scenario.injected_fault, seconds));
         let tasks = tokio::runtime::Runtime::new()
             .unwrap_or_else(|e| panic!("cannot start the Tokio runtime of the benchmark: {e}"));
         tasks.block_on(run(&scenario.kinds, sent, &callers))
     });
-    report(policy, &scenario.kinds, &ended, &fleet)
+    report(policy, &scenario.kinds, &completed, &fleet)
 }
 
 /// Injects the fault after a third of the run and removes it after another third.
 fn inject_fault(fleet: &Fleet, injected_fault: InjectedFault, seconds: f64) {
     let engine = json!({ "service_ms": 20, "token_ms": 5, "prefill_ms": 60 });
-    let with = |fault: serde_json::Value| {
-        let mut switches = engine.clone();
+    let engine_with = |fault: serde_json::Value| {
+        let mut settings = engine.clone();
         for (key, value) in fault.as_object().into_iter().flatten() {
-            switches[key] = value.clone();
+            settings[key] = value.clone();
         }
-        switches
+        settings
     };
     let third = Duration::from_secs_f64(seconds / 3.0);
     let (names, fault): (Vec<String>, _) = match injected_fault {
@@ -310,11 +315,11 @@
         }
         InjectedFault::ThirdBusy => {
             let names = (1..=3).map(|n| format!("modelo-{n}")).collect();
-            (names, with(json!({ "fault": "busy" })))
+            (names, engine_with(json!({ "fault": "busy" })))
         }
         InjectedFault::AllFailing => {
             let names = (1..=10).map(|n| format!("modelo-{n}")).collect();
-            (names, with(json!({ "fault": "error" })))
+            (names, engine_with(json!({ "fault": "error" })))
         }
     };
     thread::sleep(third);
--- a/load/src/slopes.rs
+++ b/load/src/slopes.rs
@@ -1,5 +1,6 @@
 //! Measures the figures from which `docs/CAPACITY.md` is calculated: the cost of the control
-//! traffic of an idle fleet, and of a configuration change, at several fleet sizes.
+//! traffic of an idle fleet, and of a configuration change. Each is measured at several fleet
+//! sizes, because the slope between them shows how it grows with the numbers of VMs and targets.
 
 use std::fmt::Write as _;
 use std::thread;
@@ -35,6 +36,7 @@
 fn catalogue(targets: usize) -> String {
     let mut text = "customer: {name: small}\n".to_owned();
     for number in 0..targets {
+        // 200 addresses for each third byte, so that no byte exceeds 255.
         let (high, low) = (number / 200 + 1, number % 200 + 1);
         let _ = write!(
             text,
@@ -103,7 +105,8 @@
     (took, (after - before) / vms as f64)
 }
 
-/// Bytes of control messages that a VM has sent and received since it started.
+/// Bytes of control messages that a VM has sent and received since it started; 0 if it does not
+/// answer.
 fn control_bytes(fleet: &Fleet, index: usize) -> f64 {
     let url = format!("http://{}/metrics", fleet.vms[index].operations);
     let page = agent().get(url).call().ok().and_then(|mut rx| rx.body_mut().read_to_string().ok());
