--- a/src/charts.rs
+++ b/src/charts.rs
@@ -12,8 +12,8 @@
 const CHART_SIZE: (u32, u32) = (960, 320);
 /// Length of the line sample beside a legend entry, in pixels.
 const LEGEND_SAMPLE: i32 = 16;
-/// Width of the x axis as a multiple of the range of the data; the legend is drawn in the
-/// space to the right of the data.
+/// Width of the x axis as a multiple of the range of the data. The legend is drawn in the space to
+/// the right of the data.
 const X_AXIS_STRETCH: f64 = 1.3;
 /// Longest series name in a legend, in characters; longer names are cut.
 const MAX_LEGEND_CHARS: usize = 24;
@@ -24,6 +24,7 @@
 /// A chart with one series per name.
 pub(crate) struct Chart {
     pub(crate) title: &'static str,
+    /// Unit of the plotted values, shown beside the title.
     pub(crate) unit: &'static str,
     /// Reduces the values of one interval to the value that is plotted.
     pub(crate) aggregate: fn(&[f64]) -> f64,
@@ -66,7 +67,8 @@
     sorted.get(index).copied().unwrap_or(0.0)
 }
 
-/// Renders a chart as SVG; `seconds` is the length of an interval and labels the x axis.
+/// Renders a chart as SVG; `seconds` is the length of an interval, which labels the x axis. The
+/// error is the text of the drawing library.
 pub(crate) fn draw(chart: &Chart, seconds: u32) -> std::result::Result<String, String> {
     let mut svg = String::new();
     let error_text = |e: &dyn std::fmt::Display| e.to_string();
--- a/src/cmd/check.rs
+++ b/src/cmd/check.rs
@@ -1,5 +1,8 @@
 //! `saddlerail check`: validates a configuration of the users' platform and shows how it is
 //! interpreted, or what it changes compared with another one.
+//!
+//! An entry of a configuration is a route: the requests for one host under one path prefix, and the
+//! services that run them.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::path::{Path, PathBuf};
@@ -26,13 +29,14 @@
 
 /// Reads and validates a configuration file.
 fn read_intent(path: &Path) -> Result<Intent> {
-    let text = logs::read_bytes(path)?;
+    let bytes = logs::read_bytes(path)?;
     let intent = users_platform::adapter().intents.intent;
-    intent(&text).map_err(|e| e.with_outer_place(&path.display().to_string()))
+    intent(&bytes).map_err(|e| e.with_outer_place(&path.display().to_string()))
 }
 
 /// A part of the configuration that differs between two versions.
 struct Difference {
+    /// Name of the part, such as `entry HOST/PREFIX/`, `service NAME` or `bounds`.
     place: String,
     /// Description in the older version; `None` if the part was added.
     before: Option<String>,
@@ -40,7 +44,7 @@
     after: Option<String>,
 }
 
-/// Differences between two configurations, sorted_entries by place.
+/// Differences between two configurations, sorted by place.
 fn changes(older: &Intent, newer: &Intent) -> Vec<Difference> {
     let (before, after) = (parts(older), parts(newer));
     let places: BTreeSet<&String> = before.keys().chain(after.keys()).collect();
@@ -60,11 +64,11 @@
         .map(|entry| (format!("entry {}{}", entry.host, entry.path_prefix), entry_text(entry)))
         .collect();
     parts.extend(intent.services.values().map(|service| {
-        let kind = format!(
+        let description = format!(
             "{:?}, {:?}, connections {}",
             service.pool, service.engine, service.connections
         );
-        (format!("service {}", service.name), kind)
+        (format!("service {}", service.name), description)
     }));
     let mut keys: BTreeMap<&str, usize> = BTreeMap::new();
     for customer in intent.customers.iter().flat_map(|customers| customers.values()) {
@@ -97,7 +101,7 @@
     }
 }
 
-/// Entries sorted_entries by host and path prefix.
+/// Entries sorted by host and path prefix.
 fn sorted_entries(intent: &Intent) -> Vec<&Entry> {
     let mut entries: Vec<&Entry> = intent.entries().map(AsRef::as_ref).collect();
     entries.sort_by(|a, b| (&a.host, &a.path_prefix).cmp(&(&b.host, &b.path_prefix)));
--- a/src/cmd/explain.rs
+++ b/src/cmd/explain.rs
@@ -32,6 +32,7 @@
     Ok(())
 }
 
+/// Prints the record of a request: the request, a line for each attempt, and the outcome.
 fn print_text(vm: &str, record: &Value) {
     out!(
         "{} at {vm}: {} for {}, {}, revision {}, deadline {} ms",
--- a/src/cmd/report.rs
+++ b/src/cmd/report.rs
@@ -37,7 +37,8 @@
 /// the first event.
 fn request_charts(events: &[Map<String, Value>], seconds: f64) -> Vec<Chart> {
     let first = logs::first_time(events);
-    let mut expected = HashMap::new();
+    // Forecast delay of each admitted request in ms, by request id.
+    let mut forecasts = HashMap::new();
     let mut ended = Chart::new("Requests by outcome", "requests", |values| values.len() as f64);
     let mut refused =
         Chart::new("Not admitted, by entry", "requests", |values| values.len() as f64);
@@ -65,11 +66,11 @@
         };
         match text("msg") {
             "admitted" => {
-                expected.insert(text("request"), logs::number(pairs, "expected_ms"));
+                forecasts.insert(text("request"), logs::number(pairs, "expected_ms"));
             }
-            // A stream is logged again at its end, so its begin does not count as an outcome.
+            // A stream is logged again at its end, and only that event counts as its outcome.
             "request ended" if text("outcome") == "stream begun" => {
-                let forecast = expected.remove(text("request")).flatten();
+                let forecast = forecasts.remove(text("request")).flatten();
                 let took = logs::number(pairs, "took_ms");
                 if let (Some(forecast), Some(took)) = (forecast, took) {
                     start_delays.add(text("entry"), interval, took - forecast);
--- a/src/cmd/trace.rs
+++ b/src/cmd/trace.rs
@@ -18,6 +18,7 @@
 struct Line {
     /// Time of the event, in seconds.
     time: f64,
+    /// The line as it stands in the file.
     text: String,
     pairs: Map<String, Value>,
 }
--- a/src/cmd/wait.rs
+++ b/src/cmd/wait.rs
@@ -27,19 +27,19 @@
 }
 
 /// Waits until every VM that the platform lists or the daemons know reports `revision` or a
-/// later one.
+/// later one. `first` is the operations address of the VM from which the others are discovered.
 ///
 /// # Errors
 /// `TimedOut` after `timeout`; the VMs without the revision are printed first.
 pub(crate) fn wait_everywhere(
     store: &Store,
-    vm: SocketAddr,
+    first: SocketAddr,
     revision: Revision,
     timeout: Duration,
 ) -> Result<()> {
     let began = Instant::now();
     loop {
-        let missing = check_vms(store, vm, revision)?;
+        let missing = check_vms(store, first, revision)?;
         if let Ok(vms) = missing {
             messages::in_force(revision, vms, began.elapsed());
             return Ok(());
@@ -58,10 +58,10 @@
 /// Number of VMs if all have the revision; otherwise each VM without it, and why.
 fn check_vms(
     store: &Store,
-    vm: SocketAddr,
+    first: SocketAddr,
     revision: Revision,
 ) -> Result<std::result::Result<usize, BTreeMap<String, String>>> {
-    let known = discover_vms(vm)?.into_iter().map(|(name, address)| (name, Some(address)));
+    let known = discover_vms(first)?.into_iter().map(|(name, address)| (name, Some(address)));
     let mut addresses: BTreeMap<String, Option<SocketAddr>> = known.collect();
     // The platform's list may be unavailable; the VMs known to the daemons are used then.
     for listed in store.vms().unwrap_or_default() {
--- a/src/context.rs
+++ b/src/context.rs
@@ -16,9 +16,12 @@
 use crate::messages;
 
 /// Timeout of a request to a daemon.
-const PAGE_TIMEOUT: Duration = Duration::from_secs(2);
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Client of the platform's store at `--platform`.
+///
+/// # Errors
+/// `BadInput` without `--platform` and `SADDLERAIL_PLATFORM`.
 pub(crate) fn store(args: &ArgMatches) -> Result<Store> {
     let address = args.get_one::<SocketAddr>("platform");
     let missing = || {
@@ -31,6 +34,9 @@
 }
 
 /// Operations address of the daemon at `--vm`.
+///
+/// # Errors
+/// `BadInput` without `--vm` and `SADDLERAIL_VM`.
 pub(crate) fn operations_address(args: &ArgMatches) -> Result<SocketAddr> {
     let missing = || {
         Error::bad_input(
@@ -49,15 +55,16 @@
     let what = || format!("the daemon at {address}");
     let unreachable = |e: ureq::Error| Error::Unreachable { what: what(), problem: e.to_string() };
     let call = ureq::get(format!("http://{address}{path}"));
-    let call = call.config().timeout_global(Some(PAGE_TIMEOUT)).build();
+    let call = call.config().timeout_global(Some(REQUEST_TIMEOUT)).build();
     let text =
         call.call().map_err(unreachable)?.body_mut().read_to_string().map_err(unreachable)?;
     serde_json::from_str(&text)
         .map_err(|e| Error::Unreachable { what: what(), problem: e.to_string() })
 }
 
-/// Snapshot of the accepted configuration.
+/// Snapshot of the accepted configuration, which every change starts from.
 pub(crate) struct Accepted {
+    /// Latest accepted revision and the ids of recent changes, as stored.
     pub(crate) head: Head,
     /// Version of the head in the store; a change is published only if it is still the same.
     pub(crate) version: u64,
@@ -92,7 +99,7 @@
     }
 }
 
-/// Validates and publishes a change, then waits for it if `--wait` is given.
+/// Validates and publishes a change, then waits until it is in force if `--wait` is given.
 pub(crate) fn publish_change(
     args: &ArgMatches,
     store: &Store,
--- a/src/fleet.rs
+++ b/src/fleet.rs
@@ -20,24 +20,24 @@
     let view = fetch_json(first, "/vms")?;
     let mut known = BTreeMap::from([(text(&view["vm"]), first)]);
     let mut queried_halls = BTreeSet::from([text(&view["hall"])]);
-    let mut pending = staying_vms(&view);
+    let mut pending = active_vms(&view);
     while let Some((name, hall, address)) = pending.pop() {
         known.entry(name).or_insert(address);
         if !queried_halls.contains(&hall)
             && let Ok(view) = fetch_json(address, "/vms")
         {
             queried_halls.insert(hall);
-            pending.extend(staying_vms(&view));
+            pending.extend(active_vms(&view));
         }
     }
     Ok(known)
 }
 
 /// Name, hall and operations address of the VMs in one VM's view that are fresh and not draining.
-fn staying_vms(view: &Value) -> Vec<(String, String, SocketAddr)> {
+fn active_vms(view: &Value) -> Vec<(String, String, SocketAddr)> {
     let vms = view["vms"].as_array().into_iter().flatten();
-    let staying = vms.filter(|vm| vm["age"] == "fresh" && vm["draining"] == false);
-    staying
+    let active = vms.filter(|vm| vm["age"] == "fresh" && vm["draining"] == false);
+    active
         .filter_map(|vm| {
             let address = text(&vm["operations"]).parse().ok()?;
             Some((text(&vm["vm"]), text(&vm["hall"]), address))
--- a/src/logs.rs
+++ b/src/logs.rs
@@ -17,7 +17,7 @@
     Ok(String::from_utf8_lossy(&read_bytes(path)?).into_owned())
 }
 
-/// Value of a key as text.
+/// Value of a key as text; `None` if it is missing.
 pub(crate) fn text<'a>(pairs: &'a Map<String, Value>, key: &str) -> Option<&'a str> {
     pairs.get(key).and_then(Value::as_str)
 }
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,7 +1,8 @@
 //! `saddlerail`, the operators' command-line tool: changes and inspects the configuration, and
 //! analyzes the VMs' log files.
 
-/// Prints a line to standard output; a closed pipe ends the process without an error.
+/// Prints a line to standard output. A closed pipe ends the process without an error, because its
+/// reader, such as `head`, has read all that it wanted.
 macro_rules! out {
     ($($arg:tt)*) => {
         $crate::messages::print_line(format_args!($($arg)*))
--- a/src/messages.rs
+++ b/src/messages.rs
@@ -29,7 +29,7 @@
     }
 }
 
-/// Prints one line per changed object.
+/// Prints one line per added, changed or removed object.
 pub(crate) fn changes(changes: &[Change]) {
     changes.iter().for_each(|change| out!("{change}"));
 }
@@ -44,7 +44,7 @@
     out!("accepted as revision {revision}");
 }
 
-/// Reports that a revision is in force on all VMs.
+/// Reports that a revision is in force on all VMs, and how long that took.
 pub(crate) fn in_force(revision: Revision, vms: usize, took: Duration) {
     out!("revision {revision} is in force on {vms} VMs after {} ms", took.as_millis());
 }
@@ -57,7 +57,7 @@
     }
 }
 
-/// Reports a VM on which the revision is not in force.
+/// Reports a VM on which the revision is not in force, or not known to be.
 pub(crate) fn missing(vm: &str, why: &str) {
     eprintln!("saddlerail: not in force on {vm}: {why}");
 }
