--- a/load/src/report.rs
+++ b/load/src/report.rs
@@ -90,7 +90,7 @@
         sent: completed.len(),
         whole: whole.len(),
         attainment: whole.len() as f64 / completed.len().max(1) as f64,
-        later: completed.iter().filter(|e| e.retry.is_some_and(|a| a.whole)).count(),
+        later: completed.iter().filter(|e| e.retry.is_some_and(|retry| retry.whole)).count(),
         p50_ms: took.value_at_quantile(0.5),
         p95_ms: took.value_at_quantile(0.95),
         p99_ms: took.value_at_quantile(0.99),
@@ -126,8 +126,8 @@
         e.outcome == Some(Outcome::Whole) && e.took <= deadline
     };
     let in_time_cost: u64 = completed.iter().filter(in_time).map(|e| e.cost).sum();
-    let whole_retries = completed.iter().filter_map(|e| e.retry).filter(|a| a.whole);
-    let used = in_time_cost + whole_retries.map(|a| a.cost).sum::<u64>();
+    let whole_retries = completed.iter().filter_map(|e| e.retry).filter(|retry| retry.whole);
+    let used = in_time_cost + whole_retries.map(|retry| retry.cost).sum::<u64>();
     let whole: usize = rows.iter().map(|r| r.whole).sum();
     let later: usize = rows.iter().map(|r| r.later).sum();
     let mut calls_by_stage_run: BTreeMap<String, usize> = BTreeMap::new();
