--- a/components/intent/src/target.rs
+++ b/components/intent/src/target.rs
@@ -41,7 +41,7 @@
 
 impl Target {
     /// Identifies its lifetime by one number, the same on all VMs: a hash of id and start time.
-    pub fn lifetime_id(&self) -> u64 {
+    pub fn lifetime_hash(&self) -> u64 {
         hashing::combine(hashing::hash_text(self.id.as_str()), self.born.unwrap_or_default())
     }
 
--- a/components/quarantine/src/crash.rs
+++ b/components/quarantine/src/crash.rs
@@ -8,10 +8,10 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct LifetimeHash(pub u64);
 
-/// One lifetime of a target. VMs tell lifetimes apart by the id and start time that the target
+/// Identifies one lifetime of a target. VMs tell lifetimes apart by the id and start time that the target
 /// reports, and by the number of its ends that they know.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub struct Lifetime {
+pub struct LifetimeId {
     /// Id and start time that the target reported, possibly for an earlier lifetime.
     pub lifetime_hash: LifetimeHash,
     /// Number of ends known for this hash when the request was sent. A target that accepts requests
@@ -20,18 +20,18 @@
     pub ends_before: u32,
 }
 
-impl fmt::Display for Lifetime {
+impl fmt::Display for LifetimeId {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{:016x}.{}", self.lifetime_hash.0, self.ends_before)
     }
 }
 
-impl Lifetime {
+impl LifetimeId {
     /// Parses the displayed form; `None` if `text` is not a lifetime.
     pub fn parse(text: &str) -> Option<Self> {
         let (lifetime_hash, ends_before) = text.split_once('.')?;
         let lifetime_hash = LifetimeHash(u64::from_str_radix(lifetime_hash, 16).ok()?);
-        Some(Lifetime { lifetime_hash, ends_before: ends_before.parse().ok()? })
+        Some(LifetimeId { lifetime_hash, ends_before: ends_before.parse().ok()? })
     }
 }
 
@@ -42,7 +42,7 @@
     /// Digest of the request.
     pub digest: RequestDigest,
     /// The lifetime that ended.
-    pub lifetime: Lifetime,
+    pub lifetime: LifetimeId,
     /// Whether the crash no longer counts, because the request completed elsewhere or an operator
     /// released it. Once set, it stays set.
     pub cleared: bool,
@@ -53,12 +53,12 @@
 
 /// The crashes of one request: each lifetime that ended, and whether its crash no longer counts.
 #[derive(Debug, Clone, Default)]
-pub(crate) struct Crashes(Vec<(Lifetime, bool)>);
+pub(crate) struct Crashes(Vec<(LifetimeId, bool)>);
 
 impl Crashes {
     /// Merges one crash; returns false if it changes nothing. At [`MAX_LIFETIMES`] the new crash
     /// replaces one that no longer counts; if all count, the new one is dropped.
-    pub(crate) fn merge(&mut self, lifetime: Lifetime, cleared: bool) -> bool {
+    pub(crate) fn merge(&mut self, lifetime: LifetimeId, cleared: bool) -> bool {
         if let Some((_, was_cleared)) = self.0.iter_mut().find(|(known, _)| *known == lifetime) {
             let newly_cleared = cleared && !*was_cleared;
             *was_cleared |= cleared;
@@ -73,7 +73,7 @@
     }
 
     /// Returns the lifetimes that count, which are those not cleared.
-    pub(crate) fn counted(&self) -> impl Iterator<Item = Lifetime> {
+    pub(crate) fn counted(&self) -> impl Iterator<Item = LifetimeId> {
         self.0.iter().filter(|(_, cleared)| !cleared).map(|(lifetime, _)| *lifetime)
     }
 }
--- a/components/quarantine/src/lib.rs
+++ b/components/quarantine/src/lib.rs
@@ -10,6 +10,6 @@
 mod request_digest;
 mod table;
 
-pub use crash::{Crash, Lifetime, LifetimeHash};
+pub use crash::{Crash, LifetimeHash, LifetimeId};
 pub use request_digest::{RequestDigest, RequestParts};
 pub use table::{CrashCursor, Quarantine, RefusedRequest, Rules};
--- a/components/quarantine/src/table.rs
+++ b/components/quarantine/src/table.rs
@@ -11,7 +11,7 @@
 
 use crate::crash::Crashes;
 use crate::recent_completions::RecentCompletions;
-use crate::{Crash, Lifetime, LifetimeHash, RequestDigest};
+use crate::{Crash, LifetimeHash, LifetimeId, RequestDigest};
 
 /// Most requests that are kept. The one with the fewest crashes is evicted first, and of several
 /// such the oldest. An engine has 64 requests in progress when it crashes, and each of them gets a
@@ -50,7 +50,7 @@
 #[derive(Debug, Clone, Copy)]
 struct Loss {
     digest: RequestDigest,
-    lifetime: Lifetime,
+    lifetime: LifetimeId,
     at: Instant,
 }
 
@@ -68,7 +68,7 @@
     /// Digest of the request.
     pub digest: RequestDigest,
     /// Lifetimes of targets that it crashed.
-    pub ended: Vec<Lifetime>,
+    pub ended: Vec<LifetimeId>,
     /// Time until it is no longer refused.
     pub left: Duration,
     /// How often this VM refused it.
@@ -111,14 +111,14 @@
     }
 
     /// Returns the lifetime to which a request is sent now at a target with this lifetime hash.
-    pub fn current_lifetime(&self, lifetime_hash: LifetimeHash) -> Lifetime {
+    pub fn current_lifetime(&self, lifetime_hash: LifetimeHash) -> LifetimeId {
         let ends_before = self.ends.get(&lifetime_hash).map_or(0, |ends| ends.count);
-        Lifetime { lifetime_hash, ends_before }
+        LifetimeId { lifetime_hash, ends_before }
     }
 
     /// Records that the connection to a target was lost during a request. It counts as a crash if
     /// the target's end becomes known in time.
-    pub fn connection_lost(&mut self, digest: RequestDigest, lifetime: Lifetime, now: Instant) {
+    pub fn connection_lost(&mut self, digest: RequestDigest, lifetime: LifetimeId, now: Instant) {
         let is_old = |loss: &Loss| now.saturating_duration_since(loss.at) > LOSS_TTL;
         while self.losses.front().is_some_and(is_old) || self.losses.len() >= MAX_LOSSES {
             self.losses.pop_front();
@@ -127,7 +127,7 @@
     }
 
     /// Records that a lifetime of a target ended; returns the crashes that are new.
-    pub fn lifetime_ended(&mut self, lifetime: Lifetime, now: Instant) -> Vec<Crash> {
+    pub fn lifetime_ended(&mut self, lifetime: LifetimeId, now: Instant) -> Vec<Crash> {
         self.end_lifetimes(|other| *other == lifetime, now)
     }
 
@@ -139,7 +139,11 @@
 
     /// Records that the lifetimes which `has_ended` selects have ended; returns the crashes that
     /// are new.
-    fn end_lifetimes(&mut self, has_ended: impl Fn(&Lifetime) -> bool, now: Instant) -> Vec<Crash> {
+    fn end_lifetimes(
+        &mut self,
+        has_ended: impl Fn(&LifetimeId) -> bool,
+        now: Instant,
+    ) -> Vec<Crash> {
         let is_old = |loss: &Loss| now.saturating_duration_since(loss.at) > LOSS_TTL;
         let (ended, others) = self.losses.drain(..).partition(|loss| has_ended(&loss.lifetime));
         self.losses = others;
@@ -167,7 +171,7 @@
     /// Releases a request: its crashes so far no longer count. Returns false if none counted.
     pub fn clear(&mut self, digest: &RequestDigest, now: Instant) -> bool {
         let Some(record) = self.records.get(digest) else { return false };
-        let counted: Vec<Lifetime> = record.crashes.counted().collect();
+        let counted: Vec<LifetimeId> = record.crashes.counted().collect();
         for lifetime in &counted {
             self.merge_crash(Crash { digest: *digest, lifetime: *lifetime, cleared: true }, now);
         }
--- a/components/quarantine/tests/table.rs
+++ b/components/quarantine/tests/table.rs
@@ -5,7 +5,7 @@
 
 use proptest::prelude::{Strategy, any, prop, proptest};
 use quarantine::{
-    Crash, CrashCursor, Lifetime, LifetimeHash, Quarantine, RequestDigest, RequestParts, Rules,
+    Crash, CrashCursor, LifetimeHash, LifetimeId, Quarantine, RequestDigest, RequestParts, Rules,
 };
 
 const RULES: Rules = Rules { crashes: 3, duration: Duration::from_secs(600) };
@@ -28,8 +28,8 @@
 }
 
 /// The first lifetime with a hash.
-fn lifetime(lifetime_hash: u64) -> Lifetime {
-    Lifetime { lifetime_hash: LifetimeHash(lifetime_hash), ends_before: 0 }
+fn lifetime(lifetime_hash: u64) -> LifetimeId {
+    LifetimeId { lifetime_hash: LifetimeHash(lifetime_hash), ends_before: 0 }
 }
 
 /// Crashes a target during one request.
@@ -223,7 +223,7 @@
         }
     }
 
-    fn lifetime(&self, target: usize) -> Lifetime {
+    fn lifetime(&self, target: usize) -> LifetimeId {
         lifetime(target as u64 * 1000 + self.restarts[target])
     }
 
--- a/gateway/src/attempts.rs
+++ b/gateway/src/attempts.rs
@@ -9,7 +9,7 @@
 use hyper::body::Incoming;
 use platform_interface::callers::Refusal;
 use platform_interface::calls::{AnswerHead, CallHead, Evidence};
-use quarantine::Lifetime;
+use quarantine::LifetimeId;
 use selection::{CallSize, Pick, SelectionRequest, TargetKey, TargetOutcome};
 use slog::info;
 
@@ -56,7 +56,7 @@
     app: Rc<App>,
     pub(crate) pick: Pick,
     /// The lifetime of the target that it was sent to; a crash is attributed to it.
-    pub(crate) lifetime: Lifetime,
+    pub(crate) lifetime: LifetimeId,
     /// Time since the target announced that it is leaving, when it was chosen. Such targets aren't
     /// chosen, so a value in the log reveals a code path that ignores announcements.
     leaving_age: Option<Duration>,
--- a/gateway/src/crashes.rs
+++ b/gateway/src/crashes.rs
@@ -10,7 +10,7 @@
 use ids::ServiceName;
 use intent::Target;
 use platform_interface::callers::Refusal;
-use quarantine::{Crash, Lifetime, LifetimeHash, RequestDigest};
+use quarantine::{Crash, LifetimeHash, LifetimeId, RequestDigest};
 use slog::info;
 use tokio::task::spawn_local;
 use tokio::time::sleep;
@@ -49,7 +49,7 @@
     app: &Rc<App>,
     digests: &[RequestDigest],
     target: &Target,
-    lifetime: Lifetime,
+    lifetime: LifetimeId,
 ) {
     check_target(app, digests, target, lifetime).await;
 }
@@ -60,7 +60,7 @@
     app: &Rc<App>,
     digests: &[RequestDigest],
     target: &Target,
-    lifetime: Lifetime,
+    lifetime: LifetimeId,
 ) {
     app.hub.with(|shared, now| shared.record_lost_connections(digests, target, lifetime, now));
     if connections::is_refused(target.address, FIRST_PROBE_TIMEOUT).await {
@@ -92,7 +92,7 @@
     app: &App,
     digests: &[RequestDigest],
     target: &Target,
-    lifetime: Lifetime,
+    lifetime: LifetimeId,
     ended: bool,
 ) {
     for digest in digests {
@@ -160,7 +160,7 @@
 
 impl Shared {
     /// The current lifetime of a target, to which work sent now belongs.
-    pub(crate) fn lifetime_of(&self, target: &Target) -> Lifetime {
+    pub(crate) fn lifetime_of(&self, target: &Target) -> LifetimeId {
         self.quarantine.current_lifetime(lifetime_hash_of(target))
     }
 
@@ -170,7 +170,7 @@
         &mut self,
         digests: &[RequestDigest],
         target: &Target,
-        lifetime: Lifetime,
+        lifetime: LifetimeId,
         now: Instant,
     ) {
         let is_leaving = self.targets.get(&target.id).is_none_or(|known| known.leaving);
@@ -215,7 +215,7 @@
     }
 
     /// Records the end of a target's lifetime as seen by this VM.
-    fn lifetime_ended(&mut self, lifetime: Lifetime, now: Instant) {
+    fn lifetime_ended(&mut self, lifetime: LifetimeId, now: Instant) {
         let new = self.quarantine.lifetime_ended(lifetime, now);
         self.publish_crashes(&new, "own", now);
     }
@@ -253,5 +253,5 @@
 }
 
 fn lifetime_hash_of(target: &Target) -> LifetimeHash {
-    LifetimeHash(target.lifetime_id())
+    LifetimeHash(target.lifetime_hash())
 }
--- a/gateway/src/link_messages.rs
+++ b/gateway/src/link_messages.rs
@@ -11,7 +11,7 @@
     self, Beat, Coming, Crashes, Departures, Done, Failure, Fetched, FromOwner, Hello, PieceDone,
     PoolLoad, Rates, Submit, TargetLoad, Waiting, from_owner,
 };
-use quarantine::{Crash, CrashCursor, Lifetime, LifetimeHash, RequestDigest};
+use quarantine::{Crash, CrashCursor, LifetimeHash, LifetimeId, RequestDigest};
 
 use crate::app::App;
 use crate::outbound_links::DialerSender;
@@ -216,7 +216,7 @@
     let crash = |crash: &work::Crash| {
         let request_digest = RequestDigest::from_bytes(&crash.content)?;
         let lifetime =
-            Lifetime { lifetime_hash: LifetimeHash(crash.birth), ends_before: crash.ends_before };
+            LifetimeId { lifetime_hash: LifetimeHash(crash.birth), ends_before: crash.ends_before };
         Some(Crash { digest: request_digest, lifetime, cleared: crash.cleared })
     };
     message.crashes.iter().filter_map(crash).collect()
--- a/gateway/src/stored_refusals.rs
+++ b/gateway/src/stored_refusals.rs
@@ -6,7 +6,7 @@
 
 use bytes::Bytes;
 use platform_interface::store::Write;
-use quarantine::{Crash, Lifetime, RefusedRequest, RequestDigest};
+use quarantine::{Crash, LifetimeId, RefusedRequest, RequestDigest};
 use serde::{Deserialize, Serialize};
 use slog::{debug, info, warn};
 use tokio::task::spawn_local;
@@ -59,7 +59,7 @@
             warn!(self.log, "refused request entry ignored"; "key" => key);
             return true;
         };
-        let lifetimes = stored.ended.iter().filter_map(|text| Lifetime::parse(text));
+        let lifetimes = stored.ended.iter().filter_map(|text| LifetimeId::parse(text));
         let crashes: Vec<Crash> =
             lifetimes.map(|lifetime| Crash { digest: request, lifetime, cleared: false }).collect();
         self.merge_crashes(&crashes, "store", now);
