--- a/components/batching/src/forecast.rs
+++ b/components/batching/src/forecast.rs
@@ -6,7 +6,7 @@
 
 use crate::filling::effective_due_of;
 use crate::pool::{MIN_DURATION, PendingPiece, Pool};
-use crate::queue::Queue;
+use crate::queue::QueueCounts;
 use crate::worker::Worker;
 
 /// Exponent with which the wait for a free worker grows with the fraction of busy workers.
@@ -48,8 +48,8 @@
     }
 
     /// Returns counts of the waiting pieces that can still be in time, by urgency and slack.
-    pub fn queue(&self, now: Instant) -> Queue {
-        let mut queue = Queue::default();
+    pub fn queue_counts(&self, now: Instant) -> QueueCounts {
+        let mut queue = QueueCounts::default();
         let submission = |waiting: &PendingPiece| Some(&self.jobs.get(waiting.job)?.submission);
         for submission in self.waiting.iter().filter_map(submission) {
             if submission.due > now + self.spec.call {
--- a/components/batching/src/lib.rs
+++ b/components/batching/src/lib.rs
@@ -22,7 +22,7 @@
 
 pub use filling::effective_due;
 pub use pool::Pool;
-pub use queue::Queue;
+pub use queue::QueueCounts;
 pub use room_use::RoomUse;
 pub use submission::{
     Call, CallEnd, CallKey, Finished, JobKey, Order, PendingRelease, PieceOutcome, Submission,
--- a/components/batching/src/queue.rs
+++ b/components/batching/src/queue.rs
@@ -15,11 +15,11 @@
 
 /// Number of waiting pieces by urgency and slack bucket.
 #[derive(Debug, Clone, PartialEq, Default)]
-pub struct Queue {
+pub struct QueueCounts {
     by_urgency: BTreeMap<u8, Buckets>,
 }
 
-impl Queue {
+impl QueueCounts {
     /// Sets the counts of one urgency, least slack first. Buckets for which `counts` has no entry
     /// keep their value; entries beyond the last bucket are ignored.
     pub fn set_counts(&mut self, urgency: u8, counts: &[u32]) {
--- a/components/batching/tests/pool.rs
+++ b/components/batching/tests/pool.rs
@@ -211,7 +211,7 @@
     pool.submit(submission("late", 3, now), now);
     pool.submit(submission("soon", 5, now + CALL * 4), now);
 
-    assert_eq!(pool.queue(now).total(), 5);
+    assert_eq!(pool.queue_counts(now).total(), 5);
     let both = pool.rate(now);
     pool.set_workers([worker("m", "a")].iter());
     assert!((both / pool.rate(now) - 2.0).abs() < 1e-9);
--- a/components/batching/tests/queue.rs
+++ b/components/batching/tests/queue.rs
@@ -2,13 +2,13 @@
 
 use std::time::Duration;
 
-use batching::Queue;
+use batching::QueueCounts;
 
 const SECOND: Duration = Duration::from_secs(1);
 
 #[test]
 fn pieces_with_less_slack_go_before() {
-    let mut queue = Queue::default();
+    let mut queue = QueueCounts::default();
     (0..4).for_each(|_| queue.add(0, SECOND / 5));
     (0..8).for_each(|_| queue.add(0, SECOND * 2));
 
@@ -19,7 +19,7 @@
 
 #[test]
 fn all_more_urgent_pieces_go_before() {
-    let mut queue = Queue::default();
+    let mut queue = QueueCounts::default();
     (0..8).for_each(|_| queue.add(0, SECOND * 2));
     (0..3).for_each(|_| queue.add(2, SECOND * 2));
 
@@ -29,7 +29,7 @@
 
 #[test]
 fn half_of_the_last_bucket_counts_for_any_slack_within_it() {
-    let mut queue = Queue::default();
+    let mut queue = QueueCounts::default();
     (0..10).for_each(|_| queue.add(0, SECOND * 9));
 
     assert!((queue.ahead_of(0, SECOND * 60) - 5.0).abs() < f64::EPSILON);
@@ -38,10 +38,10 @@
 
 #[test]
 fn counts_that_are_exported_and_imported_give_the_same_queue() {
-    let mut queue = Queue::default();
+    let mut queue = QueueCounts::default();
     queue.add(0, SECOND / 10);
     queue.add(3, SECOND * 2);
-    let mut imported = Queue::default();
+    let mut imported = QueueCounts::default();
 
     queue.counts().for_each(|(urgency, counts)| imported.set_counts(urgency, counts));
     let is_same = imported == queue;
--- a/components/fleet/src/peer.rs
+++ b/components/fleet/src/peer.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-use batching::Queue;
+use batching::QueueCounts;
 use ids::HallName;
 use serde::{Deserialize, Serialize};
 
@@ -27,7 +27,7 @@
     /// Time from submitting a piece to its result if no other pieces are queued.
     pub turnaround: Duration,
     /// Queued pieces that can still be in time.
-    pub queue: Queue,
+    pub queue: QueueCounts,
     /// Queued pieces that can't be in time any more. They are made after all others, but still
     /// occupy workers and hold their inputs.
     pub late: f64,
--- a/components/fleet/tests/spill.rs
+++ b/components/fleet/tests/spill.rs
@@ -5,7 +5,7 @@
 
 use std::time::{Duration, Instant};
 
-use batching::Queue;
+use batching::QueueCounts;
 use fleet::{Owner, PoolLoad, fastest_owner, should_spill};
 use ids::VmName;
 
@@ -22,7 +22,7 @@
 
 /// An owner with `late` queued pieces and a rate of `rate` pieces per second.
 fn owner(name: &str, late: f64, rate: f64) -> (Owner, PoolLoad) {
-    let (turnaround, queue, at) = (Duration::ZERO, Queue::default(), Instant::now());
+    let (turnaround, queue, at) = (Duration::ZERO, QueueCounts::default(), Instant::now());
     let load = PoolLoad { turnaround, queue, late, incoming: 0.0, rate, at };
     (Owner::Peer(VmName::new(name).unwrap()), load)
 }
--- a/components/quarantine/src/crash.rs
+++ b/components/quarantine/src/crash.rs
@@ -8,8 +8,8 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct LifetimeHash(pub u64);
 
-/// Identifies one lifetime of a target. VMs tell lifetimes apart by the id and start time that the target
-/// reports, and by the number of its ends that they know.
+/// Identifies one lifetime of a target. VMs tell lifetimes apart by the id and start time that the
+/// target reports, and by the number of its ends that they know.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct LifetimeId {
     /// Id and start time that the target reported, possibly for an earlier lifetime.
--- a/gateway/src/http_endpoints.rs
+++ b/gateway/src/http_endpoints.rs
@@ -183,8 +183,8 @@
                     "pool": name.as_str(),
                     "filled_by": owner_name(&shared.expected_owner(name, now)),
                     "turn_ms": pool.expected_turnaround().as_millis() as u64,
-                    "queue": pool.queue(now).total(),
-                    "queue_by_slack": pool.queue(now).counts().collect::<Vec<_>>(),
+                    "queue": pool.queue_counts(now).total(),
+                    "queue_by_slack": pool.queue_counts(now).counts().collect::<Vec<_>>(),
                     "rate": pool.rate(now),
                 })
             })
--- a/gateway/src/link_messages.rs
+++ b/gateway/src/link_messages.rs
@@ -3,7 +3,7 @@
 
 use std::time::Duration;
 
-use batching::{PieceOutcome, Queue, Submission};
+use batching::{PieceOutcome, QueueCounts, Submission};
 use eligibility::{ChangeCursor, Departure};
 use fleet::VmEntry;
 use ids::{HallName, RequestId, ServiceName, TargetName, VmName};
@@ -83,7 +83,7 @@
     })
 }
 
-fn encode_queue(queue: &Queue) -> Vec<Waiting> {
+fn encode_queue(queue: &QueueCounts) -> Vec<Waiting> {
     let encode_waiting = |(urgency, counts): (u8, &[u32])| Waiting {
         urgency: urgency.into(),
         counts: counts.to_vec(),
@@ -91,8 +91,8 @@
     queue.counts().map(encode_waiting).collect()
 }
 
-fn decode_queue(waiting: &[Waiting]) -> Queue {
-    let mut queue = Queue::default();
+fn decode_queue(waiting: &[Waiting]) -> QueueCounts {
+    let mut queue = QueueCounts::default();
     for Waiting { urgency, counts } in waiting {
         queue.set_counts(u8::try_from(*urgency).unwrap_or(u8::MAX), counts);
     }
--- a/gateway/src/owner_selection.rs
+++ b/gateway/src/owner_selection.rs
@@ -130,7 +130,7 @@
     /// This VM's load for a pool; `None` if it has no such pool.
     pub(crate) fn local_load(&self, name: &ServiceName, now: Instant) -> Option<PoolLoad> {
         let pool = self.pools.get(name)?;
-        let queue = pool.queue(now);
+        let queue = pool.queue_counts(now);
         let late = pool.waiting_pieces().saturating_sub(queue.total());
         Some(PoolLoad {
             turnaround: pool.expected_turnaround(),
