--- a/components/catalogue/src/lib.rs
+++ b/components/catalogue/src/lib.rs
@@ -51,7 +51,7 @@
     /// Weighted split of the traffic over targets with further labels, for a rollout; empty means
     /// no split.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
-    pub split: Vec<Share>,
+    pub split: Vec<TrafficShare>,
     /// Whether the target may stream the stage's output; only allowed for the last stage.
     #[serde(default)]
     pub streams: bool,
@@ -60,7 +60,7 @@
 /// A part of a stage's traffic, sent to those of its targets that have further labels.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Share {
+pub struct TrafficShare {
     /// Weight relative to the other shares of the stage.
     pub weight: u32,
     /// Selects targets among those of the stage.
--- a/components/intent/src/entry.rs
+++ b/components/intent/src/entry.rs
@@ -19,7 +19,7 @@
 
 /// A service that runs a share of an entry's requests.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Share {
+pub struct ServiceShare {
     /// Name of the service.
     pub service: ServiceName,
     /// Weight relative to the entry's other shares.
@@ -61,7 +61,7 @@
     /// Urgency of its requests; 0 is the most urgent.
     pub urgency: u8,
     /// The services that run its requests.
-    pub shares: Vec<Share>,
+    pub shares: Vec<ServiceShare>,
     /// Maximum number of targets to which one request may be sent.
     pub max_attempts: u32,
     /// Stages of work done before a request runs.
--- a/components/intent/src/lib.rs
+++ b/components/intent/src/lib.rs
@@ -5,7 +5,7 @@
 mod service;
 mod target;
 
-pub use entry::{Customer, Entry, EntryStage, Share};
+pub use entry::{Customer, Entry, EntryStage, ServiceShare};
 pub use service::{ColdStart, EngineSpec, PoolSpec, Service};
 pub use target::Target;
 
--- a/components/intent/tests/entries.rs
+++ b/components/intent/tests/entries.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use ids::ServiceName;
-use intent::{CallerBounds, Entry, EntryStage, Intent, PoolSpec, Service, Share};
+use intent::{CallerBounds, Entry, EntryStage, Intent, PoolSpec, Service, ServiceShare};
 
 fn name(text: &str) -> ServiceName {
     ServiceName::new(text).unwrap()
@@ -44,7 +44,7 @@
         latency_goal: Duration::from_millis(100),
         max_event_gap: None,
         urgency: 0,
-        shares: vec![Share { service: name(service), weight: 1 }],
+        shares: vec![ServiceShare { service: name(service), weight: 1 }],
         max_attempts: 1,
         stages: Vec::new(),
         public: true,
@@ -86,8 +86,10 @@
 #[test]
 fn shares_follow_their_weights_and_a_request_keeps_its_service() {
     let mut split = entry("/a/", "plain");
-    split.shares =
-        vec![Share { service: name("x"), weight: 90 }, Share { service: name("y"), weight: 10 }];
+    split.shares = vec![
+        ServiceShare { service: name("x"), weight: 90 },
+        ServiceShare { service: name("y"), weight: 10 },
+    ];
 
     let to_y = (0..1000).filter(|hash| split.service_for(*hash) == Some(&name("y"))).count();
 
--- a/src/cmd/check.rs
+++ b/src/cmd/check.rs
@@ -124,7 +124,7 @@
 
 /// Description of an entry: services by weight, limits and stages.
 fn entry_text(entry: &Entry) -> String {
-    let share = |share: &intent::Share| format!("{} ({})", share.service, share.weight);
+    let share = |share: &intent::ServiceShare| format!("{} ({})", share.service, share.weight);
     let services: Vec<String> = entry.shares.iter().map(share).collect();
     let stages: Vec<&str> = entry.stages.iter().map(|stage| stage.pool.as_str()).collect();
     format!(
