--- a/components/platform_interface/src/lib.rs
+++ b/components/platform_interface/src/lib.rs
@@ -1,7 +1,7 @@
 //! Interface between the serving path and the platform it runs on: callers, targets, the platform's
 //! store and the operators' intent.
 //!
-//! An adapter for a platform provides the functions in [`Adapter`], which translate between the
+//! An adapter for a platform provides the functions in [`PlatformAdapter`], which translate between the
 //! platform's wire formats and the types here. The serving path uses only these types.
 
 pub mod callers;
@@ -11,7 +11,7 @@
 
 /// The functions that an adapter for a platform provides.
 #[derive(Debug, Clone, Copy)]
-pub struct Adapter {
+pub struct PlatformAdapter {
     /// Requests from callers, and refusals.
     pub callers: callers::CallerAdapter,
     /// Calls to targets and their answers.
--- a/gateway/src/app.rs
+++ b/gateway/src/app.rs
@@ -10,7 +10,7 @@
 use fleet::UnreachableHalls;
 use ids::{ServiceName, VmName};
 use peering::work::Beat;
-use platform_interface::Adapter;
+use platform_interface::PlatformAdapter;
 use result_leases::LinkKey;
 use slog::Logger;
 use telemetry::Metrics;
@@ -28,7 +28,7 @@
 pub(crate) struct App {
     pub(crate) cfg: Settings,
     /// Translates between the platform's wire formats and the types of `platform_interface`.
-    pub(crate) adapter: Adapter,
+    pub(crate) adapter: PlatformAdapter,
     /// Access to the shared state.
     pub(crate) hub: Hub,
     /// Connections to targets.
--- a/gateway/src/run.rs
+++ b/gateway/src/run.rs
@@ -9,7 +9,7 @@
 
 use errors::{Error, Result};
 use fleet::UnreachableHalls;
-use platform_interface::Adapter;
+use platform_interface::PlatformAdapter;
 use slog::{info, warn};
 use stopping::{Limits, StopPlan};
 use telemetry::Metrics;
@@ -41,7 +41,7 @@
 /// # Errors
 /// `Io` if an address can't be listened on, a signal handler can't be installed or the runtime
 /// can't be started.
-pub fn run(path: PathBuf, cfg: Settings, adapter: Adapter) -> Result<()> {
+pub fn run(path: PathBuf, cfg: Settings, adapter: PlatformAdapter) -> Result<()> {
     let (log, log_buffer) = logs::start(cfg.log, cfg.vm.as_str());
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
--- a/gateway/src/shared.rs
+++ b/gateway/src/shared.rs
@@ -11,7 +11,7 @@
 use fleet::{Fleet, Owner, Split, VmEntry};
 use ids::{HallName, ServiceName, TargetName, VmName};
 use intent::Intent;
-use platform_interface::Adapter;
+use platform_interface::PlatformAdapter;
 use quarantine::Quarantine;
 use result_leases::Leases;
 use selection::{FleetRetryBudget, FleetRetryRules, Targets};
@@ -32,7 +32,7 @@
 const FIRST_EVENT_TIME_WEIGHT: f64 = 0.1;
 
 /// Prefix of the store keys under which VMs register themselves.
-pub(crate) fn vms_prefix(adapter: &Adapter) -> String {
+pub(crate) fn vms_prefix(adapter: &PlatformAdapter) -> String {
     format!("{}vms/", adapter.intents.own_prefix)
 }
 
@@ -42,7 +42,7 @@
 
 /// State shared by the tasks of a VM; accessed through [`crate::hub::Hub`].
 pub(crate) struct Shared {
-    pub(crate) adapter: Adapter,
+    pub(crate) adapter: PlatformAdapter,
     pub(crate) log: Logger,
     /// Copy of the store's content, as far as this VM knows it.
     pub(crate) view: View,
@@ -121,7 +121,7 @@
     /// Initial state, before anything was read from the store or received from peers.
     pub(crate) fn new(
         cfg: &Settings,
-        adapter: Adapter,
+        adapter: PlatformAdapter,
         incarnation: u64,
         log: Logger,
         now: Instant,
