--- a/components/routing/src/lib.rs
+++ b/components/routing/src/lib.rs
@@ -31,5 +31,5 @@
 pub use lane::WaitId;
 pub use retry::RetryBudget;
 pub use router::Router;
-pub use shares::Sharer;
+pub use shares::SharingVm;
 pub use target::{LoadReport, TargetKey};
--- a/components/routing/src/router.rs
+++ b/components/routing/src/router.rs
@@ -17,7 +17,7 @@
 use crate::plans::Plans;
 use crate::queue::Waiting;
 use crate::retry::RetryBudget;
-use crate::shares::{self, Sharer};
+use crate::shares::{self, SharingVm};
 use crate::target::{HALF_SLOT, TargetKey, TargetState};
 use crate::times::StageTimes;
 
@@ -49,19 +49,19 @@
     /// Name of this VM.
     pub(crate) own: VmName,
     /// VMs among which the targets' slots are divided, this one included.
-    pub(crate) sharers: Vec<Sharer>,
+    pub(crate) sharing_vms: Vec<SharingVm>,
     /// Number of VMs that have calls in flight, this one included.
     pub(crate) busy_vms: usize,
 }
 
 impl Router {
     /// Creates a router with no targets. `own` is this VM, `seed` seeds the random target choice.
-    pub fn new(policy: Policy, own: Sharer, seed: u64, now: Instant) -> Self {
+    pub fn new(policy: Policy, own: SharingVm, seed: u64, now: Instant) -> Self {
         Router {
             policy,
             hall: own.hall.clone(),
             own: own.vm.clone(),
-            sharers: vec![own],
+            sharing_vms: vec![own],
             busy_vms: 1,
             rng: SmallRng::seed_from_u64(seed),
             targets: SlotMap::with_key(),
@@ -333,10 +333,10 @@
     }
 
     /// Sets the VMs among which the targets' slots are divided, this one included.
-    pub fn set_sharers(&mut self, mut sharers: Vec<Sharer>) {
-        sharers.sort();
-        if sharers != self.sharers {
-            self.sharers = sharers;
+    pub fn set_sharing_vms(&mut self, mut sharing_vms: Vec<SharingVm>) {
+        sharing_vms.sort();
+        if sharing_vms != self.sharing_vms {
+            self.sharing_vms = sharing_vms;
             self.assign_slots();
         }
     }
@@ -344,7 +344,7 @@
     fn assign_slots(&mut self) {
         for target in self.targets.values_mut() {
             let slots_of_target = (&target.name, &target.hall, target.slots);
-            target.assigned = shares::assigned_slots(slots_of_target, &self.own, &self.sharers);
+            target.assigned = shares::assigned_slots(slots_of_target, &self.own, &self.sharing_vms);
         }
     }
 
--- a/components/routing/src/shares.rs
+++ b/components/routing/src/shares.rs
@@ -7,7 +7,7 @@
 
 /// A VM among those that share the slots of targets.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Sharer {
+pub struct SharingVm {
     /// Name of the VM.
     pub vm: VmName,
     /// Data hall of the VM.
@@ -19,10 +19,10 @@
 pub(crate) fn assigned_slots(
     (target, hall, slots): (&TargetName, &HallName, u32),
     own: &VmName,
-    sharers: &[Sharer],
+    sharing_vms: &[SharingVm],
 ) -> u32 {
-    let in_hall = sharers.iter().any(|s| s.hall == *hall);
-    let among = || sharers.iter().filter(|s| !in_hall || s.hall == *hall).map(|s| &s.vm);
+    let in_hall = sharing_vms.iter().any(|s| s.hall == *hall);
+    let among = || sharing_vms.iter().filter(|s| !in_hall || s.hall == *hall).map(|s| &s.vm);
     if !among().any(|vm| vm == own) {
         return 0;
     }
--- a/components/routing/tests/decisions.rs
+++ b/components/routing/tests/decisions.rs
@@ -11,16 +11,16 @@
 use proptest::prelude::{any, proptest};
 use proptest::{prop_assert, prop_assert_eq};
 use routing::{
-    CallEnd, Grant, LoadReport, Policy, Router, Sharer, Slot, SlotAnswer, SlotRefusal, SlotRequest,
-    TargetDump, WaitId, WaitUpdate,
+    CallEnd, Grant, LoadReport, Policy, Router, SharingVm, Slot, SlotAnswer, SlotRefusal,
+    SlotRequest, TargetDump, WaitId, WaitUpdate,
 };
 
 const SECOND: Duration = Duration::from_secs(1);
 const FIRST: Revision = Revision(1);
 const MS: Duration = Duration::from_millis(1);
 
-fn sharer(vm: &str, hall: &str) -> Sharer {
-    Sharer { vm: VmName::new(vm).expect("name"), hall: HallName::new(hall).expect("name") }
+fn sharing_vm(vm: &str, hall: &str) -> SharingVm {
+    SharingVm { vm: VmName::new(vm).expect("name"), hall: HallName::new(hall).expect("name") }
 }
 
 /// Builds a catalogue of targets, given by name, hall and slots, and a service `s` with one stage
@@ -50,7 +50,7 @@
 impl Fixture {
     fn new(targets: &[(&str, &str, u32)]) -> Self {
         let now = Instant::now();
-        let mut router = Router::new(Policy::Adaptive, sharer("vm-1", "hall-a"), 1, now);
+        let mut router = Router::new(Policy::Adaptive, sharing_vm("vm-1", "hall-a"), 1, now);
         let catalogue = catalogue(targets);
         router.apply(FIRST, &catalogue, now);
         Fixture { router, catalogue, now }
@@ -350,7 +350,7 @@
 #[test]
 fn keeps_retries_near_a_tenth_of_the_requests_while_everything_fails() {
     let now = Instant::now();
-    let mut router = Router::new(Policy::Adaptive, sharer("vm-1", "hall-a"), 1, now);
+    let mut router = Router::new(Policy::Adaptive, sharing_vm("vm-1", "hall-a"), 1, now);
     let retries = (0..1000).filter(|n| router.may_retry(1, now + *n * 10 * MS)).count();
     assert!(retries <= 100, "{retries} retries for 1,000 failures in ten seconds");
 }
@@ -429,17 +429,17 @@
             slots.iter().enumerate().map(|(i, s)| (format!("t{i}"), *s)).collect();
         let declared: Vec<(&str, &str, u32)> =
             targets.iter().map(|(name, slots)| (name.as_str(), "hall-0", *slots)).collect();
-        let sharers: Vec<Sharer> = halls
+        let sharing_vms: Vec<SharingVm> = halls
             .iter()
             .enumerate()
-            .map(|(i, hall)| sharer(&format!("vm-{i}"), &format!("hall-{hall}")))
+            .map(|(i, hall)| sharing_vm(&format!("vm-{i}"), &format!("hall-{hall}")))
             .collect();
         let now = Instant::now();
         let mut assigned: BTreeMap<String, u32> = BTreeMap::new();
-        for own in &sharers {
+        for own in &sharing_vms {
             let mut router = Router::new(Policy::Adaptive, own.clone(), 1, now);
             router.apply(FIRST, &catalogue(&declared), now);
-            router.set_sharers(sharers.clone());
+            router.set_sharing_vms(sharing_vms.clone());
             for target in router.dump(now) {
                 *assigned.entry(target.name.to_string()).or_default() += target.dealt;
             }
--- a/daemon/src/dispatcher.rs
+++ b/daemon/src/dispatcher.rs
@@ -5,7 +5,7 @@
 
 use journal::Journal;
 use membership::{Roster, RoundPacer};
-use routing::{Policy, Router, Sharer};
+use routing::{Policy, Router, SharingVm};
 use stakker::{CX, after};
 use store_client::ListedVm;
 use tokio::sync::oneshot;
@@ -56,7 +56,7 @@
             settings::Policy::FirstInOrder => Policy::FirstInOrder,
         };
         let roster = Roster::new(&setup.cfg.vm, setup.cfg.hall.clone());
-        let own = Sharer { vm: setup.cfg.vm.clone(), hall: setup.cfg.hall.clone() };
+        let own = SharingVm { vm: setup.cfg.vm.clone(), hall: setup.cfg.hall.clone() };
         after!(TICK_INTERVAL, [cx], tick());
         after!(SLOW_TICK_INTERVAL, [cx], slow_tick());
         Some(Dispatcher {
--- a/daemon/src/fleet.rs
+++ b/daemon/src/fleet.rs
@@ -7,7 +7,7 @@
 use ids::{HallName, Revision, TargetName, VmName};
 use membership::{Advert, Delta, Heartbeat, NameHash};
 use rand::seq::IteratorRandom;
-use routing::Sharer;
+use routing::SharingVm;
 use slog::info;
 use store_client::{ListedVm, VmState};
 
@@ -140,7 +140,7 @@
             self.roster.fresh(interval, now).filter(|a| !a.beat.loads.is_empty()).count();
         let calls = |name: &TargetName| loads.get(&NameHash::of_target(name)).copied().unwrap_or(0);
         self.router.set_peer_loads(calls, vms_with_load);
-        self.router.set_sharers(self.sharers(now));
+        self.router.set_sharing_vms(self.sharing_vms(now));
         let reported = self.roster.fresh(interval, now).flat_map(|a| a.beat.leaving.iter());
         let leaving = self.leaving.all_leaving(reported);
         self.router.set_leaving(|name| leaving.contains(name));
@@ -148,12 +148,13 @@
 
     /// The VMs that share the targets' capacity: this one, and all with a fresh advert that are not
     /// draining.
-    fn sharers(&self, now: Instant) -> Vec<Sharer> {
-        let sharer = |vm: &VmName, hall: &HallName| Sharer { vm: vm.clone(), hall: hall.clone() };
+    fn sharing_vms(&self, now: Instant) -> Vec<SharingVm> {
+        let sharing_vm =
+            |vm: &VmName, hall: &HallName| SharingVm { vm: vm.clone(), hall: hall.clone() };
         let not_draining =
             self.roster.fresh(self.round_pacer.interval(), now).filter(|a| !a.beat.draining);
-        let own = sharer(&self.setup.cfg.vm, &self.setup.cfg.hall);
-        not_draining.map(|a| sharer(&a.vm, &a.hall)).chain([own]).collect()
+        let own = sharing_vm(&self.setup.cfg.vm, &self.setup.cfg.hall);
+        not_draining.map(|a| sharing_vm(&a.vm, &a.hall)).chain([own]).collect()
     }
 
     /// Stores the platform's VM list and records the targets that it reports as leaving.
