--- a/gateway/src/inbound_links.rs
+++ b/gateway/src/inbound_links.rs
@@ -128,8 +128,8 @@
                 }
                 // The first message has to be a hello.
                 let Some(vm) = &vm else { break };
-                let lease_link = leases.as_ref().map(|leases: &LeaseLink| leases.key);
-                let peer = Peer { vm, tx: &tx, lease_link };
+                let link_key = leases.as_ref().map(|leases: &LeaseLink| leases.key);
+                let peer = Peer { vm, tx: &tx, link_key };
                 handle_message(&app, &peer, kind, &mut jobs);
             }
             _ = heartbeats.tick() => {
@@ -202,7 +202,7 @@
 struct Peer<'a> {
     vm: &'a VmName,
     tx: &'a DialerSender,
-    lease_link: Option<LinkKey>,
+    link_key: Option<LinkKey>,
 }
 
 /// Handles one message from a peer.
@@ -212,13 +212,13 @@
     kind: from_dialer::Kind,
     jobs: &mut HashMap<u64, (ServiceName, JobKey)>,
 ) {
-    let Peer { vm, tx, lease_link } = *peer;
+    let Peer { vm, tx, link_key } = *peer;
     match kind {
         from_dialer::Kind::Submit(submit) => {
             let number = submit.job;
             if let Some((pool, submission)) = decode_submission(submit) {
                 let until = submission.deadline;
-                let sink = Sink::Peer(PeerSink { tx: tx.clone(), number, lease_link, until });
+                let sink = Sink::Peer(PeerSink { tx: tx.clone(), number, link_key, until });
                 let job = submissions::submit(app, &pool, submission, sink);
                 jobs.insert(number, (pool, job));
             }
@@ -231,7 +231,7 @@
         from_dialer::Kind::Release(release) => handle_release(app, release, tx),
         from_dialer::Kind::Claims(claims) => {
             let handles = claims.handles.into_iter().collect();
-            if let Some(link) = lease_link {
+            if let Some(link) = link_key {
                 app.hub.with(|shared, now| shared.leases.claimed(link, &handles, now));
             }
         }
--- a/gateway/src/piece_events.rs
+++ b/gateway/src/piece_events.rs
@@ -60,7 +60,7 @@
     pub(crate) number: u64,
     /// The link that its leases belong to; `None` for a peer of an older build, which keeps no
     /// leases.
-    pub(crate) lease_link: Option<LinkKey>,
+    pub(crate) link_key: Option<LinkKey>,
     /// When the results are no longer of any use to the peer.
     pub(crate) until: Instant,
 }
--- a/gateway/src/pool_calls.rs
+++ b/gateway/src/pool_calls.rs
@@ -284,7 +284,7 @@
 
 /// Grants the peer a lease on a result; from now on the peer has to release it.
 fn grant_lease(app: &App, pool: &ServiceName, peer: &PeerSink, outcome: &PieceOutcome) {
-    let (Some(link), PieceOutcome::Stored(handle)) = (peer.lease_link, outcome) else { return };
+    let (Some(link), PieceOutcome::Stored(handle)) = (peer.link_key, outcome) else { return };
     app.hub.with(|shared, now| {
         let life = shared.pools.get(pool).map(Pool::result_life).unwrap_or_default();
         shared.leases.granted(link, handle.clone(), peer.until, now + life);
