--- a/gateway/src/app.rs
+++ b/gateway/src/app.rs
@@ -41,7 +41,7 @@
     pub(crate) sinks: RefCell<BTreeMap<(ServiceName, JobKey), Sink>>,
     /// Releases of results still to be sent, by worker address. An entry exists while a task is
     /// sending to that worker.
-    pub(crate) release_notices: RefCell<HashMap<SocketAddr, Vec<QueuedRelease>>>,
+    pub(crate) queued_releases: RefCell<HashMap<SocketAddr, Vec<QueuedRelease>>>,
     /// Results held by requests of this VM.
     pub(crate) held: HeldResults,
     /// Senders to the peers that hold leases on results produced in this VM's calls.
--- a/gateway/src/releases.rs
+++ b/gateway/src/releases.rs
@@ -363,7 +363,7 @@
     let (tx, rx) = oneshot::channel();
     let release = QueuedRelease { handles: handles.to_vec(), until, confirmed: tx };
     let is_first = {
-        let mut releases = app.release_notices.borrow_mut();
+        let mut releases = app.queued_releases.borrow_mut();
         let is_first = !releases.contains_key(&worker);
         releases.entry(worker).or_default().push(release);
         is_first
@@ -383,9 +383,9 @@
             sleep(time).await;
         }
         let releases =
-            app.release_notices.borrow_mut().insert(worker, Vec::new()).unwrap_or_default();
+            app.queued_releases.borrow_mut().insert(worker, Vec::new()).unwrap_or_default();
         if releases.is_empty() {
-            app.release_notices.borrow_mut().remove(&worker);
+            app.queued_releases.borrow_mut().remove(&worker);
             return;
         }
         let confirmed = send_with_retries(&app, worker, &releases, role).await;
--- a/gateway/src/run.rs
+++ b/gateway/src/run.rs
@@ -60,7 +60,7 @@
             metrics,
             links: RefCell::new(HashMap::new()),
             sinks: RefCell::new(BTreeMap::new()),
-            release_notices: RefCell::default(),
+            queued_releases: RefCell::default(),
             held: HeldResults::default(),
             lease_links: RefCell::default(),
             planned_pool_checks: RefCell::new(HashMap::new()),
