--- a/gateway/src/admission.rs
+++ b/gateway/src/admission.rs
@@ -14,7 +14,7 @@
 use slog::info;
 
 use crate::app::App;
-use crate::hub::left;
+use crate::hub::time_until;
 use crate::requests::AcceptedRequest;
 use crate::settings::Policy;
 use crate::shared::Shared;
@@ -168,7 +168,7 @@
     }
     let fraction =
         MIN_RETRY_FRACTION + (MAX_RETRY_FRACTION - MIN_RETRY_FRACTION) * rand::random::<f64>();
-    let retry_after = left(req.deadline).mul_f64(fraction);
+    let retry_after = time_until(req.deadline).mul_f64(fraction);
     info!(app.log, "not admitted"; "request" => %req.id, "entry" => &req.entry.name,
         "expected_ms" => expected.as_millis(), "allowed_ms" => allowed.as_millis(),
         "forecast_ms_old" => age.map(|age| age.as_millis()),
--- a/gateway/src/attempts.rs
+++ b/gateway/src/attempts.rs
@@ -16,7 +16,7 @@
 use crate::active_requests::{self, WaitReason};
 use crate::app::App;
 use crate::connections::{SendError, TargetConnection};
-use crate::hub::{left, now};
+use crate::hub::{now, time_until};
 use crate::permits::{self, Permit, RateLimited};
 use crate::requests::{AcceptedRequest, build_call};
 use crate::{crashes, hall_reachability, target_announcements};
@@ -172,7 +172,7 @@
         self.started = now();
         let target = attempt.pick.target.clone();
         let head = CallHead {
-            left: left(self.req.deadline),
+            left: time_until(self.req.deadline),
             target: &target.id,
             customer: self.req.customer.as_ref(),
             urgency: self.req.urgency,
@@ -290,7 +290,7 @@
     /// Time that the request can wait for a permit; it leaves most of the latency goal to the
     /// answer.
     fn max_permit_wait(&self) -> Duration {
-        (self.req.entry.latency_goal / PERMIT_WAIT_DIVISOR).min(left(self.req.deadline))
+        (self.req.entry.latency_goal / PERMIT_WAIT_DIVISOR).min(time_until(self.req.deadline))
     }
 
     /// Picks a target that is not in `exclude`.
@@ -397,7 +397,7 @@
         if matches!(error, AttemptError::Lost(_)) && !self.req.entry.repeatable {
             return false;
         }
-        let in_time = left(self.req.deadline) > Duration::ZERO;
+        let in_time = time_until(self.req.deadline) > Duration::ZERO;
         match error {
             AttemptError::NotReached => return in_time && self.unreachable < MAX_UNREACHABLE,
             // The target that was meant got nothing, so no attempt is counted. Without this, 1.4%
@@ -428,7 +428,7 @@
 
     /// The refusal when no attempt is left.
     pub(crate) fn refusal(&self) -> Refusal {
-        match (self.may_have_run(), left(self.req.deadline).is_zero()) {
+        match (self.may_have_run(), time_until(self.req.deadline).is_zero()) {
             (true, true) => Refusal::TimedOut,
             (true, false) => Refusal::Failed,
             (false, true) => Refusal::NotRunTimedOut,
--- a/gateway/src/hub.rs
+++ b/gateway/src/hub.rs
@@ -20,8 +20,8 @@
     tokio::time::Instant::now().into_std()
 }
 
-/// Time left until `at`; zero if it has passed.
-pub(crate) fn left(at: Instant) -> Duration {
+/// Time until `at`; zero if it has passed.
+pub(crate) fn time_until(at: Instant) -> Duration {
     at.saturating_duration_since(now())
 }
 
--- a/gateway/src/link_dialer.rs
+++ b/gateway/src/link_dialer.rs
@@ -10,7 +10,7 @@
 use tokio::time::timeout;
 
 use crate::app::App;
-use crate::hub::left;
+use crate::hub::time_until;
 use crate::outbound_links::maintain_link;
 
 /// Longest interval between two checks of which links are wanted.
@@ -54,7 +54,7 @@
 /// period of a target whose entry lapsed, so that the target is removed on time.
 fn until_next_check(app: &App) -> Duration {
     let grace_end = app.hub.with(|shared, _| shared.next_grace_end());
-    grace_end.map_or(CHECK_INTERVAL, |at| left(at).min(CHECK_INTERVAL))
+    grace_end.map_or(CHECK_INTERVAL, |at| time_until(at).min(CHECK_INTERVAL))
 }
 
 /// Keeps a link to each VM to which one is wanted, and removes expired state; runs as long as the
--- a/gateway/src/outbound_links.rs
+++ b/gateway/src/outbound_links.rs
@@ -28,7 +28,7 @@
 
 use crate::app::App;
 use crate::held_results::{Origin, ResultExpiry};
-use crate::hub::{left, now};
+use crate::hub::{now, time_until};
 use crate::link_messages::{
     SentCursors, apply_heartbeat, decode_crashes, decode_departures, own_heartbeat, own_hello,
     piece_outcome, record_peer, take_unsent,
@@ -118,7 +118,7 @@
         let pending =
             PendingJob { events, stage_submission, expiry, pieces_left: submission.pieces.len() };
         self.jobs.borrow_mut().insert(job, pending);
-        let millis = |at: Instant| u32::try_from(left(at).as_millis()).unwrap_or(u32::MAX);
+        let millis = |at: Instant| u32::try_from(time_until(at).as_millis()).unwrap_or(u32::MAX);
         self.send(from_dialer::Kind::Submit(Submit {
             job,
             pool: pool.to_string(),
--- a/gateway/src/releases.rs
+++ b/gateway/src/releases.rs
@@ -26,7 +26,7 @@
 use crate::app::App;
 use crate::connections::REUSE_DELAY;
 use crate::held_results::{Origin, ReleaseBatch};
-use crate::hub::{left, now};
+use crate::hub::{now, time_until};
 use crate::inbound_links::has_process_ended;
 use crate::outbound_links::Link;
 use crate::own_calls::{OwnCallError, own_call};
@@ -464,7 +464,7 @@
     // Without a backoff no sleep is made: even one of zero length takes a timer tick, during which
     // this VM may be killed before it sends the release.
     if let Some(until) = app.hub.with(|shared, _| shared.backoffs.until(target)) {
-        let pause = left(until);
+        let pause = time_until(until);
         if pause > MAX_BACKOFF_WAIT {
             return SendOutcome::Unconfirmed("the worker asked for a longer backoff".to_owned());
         }
