--- a/gateway/src/active_requests.rs
+++ b/gateway/src/active_requests.rs
@@ -73,7 +73,7 @@
             head_sent: false,
             response_time: None,
         };
-        let key = app.hub.with(|shared, _| shared.active_requests.insert(request));
+        let key = app.state.with(|shared, _| shared.active_requests.insert(request));
         ActiveRequestGuard { app: Rc::clone(app), key }
     }
 
@@ -85,13 +85,13 @@
 
 impl Drop for ActiveRequestGuard {
     fn drop(&mut self) {
-        self.app.hub.with(|shared, _| shared.active_requests.remove(self.key));
+        self.app.state.with(|shared, _| shared.active_requests.remove(self.key));
     }
 }
 
 /// Updates the state of a request; does nothing once it is no longer active.
 pub(crate) fn update(app: &App, key: ActiveRequestKey, change: impl FnOnce(&mut ActiveRequest)) {
-    app.hub.with(|shared, _| shared.active_requests.get_mut(key).map(change));
+    app.state.with(|shared, _| shared.active_requests.get_mut(key).map(change));
 }
 
 /// Records what a request waits for.
--- a/gateway/src/admission.rs
+++ b/gateway/src/admission.rs
@@ -14,11 +14,11 @@
 use slog::info;
 
 use crate::app::App;
-use crate::hub::time_until;
 use crate::requests::AcceptedRequest;
 use crate::settings::Policy;
 use crate::shared::Shared;
 use crate::stages::min_time_after;
+use crate::state_handle::time_until;
 
 /// A request is refused if its expected time exceeds this fraction of its latency goal.
 const ADMITTED_FRACTION: f64 = 1.0;
@@ -110,7 +110,7 @@
         if let Some((pool, pieces)) = self.by_stage.get_mut(stage) {
             let pieces = std::mem::take(pieces);
             let pool = pool.clone();
-            self.app.hub.with(|shared, _| shared.admission.remove_upcoming(&pool, pieces));
+            self.app.state.with(|shared, _| shared.admission.remove_upcoming(&pool, pieces));
         }
     }
 }
@@ -136,7 +136,7 @@
 /// # Errors
 /// The refusal, with the time after which to retry.
 pub(crate) fn admit(app: &Rc<App>, req: &AcceptedRequest) -> Result<UnsubmittedPieces, Refusal> {
-    if let Some(retry_after) = app.hub.with(|shared, now| shared.closed_retry_after(req, now)) {
+    if let Some(retry_after) = app.state.with(|shared, now| shared.closed_retry_after(req, now)) {
         info!(app.log, "not admitted"; "request" => %req.id, "entry" => &req.entry.name,
             "come_back_ms" => retry_after.as_millis(),
             "why" => "no target of a service that it needs accepts work before its deadline");
@@ -148,7 +148,7 @@
     if app.cfg.policy != Policy::Adaptive || req.entry.stages.is_empty() || pieces == 0 {
         return Ok(unsubmitted);
     }
-    let (expected, allowed, age) = app.hub.with(|shared, now| {
+    let (expected, allowed, age) = app.state.with(|shared, now| {
         let expected = expected_time(shared, req, now);
         let age = oldest_forecast(shared, req, now);
         let allowed = req
--- a/gateway/src/app.rs
+++ b/gateway/src/app.rs
@@ -18,11 +18,11 @@
 
 use crate::connections::Connections;
 use crate::held_results::HeldResults;
-use crate::hub::Hub;
 use crate::outbound_links::{DialerSender, Link};
 use crate::piece_events::Sink;
 use crate::releases::QueuedRelease;
 use crate::settings::Settings;
+use crate::state_handle::StateHandle;
 
 /// Context shared by all tasks through an `Rc`; they run on one thread.
 pub(crate) struct App {
@@ -30,7 +30,7 @@
     /// Translates between the platform's wire formats and the types of `platform_interface`.
     pub(crate) adapter: PlatformAdapter,
     /// Access to the shared state.
-    pub(crate) hub: Hub,
+    pub(crate) state: StateHandle,
     /// Connections to targets.
     pub(crate) connections: Connections,
     pub(crate) log: Logger,
--- a/gateway/src/attempts.rs
+++ b/gateway/src/attempts.rs
@@ -16,9 +16,9 @@
 use crate::active_requests::{self, WaitReason};
 use crate::app::App;
 use crate::connections::{SendError, TargetConnection};
-use crate::hub::{now, time_until};
 use crate::permits::{self, Permit, RateLimited};
 use crate::requests::{AcceptedRequest, build_call};
+use crate::state_handle::{now, time_until};
 use crate::{crashes, hall_reachability, target_announcements};
 
 /// Retry time for the caller while no target can be used.
@@ -72,7 +72,7 @@
     pub(crate) fn prompt_read(&mut self) {
         let unread_tokens = std::mem::take(&mut self.unread_tokens);
         self.app
-            .hub
+            .state
             .with(|shared, _| shared.targets.record_prompt_read(self.pick.key, unread_tokens));
     }
 
@@ -80,7 +80,9 @@
     pub(crate) fn end(&mut self, end: TargetOutcome) {
         if !std::mem::replace(&mut self.ended, true) {
             self.prompt_read();
-            self.app.hub.with(|shared, now| shared.targets.record_outcome(self.pick.key, end, now));
+            self.app
+                .state
+                .with(|shared, now| shared.targets.record_outcome(self.pick.key, end, now));
         }
     }
 }
@@ -146,7 +148,7 @@
     pub(crate) fn record_timeout(&mut self) {
         self.set_may_have_run();
         if let Some(key) = self.attempted.last() {
-            self.app.hub.with(|shared, now| shared.targets.record_timeout(*key, now));
+            self.app.state.with(|shared, now| shared.targets.record_timeout(*key, now));
         }
     }
 
@@ -251,7 +253,7 @@
 
     /// Whether an attempt may have run the request.
     pub(crate) fn may_have_run(&self) -> bool {
-        self.app.hub.with(|shared, _| {
+        self.app.state.with(|shared, _| {
             shared
                 .active_requests
                 .get(self.req.active_key)
@@ -281,7 +283,7 @@
             if permit_requests == MAX_PERMIT_REQUESTS {
                 let service = &self.req.service;
                 let rate_limited =
-                    self.app.hub.with(|shared, _| shared.targets.rate_limited(service));
+                    self.app.state.with(|shared, _| shared.targets.rate_limited(service));
                 excluded.extend(rate_limited);
             }
         }
@@ -296,7 +298,7 @@
     /// Picks a target that is not in `exclude`.
     fn pick(&self, size: Option<&CallSize>, exclude: &[TargetKey]) -> Option<Attempt> {
         let wanted = SelectionRequest { service: &self.req.service, exclude, size };
-        self.app.hub.with(|shared, now| {
+        self.app.state.with(|shared, now| {
             let pick = shared.targets.pick(&wanted, now)?;
             let announced = shared.departures.announced_at(&pick.target);
             Some(Attempt {
@@ -324,7 +326,7 @@
         target_announcements::apply_answer(&self.app, &attempt.pick.target, &parsed, self.started);
         let key = attempt.pick.key;
         if let (Some(load), true) = (parsed.load, parsed.evidence != Evidence::OtherRequest) {
-            self.app.hub.with(|shared, now| {
+            self.app.state.with(|shared, now| {
                 shared.targets.record_target_load(key, load.running, load.waiting, now);
             });
         }
@@ -342,7 +344,9 @@
                 attempt.end(TargetOutcome::Unreachable);
                 self.sent -= 1;
                 self.unreachable += 1;
-                self.app.hub.with(|shared, now| shared.target_replaced(&attempt.pick.target, now));
+                self.app
+                    .state
+                    .with(|shared, now| shared.target_replaced(&attempt.pick.target, now));
                 Err(AttemptError::Replaced)
             }
             Evidence::OtherRequest => {
@@ -413,7 +417,7 @@
 
     /// Takes a retry from the fleet's retry budget. Returns false if none is left.
     fn take_from_budget(&self) -> bool {
-        self.app.hub.with(|shared, now| shared.try_take_retry(&self.req.service, now))
+        self.app.state.with(|shared, now| shared.try_take_retry(&self.req.service, now))
     }
 
     /// Corrects a refusal for a request that an earlier attempt may have run: it must not claim
@@ -441,7 +445,8 @@
     /// Retry time for the caller: until the first target accepts work again, plus a random part of
     /// `usual`; just `usual` if some target may be sent work now.
     fn retry_after_time(&self, usual: Duration) -> Duration {
-        let opens = self.app.hub.with(|shared, now| shared.time_until_open(&self.req.service, now));
+        let opens =
+            self.app.state.with(|shared, now| shared.time_until_open(&self.req.service, now));
         opens.map_or(usual, |time| time + usual.mul_f64(rand::random()))
     }
 
--- a/gateway/src/callers.rs
+++ b/gateway/src/callers.rs
@@ -15,8 +15,8 @@
 use tokio::time::sleep;
 
 use crate::app::App;
-use crate::hub::now;
 use crate::requests;
+use crate::state_handle::now;
 
 /// Pause after a failed accept, for example when file descriptors run out.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
@@ -113,7 +113,7 @@
                 connection.as_mut().graceful_shutdown();
             }
             () = sleep(IDLE_CHECK_INTERVAL) => {
-                let allowed = app.hub.with(|shared, _| {
+                let allowed = app.state.with(|shared, _| {
                     shared
                         .intent
                         .as_ref()
--- a/gateway/src/connections.rs
+++ b/gateway/src/connections.rs
@@ -20,8 +20,8 @@
 use tokio::task::AbortHandle;
 
 use crate::app::App;
-use crate::hub::now;
 use crate::permits::Permit;
+use crate::state_handle::now;
 
 /// Longest wait for a new connection. Halls are milliseconds apart. A lost SYN is sent again only
 /// after seconds, long after another target could have been tried.
@@ -163,7 +163,7 @@
         connection: TargetConnection,
         keep_alive: Option<Duration>,
     ) {
-        let max_idle_count = self.hub.with(|shared, _| {
+        let max_idle_count = self.state.with(|shared, _| {
             let service = shared.targets.service_of(&connection.target)?;
             let limit = shared.intent.as_ref()?.services.get(service)?.connections;
             let share = usize::try_from(limit).unwrap_or(usize::MAX) / shared.fleet.size();
--- a/gateway/src/crashes.rs
+++ b/gateway/src/crashes.rs
@@ -62,7 +62,7 @@
     target: &Target,
     lifetime: LifetimeId,
 ) {
-    app.hub.with(|shared, now| shared.record_lost_connections(digests, target, lifetime, now));
+    app.state.with(|shared, now| shared.record_lost_connections(digests, target, lifetime, now));
     if connections::is_refused(target.address, FIRST_PROBE_TIMEOUT).await {
         record_probe(app, digests, target, lifetime, true);
         return;
@@ -100,13 +100,13 @@
             "target" => %target.id, "target_ended" => ended);
     }
     if ended {
-        app.hub.with(|shared, now| shared.lifetime_ended(lifetime, now));
+        app.state.with(|shared, now| shared.lifetime_ended(lifetime, now));
     }
 }
 
 /// Records that a target completed a request.
 pub(crate) fn request_completed(app: &App, req: &AcceptedRequest) {
-    app.hub.with(|shared, now| shared.quarantine.request_completed(req.digest, now));
+    app.state.with(|shared, now| shared.quarantine.request_completed(req.digest, now));
 }
 
 /// Digests of the requests' stages to which the pieces of a call belong, without duplicates.
@@ -115,7 +115,7 @@
     pool: &ServiceName,
     call: &Call,
 ) -> Vec<RequestDigest> {
-    app.hub.with(|shared, _| {
+    app.state.with(|shared, _| {
         let pool = shared.pools.get(pool);
         let digest_of = |(job, _): &(JobKey, u32)| pool?.submission(*job)?.digest;
         let digests: BTreeSet<RequestDigest> = call.pieces.iter().filter_map(digest_of).collect();
@@ -127,7 +127,7 @@
 /// worker.
 pub(crate) fn pieces_completed(app: &App, digests: &[RequestDigest], end: &CallEnd) {
     if matches!(end, CallEnd::Answered(_)) {
-        app.hub.with(|shared, now| {
+        app.state.with(|shared, now| {
             digests.iter().for_each(|digest| shared.quarantine.request_completed(*digest, now));
         });
     }
@@ -136,7 +136,7 @@
 /// Refusal of a request that crashed too many targets; `None` if it is not refused. `may_have_run`
 /// says whether this attempt may have run at a target.
 pub(crate) fn refusal(app: &App, req: &AcceptedRequest, may_have_run: bool) -> Option<Refusal> {
-    let left = app.hub.with(|shared, now| shared.refused_for(req, now))?;
+    let left = app.state.with(|shared, now| shared.refused_for(req, now))?;
     app.metrics.request_quarantined(req.service.as_str());
     info!(app.log, "request refused as one that ends targets"; "request" => %req.id,
         "content" => %req.digest, "left_ms" => left.as_millis());
@@ -146,7 +146,7 @@
 /// Waits until a request is refused because of a crash that becomes known while it runs, and
 /// returns the refusal. Callers wait for this and for the request's stages or target at once.
 pub(crate) async fn until_refused(app: &App, req: &AcceptedRequest, may_have_run: bool) -> Refusal {
-    let mut crash_changes = app.hub.with(|shared, _| shared.crashes_changed.subscribe());
+    let mut crash_changes = app.state.with(|shared, _| shared.crashes_changed.subscribe());
     loop {
         // The sender lives as long as the shared state.
         if crash_changes.changed().await.is_err() {
--- a/gateway/src/hall_reachability.rs
+++ b/gateway/src/hall_reachability.rs
@@ -17,7 +17,7 @@
 use crate::app::App;
 use crate::connections::connect;
 use crate::halls::recheck_pools;
-use crate::hub::now;
+use crate::state_handle::now;
 
 /// Number of targets of a hall that are probed at once; more than one, since a single target may be
 /// down by itself.
@@ -32,7 +32,7 @@
     let mut reached_at: BTreeMap<HallName, Instant> = BTreeMap::new();
     loop {
         ticks.tick().await;
-        let silent = app.hub.with(|shared, now| shared.fleet.silent_halls(now));
+        let silent = app.state.with(|shared, now| shared.fleet.silent_halls(now));
         let unreachable = app.unreachable_halls.borrow().clone();
         for hall in unreachable.difference(&silent) {
             set_reachability(&app, hall, false, "heartbeat from one of its VMs");
@@ -63,7 +63,7 @@
 /// Whether at least one probed target of a hall accepts a TCP connection.
 async fn accepts_connections(app: &App, hall: &HallName) -> bool {
     let mut probes = JoinSet::new();
-    for address in app.hub.with(|shared, _| shared.targets.sample_of_hall(hall, PROBED_TARGETS)) {
+    for address in app.state.with(|shared, _| shared.targets.sample_of_hall(hall, PROBED_TARGETS)) {
         probes.spawn_local(connect(address));
     }
     while let Some(connected) = probes.join_next().await {
@@ -90,7 +90,7 @@
         }
     });
     let unreachable = app.unreachable_halls.borrow().clone();
-    app.hub.with(|shared, _| shared.set_unreachable_halls(unreachable));
+    app.state.with(|shared, _| shared.set_unreachable_halls(unreachable));
     recheck_pools(app);
 }
 
--- a/gateway/src/halls.rs
+++ b/gateway/src/halls.rs
@@ -150,7 +150,7 @@
 /// If the eligibility of targets changed, makes the calls of all pools that can be made now, and
 /// rejects at once the waiting pieces whose workers are all out of service or leaving.
 pub(crate) fn recheck_pools(app: &Rc<App>) {
-    let pools: Vec<ServiceName> = app.hub.with(|shared, _| {
+    let pools: Vec<ServiceName> = app.state.with(|shared, _| {
         let changed = std::mem::take(&mut shared.eligibility_changed);
         if changed { shared.pools.keys().cloned().collect() } else { Vec::new() }
     });
--- a/gateway/src/http_endpoints.rs
+++ b/gateway/src/http_endpoints.rs
@@ -86,7 +86,7 @@
 }
 
 fn metrics(app: &App) -> (StatusCode, String) {
-    app.hub.with(|shared, now| {
+    app.state.with(|shared, now| {
         let version = shared.intent.as_ref().map_or(0, |intent| intent.version);
         app.metrics
             .set_state(u64::try_from(shared.active_requests.len()).unwrap_or(u64::MAX), version);
@@ -105,7 +105,7 @@
 
 /// Why this VM is not ready for new connections; `None` if it is ready.
 fn unready(app: &App) -> Option<&'static str> {
-    app.hub.with(|shared, now| match () {
+    app.state.with(|shared, now| match () {
         () if shared.is_stopping() => Some("stopping"),
         () if shared.intent.is_none() => Some("no configuration"),
         () if shared.is_behind(now) => Some("peers have a newer configuration"),
@@ -159,7 +159,7 @@
 /// The state dump: what this VM knows of the fleet, targets and pools, for operators who
 /// investigate a failure.
 fn state(app: &App) -> String {
-    app.hub.with(|shared, now| {
+    app.state.with(|shared, now| {
         let peers: Vec<_> = shared
             .fleet
             .peers
--- a/gateway/src/inbound_links.rs
+++ b/gateway/src/inbound_links.rs
@@ -99,7 +99,7 @@
     heartbeats.set_missed_tick_behavior(MissedTickBehavior::Delay);
     let mut last_received = tokio::time::Instant::now();
     let mut sent_cursors = SentCursors::default();
-    let mut updates = app.hub.with(|shared, _| shared.peer_update_pending.subscribe());
+    let mut updates = app.state.with(|shared, _| shared.peer_update_pending.subscribe());
     loop {
         tokio::select! {
             _ = updates.changed() => {
@@ -149,8 +149,8 @@
     }
     if let Some(leases) = leases {
         app.lease_links.borrow_mut().remove(&leases.key);
-        app.hub.with(|shared, _| shared.leases.link_ended(leases.key));
-        if !app.hub.with(|shared, _| shared.leases.is_empty()) {
+        app.state.with(|shared, _| shared.leases.link_ended(leases.key));
+        if !app.state.with(|shared, _| shared.leases.is_empty()) {
             end_leases_if_process_ended(&app, leases).await;
         }
     }
@@ -167,7 +167,7 @@
 /// After a peer's link ended: ends the peer's leases if its process has ended as well.
 async fn end_leases_if_process_ended(app: &App, leases: LeaseLink) {
     if has_process_ended(leases.address).await {
-        app.hub.with(|shared, now| shared.leases.holder_gone(&leases.holder, now));
+        app.state.with(|shared, now| shared.leases.holder_gone(&leases.holder, now));
     }
 }
 
@@ -193,7 +193,7 @@
 ) -> Option<LeaseLink> {
     let address = hello.peers.parse().ok().filter(|_| hello.claims)?;
     let holder = Holder { vm: vm.clone(), incarnation: hello.incarnation };
-    let key = app.hub.with(|shared, now| shared.leases.link_opened(holder.clone(), now));
+    let key = app.state.with(|shared, now| shared.leases.link_opened(holder.clone(), now));
     app.lease_links.borrow_mut().insert(key, tx.clone());
     Some(LeaseLink { key, holder, address })
 }
@@ -232,7 +232,7 @@
         from_dialer::Kind::Claims(claims) => {
             let handles = claims.handles.into_iter().collect();
             if let Some(link) = link_key {
-                app.hub.with(|shared, now| shared.leases.claimed(link, &handles, now));
+                app.state.with(|shared, now| shared.leases.claimed(link, &handles, now));
             }
         }
         from_dialer::Kind::Beat(beat) => {
@@ -243,12 +243,12 @@
             apply_heartbeat(app, vm, &beat);
         }
         from_dialer::Kind::Ask(ask) => {
-            let changes = app.hub.with(|shared, _| peer_sync::answer_request(&shared.view, ask));
+            let changes = app.state.with(|shared, _| peer_sync::answer_request(&shared.view, ask));
             // A peer whose link ended asks another VM.
             drop(tx.send(Ok(FromOwner { kind: Some(from_owner::Kind::News(changes)) })));
         }
         from_dialer::Kind::Crashes(crashes) => {
-            app.hub.with(|shared, now| {
+            app.state.with(|shared, now| {
                 shared.merge_crashes(&decode_crashes(&crashes), vm.as_str(), now)
             });
         }
--- a/gateway/src/lib.rs
+++ b/gateway/src/lib.rs
@@ -2,7 +2,7 @@
 //! to targets, and keeps links to peer VMs and a connection to the platform's store.
 //!
 //! Everything runs as tasks on one thread; the shared state is held by a single actor
-//! (`hub::Hub`). The entry point is [`run()`].
+//! (`state_handle::StateHandle`). The entry point is [`run()`].
 
 mod active_requests;
 mod admission;
@@ -19,7 +19,6 @@
 mod halls;
 mod held_results;
 mod http_endpoints;
-mod hub;
 mod inbound_links;
 mod input_fetches;
 mod link_dialer;
@@ -44,6 +43,7 @@
 mod shared;
 mod shutdown;
 mod stages;
+mod state_handle;
 mod store_connection;
 mod store_watch;
 mod stored_refusals;
--- a/gateway/src/link_dialer.rs
+++ b/gateway/src/link_dialer.rs
@@ -10,8 +10,8 @@
 use tokio::time::timeout;
 
 use crate::app::App;
-use crate::hub::time_until;
 use crate::outbound_links::maintain_link;
+use crate::state_handle::time_until;
 
 /// Longest interval between two checks of which links are wanted.
 const CHECK_INTERVAL: Duration = Duration::from_millis(500);
@@ -53,7 +53,7 @@
 /// Time until the next check: at most [`CHECK_INTERVAL`], and no later than the end of the grace
 /// period of a target whose entry lapsed, so that the target is removed on time.
 fn until_next_check(app: &App) -> Duration {
-    let grace_end = app.hub.with(|shared, _| shared.next_grace_end());
+    let grace_end = app.state.with(|shared, _| shared.next_grace_end());
     grace_end.map_or(CHECK_INTERVAL, |at| time_until(at).min(CHECK_INTERVAL))
 }
 
@@ -69,7 +69,7 @@
         app.wanted_links.replace(wanted_addresses.clone());
         dials.dial(&app, wanted_addresses);
         drop(timeout(until_next_check(&app), app.vms_changed.notified()).await);
-        app.hub.with(|shared, now| {
+        app.state.with(|shared, now| {
             shared.fleet.forget_silent(now);
             shared.expire_lapsed_targets(now);
             shared.departures.remove_expired(now);
@@ -84,7 +84,7 @@
 
 /// Addresses of VMs to which links are wanted; the configured seeds while no VM is known.
 fn wanted_addresses(app: &App) -> BTreeSet<SocketAddr> {
-    let mut wanted_addresses = app.hub.with(|shared, _| shared.wanted_links());
+    let mut wanted_addresses = app.state.with(|shared, _| shared.wanted_links());
     if wanted_addresses.is_empty() {
         wanted_addresses.extend(&app.cfg.seeds);
     }
--- a/gateway/src/link_messages.rs
+++ b/gateway/src/link_messages.rs
@@ -22,7 +22,7 @@
 
 /// The first message on a link: this VM's identity.
 pub(crate) fn own_hello(app: &App) -> Hello {
-    app.hub.with(|shared, _| {
+    app.state.with(|shared, _| {
         let entry = shared.fleet.own_entry();
         Hello {
             vm: app.cfg.vm.to_string(),
@@ -50,7 +50,7 @@
 }
 
 fn assemble_heartbeat(app: &App) -> Beat {
-    app.hub.with(|shared, now| Beat {
+    app.state.with(|shared, now| Beat {
         as_of: shared.view.as_of(),
         draining: shared.is_stopping(),
         store_age_ms: shared.contact.age(now).map(millis),
@@ -107,7 +107,7 @@
 /// Records that a message from a peer arrived, and its identity if the message is a hello.
 pub(crate) fn record_peer(app: &App, vm: &VmName, hello: Option<&Hello>) {
     let entry = hello.and_then(decode_entry);
-    app.hub.with(|shared, now| {
+    app.state.with(|shared, now| {
         let linked = app.links.borrow().contains_key(vm);
         shared.fleet.record_heard(vm, linked, now);
         if let Some(hello) = hello {
@@ -124,7 +124,7 @@
         .iter()
         .filter_map(|load| Some((TargetName::new(&load.target).ok()?, load.calls, load.tokens)))
         .collect();
-    let starts_draining = app.hub.with(|shared, now| {
+    let starts_draining = app.state.with(|shared, now| {
         let starts_draining = shared.fleet.record_draining(vm, beat.draining, now);
         let pools = beat.pools.iter().map(|pool| {
             let turnaround = Duration::from_millis(u64::from(pool.turn_ms));
@@ -192,7 +192,7 @@
 
 /// Decodes a submission of a peer; `None` if one of its names is invalid.
 pub(crate) fn decode_submission(submit: Submit) -> Option<(ServiceName, Submission)> {
-    let now = crate::hub::now();
+    let now = crate::state_handle::now();
     let slack = Duration::from_millis(u64::try_from(submit.slack_ms).unwrap_or(0));
     let submission = Submission {
         request: RequestId::new(&submit.request).ok()?,
@@ -224,7 +224,7 @@
 
 /// Decodes a peer's reports of targets that are leaving; invalid ones are left out.
 pub(crate) fn decode_departures(message: &Departures) -> Vec<Departure> {
-    let now = crate::hub::now();
+    let now = crate::state_handle::now();
     let departure = |message: &work::Departure| {
         let target = TargetName::new(&message.target).ok()?;
         let announced = now.checked_sub(Duration::from_millis(u64::from(message.age_ms)))?;
@@ -262,7 +262,7 @@
 }
 
 fn take_unsent_departures(app: &App, cursor: &mut ChangeCursor) -> Option<Departures> {
-    let (changes, up_to, now) = app.hub.with(|shared, now| {
+    let (changes, up_to, now) = app.state.with(|shared, now| {
         let (changes, up_to) = shared.departures.changes_after(*cursor);
         (changes, up_to, now)
     });
@@ -281,7 +281,7 @@
 }
 
 fn take_unsent_crashes(app: &App, cursor: &mut CrashCursor) -> Option<Crashes> {
-    let (changes, up_to) = app.hub.with(|shared, _| shared.quarantine.changes_after(*cursor));
+    let (changes, up_to) = app.state.with(|shared, _| shared.quarantine.changes_after(*cursor));
     *cursor = up_to;
     let crash = |crash: Crash| work::Crash {
         content: crash.digest.to_bytes().to_vec(),
--- a/gateway/src/missing_inputs.rs
+++ b/gateway/src/missing_inputs.rs
@@ -2,8 +2,8 @@
 //! serves the request can tell.
 
 use crate::app::App;
-use crate::hub::now;
 use crate::shared::Shared;
+use crate::state_handle::now;
 
 /// Why an input is no longer available.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -42,7 +42,7 @@
     let worker = (app.adapter.calls.worker_address)(handle);
     let is_known =
         |shared: &Shared| worker.is_some_and(|worker| shared.targets.at_address(worker).is_some());
-    if !app.hub.with(|shared, _| is_known(shared)) {
+    if !app.state.with(|shared, _| is_known(shared)) {
         return Cause::WorkerGone;
     }
     if is_expired { Cause::Expired } else { Cause::Unknown }
--- a/gateway/src/outbound_links.rs
+++ b/gateway/src/outbound_links.rs
@@ -28,12 +28,12 @@
 
 use crate::app::App;
 use crate::held_results::{Origin, ResultExpiry};
-use crate::hub::{now, time_until};
 use crate::link_messages::{
     SentCursors, apply_heartbeat, decode_crashes, decode_departures, own_heartbeat, own_hello,
     piece_outcome, record_peer, take_unsent,
 };
 use crate::piece_events::{PieceEvent, StageSubmission};
+use crate::state_handle::{now, time_until};
 use crate::{releases, target_announcements};
 
 /// Sends messages to the VM that dialed a link.
@@ -301,7 +301,7 @@
 pub(crate) async fn maintain_link(app: Rc<App>, address: SocketAddr) {
     if let Err(why) = run_link(&app, address).await {
         slog::debug!(app.log, "link not established"; "address" => %address, "why" => why);
-        app.hub.with(|shared, _| shared.fleet.record_dial_failure(address));
+        app.state.with(|shared, _| shared.fleet.record_dial_failure(address));
         sleep(FAILED_DIAL_PAUSE).await;
     } else {
         sleep(REDIAL_PAUSE).await;
@@ -343,7 +343,7 @@
     let mut links = app.links.borrow_mut();
     if links.get(&vm).is_some_and(|other| Rc::ptr_eq(other, &link)) {
         links.remove(&vm);
-        app.hub.with(|shared, now| shared.fleet.record_unlinked(&vm, why != IDLE_REASON, now));
+        app.state.with(|shared, now| shared.fleet.record_unlinked(&vm, why != IDLE_REASON, now));
         app.vms_changed.notify_one();
     }
     drop(links);
@@ -385,7 +385,7 @@
     heartbeats.set_missed_tick_behavior(MissedTickBehavior::Delay);
     let mut last_received = tokio::time::Instant::now();
     let mut sent_cursors = SentCursors::default();
-    let mut updates = app.hub.with(|shared, _| shared.peer_update_pending.subscribe());
+    let mut updates = app.state.with(|shared, _| shared.peer_update_pending.subscribe());
     loop {
         tokio::select! {
             _ = updates.changed() => {
@@ -406,7 +406,7 @@
                             apply_heartbeat(app, vm, &beat);
                         }
                         from_owner::Kind::News(changes) => link.deliver_changes(changes),
-                        from_owner::Kind::Crashes(crashes) => app.hub.with(|shared, now| {
+                        from_owner::Kind::Crashes(crashes) => app.state.with(|shared, now| {
                             shared.merge_crashes(&decode_crashes(&crashes), vm.as_str(), now);
                         }),
                         from_owner::Kind::Departures(departures) => {
@@ -434,7 +434,7 @@
                 if last_received.elapsed() > PEER_TIMEOUT {
                     return format!("silent for {:?}", last_received.elapsed());
                 }
-                let is_hall_unreachable = app.hub.with(|shared, _| shared.fleet.is_unreachable(vm));
+                let is_hall_unreachable = app.state.with(|shared, _| shared.fleet.is_unreachable(vm));
                 if last_received.elapsed() > HEARTBEAT_INTERVAL && is_hall_unreachable {
                     return "its hall is unreachable".to_owned();
                 }
--- a/gateway/src/own_calls.rs
+++ b/gateway/src/own_calls.rs
@@ -12,8 +12,8 @@
 
 use crate::app::App;
 use crate::connections::SendError;
-use crate::hub::now;
 use crate::permits::Permit;
+use crate::state_handle::now;
 use crate::target_announcements;
 
 /// Why a call gave no answer.
--- a/gateway/src/own_entry.rs
+++ b/gateway/src/own_entry.rs
@@ -82,7 +82,7 @@
 
 /// The value of this VM's entry, as JSON.
 fn own_entry(app: &App) -> Bytes {
-    let entry = app.hub.with(|shared, _| serde_json::to_vec(shared.fleet.own_entry()));
+    let entry = app.state.with(|shared, _| serde_json::to_vec(shared.fleet.own_entry()));
     // A plain struct of strings and numbers always serializes.
     Bytes::from(entry.unwrap_or_default())
 }
--- a/gateway/src/peer_sync.rs
+++ b/gateway/src/peer_sync.rs
@@ -60,7 +60,7 @@
 /// lacks nothing or the store delivers what it lacks.
 fn peer_to_ask(app: &App, silent: Option<VmName>) -> Option<(VmName, Rc<Link>)> {
     let links = app.links.borrow();
-    app.hub.with(|shared, now| {
+    app.state.with(|shared, now| {
         let known = shared.view.as_of();
         let peers = &shared.fleet.peers;
         let revision_of = |vm: &VmName| peers.get(vm).map_or(0, |peer| peer.as_of);
@@ -94,7 +94,7 @@
 /// Fetches changes from a peer part by part until nothing is left, or until there are too many and
 /// the store is to be read instead; `None` if the peer does not answer.
 async fn fetch(app: &Rc<App>, vm: &VmName, link: &Link) -> Option<()> {
-    let mut assembly = Assembler::after(app.hub.with(|shared, _| shared.view.as_of()));
+    let mut assembly = Assembler::after(app.state.with(|shared, _| shared.view.as_of()));
     let mut complete_to = u64::MAX;
     for number in 1.. {
         let changes = link.request_changes(next_request(&assembly));
@@ -107,7 +107,7 @@
         let items: Vec<Item> = parts.into_iter().filter_map(|part| assembly.push(part)).collect();
         info!(app.log, "news of the store from a peer"; "peer" => %vm, "parts" => count,
             "whole" => items.len(), "as_of" => complete_to, "last" => changes.is_last);
-        app.hub.with(|shared, now| {
+        app.state.with(|shared, now| {
             shared.merge(items, vm.as_str(), now);
             if changes.is_last {
                 shared.view.advance_to(complete_to);
@@ -117,7 +117,7 @@
         });
         recheck_pools(app);
         app.vms_changed.notify_one();
-        if changes.is_last || app.hub.with(|shared, _| shared.prefers_store) {
+        if changes.is_last || app.state.with(|shared, _| shared.prefers_store) {
             break;
         }
     }
--- a/gateway/src/permits.rs
+++ b/gateway/src/permits.rs
@@ -17,9 +17,9 @@
 use tokio::time::timeout;
 
 use crate::app::App;
-use crate::hub::now;
 use crate::rate_messages::{decode_rate, encode_rate};
 use crate::shared::Shared;
+use crate::state_handle::now;
 
 /// Longest wait for the answer of the VM that holds a token bucket; dozens of round trips between
 /// halls.
@@ -61,7 +61,7 @@
     /// change.
     pub(crate) fn is_valid(&self) -> bool {
         self.kind == Kind::Release
-            || self.app.hub.with(|shared, now| {
+            || self.app.state.with(|shared, now| {
                 let is_counted = self.kind == Kind::Counted;
                 let limit_announced_since =
                     !is_counted && shared.rates.limit(&self.target).is_some();
@@ -84,7 +84,7 @@
     target: &Target,
     within: Duration,
 ) -> Result<Permit, RateLimited> {
-    let Some(limit) = app.hub.with(|shared, _| shared.rates.limit(target)) else {
+    let Some(limit) = app.state.with(|shared, _| shared.rates.limit(target)) else {
         return Ok(permit(app, target, Kind::Unlimited));
     };
     let asked = now();
@@ -97,11 +97,11 @@
             return Ok(permit(app, target, Kind::Counted));
         }
         Some(PermitDecision::Denied(wait)) => {
-            app.hub.with(|shared, now| shared.hold_back(target, now + wait.max(MIN_HOLD_BACK)));
-        }
-        None => {
-            app.hub.with(|shared, now| shared.hold_back_all(&target.service, now + NO_OWNER_PAUSE))
+            app.state.with(|shared, now| shared.hold_back(target, now + wait.max(MIN_HOLD_BACK)));
         }
+        None => app
+            .state
+            .with(|shared, now| shared.hold_back_all(&target.service, now + NO_OWNER_PAUSE)),
     }
     Err(RateLimited)
 }
@@ -109,7 +109,7 @@
 /// The permit for a pool's call, which is never denied: only one VM makes calls to such a target,
 /// and only while the target is not held back.
 pub(crate) fn for_pool_call(app: &Rc<App>, target: &Target) -> Permit {
-    app.hub.with(|shared, now| shared.consume(target, now));
+    app.state.with(|shared, now| shared.consume(target, now));
     permit(app, target, Kind::Counted)
 }
 
@@ -123,14 +123,14 @@
 /// Batching keeps them few compared to the calls that the rate allows, in case the target counts
 /// them against its limit.
 pub(crate) fn release_batch_window(app: &App, target: &Target) -> Option<Duration> {
-    let interval = app.hub.with(|shared, _| shared.targets.get(&target.id)?.request_interval)?;
+    let interval = app.state.with(|shared, _| shared.targets.get(&target.id)?.request_interval)?;
     Some((interval * RELEASE_BATCH_INTERVALS).min(MAX_RELEASE_BATCH_WINDOW))
 }
 
 /// The permit to ask a worker for its report; `None` if it announces a rate limit, since that is
 /// kept for the pool's calls.
 pub(crate) fn for_report(app: &Rc<App>, target: &Target) -> Option<Permit> {
-    let is_rate_limited = app.hub.with(|shared, _| shared.rates.limit(target).is_some());
+    let is_rate_limited = app.state.with(|shared, _| shared.rates.limit(target).is_some());
     (!is_rate_limited).then(|| permit(app, target, Kind::Unlimited))
 }
 
@@ -146,9 +146,9 @@
     limit: RateLimit,
     within: Duration,
 ) -> Option<PermitDecision> {
-    let owner = app.hub.with(|shared, now| shared.update_bucket_owner(&target.service, now));
+    let owner = app.state.with(|shared, now| shared.update_bucket_owner(&target.service, now));
     match owner {
-        Owner::This => Some(app.hub.with(|shared, now| {
+        Owner::This => Some(app.state.with(|shared, now| {
             shared.token_buckets.acquire(&Lifetime::from(target), limit, within, now)
         })),
         Owner::Peer(vm) => ask_peer(app, &vm, build_permit_ask(app, target, within)).await,
@@ -166,7 +166,7 @@
 
 /// The request for a permit, with what this VM has observed of the target's rate.
 fn build_permit_ask(app: &App, target: &Target, within: Duration) -> PermitAsk {
-    app.hub.with(|shared, now| {
+    app.state.with(|shared, now| {
         let lifetime = Lifetime::from(target);
         let own = shared.rates.own_observations(&lifetime).cloned().unwrap_or_default();
         let within_ms = u32::try_from(within.as_millis()).unwrap_or(u32::MAX);
@@ -179,7 +179,7 @@
 pub(crate) async fn answer(app: &App, vm: &str, ask: PermitAsk) -> Option<PermitReply> {
     let (lifetime, observations) = ask.rate.as_ref().and_then(|rate| decode_rate(rate, now()))?;
     let number = ask.number;
-    let owner = app.hub.with(|shared, now| {
+    let owner = app.state.with(|shared, now| {
         shared.merge_peer_rate(lifetime.clone(), &observations, vm, now);
         let service = shared.targets.service_of(&lifetime.target).cloned()?;
         Some(shared.update_bucket_owner(&service, now))
@@ -205,7 +205,7 @@
 /// Decides about a permit with the token buckets of this VM.
 fn decide_here(app: &App, lifetime: &Lifetime, ask: &PermitAsk) -> PermitDecision {
     let within = Duration::from_millis(u64::from(ask.within_ms));
-    app.hub.with(|shared, now| match shared.rates.limit_of(lifetime) {
+    app.state.with(|shared, now| match shared.rates.limit_of(lifetime) {
         Some(limit) => shared.token_buckets.acquire(lifetime, limit, within, now),
         // This VM has learned meanwhile that the target has no rate limit.
         None => PermitDecision::Granted(Duration::ZERO),
--- a/gateway/src/pool_calls.rs
+++ b/gateway/src/pool_calls.rs
@@ -15,10 +15,10 @@
 use crate::app::App;
 use crate::call_counts::{PieceCounts, end_name};
 use crate::held_results::{Origin, ResultExpiry};
-use crate::hub::now;
 use crate::own_calls::{OwnCallError, own_call};
 use crate::permits::Permit;
 use crate::piece_events::{PeerSink, PieceEvent, Sink};
+use crate::state_handle::now;
 use crate::{crashes, hall_reachability, input_fetches, link_messages, permits, releases};
 
 /// Time to read an answer that has already arrived when its call times out. A VM that was paused
@@ -31,7 +31,7 @@
     fail_without_workers(app, pool);
     fail_quarantined(app, pool);
     loop {
-        let next = app.hub.with(|shared, now| {
+        let next = app.state.with(|shared, now| {
             let pool = shared.pools.get_mut(pool)?;
             Some((pool.next_call(now)?, pool.release_queued()))
         });
@@ -40,7 +40,7 @@
         releases::reclaim(app, pool, pending_releases);
         spawn_local(run_call(Rc::clone(app), pool.clone(), call, permit));
     }
-    let wakeup = app.hub.with(|shared, now| shared.pools.get(pool)?.next_wakeup(now));
+    let wakeup = app.state.with(|shared, now| shared.pools.get(pool)?.next_wakeup(now));
     if let Some(at) = wakeup {
         schedule_dispatch(app, pool, tokio::time::Instant::from_std(at));
     }
@@ -49,7 +49,7 @@
 /// Finishes waiting pieces whose inputs are unreachable; the VM of the request runs the stages of
 /// the inputs again.
 fn fail_without_inputs(app: &Rc<App>, pool: &ServiceName) {
-    let finished = app.hub.with(|shared, _| {
+    let finished = app.state.with(|shared, _| {
         let jobs = shared.jobs_with_unreachable_inputs(pool);
         let pool = shared.pools.get_mut(pool);
         let finish_jobs = |pool: &mut Pool| -> Vec<Finished> {
@@ -66,7 +66,7 @@
 
 /// Fails waiting pieces that can't be run in time because no worker may be called.
 fn fail_without_workers(app: &Rc<App>, pool: &ServiceName) {
-    let finished = app.hub.with(|shared, now| {
+    let finished = app.state.with(|shared, now| {
         let pool = shared.pools.get_mut(pool);
         pool.map(|pool| pool.fail_unservable(now)).unwrap_or_default()
     });
@@ -79,7 +79,7 @@
 
 /// Fails waiting pieces of quarantined requests, since such pieces crash the workers that run them.
 fn fail_quarantined(app: &Rc<App>, pool: &ServiceName) {
-    let finished = app.hub.with(|shared, now| {
+    let finished = app.state.with(|shared, now| {
         let jobs = shared.refused_jobs(pool, now);
         let pool = shared.pools.get_mut(pool)?;
         let given_up =
@@ -117,7 +117,7 @@
     let started = now();
     let digests = crashes::request_digests_of_call(&app, &pool, &call);
     let end = if pieces.len() == call.pieces.len() {
-        let lifetime = app.hub.with(|shared, _| shared.lifetime_of(&call.target));
+        let lifetime = app.state.with(|shared, _| shared.lifetime_of(&call.target));
         let req = (app.adapter.calls.pool_call)(&call.target.id, &pieces);
         match send(&app, &pool, &call, req, permit).await {
             Ok(end) => end,
@@ -142,10 +142,10 @@
         "still_waiting" => call.still_waiting, "took_ms" => (now() - started).as_millis());
     app.metrics.attempt_ended(pool.as_str(), call.target.id.as_str(), name);
     if end == CallEnd::TargetGone {
-        app.hub.with(|shared, now| shared.target_replaced(&call.target, now));
+        app.state.with(|shared, now| shared.target_replaced(&call.target, now));
     }
     let (finished, pending_releases) =
-        app.hub.with(|shared, now| match shared.pools.get_mut(&pool) {
+        app.state.with(|shared, now| match shared.pools.get_mut(&pool) {
             Some(pool) => (pool.call_ended(call.key, end, now), pool.release_queued()),
             None => (Vec::new(), Vec::new()),
         });
@@ -198,7 +198,7 @@
 /// the connection does not stop a running call. If this VM has another call there, this one may
 /// still wait in the worker's queue, and closing the connection removes it from that queue.
 fn is_running(app: &App, pool: &ServiceName, call: CallKey) -> bool {
-    app.hub.with(|shared, _| shared.pools.get(pool).is_some_and(|pool| pool.is_only_call(call)))
+    app.state.with(|shared, _| shared.pools.get(pool).is_some_and(|pool| pool.is_only_call(call)))
 }
 
 /// Releases the results of a call that timed out, once the worker has made them: nobody else learns
@@ -208,7 +208,7 @@
     pool: ServiceName,
     sent: impl Future<Output = Result<bytes::Bytes, OwnCallError>>,
 ) {
-    let life = app.hub.with(|shared, _| shared.pools.get(&pool).map(Pool::result_life));
+    let life = app.state.with(|shared, _| shared.pools.get(&pool).map(Pool::result_life));
     let Ok(Ok(body)) = tokio::time::timeout(life.unwrap_or_default(), sent).await else { return };
     let Ok(answers) = (app.adapter.calls.read_pool_answer)(&body) else { return };
     let handles = answers.into_iter().filter_map(|answer| match answer {
@@ -225,7 +225,7 @@
 /// Tells the waiting requests that their inputs are no longer needed, so that these can be released
 /// early: workers' memory is scarcer than time.
 fn notify_fetched(app: &App, pool: &ServiceName, call: CallKey) {
-    let jobs = app.hub.with(|shared, _| {
+    let jobs = app.state.with(|shared, _| {
         shared.pools.get_mut(pool).map(|pool| pool.inputs_fetched(call)).unwrap_or_default()
     });
     let sinks = app.sinks.borrow();
@@ -243,7 +243,7 @@
 
 /// The pieces of a call as the worker is sent them, without those whose submission was cancelled.
 fn piece_calls(app: &App, pool: &ServiceName, call: &Call) -> Vec<PieceCall> {
-    app.hub.with(|shared, now| {
+    app.state.with(|shared, now| {
         let Some(pool) = shared.pools.get(pool) else { return Vec::new() };
         let piece_call = |(job, piece): &(JobKey, u32)| {
             let submission = pool.submission(*job)?;
@@ -285,7 +285,7 @@
 /// Grants the peer a lease on a result; from now on the peer has to release it.
 fn grant_lease(app: &App, pool: &ServiceName, peer: &PeerSink, outcome: &PieceOutcome) {
     let (Some(link), PieceOutcome::Stored(handle)) = (peer.link_key, outcome) else { return };
-    app.hub.with(|shared, now| {
+    app.state.with(|shared, now| {
         let life = shared.pools.get(pool).map(Pool::result_life).unwrap_or_default();
         shared.leases.granted(link, handle.clone(), peer.until, now + life);
     });
@@ -297,7 +297,7 @@
     let jobs: BTreeSet<JobKey> = finished.iter().map(|finished| finished.job).collect();
     let mut unread = Vec::new();
     let now = now();
-    let life = app.hub.with(|shared, _| shared.pools.get(pool).map(Pool::result_life));
+    let life = app.state.with(|shared, _| shared.pools.get(pool).map(Pool::result_life));
     let life = life.unwrap_or_default();
     for Finished { job, piece, outcome } in finished {
         match sinks.get(&(pool.clone(), job)) {
@@ -328,7 +328,7 @@
             None => {}
         }
     }
-    app.hub.with(|shared, _| {
+    app.state.with(|shared, _| {
         let is_done =
             |job: &JobKey| shared.pools.get(pool).is_none_or(|p| p.submission(*job).is_none());
         for job in jobs.into_iter().filter(is_done) {
--- a/gateway/src/pool_log.rs
+++ b/gateway/src/pool_log.rs
@@ -39,7 +39,7 @@
 /// Logs to which VM this one submits pieces of each pool, whenever that changes; `owners` holds
 /// what was logged last.
 fn log_owner_changes(app: &App, owners: &mut HashMap<ServiceName, Owner>) {
-    app.hub.with(|shared, now| {
+    app.state.with(|shared, now| {
         for pool in shared.pools.keys() {
             let owner = shared.preferred_owner(pool, None, now);
             if owners.get(pool) == Some(&owner) {
@@ -56,7 +56,7 @@
 
 /// Logs the use of room of each pool of this VM that has waiting pieces or calls in progress.
 fn log_room_use(app: &App) {
-    let rooms: Vec<(ServiceName, RoomUse, usize)> = app.hub.with(|shared, now| {
+    let rooms: Vec<(ServiceName, RoomUse, usize)> = app.state.with(|shared, now| {
         let busy = shared.pools.iter().filter(|(_, pool)| !pool.is_idle());
         busy.map(|(name, pool)| (name.clone(), pool.room_use(now), pool.waiting_pieces())).collect()
     });
--- a/gateway/src/rate_messages.rs
+++ b/gateway/src/rate_messages.rs
@@ -7,7 +7,7 @@
 use peering::work::{NamedRate, Rate, Rates};
 
 use crate::app::App;
-use crate::hub;
+use crate::state_handle;
 
 /// Longest assumed transit time of a peer's message. Messages state ages, so the order of two
 /// answers is only known up to this time: a call counts as sent this much earlier, and an answer as
@@ -49,14 +49,14 @@
 
 /// Decodes a peer's observations of targets' rate limits; invalid ones are left out.
 pub(crate) fn decode_rates(message: &Rates) -> Vec<(Lifetime, RateObservations)> {
-    let now = hub::now();
+    let now = state_handle::now();
     message.rates.iter().filter_map(|rate| decode_rate(rate, now)).collect()
 }
 
 /// The rate observations to send next on a link; advances the cursor past them. `None` if there are
 /// none.
 pub(crate) fn take_unsent_rates(app: &App, cursor: &mut ChangeCursor) -> Option<Rates> {
-    let rates: Vec<Rate> = app.hub.with(|shared, now| {
+    let rates: Vec<Rate> = app.state.with(|shared, now| {
         let (changes, up_to) = shared.rates.changes_after(*cursor);
         *cursor = up_to;
         changes
--- a/gateway/src/releases.rs
+++ b/gateway/src/releases.rs
@@ -26,12 +26,12 @@
 use crate::app::App;
 use crate::connections::REUSE_DELAY;
 use crate::held_results::{Origin, ReleaseBatch};
-use crate::hub::{now, time_until};
 use crate::inbound_links::has_process_ended;
 use crate::outbound_links::Link;
 use crate::own_calls::{OwnCallError, own_call};
 use crate::permits;
 use crate::pool_calls::dispatch_calls;
+use crate::state_handle::{now, time_until};
 
 /// Longest wait for a worker to confirm a release.
 const RELEASE_WAIT: Duration = Duration::from_millis(500);
@@ -111,7 +111,7 @@
 /// owner only, which combines the releases of all VMs.
 fn calls_worker_directly(app: &App, handle: &str) -> bool {
     let Some(worker) = (app.adapter.calls.worker_address)(handle) else { return true };
-    app.hub.with(|shared, _| {
+    app.state.with(|shared, _| {
         let has_rate_limit = shared
             .targets
             .at_address(worker)
@@ -181,7 +181,7 @@
 
 /// Removes results from the pools that know them.
 fn take_from_pools(app: &App, handles: &[String]) -> Vec<(ServiceName, PendingRelease)> {
-    app.hub.with(|shared, _| {
+    app.state.with(|shared, _| {
         let pools = shared.pools.iter_mut();
         let release_in_pool = |(name, pool): (&ServiceName, &mut Pool)| {
             let name = name.clone();
@@ -193,7 +193,7 @@
 
 /// Records a requester's report that workers confirmed the release of results.
 pub(crate) fn record_worker_releases(app: &Rc<App>, handles: &[String]) {
-    app.hub.with(|shared, _| shared.leases.released(handles));
+    app.state.with(|shared, _| shared.leases.released(handles));
     for (pool, pending) in take_from_pools(app, handles) {
         complete_release(app, &pool, &pending, true);
     }
@@ -201,7 +201,7 @@
 
 /// Releases results that this VM had computed, if their workers are short of memory.
 fn release_as_owner_if_scarce(app: &Rc<App>, handles: &[String]) {
-    let pending = app.hub.with(|shared, _| {
+    let pending = app.state.with(|shared, _| {
         let pools = shared.pools.iter_mut();
         let release = |(name, pool): (&ServiceName, &mut Pool)| {
             pool.release_if_scarce(handles);
@@ -225,7 +225,7 @@
         release_as_owner_if_scarce(app, &handles);
         return Vec::new();
     }
-    app.hub.with(|shared, _| shared.leases.released(&handles));
+    app.state.with(|shared, _| shared.leases.released(&handles));
     release_as_owner(app, handles)
 }
 
@@ -235,7 +235,7 @@
 pub(crate) fn reclaim(app: &Rc<App>, pool: &ServiceName, pending: Vec<PendingRelease>) {
     for pending in pending {
         app.held.remove_reclaimed(&pending.handles);
-        let links = app.hub.with(|shared, _| shared.leases.reclaimed(&pending.handles));
+        let links = app.state.with(|shared, _| shared.leases.reclaimed(&pending.handles));
         for (link, handles) in links {
             if let Some(tx) = app.lease_links.borrow().get(&link) {
                 let kind = from_owner::Kind::Reclaimed(Reclaimed { handles });
@@ -260,7 +260,7 @@
             sleep(RECONNECT_TIME).await;
         }
         last = now();
-        let ended = app.hub.with(|shared, now| shared.leases.take_ended(now));
+        let ended = app.state.with(|shared, now| shared.leases.take_ended(now));
         let mut by_reason: BTreeMap<EndReason, Vec<String>> = BTreeMap::new();
         for EndedLease { handle, reason } in ended {
             by_reason.entry(reason).or_default().push(handle);
@@ -301,7 +301,7 @@
 /// Records the outcome of a release in the pool, and dispatches calls that may have waited for the
 /// memory.
 fn complete_release(app: &Rc<App>, pool: &ServiceName, pending: &PendingRelease, confirmed: bool) {
-    app.hub.with(|shared, now| {
+    app.state.with(|shared, now| {
         let pool = shared.pools.get_mut(pool);
         pool.map(|pool| pool.finish_release(pending, confirmed, now))
     });
@@ -310,7 +310,7 @@
 
 /// The worker at an address; `None` if no target of a pool is known there.
 fn worker_at(app: &App, address: SocketAddr) -> Option<Target> {
-    app.hub.with(|shared, _| {
+    app.state.with(|shared, _| {
         let target = shared.targets.at_address(address)?;
         shared.pools.contains_key(&target.service).then(|| target.clone())
     })
@@ -463,7 +463,7 @@
 async fn call_worker(app: &Rc<App>, target: &Target, handles: &[String]) -> SendOutcome {
     // Without a backoff no sleep is made: even one of zero length takes a timer tick, during which
     // this VM may be killed before it sends the release.
-    if let Some(until) = app.hub.with(|shared, _| shared.backoffs.until(target)) {
+    if let Some(until) = app.state.with(|shared, _| shared.backoffs.until(target)) {
         let pause = time_until(until);
         if pause > MAX_BACKOFF_WAIT {
             return SendOutcome::Unconfirmed("the worker asked for a longer backoff".to_owned());
--- a/gateway/src/request_stages.rs
+++ b/gateway/src/request_stages.rs
@@ -11,9 +11,9 @@
 use crate::active_requests::WaitReason;
 use crate::admission::UnsubmittedPieces;
 use crate::app::App;
-use crate::hub::now;
 use crate::requests::AcceptedRequest;
 use crate::stages::{self, StageResults, StagesContext, StagesError};
+use crate::state_handle::now;
 use crate::{active_requests, crashes};
 
 /// Retry time for the caller after a piece failed.
@@ -33,7 +33,7 @@
     if req.entry.stages.is_empty() || req.head.pieces.iter().all(|count| *count == 0) {
         return Ok(None);
     }
-    let first_event = app.hub.with(|shared, _| shared.first_event_time(&req.service));
+    let first_event = app.state.with(|shared, _| shared.first_event_time(&req.service));
     let size = call_size(app, req, None);
     let ctx = StagesContext {
         app,
--- a/gateway/src/requests.rs
+++ b/gateway/src/requests.rs
@@ -18,8 +18,8 @@
 use crate::active_requests::{ActiveRequestGuard, ActiveRequestKey};
 use crate::answers::{AnswerBody, refusal};
 use crate::app::App;
-use crate::hub::now;
 use crate::shutdown::RETRY_ELSEWHERE_AFTER;
+use crate::state_handle::now;
 use crate::{active_requests, crashes, shutdown, streams, whole_answers};
 
 /// Longest time to read a request's body; the request's own deadline may be sooner.
@@ -141,17 +141,17 @@
 ) -> Result<AcceptedRequest, (&'static str, Refusal)> {
     let arrived = now();
     let retry_elsewhere = Refusal::NotRun { retry_after: RETRY_ELSEWHERE_AFTER };
-    let intent = app.hub.with(|shared, _| shared.intent.clone());
+    let intent = app.state.with(|shared, _| shared.intent.clone());
     let intent = intent.ok_or(("no configuration", retry_elsewhere))?;
     if is_past_stop_notice(app) {
-        return Err(("stopping", app.hub.with(|shared, now| shared.retry_later_refusal(now))));
+        return Err(("stopping", app.state.with(|shared, now| shared.retry_later_refusal(now))));
     }
     let id = head.id.clone().ok_or(("no id", Refusal::Malformed))?;
     let host = host_of(&parts).unwrap_or_default();
     // A newer configuration may allow what this one denies: while this VM may be behind, the caller
     // is told to retry elsewhere instead of being denied.
     let deny = |why, denial| {
-        let may_be_behind = app.hub.with(|shared, now| shared.may_be_behind(now));
+        let may_be_behind = app.state.with(|shared, now| shared.may_be_behind(now));
         if may_be_behind { ("configuration may be behind", retry_elsewhere) } else { (why, denial) }
     };
     let entry = intent.entry(&host, parts.uri.path());
@@ -163,7 +163,7 @@
     let left = head.left.unwrap_or(entry.max_duration).min(entry.max_duration);
     let deadline = arrived + left;
     let body = read_body(body, intent.bounds.body_bytes, deadline).await?;
-    let response_time = app.hub.with(|shared, now| {
+    let response_time = app.state.with(|shared, now| {
         shared.count_request(&service, now);
         shared.response_time(&entry.name)
     });
@@ -206,7 +206,7 @@
 
 /// Whether the process is stopping and its load balancer has had time to notice.
 fn is_past_stop_notice(app: &App) -> bool {
-    app.hub.with(|shared, now| shared.stop.is_some_and(|plan| !plan.takes_requests(now)))
+    app.state.with(|shared, now| shared.stop.is_some_and(|plan| !plan.takes_requests(now)))
 }
 
 /// The customer whose key the request carries; `None` for public entries and for configurations
--- a/gateway/src/run.rs
+++ b/gateway/src/run.rs
@@ -22,9 +22,9 @@
 use crate::app::App;
 use crate::connections::Connections;
 use crate::held_results::HeldResults;
-use crate::hub::{Hub, now};
 use crate::settings::Settings;
 use crate::shared::Shared;
+use crate::state_handle::{StateHandle, now};
 use crate::{
     callers, hall_reachability, http_endpoints, inbound_links, link_dialer, logs, own_entry,
     peer_sync, pool_log, releases, settings, shutdown, store_watch, stored_refusals,
@@ -52,7 +52,7 @@
     let tasks = LocalSet::new();
     let result = runtime.block_on(tasks.run_until(async move {
         let app = Rc::new(App {
-            hub: Hub::new(shared),
+            state: StateHandle::new(shared),
             cfg,
             adapter,
             connections: Connections::default(),
@@ -165,7 +165,7 @@
     let limits =
         Limits { notice: app.cfg.stop.notice(), grace: app.cfg.stop.grace(), cores: app.cfg.cores };
     let plan = StopPlan::new(now(), limits);
-    app.hub.with(|shared, _| shared.stop = Some(plan));
+    app.state.with(|shared, _| shared.stop = Some(plan));
     app.stopping.send_replace(true);
     let mut closing = false;
     let mut checked_at = now();
@@ -173,10 +173,10 @@
         let now = now();
         let timer_delay = (now - checked_at).saturating_sub(STOP_CHECK_INTERVAL);
         checked_at = now;
-        app.hub.with(|shared, _| {
+        app.state.with(|shared, _| {
             shared.stop.iter_mut().for_each(|plan| plan.record_timer_delay(timer_delay))
         });
-        let in_work = app.hub.with(|shared, _| shared.active_requests.len());
+        let in_work = app.state.with(|shared, _| shared.active_requests.len());
         let is_idle = in_work == 0 && app.open_caller_connections.get() == 0;
         if !closing && now >= plan.closes_idle_at() {
             closing = true;
--- a/gateway/src/shared.rs
+++ b/gateway/src/shared.rs
@@ -40,7 +40,7 @@
     VmEntry { peers: cfg.peers, hall: cfg.hall.clone(), cores: cfg.cores }
 }
 
-/// State shared by the tasks of a VM; accessed through [`crate::hub::Hub`].
+/// State shared by the tasks of a VM; accessed through [`crate::state_handle::StateHandle`].
 pub(crate) struct Shared {
     pub(crate) adapter: PlatformAdapter,
     pub(crate) log: Logger,
--- a/gateway/src/shutdown.rs
+++ b/gateway/src/shutdown.rs
@@ -11,9 +11,9 @@
 use crate::active_requests::{ActiveRequest, ActiveRequestKey, WaitReason};
 use crate::admission;
 use crate::app::App;
-use crate::hub::now;
 use crate::requests::AcceptedRequest;
 use crate::shared::Shared;
+use crate::state_handle::now;
 
 /// Suggested delay before a retry when another VM can serve the request.
 pub(crate) const RETRY_ELSEWHERE_AFTER: Duration = Duration::from_millis(50);
@@ -78,7 +78,7 @@
     loop {
         // The sender lives as long as the process.
         drop(stopping.wait_for(|stopping| *stopping).await);
-        let ended = app.hub.with(|shared, now| {
+        let ended = app.state.with(|shared, now| {
             let refusal = shared.stop_refusal(key, now)?;
             Some((
                 refusal,
@@ -103,7 +103,7 @@
 /// Refusal of a request that arrives during shutdown and isn't expected to finish before the
 /// process exits; `None` if it may be admitted.
 pub(crate) fn refusal(app: &App, req: &AcceptedRequest) -> Option<Refusal> {
-    let (expected, refusal) = app.hub.with(|shared, now| {
+    let (expected, refusal) = app.state.with(|shared, now| {
         let plan = shared.stop?;
         let response_time = shared.response_time(&req.entry.name).unwrap_or_default();
         let expected = admission::expected_stages_time(shared, req, now) + response_time;
@@ -117,7 +117,7 @@
 
 /// Logs and counts each request whose connection is closed by the exit of the process.
 pub(crate) fn log_closed_requests(app: &App) {
-    app.hub.with(|shared, _| {
+    app.state.with(|shared, _| {
         for request in shared.active_requests.values() {
             let id = request.id.as_ref().map(ToString::to_string);
             warn!(app.log, "request closed by the stop"; "request" => id,
--- a/gateway/src/stages.rs
+++ b/gateway/src/stages.rs
@@ -21,12 +21,12 @@
 
 use crate::admission::UnsubmittedPieces;
 use crate::app::App;
-use crate::hub::now;
 use crate::missing_inputs::{self, Cause};
 use crate::piece_events::{PieceEvent, PieceEventReceiver, StageSubmission};
 use crate::releases;
 use crate::requests::AcceptedRequest;
 use crate::shared::Shared;
+use crate::state_handle::now;
 use crate::submissions::{self, SubmissionGuard};
 
 /// Most submissions of one stage. A stage is submitted again after the owner of its pool was lost,
@@ -188,7 +188,7 @@
             let bytes = entry.stages[*index].result_bytes;
             self.runs[*index].handles.iter().flatten().filter_map(move |handle| {
                 let worker = (app.adapter.calls.worker_address)(handle)?;
-                let hall = app.hub.with(|shared, _| shared.targets.hall_at(worker).cloned())?;
+                let hall = app.state.with(|shared, _| shared.targets.hall_at(worker).cloned())?;
                 Some((hall, bytes))
             })
         };
@@ -253,7 +253,7 @@
             .any(|stage| shared.preferred_owner(&stage.pool, None, now) == Owner::Unknown)
     };
     let deadline = tokio::time::Instant::from_std(ctx.deadline.min(now() + SETTLE_TIME));
-    while ctx.app.hub.with(|shared, now| is_unknown(shared, now)) {
+    while ctx.app.state.with(|shared, now| is_unknown(shared, now)) {
         if timeout_at(deadline, sleep(OWNER_POLL_INTERVAL)).await.is_err() {
             return;
         }
@@ -449,14 +449,14 @@
 ) -> Option<HallName> {
     let stage = &ctx.entry.stages[index];
     if !inputs.is_empty() {
-        return ctx.app.hub.with(|shared, _| shared.hall_of_most_inputs(inputs));
+        return ctx.app.state.with(|shared, _| shared.hall_of_most_inputs(inputs));
     }
     let used_by_stages = ctx.entry.stages.iter().any(|other| other.needs.contains(&index));
     let bytes = stage.result_bytes * u64::from(runs[index].pieces);
     if used_by_stages || bytes < MIN_BYTES_FOR_PREFERRED_HALL {
         return None;
     }
-    ctx.app.hub.with(|shared, now| shared.targets.home_hall(ctx.service, ctx.size, now))
+    ctx.app.state.with(|shared, now| shared.targets.home_hall(ctx.service, ctx.size, now))
 }
 
 /// When a stage has to be done so that the stages that need it can be in time.
--- a/gateway/src/hub.rs
+++ b/gateway/src/state_handle.rs
@@ -1,4 +1,4 @@
-//! [`Hub`], the handle through which tasks access the actor that holds the shared state, and the
+//! [`StateHandle`], the handle through which tasks access the actor that holds the shared state, and the
 //! clock that all of them use.
 
 use std::cell::RefCell;
@@ -10,7 +10,7 @@
 
 /// Synchronous access to the shared state. All tasks run on one thread, so a query runs at once and
 /// never awaits.
-pub(crate) struct Hub {
+pub(crate) struct StateHandle {
     stakker: RefCell<Stakker>,
     shared: ActorOwn<Shared>,
 }
@@ -25,14 +25,14 @@
     at.saturating_duration_since(now())
 }
 
-impl Hub {
+impl StateHandle {
     /// Starts the actor with the given state.
     pub(crate) fn new(shared: Shared) -> Self {
         let mut stakker = Stakker::new(now());
         let s = &mut stakker;
         let shared = actor!(s, Shared::init(shared), ret_nop!());
         stakker.run(now(), false);
-        Hub { stakker: RefCell::new(stakker), shared }
+        StateHandle { stakker: RefCell::new(stakker), shared }
     }
 
     /// Runs `f` with the state and the current time, and returns its result. `f` must not call
@@ -43,7 +43,7 @@
         let result = self.shared.query(&mut stakker, |shared, _| f(shared, now));
         match result {
             Some(result) => result,
-            None => unreachable!("the actor lives as long as the hub"),
+            None => unreachable!("the actor lives as long as the handle"),
         }
     }
 }
--- a/gateway/src/store_connection.rs
+++ b/gateway/src/store_connection.rs
@@ -19,7 +19,7 @@
 
 use crate::app::App;
 use crate::connections::connect;
-use crate::hub::now;
+use crate::state_handle::now;
 
 /// Longest time for the body of one answer, against a store that sends very slowly. The store keeps
 /// its history about as long, so that an answer that takes longer would have to be read again. A
@@ -112,7 +112,7 @@
             };
             buf.extend_from_slice(&frame.into_data().unwrap_or_default());
             if status == StatusCode::OK {
-                self.app.hub.with(|shared, now| shared.contact.record_bytes(now));
+                self.app.state.with(|shared, now| shared.contact.record_bytes(now));
             }
             if now() - began > MAX_ANSWER_TIME {
                 return Err(
--- a/gateway/src/store_watch.rs
+++ b/gateway/src/store_watch.rs
@@ -65,7 +65,7 @@
     let mut backoff = Backoff::new();
     loop {
         wait_until_watch_needed(app).await;
-        known = known.max(app.hub.with(|shared, _| shared.view.as_of()));
+        known = known.max(app.state.with(|shared, _| shared.view.as_of()));
         if !*app.store_reachable.borrow() {
             if let Err(error) = probe(app, store).await {
                 record_failure(app, "probe", &error);
@@ -96,7 +96,7 @@
 async fn wait_until_watch_needed(app: &App) {
     loop {
         let is_reachable = *app.store_reachable.borrow();
-        let (watched, watches) = app.hub.with(|shared, now| {
+        let (watched, watches) = app.state.with(|shared, now| {
             let watches =
                 !is_reachable || shared.prefers_store || shared.fleet.must_watch_store(now);
             (std::mem::replace(&mut shared.watches_store, watches), watches)
@@ -138,13 +138,13 @@
                 backoff.pause().await;
             }
         }
-        let from_peers = app.hub.with(|shared, _| shared.view.as_of());
+        let from_peers = app.state.with(|shared, _| shared.view.as_of());
         if freshness == Freshness::MayBeStale && from_peers > 0 {
             return from_peers;
         }
     }
     let known = listing.known.unwrap_or(0);
-    app.hub.with(|shared, _| shared.view.advance_to(known));
+    app.state.with(|shared, _| shared.view.advance_to(known));
     app.vms_changed.notify_one();
     known
 }
@@ -177,7 +177,7 @@
             continue;
         }
         let items = std::mem::take(&mut so_far.items);
-        app.hub.with(|shared, now| shared.merge_listing(prefix, items, as_of, now));
+        app.state.with(|shared, now| shared.merge_listing(prefix, items, as_of, now));
         recheck_pools(app);
         so_far.known = Some(so_far.known.map_or(as_of, |known| known.min(as_of)));
         so_far.as_of = None;
@@ -208,7 +208,7 @@
 /// Fraction (1/n) of the time within which changes must be in force for which this VM pauses after
 /// a change.
 fn batch_divisor(app: &App) -> u32 {
-    let is_relayed = app.hub.with(|shared, _| shared.fleet.is_relayed());
+    let is_relayed = app.state.with(|shared, _| shared.fleet.is_relayed());
     if is_relayed { RELAYED_BATCH_DIVISOR } else { BATCH_DIVISOR }
 }
 
@@ -245,7 +245,7 @@
 fn apply_changes(app: &Rc<App>, page: Page) {
     let own_prefix = app.adapter.intents.own_prefix;
     let vms = page.items.iter().any(|item| item.key.starts_with(own_prefix));
-    app.hub.with(|shared, now| {
+    app.state.with(|shared, now| {
         let items = page.items.into_iter().map(to_view_item).collect();
         shared.merge(items, "store", now);
         shared.view.advance_to(page.as_of);
@@ -277,14 +277,14 @@
 /// Records a complete answer from the store.
 pub(crate) fn record_success(app: &App) {
     app.store_reachable.send_if_modified(|reachable| !std::mem::replace(reachable, true));
-    if app.hub.with(|shared, now| shared.contact.record_answer(now)) {
+    if app.state.with(|shared, now| shared.contact.record_answer(now)) {
         info!(app.log, "store reachable again");
     }
 }
 
 /// Records a failed call to the store; `what` names the kind of call in the log.
 pub(crate) fn record_failure(app: &App, what: &str, error: &StoreCallError) {
-    let (is_newly_lost, is_unreachable, age) = app.hub.with(|shared, now| {
+    let (is_newly_lost, is_unreachable, age) = app.state.with(|shared, now| {
         let is_newly_lost = shared.contact.record_failure(now);
         (is_newly_lost, !shared.contact.is_receiving(now), shared.contact.age(now))
     });
--- a/gateway/src/stored_refusals.rs
+++ b/gateway/src/stored_refusals.rs
@@ -13,8 +13,8 @@
 use tokio::time::{MissedTickBehavior, interval};
 
 use crate::app::App;
-use crate::hub;
 use crate::shared::Shared;
+use crate::state_handle;
 use crate::store_connection::{StoreCallError, StoreConnection};
 use crate::store_watch::unreadable;
 
@@ -74,17 +74,17 @@
     let mut store = StoreConnection::new(&app);
     let mut ticks = interval(WRITE_INTERVAL);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
-    let mut last_expiry = hub::now();
+    let mut last_expiry = state_handle::now();
     loop {
         let now = ticks.tick().await.into_std();
         if now.saturating_duration_since(last_expiry) > EXPIRY_INTERVAL {
             last_expiry = now;
-            app.hub.with(|shared, now| shared.quarantine.remove_expired(now));
+            app.state.with(|shared, now| shared.quarantine.remove_expired(now));
         }
         if !*app.store_reachable.borrow() {
             continue;
         }
-        let unwritten = app.hub.with(|shared, now| shared.quarantine.unwritten(now));
+        let unwritten = app.state.with(|shared, now| shared.quarantine.unwritten(now));
         for refused in unwritten {
             if let Err(why) = write(&app, &mut store, &refused).await {
                 debug!(app.log, "writing refused request failed"; "why" => %why);
@@ -100,16 +100,16 @@
     store: &mut StoreConnection,
     refused: &RefusedRequest,
 ) -> Result<(), StoreCallError> {
-    let key = app.hub.with(|shared, _| key_of(shared, &refused.digest));
+    let key = app.state.with(|shared, _| key_of(shared, &refused.digest));
     let current = StoredRefusal::of(refused);
-    let is_stored = app.hub.with(|shared, _| {
+    let is_stored = app.state.with(|shared, _| {
         let stored = shared.view.get(&key).and_then(|value| serde_json::from_slice(value).ok());
         stored.is_some_and(|stored: StoredRefusal| stored.covers(&current))
     });
     if !is_stored {
         put(app, store, &key, &current).await?;
     }
-    app.hub.with(|shared, _| shared.quarantine.mark_written(&refused.digest));
+    app.state.with(|shared, _| shared.quarantine.mark_written(&refused.digest));
     Ok(())
 }
 
@@ -136,12 +136,12 @@
 /// Releases a refused request on behalf of an operator; false if no crashes count against it. The
 /// store's entry is overwritten with an empty one in the background.
 pub(crate) fn release(app: &Rc<App>, digest: RequestDigest) -> bool {
-    let had_crashes = app.hub.with(|shared, now| shared.quarantine.clear(&digest, now));
+    let had_crashes = app.state.with(|shared, now| shared.quarantine.clear(&digest, now));
     if had_crashes {
         warn!(app.log, "refused request released"; "content" => %digest);
         let app = Rc::clone(app);
         spawn_local(async move {
-            let key = app.hub.with(|shared, _| key_of(shared, &digest));
+            let key = app.state.with(|shared, _| key_of(shared, &digest));
             let mut store = StoreConnection::new(&app);
             let none = StoredRefusal { ended: Vec::new() };
             if let Err(why) = put(&app, &mut store, &key, &none).await {
--- a/gateway/src/stream_forwarding.rs
+++ b/gateway/src/stream_forwarding.rs
@@ -18,10 +18,10 @@
 use crate::attempts::{Answer, AttemptError, Attempts, HALL_UNREACHABLE};
 use crate::crashes;
 use crate::events::Event;
-use crate::hub::now;
 use crate::request_stages::run_stages;
 use crate::requests::AcceptedRequest;
 use crate::stages::StageResults;
+use crate::state_handle::now;
 use crate::stream_reader::{EventReader, NextEvent};
 
 /// A stream that pauses for this many of its longest event gaps is resumed at another engine, if
@@ -79,7 +79,10 @@
     if outcome == "whole" {
         crashes::request_completed(&stream.app, req);
         let took = now() - stream.attempts.started();
-        stream.app.hub.with(|shared, _| shared.record_response_time(&stream.req.entry.name, took));
+        stream
+            .app
+            .state
+            .with(|shared, _| shared.record_response_time(&stream.req.entry.name, took));
         let EventReader { answer, .. } = *stream.reader;
         let Answer { parsed, connection, mut attempt, .. } = answer;
         attempt.end(TargetOutcome::Answered);
--- a/gateway/src/streams.rs
+++ b/gateway/src/streams.rs
@@ -18,11 +18,11 @@
 use crate::app::App;
 use crate::attempts::{Answer, AttemptError, Attempts, HALL_UNREACHABLE};
 use crate::events::Event;
-use crate::hub::now;
 use crate::missing_inputs::Cause;
 use crate::request_stages::{call_size, run_stages};
 use crate::requests::AcceptedRequest;
 use crate::stages::StageResults;
+use crate::state_handle::now;
 use crate::stream_forwarding::{EventBody, Stream, forward};
 use crate::stream_reader::{EventReader, NextEvent};
 use crate::whole_answers::outcome_of;
@@ -94,7 +94,7 @@
         let attempting = release_once_fetched(attempting, req, results.as_mut());
         let error = match timeout_at(limit, attempting).await {
             Ok(Ok(Ok(Reply::Stream(reader, first)))) => {
-                app.hub.with(|shared, now| {
+                app.state.with(|shared, now| {
                     shared.record_first_event_time(&req.service, now - attempts.started());
                 });
                 let (app, req) = (Rc::clone(app), Rc::clone(req));
--- a/gateway/src/submissions.rs
+++ b/gateway/src/submissions.rs
@@ -43,14 +43,15 @@
     events: &UnboundedSender<PieceEvent>,
 ) -> SubmissionGuard {
     let (preferred_hall, random) = (submission.preferred_hall.as_ref(), rand::random());
-    let owner = app.hub.with(|shared, now| shared.choose_owner(pool, preferred_hall, random, now));
+    let owner =
+        app.state.with(|shared, now| shared.choose_owner(pool, preferred_hall, random, now));
     let link = match owner {
         Owner::Peer(vm) => app.links.borrow().get(&vm).cloned(),
         Owner::This | Owner::Unknown => None,
     };
     let owner_ref = match link {
         Some(link) => {
-            let life = app.hub.with(|shared, _| shared.pools.get(pool).map(Pool::result_life));
+            let life = app.state.with(|shared, _| shared.pools.get(pool).map(Pool::result_life));
             let job = link.submit(
                 pool,
                 &submission,
@@ -75,7 +76,7 @@
     submission: Submission,
     sink: Sink,
 ) -> JobKey {
-    let job = app.hub.with(|shared, now| {
+    let job = app.state.with(|shared, now| {
         shared.pools.get_mut(pool).map(|pool| pool.submit(submission, now)).unwrap_or_default()
     });
     app.sinks.borrow_mut().insert((pool.clone(), job), sink);
@@ -86,7 +87,7 @@
 /// Cancels a submission on this VM that nobody waits for any more.
 pub(crate) fn cancel(app: &Rc<App>, pool: &ServiceName, job: JobKey) {
     if app.sinks.borrow_mut().remove(&(pool.clone(), job)).is_some() {
-        app.hub.with(|shared, _| {
+        app.state.with(|shared, _| {
             if let Some(pool) = shared.pools.get_mut(pool) {
                 pool.cancel(job);
             }
--- a/gateway/src/target_announcements.rs
+++ b/gateway/src/target_announcements.rs
@@ -17,9 +17,9 @@
 
 use crate::app::App;
 use crate::halls::recheck_pools;
-use crate::hub::now;
 use crate::rate_messages::decode_rates;
 use crate::shared::Shared;
+use crate::state_handle::now;
 
 /// Most names of unknown headers that are logged; bounded, since targets may send any names.
 const MAX_LOGGED_HEADERS: usize = 64;
@@ -57,7 +57,7 @@
         return;
     }
     let lifetime = Lifetime::from(target);
-    let is_new_departure = app.hub.with(|shared, now| {
+    let is_new_departure = app.state.with(|shared, now| {
         if let Some(time) = answer.retry_after {
             shared.record_backoff(&lifetime, time, now);
         }
@@ -73,7 +73,7 @@
 /// that this system ignores is noticed before it causes harm.
 pub(crate) fn report_unknown_headers(app: &App, target: &Target, answer: &Parts) {
     for name in (app.adapter.calls.unknown_headers)(answer) {
-        let is_new = app.hub.with(|shared, _| {
+        let is_new = app.state.with(|shared, _| {
             let key = (target.service.clone(), name.clone());
             shared.unknown_headers.len() < MAX_LOGGED_HEADERS && shared.unknown_headers.insert(key)
         });
@@ -97,7 +97,7 @@
         }
     };
     let observation = RateObservation { limit, sent, received: now() };
-    let changed = app.hub.with(|shared, now| shared.apply_rate(target, observation, now));
+    let changed = app.state.with(|shared, now| shared.apply_rate(target, observation, now));
     if changed {
         on_rates_changed(app);
     }
@@ -106,7 +106,7 @@
 /// Applies a peer's observations of targets' rate limits.
 pub(crate) fn apply_peer_rates(app: &Rc<App>, peer: &str, rates: &Rates) {
     for (lifetime, observations) in decode_rates(rates) {
-        app.hub.with(|shared, now| shared.merge_peer_rate(lifetime, &observations, peer, now));
+        app.state.with(|shared, now| shared.merge_peer_rate(lifetime, &observations, peer, now));
     }
     on_rates_changed(app);
 }
@@ -121,7 +121,7 @@
 /// Applies a peer's reports of targets that are leaving.
 pub(crate) fn apply_peer_departures(app: &Rc<App>, peer: &str, departures: Vec<Departure>) {
     for Departure { lifetime, announced_at: announced } in departures {
-        let service = app.hub.with(|shared, now| {
+        let service = app.state.with(|shared, now| {
             let service = shared.targets.service_of(&lifetime.target).cloned();
             let is_new = shared.record_departure(lifetime, announced, peer, now);
             is_new.then_some(service).flatten()
--- a/gateway/src/whole_answers.rs
+++ b/gateway/src/whole_answers.rs
@@ -13,8 +13,8 @@
 use crate::app::App;
 use crate::attempts::{Answer, AttemptError, Attempts};
 use crate::crashes;
-use crate::hub::now;
 use crate::requests::AcceptedRequest;
+use crate::state_handle::now;
 
 /// A repeatable request is sent to another target if no answer arrived within this many latency
 /// goals.
@@ -94,7 +94,7 @@
     // A target that answers with an error of its own has survived the request as well.
     crashes::request_completed(app, attempts.req());
     let took = now() - attempts.started();
-    app.hub.with(|shared, _| shared.record_response_time(&attempts.req().entry.name, took));
+    app.state.with(|shared, _| shared.record_response_time(&attempts.req().entry.name, took));
     let own_failure = head.status.is_server_error();
     attempt.end(if own_failure { TargetOutcome::OwnFailure } else { TargetOutcome::Answered });
     if own_failure {
