--- a/components/platform_interface/src/callers.rs
+++ b/components/platform_interface/src/callers.rs
@@ -22,7 +22,7 @@
     /// Id of the request; a caller's retry of the same request has a new one.
     pub id: Option<RequestId>,
     /// Time for which the caller waits, counted from when it sent the request.
-    pub left: Option<Duration>,
+    pub time_left: Option<Duration>,
     /// The customer's key.
     pub key: Option<String>,
     /// Number of tokens of the prompt.
--- a/components/platform_interface/src/calls.rs
+++ b/components/platform_interface/src/calls.rs
@@ -14,7 +14,7 @@
 #[derive(Debug, Clone)]
 pub struct CallHead<'a> {
     /// Time until the deadline.
-    pub left: Duration,
+    pub time_left: Duration,
     /// The target that the call is meant for. Another one at the same address refuses the call.
     pub target: &'a TargetName,
     /// The customer on whose behalf the call is made, if it is known.
@@ -94,7 +94,7 @@
     /// Number of the piece in its stage.
     pub piece: u32,
     /// Time until the deadline.
-    pub left: Duration,
+    pub time_left: Duration,
     /// Secret of the request, for stages that need no results of other stages.
     pub key: Option<String>,
     /// Handles of the results that the piece needs.
--- a/components/quarantine/src/table.rs
+++ b/components/quarantine/src/table.rs
@@ -70,7 +70,7 @@
     /// Lifetimes of targets that it crashed.
     pub ended: Vec<LifetimeId>,
     /// Time until it is no longer refused.
-    pub left: Duration,
+    pub time_left: Duration,
     /// How often this VM refused it.
     pub refusals: u64,
 }
@@ -283,9 +283,9 @@
         record: &Record,
         now: Instant,
     ) -> Option<RefusedRequest> {
-        let left = self.refused_for(digest, now)?;
+        let time_left = self.refused_for(digest, now)?;
         let ended = record.crashes.counted().collect();
-        Some(RefusedRequest { digest: *digest, ended, left, refusals: record.refused })
+        Some(RefusedRequest { digest: *digest, ended, time_left, refusals: record.refused })
     }
 
     fn mark_unwritten(&mut self, digest: &RequestDigest) {
--- a/components/target_calls/src/call.rs
+++ b/components/target_calls/src/call.rs
@@ -47,7 +47,7 @@
     /// The stage's input, as JSON text.
     pub input: &'a [u8],
     /// Time until the deadline.
-    pub left: Duration,
+    pub time_left: Duration,
     /// Priority, for engines that support it.
     pub priority: Priority,
     /// Whether the call may use a connection that carried another call. If not, the call is known
@@ -182,7 +182,7 @@
         let mut call = agent
             .post(format!("http://{}/v1/stages/{}", req.address, req.stage))
             .header(ATTEMPT_HEADER, req.attempt.as_str())
-            .header(DEADLINE_HEADER, req.left.as_millis().to_string())
+            .header(DEADLINE_HEADER, req.time_left.as_millis().to_string())
             .header(PRIORITY_HEADER, req.priority.as_str())
             .header("content-type", "application/json")
             .header("accept", accept);
@@ -190,7 +190,7 @@
             call = call.header(LAST_EVENT_HEADER, last.to_string());
         }
         write_tracking::reset();
-        let result = call.config().timeout_global(Some(req.left)).build().send(req.input);
+        let result = call.config().timeout_global(Some(req.time_left)).build().send(req.input);
         let response = result.map_err(|e| CallOutcome {
             result: Err(failure_of(&e)),
             status: TargetStatus::default(),
--- a/daemon/src/pipeline.rs
+++ b/daemon/src/pipeline.rs
@@ -380,7 +380,7 @@
             stage: &stage.name,
             attempt: &granted.attempt,
             input,
-            left: self.req.deadline.saturating_duration_since(Instant::now()),
+            time_left: self.req.deadline.saturating_duration_since(Instant::now()),
             priority: self.begun.priority,
             // Only a new connection that fails to open proves that the call did not run, so
             // connections are reused only for requests that may be repeated.
--- a/gateway/src/attempts.rs
+++ b/gateway/src/attempts.rs
@@ -174,7 +174,7 @@
         self.started = now();
         let target = attempt.pick.target.clone();
         let head = CallHead {
-            left: time_until(self.req.deadline),
+            time_left: time_until(self.req.deadline),
             target: &target.id,
             customer: self.req.customer.as_ref(),
             urgency: self.req.urgency,
--- a/gateway/src/http_endpoints.rs
+++ b/gateway/src/http_endpoints.rs
@@ -197,7 +197,7 @@
                 json!({
                     "content": refused.digest.to_string(),
                     "ended": refused.ended.iter().map(ToString::to_string).collect::<Vec<_>>(),
-                    "left_ms": refused.left.as_millis() as u64,
+                    "left_ms": refused.time_left.as_millis() as u64,
                     "refused_here": refused.refusals,
                 })
             })
--- a/gateway/src/pool_calls.rs
+++ b/gateway/src/pool_calls.rs
@@ -251,7 +251,7 @@
                 request: submission.request.clone(),
                 stage: submission.stage,
                 piece: *piece,
-                left: submission.deadline.saturating_duration_since(now),
+                time_left: submission.deadline.saturating_duration_since(now),
                 key: submission.piece_key.clone(),
                 inputs: submission.inputs.clone(),
             })
--- a/gateway/src/requests.rs
+++ b/gateway/src/requests.rs
@@ -160,8 +160,8 @@
     let customer = customer.map_err(|(why, denial)| deny(why, denial))?;
     let service = entry.service_for(hashing::hash_text(id.as_str())).cloned();
     let service = service.ok_or(("no entry", Refusal::NoEntry))?;
-    let left = head.left.unwrap_or(entry.max_duration).min(entry.max_duration);
-    let deadline = arrived + left;
+    let time_left = head.time_left.unwrap_or(entry.max_duration).min(entry.max_duration);
+    let deadline = arrived + time_left;
     let body = read_body(body, intent.bounds.body_bytes, deadline).await?;
     let response_time = app.state.with(|shared, now| {
         shared.count_request(&service, now);
