--- a/components/batching/src/filling.rs
+++ b/components/batching/src/filling.rs
@@ -259,7 +259,7 @@
     }
 
     /// Updates the moving average of pieces in calls that leave others waiting, after a call of
-    /// `count` pieces. Calls that leave none move it back towards a full call.
+    /// `count` pieces. Calls that leave none move it back toward a full call.
     fn update_backlogged_pieces(&mut self, count: u32) {
         let full = self.spec.batch as f64;
         let sample = if self.waiting.is_empty() { full } else { f64::from(count) };
--- a/components/batching/src/pool.rs
+++ b/components/batching/src/pool.rs
@@ -212,7 +212,7 @@
         job
     }
 
-    /// Removes a submission that nobody waits for. Calls in progress are not cancelled; their
+    /// Removes a submission that nobody waits for. Calls in progress are not canceled; their
     /// results are released when they end.
     pub fn cancel(&mut self, job: JobKey) {
         self.jobs.remove(job);
@@ -270,7 +270,7 @@
     }
 
     /// Releases the results queued for release although no request asks for it: those made after
-    /// their submission was cancelled, and spare ones at workers whose room is scarce.
+    /// their submission was canceled, and spare ones at workers whose room is scarce.
     pub fn release_queued(&mut self) -> Vec<PendingRelease> {
         let queued_releases = std::mem::take(&mut self.queued_releases);
         self.release(queued_releases)
--- a/components/batching/tests/pool.rs
+++ b/components/batching/tests/pool.rs
@@ -160,7 +160,7 @@
 }
 
 #[test]
-fn results_of_a_cancelled_submission_are_released_at_once() {
+fn results_of_a_canceled_submission_are_released_at_once() {
     let now = Instant::now();
     let mut pool = pool(&[worker("m", "a")]);
     let job = pool.submit(submission("r", 2, now + CALL * 4), now);
--- a/components/fleet/src/lib.rs
+++ b/components/fleet/src/lib.rs
@@ -34,7 +34,7 @@
 /// A peer that sent nothing for this long gets no work. The time is long enough for several
 /// heartbeats in a row to be late.
 pub const PEER_TIMEOUT: Duration = Duration::from_millis(1000);
-/// A peer counts towards the size of the fleet for this long after its last message, since it may
+/// A peer counts toward the size of the fleet for this long after its last message, since it may
 /// have spent its share of a limit that the fleet divides among its VMs.
 const PEER_RETENTION: Duration = Duration::from_secs(20);
 /// In a fleet of at most this many VMs, each VM links to all others and watches the store itself.
--- a/components/fleet/tests/ownership.rs
+++ b/components/fleet/tests/ownership.rs
@@ -199,8 +199,8 @@
     let after = fleet.owner_of(POOL, &split, part, false, later);
 
     assert_eq!(before, Owner::Unknown);
-    assert!(wanted.contains(&address(third)), "the next owner must be dialled");
-    assert!(wanted.contains(&address(first)), "the first owner may come back and must be dialled");
+    assert!(wanted.contains(&address(third)), "the next owner must be dialed");
+    assert!(wanted.contains(&address(first)), "the first owner may come back and must be dialed");
     assert_eq!(after, Owner::Peer(vm(third)));
 }
 
@@ -331,7 +331,7 @@
 }
 
 #[test]
-fn a_successor_that_can_not_be_dialled_is_skipped() {
+fn a_successor_that_can_not_be_dialed_is_skipped() {
     let (now, split) = (Instant::now(), split(6, 7));
     let [first, second, third] = [0, 1, 2].map(|rank| owner_at_rank(rank, &split, 0, 60, 6));
     let part = split.part_of(&hall("hall-0"));
@@ -344,7 +344,7 @@
     fleet.record_dial_failure(address(second));
     let after = fleet.owner_of(POOL, &split, part, false, now);
 
-    assert_eq!(before, Owner::Unknown, "the successor is being dialled");
+    assert_eq!(before, Owner::Unknown, "the successor is being dialed");
     assert_eq!(after, Owner::Peer(vm(third)));
 }
 
--- a/components/platform_interface/src/calls.rs
+++ b/components/platform_interface/src/calls.rs
@@ -156,7 +156,7 @@
     /// Reads the head of an answer to the request with the given id.
     pub read_head: fn(&response::Parts, &RequestId) -> AnswerHead,
     /// Returns the names of an answer's headers that the adapter does not know. The target may be
-    /// signalling something there that this system ignores.
+    /// signaling something there that this system ignores.
     pub unknown_headers: fn(&response::Parts) -> Vec<String>,
     /// Returns the headers of the answer to the caller, given those of the target's answer.
     pub answer_headers: fn(&HeaderMap) -> HeaderMap,
--- a/components/quarantine/tests/table.rs
+++ b/components/quarantine/tests/table.rs
@@ -280,7 +280,7 @@
         }
     }
 
-    /// One heartbeat: each VM sends all its changes to both neighbours.
+    /// One heartbeat: each VM sends all its changes to both neighbors.
     fn heartbeat(&mut self) {
         self.now += PROPAGATION;
         let changes: Vec<Vec<Crash>> =
--- a/components/routing/src/api.rs
+++ b/components/routing/src/api.rs
@@ -112,7 +112,7 @@
     Unreachable,
     /// The call failed after something was sent.
     Failed,
-    /// Cancelled by this VM, which is no evidence about the target.
+    /// Canceled by this VM, which is no evidence about the target.
     Abandoned,
 }
 
--- a/components/store_view/src/transfer.rs
+++ b/components/store_view/src/transfer.rs
@@ -56,7 +56,7 @@
 impl View {
     /// Returns the parts that follow the position in `request`.
     ///
-    /// Keys and values count towards `max_bytes`, which is treated as 1 if it is 0, so that every
+    /// Keys and values count toward `max_bytes`, which is treated as 1 if it is 0, so that every
     /// request makes progress. Only values are cut: the key of the last part may exceed the limit.
     pub fn next_batch(&self, request: &BatchRequest, max_bytes: usize) -> Batch {
         let (mut parts, mut remaining) = (Vec::new(), max_bytes.max(1));
@@ -90,7 +90,7 @@
     ItemPart { item, offset, ends: end == value.len() }
 }
 
-/// Bytes of an item that count towards the limit of a batch: its key and value.
+/// Bytes of an item that count toward the limit of a batch: its key and value.
 fn size_bytes(item: &Item) -> usize {
     item.key.len() + item.value.as_ref().map_or(0, Bytes::len)
 }
--- a/components/target_calls/src/call.rs
+++ b/components/target_calls/src/call.rs
@@ -168,7 +168,7 @@
     pub fn cancel(&self, address: SocketAddr, attempt: &AttemptId) {
         let url = format!("http://{address}/v1/attempts/{attempt}");
         let call = self.pooled.delete(url).config().timeout_global(Some(CONNECT_TIMEOUT)).build();
-        // Cancelling only saves work at the target, so a failure is ignored.
+        // Canceling only saves work at the target, so a failure is ignored.
         let _ = call.call();
     }
 
--- a/daemon/src/orders.rs
+++ b/daemon/src/orders.rs
@@ -2,7 +2,7 @@
 //! lease.
 //!
 //! An order states the wanted condition of an engine, such as its model and version, and not a step
-//! towards it. So a duplicate or late order does no harm that the next check does not correct. See
+//! toward it. So a duplicate or late order does no harm that the next check does not correct. See
 //! `docs/design/orders.md`.
 
 use std::thread;
--- a/daemon/src/pipeline.rs
+++ b/daemon/src/pipeline.rs
@@ -499,7 +499,7 @@
     /// Decides whether a failed attempt may be retried: only if the call certainly did not run, or
     /// the request may be repeated and its deadline has not passed.
     ///
-    /// A call that may have run is added to the stage runs, and is cancelled if the deadline has
+    /// A call that may have run is added to the stage runs, and is canceled if the deadline has
     /// passed.
     fn classify_failure(
         &mut self,
--- a/gateway/src/answers.rs
+++ b/gateway/src/answers.rs
@@ -1,5 +1,5 @@
 //! Builds answers to callers: whole bodies and refusals. Defines the body type of all answers; a
-//! caller can recognise a streamed one that was cut.
+//! caller can recognize a streamed one that was cut.
 
 use std::convert::Infallible;
 use std::fmt;
--- a/gateway/src/link_dialer.rs
+++ b/gateway/src/link_dialer.rs
@@ -26,7 +26,7 @@
 
 impl Dials {
     /// Cancels the dial of an address after a link from the process there arrived: that process
-    /// accepts links by now, and the dial may have begun before it did. A dial is cancelled only
+    /// accepts links by now, and the dial may have begun before it did. A dial is canceled only
     /// once for each process; otherwise two VMs that dial each other would cancel each other's
     /// dials forever.
     fn restart_dial(&mut self, app: &App, address: SocketAddr, incarnation: u64) {
--- a/gateway/src/pool_calls.rs
+++ b/gateway/src/pool_calls.rs
@@ -127,7 +127,7 @@
             }
         }
     } else {
-        // A submission was cancelled after the call was planned. Nothing was sent; the other
+        // A submission was canceled after the call was planned. Nothing was sent; the other
         // pieces are queued again, as after a call that a full worker rejected.
         CallEnd::Full
     };
@@ -241,7 +241,7 @@
     }
 }
 
-/// The pieces of a call as the worker is sent them, without those whose submission was cancelled.
+/// The pieces of a call as the worker is sent them, without those whose submission was canceled.
 fn piece_calls(app: &App, pool: &ServiceName, call: &Call) -> Vec<PieceCall> {
     app.state.with(|shared, now| {
         let Some(pool) = shared.pools.get(pool) else { return Vec::new() };
--- a/gateway/src/shared.rs
+++ b/gateway/src/shared.rs
@@ -320,7 +320,7 @@
         self.fleet.wanted_links(pools.chain(bucket_services))
     }
 
-    /// Counts a request of a service towards its retry budget.
+    /// Counts a request of a service toward its retry budget.
     pub(crate) fn count_request(&mut self, service: &ServiceName, now: Instant) {
         self.retry_budgets.entry(service.clone()).or_default().record_request(now);
     }
--- a/gateway/src/submissions.rs
+++ b/gateway/src/submissions.rs
@@ -12,7 +12,7 @@
 use crate::piece_events::{PieceEvent, Sink, StageSubmission};
 use crate::pool_calls::dispatch_calls;
 
-/// A submission under way. It is cancelled on drop.
+/// A submission under way. It is canceled on drop.
 pub(crate) struct SubmissionGuard {
     app: Rc<App>,
     owner_ref: OwnerRef,
--- a/standins/src/bin/standin-target.rs
+++ b/standins/src/bin/standin-target.rs
@@ -109,7 +109,7 @@
     /// Number of calls that have had to wait so far; the arrival number of the last one.
     arrivals: u64,
     record: Vec<CallRecord>,
-    /// Attempt ids of the calls that were cancelled.
+    /// Attempt ids of the calls that were canceled.
     cancelled: HashSet<String>,
     /// Attempt id and output of the last plain answer, for [`Fault::Crossed`].
     last_answer: Option<(String, serde_json::Value)>,
--- a/standins/src/serving_path/stop_soak.rs
+++ b/standins/src/serving_path/stop_soak.rs
@@ -123,14 +123,14 @@
     while !over.load(Ordering::Relaxed) {
         thread::sleep(Duration::from_millis(rng.random_range(UPTIME_MS)));
         let mut vm = stopped_vm.vm.lock().unwrap_or_else(PoisonError::into_inner);
-        let signalled = Instant::now();
+        let signaled = Instant::now();
         vm.signal("-TERM");
         for _ in 0..rng.random_range(0..3) {
             thread::sleep(Duration::from_millis(rng.random_range(SIGNAL_PAUSE_MS)));
             vm.signal(["-TERM", "-HUP", "-INT"][rng.random_range(0..3)]);
         }
         let code = vm.wait_exit();
-        let took = signalled.elapsed();
+        let took = signaled.elapsed();
         stopped_vm.logs.lock().unwrap_or_else(PoisonError::into_inner).push(vm.log());
         let mut report = report.lock().unwrap_or_else(PoisonError::into_inner);
         report.faults += 1;
