--- a/components/fleet/src/lib.rs
+++ b/components/fleet/src/lib.rs
@@ -181,7 +181,7 @@
 
     /// Data halls of all known VMs, including this one.
     pub fn halls(&self) -> BTreeSet<&HallName> {
-        self.known().map(|(_, entry)| &entry.hall).chain([&self.own_entry.hall]).collect()
+        self.other_vms().map(|(_, entry)| &entry.hall).chain([&self.own_entry.hall]).collect()
     }
 
     /// Pieces of peers' requests that are not submitted yet and will go to this VM's part of a
@@ -237,7 +237,7 @@
     }
 
     /// Other VMs that the store lists or that sent their entry.
-    fn known(&self) -> impl Iterator<Item = (&VmName, &VmEntry)> {
+    fn other_vms(&self) -> impl Iterator<Item = (&VmName, &VmEntry)> {
         let unlisted = self.peers.iter().filter(|(vm, _)| !self.listed.contains_key(*vm));
         let unlisted = unlisted.filter_map(|(vm, peer)| Some((vm, peer.entry.as_ref()?)));
         self.listed.iter().chain(unlisted)
--- a/components/fleet/src/ownership.rs
+++ b/components/fleet/src/ownership.rs
@@ -125,8 +125,8 @@
         &self,
         pools: impl Iterator<Item = (&'a str, &'a Split)>,
     ) -> BTreeSet<SocketAddr> {
-        if self.known().count() < FULL_MESH_MAX_VMS {
-            return self.known().map(|(_, entry)| entry.peers).collect();
+        if self.other_vms().count() < FULL_MESH_MAX_VMS {
+            return self.other_vms().map(|(_, entry)| entry.peers).collect();
         }
         let mut wanted = BTreeSet::new();
         for (pool, split) in pools {
@@ -203,7 +203,7 @@
         let own = (&self.own, &self.own_entry);
         let key_hash = hashing::hash_text(key);
         let mut ranked: Vec<(f64, &VmName)> = self
-            .known()
+            .other_vms()
             .chain([own])
             .map(|(vm, entry)| (rendezvous_score(key_hash, vm, weight_of(entry)), vm))
             .collect();
--- a/components/fleet/src/watchers.rs
+++ b/components/fleet/src/watchers.rs
@@ -26,7 +26,7 @@
 
     /// Whether the fleet is so large that VMs receive changes from others.
     pub fn is_relayed(&self) -> bool {
-        self.known().count() >= FULL_MESH_MAX_VMS
+        self.other_vms().count() >= FULL_MESH_MAX_VMS
     }
 
     /// Whether each VM is linked to all others.
