--- a/components/routing/src/admission.rs
+++ b/components/routing/src/admission.rs
@@ -12,7 +12,7 @@
 pub(crate) const ESTIMATE_TTL: Duration = Duration::from_secs(1);
 /// Factor on the expected time of stages, since they slow down as a burst begins.
 pub(crate) const TIME_MARGIN: f64 = 1.15;
-/// Maximum share of the available time that the estimated time may take.
+/// Maximum fraction of the available time that the estimated time may take.
 const MAX_FILL: f64 = 0.95;
 
 /// Time to serve `ahead` requests, each of which holds one of `slots` slots for `hold`.
--- a/components/routing/src/ejection.rs
+++ b/components/routing/src/ejection.rs
@@ -15,8 +15,8 @@
 pub(crate) const SLOW_VS_MEDIAN: f64 = 4.0;
 /// Minimum number of answered calls before a target's latency ratio is used.
 const MIN_CALLS: u32 = 5;
-/// Maximum share of the targets of a lane that may be ejected when one is ejected for slowness.
-pub(crate) const MAX_EJECTED_SHARE: f64 = 0.34;
+/// Maximum fraction of the targets of a lane that may be ejected when one is ejected for slowness.
+pub(crate) const MAX_EJECTED_FRACTION: f64 = 0.34;
 
 /// Health of one target as this VM sees it.
 #[derive(Debug, Clone, Copy, Default)]
--- a/components/routing/src/feedback.rs
+++ b/components/routing/src/feedback.rs
@@ -6,15 +6,15 @@
 use ids::{ServiceName, StageName};
 
 use crate::api::{CallEnd, Slot, WaitUpdate};
-use crate::ejection::{MAX_EJECTED_SHARE, SLOW_VS_MEDIAN};
+use crate::ejection::{MAX_EJECTED_FRACTION, SLOW_VS_MEDIAN};
 use crate::lane::Lane;
 use crate::limit::Signal;
 use crate::router::Router;
 use crate::target::{LoadReport, TargetKey};
 use crate::times::StageTimes;
 
-/// Share of a target's allowance that must be in use for its limit to rise.
-const FILLED_SHARE: f64 = 0.8;
+/// Fraction of a target's allowance that must be in use for its limit to rise.
+const FILLED_FRACTION: f64 = 0.8;
 
 impl Router {
     /// Releases a slot, updates the estimates from the call, and grants free slots to waiting
@@ -43,7 +43,7 @@
             match end {
                 CallEnd::Answered => {
                     let filled = f64::from(in_flight)
-                        >= FILLED_SHARE * target.allowance(slot.class, self.busy_vms, now);
+                        >= FILLED_FRACTION * target.allowance(slot.class, self.busy_vms, now);
                     target.limit.update(Signal::Answered { ratio, queued }, filled, now);
                     target.health.record_success(ratio, now);
                 }
@@ -95,7 +95,8 @@
             ratios.sort_by(f64::total_cmp);
             let median = ratios.get(ratios.len().saturating_sub(1) / 2).copied().unwrap_or(ratio);
             let ejected = states.filter(|t| !t.health.is_usable(now)).count();
-            let below_cap = (ejected + 1) as f64 <= MAX_EJECTED_SHARE * lane.targets.len() as f64;
+            let below_cap =
+                (ejected + 1) as f64 <= MAX_EJECTED_FRACTION * lane.targets.len() as f64;
             ratios.len() > 1 && ratio > SLOW_VS_MEDIAN * median && below_cap
         };
         let slow = self.lanes.values().filter(|l| l.targets.contains(&key)).any(slow_in);
--- a/components/routing/src/lane.rs
+++ b/components/routing/src/lane.rs
@@ -21,13 +21,13 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct WaitId(pub u64);
 
-/// Floor of the least urgent class that waits: its minimum share of the slot time, so that long
+/// Floor of the least urgent class that waits: its minimum fraction of the slot time, so that long
 /// work finishes.
-const FLOOR_SHARE: f64 = 0.05;
+const FLOOR_FRACTION: f64 = 0.05;
 /// Maximum credit that this class can accumulate, as a multiple of the mean time of its calls.
 const MAX_FLOOR_CALLS: f64 = 2.0;
 
-/// Weight of one request in the moving average of the share of refused requests that return.
+/// Weight of one request in the moving average of the fraction of refused requests that return.
 const RETURN_RATE_WEIGHT: f64 = 0.05;
 
 /// A set of targets and its queue. The queue is ordered by class, then by the customer that was
@@ -178,7 +178,7 @@
         self.least_urgent().is_some_and(|class| self.floor_credit >= self.hold_seconds(class))
     }
 
-    /// Credits the least urgent class with a share of the slot time granted to other classes, and
+    /// Credits the least urgent class with a fraction of the slot time granted to other classes, and
     /// debits its own.
     fn update_floor_credit(&mut self, granted: Priority) {
         let Some(least) = self.least_urgent() else { return };
@@ -187,7 +187,7 @@
             self.floor_credit = (self.floor_credit - hold).max(0.0);
         } else {
             let max_credit = MAX_FLOOR_CALLS * self.hold_seconds(least);
-            self.floor_credit = (self.floor_credit + FLOOR_SHARE * hold).min(max_credit);
+            self.floor_credit = (self.floor_credit + FLOOR_FRACTION * hold).min(max_credit);
         }
     }
 
--- a/components/routing/src/queue.rs
+++ b/components/routing/src/queue.rs
@@ -83,7 +83,7 @@
     }
 
     /// Expected number of requests served before a new one: those that wait, and those scheduled
-    /// to return before its latest start, weighted by the share that does return.
+    /// to return before its latest start, weighted by the fraction that does return.
     pub(crate) fn ahead(&self, returning: bool, start_by: Instant, return_rate: f64) -> f64 {
         if returning {
             return self.waiting.values().take_while(|w| w.returning).count() as f64;
--- a/components/routing/src/target.rs
+++ b/components/routing/src/target.rs
@@ -18,7 +18,7 @@
 /// Half a slot. Allowances are rounded to the nearest number of calls with it, so that fractions
 /// even out over the targets.
 pub(crate) const HALF_SLOT: f64 = 0.5;
-/// Share of a target's limit that background work does not borrow.
+/// Fraction of a target's limit that background work does not borrow.
 const BACKGROUND_RESERVE: f64 = 0.25;
 /// Age from which a load report is ignored.
 const REPORT_TTL: Duration = Duration::from_secs(3);
--- a/components/routing/src/usage.rs
+++ b/components/routing/src/usage.rs
@@ -11,13 +11,13 @@
 /// Number of standard deviations above the mean usage of a more urgent class that are kept free for
 /// it. The standard deviation is estimated as the square root of the mean.
 const HEADROOM_DEVIATIONS: f64 = 1.0;
-/// Share of the slot releases expected within the slack of an urgent call that counts as available
+/// Fraction of the slot releases expected within the slack of an urgent call that counts as available
 /// to it.
 const COUNTED_RELEASES: f64 = 0.2;
 /// Weight of a new sample in the mean slack, that is the time for which a call can wait.
 const SLACK_WEIGHT: f64 = 0.05;
-/// Minimum share of the slots assumed for a class, however many the more urgent classes use.
-const MIN_SHARE: f64 = 0.05;
+/// Minimum fraction of the slots assumed for a class, however many the more urgent classes use.
+const MIN_FRACTION: f64 = 0.05;
 
 /// Usage by one priority class.
 #[derive(Debug, Clone, Copy, Default)]
@@ -97,9 +97,9 @@
         self.classes.iter().map(releases_of).sum()
     }
 
-    /// Part of `slots` that the more urgent classes leave on average, with a minimum share.
+    /// Part of `slots` that the more urgent classes leave on average, with a minimum fraction.
     pub(crate) fn slots_left_for(&self, class: Priority, slots: f64, now: Instant) -> f64 {
         let urgent: f64 = self.classes[..class as usize].iter().map(|u| u.mean(now)).sum();
-        (slots - urgent).max(slots * MIN_SHARE)
+        (slots - urgent).max(slots * MIN_FRACTION)
     }
 }
