--- a/components/routing/src/router.rs
+++ b/components/routing/src/router.rs
@@ -295,7 +295,7 @@
 
     /// Reports whether a call may be retried after this many attempts; a retry that is allowed is
     /// taken from the retry budget.
-    pub fn may_retry(&mut self, attempts: u32, now: Instant) -> bool {
+    pub fn try_take_retry(&mut self, attempts: u32, now: Instant) -> bool {
         match self.policy {
             Policy::Adaptive => self.budget.try_take(now),
             Policy::RoundRobin | Policy::FirstInOrder => attempts <= MAX_BASELINE_RETRIES,
--- a/components/routing/tests/decisions.rs
+++ b/components/routing/tests/decisions.rs
@@ -351,7 +351,7 @@
 fn keeps_retries_near_a_tenth_of_the_requests_while_everything_fails() {
     let now = Instant::now();
     let mut router = Router::new(Policy::Adaptive, sharing_vm("vm-1", "hall-a"), 1, now);
-    let retries = (0..1000).filter(|n| router.may_retry(1, now + *n * 10 * MS)).count();
+    let retries = (0..1000).filter(|n| router.try_take_retry(1, now + *n * 10 * MS)).count();
     assert!(retries <= 100, "{retries} retries for 1,000 failures in ten seconds");
 }
 
--- a/daemon/src/dispatcher.rs
+++ b/daemon/src/dispatcher.rs
@@ -85,7 +85,9 @@
             Message::Admit(req, reply) => send_reply(reply, self.admit(&req, now)),
             Message::Slot(req, reply) => self.request_slot(req, reply, now),
             Message::CallEnded(ended) => self.call_ended(*ended, now),
-            Message::MayRetry(tries, reply) => send_reply(reply, self.router.may_retry(tries, now)),
+            Message::TryTakeRetry(tries, reply) => {
+                send_reply(reply, self.router.try_take_retry(tries, now))
+            }
             Message::RequestEnded { submission, revision, outcome, reason, took } => {
                 self.request_ended(submission, outcome, reason, took);
                 let updates = self.router.end_request(revision);
--- a/daemon/src/dispatcher_messages.rs
+++ b/daemon/src/dispatcher_messages.rs
@@ -145,7 +145,7 @@
     CallEnded(Box<EndedCall>),
     /// Whether a call may be retried after this many attempts; if so, the retry is taken from the
     /// retry budget.
-    MayRetry(u32, oneshot::Sender<bool>),
+    TryTakeRetry(u32, oneshot::Sender<bool>),
     /// A request ended.
     RequestEnded {
         submission: SubmissionId,
--- a/daemon/src/pipeline.rs
+++ b/daemon/src/pipeline.rs
@@ -482,7 +482,8 @@
             AttemptFailure::GiveUp(refusal) => Err(refusal),
             AttemptFailure::Retry(problem) => {
                 let tries = u32::try_from(tried.len()).unwrap_or(u32::MAX);
-                let allowed = self.shared.dispatcher.ask(|reply| Message::MayRetry(tries, reply));
+                let allowed =
+                    self.shared.dispatcher.ask(|reply| Message::TryTakeRetry(tries, reply));
                 if !matches!(allowed, Ok(true)) {
                     let detail = format!("{problem}; no further try is allowed now");
                     return Err(self.refusal(
