--- a/components/quarantine/src/table.rs
+++ b/components/quarantine/src/table.rs
@@ -210,7 +210,7 @@
 
     /// Counts that this VM refused a request. Each refusal extends the time for which it is
     /// refused.
-    pub fn note_refusal(&mut self, digest: &RequestDigest, now: Instant) {
+    pub fn record_refusal(&mut self, digest: &RequestDigest, now: Instant) {
         if let Some(record) = self.records.get_mut(digest) {
             record.refused += 1;
             record.last = now;
--- a/components/quarantine/tests/table.rs
+++ b/components/quarantine/tests/table.rs
@@ -147,7 +147,7 @@
     (1..=3).for_each(|lifetime| drop(crash(&mut vm, fatal, lifetime, now)));
 
     let before_end = now + RULES.duration - Duration::from_secs(1);
-    vm.note_refusal(&fatal, before_end);
+    vm.record_refusal(&fatal, before_end);
     let later = now + RULES.duration + Duration::from_secs(1);
     vm.remove_expired(later);
     let still = vm.refused_for(&fatal, later);
--- a/gateway/src/crashes.rs
+++ b/gateway/src/crashes.rs
@@ -195,7 +195,7 @@
             .chain(digests)
             .find_map(|digest| Some((digest, self.quarantine.refused_for(&digest, now)?)));
         let (digest, left) = refused?;
-        self.quarantine.note_refusal(&digest, now);
+        self.quarantine.record_refusal(&digest, now);
         Some(left)
     }
 
