--- a/components/fleet/src/lib.rs
+++ b/components/fleet/src/lib.rs
@@ -100,7 +100,7 @@
     }
 
     /// Records that the store lists a VM.
-    pub fn list(&mut self, vm: VmName, entry: VmEntry, now: Instant) {
+    pub fn add_listed(&mut self, vm: VmName, entry: VmEntry, now: Instant) {
         if vm == self.own {
             return;
         }
@@ -113,7 +113,7 @@
     }
 
     /// Records that the store no longer lists a VM.
-    pub fn unlist(&mut self, vm: &VmName) {
+    pub fn remove_listed(&mut self, vm: &VmName) {
         if let Some(entry) = self.listed.remove(vm) {
             self.failed_dials.remove(&entry.peers);
         }
--- a/components/fleet/tests/ownership.rs
+++ b/components/fleet/tests/ownership.rs
@@ -33,7 +33,7 @@
 /// The view of VM `own` once the store has listed all VMs of the fleet.
 fn listed(own: usize, vms: usize, halls: usize, now: Instant) -> Fleet {
     let mut fleet = Fleet::new(vm(own), entry(own, halls), 1, now);
-    (0..vms).for_each(|number| fleet.list(vm(number), entry(number, halls), now));
+    (0..vms).for_each(|number| fleet.add_listed(vm(number), entry(number, halls), now));
     fleet
 }
 
@@ -62,7 +62,7 @@
     let own = *candidates.iter().find(of_part).unwrap();
     let mut fleet = Fleet::new(vm(own), entry(own, halls), 1, now);
     for number in candidates.iter().filter(|number| **number != own) {
-        fleet.list(vm(*number), entry(*number, halls), now);
+        fleet.add_listed(vm(*number), entry(*number, halls), now);
         fleet.record_heard(&vm(*number), true, now);
     }
     match fleet.owner_of(POOL, split, part, false, now) {
--- a/gateway/src/shared.rs
+++ b/gateway/src/shared.rs
@@ -247,11 +247,11 @@
         let Some(vm) = key.strip_prefix(&vms_prefix(&self.adapter)) else { return };
         let Ok(vm) = VmName::new(vm) else { return };
         match value.map(serde_json::from_slice) {
-            Some(Ok(entry)) => self.fleet.list(vm, entry, now),
+            Some(Ok(entry)) => self.fleet.add_listed(vm, entry, now),
             Some(Err(e)) => {
                 warn!(self.log, "VM entry ignored"; "key" => key, "why" => %e);
             }
-            None => self.fleet.unlist(&vm),
+            None => self.fleet.remove_listed(&vm),
         }
     }
 
