--- a/components/journal/src/lib.rs
+++ b/components/journal/src/lib.rs
@@ -96,7 +96,7 @@
 impl Journal {
     /// Adds the record of a new submission, and removes the oldest record if there are more than
     /// [`MAX_RECORDS`].
-    pub fn open(&mut self, record: RequestRecord) -> SubmissionId {
+    pub fn add(&mut self, record: RequestRecord) -> SubmissionId {
         let number = self.next;
         self.next += 1;
         self.records.insert(number, record);
--- a/daemon/src/requests.rs
+++ b/daemon/src/requests.rs
@@ -32,7 +32,7 @@
         }
         let priority = req.priority.unwrap_or(service.priority);
         let deadline = req.deadline.saturating_duration_since(req.arrived);
-        let submission = self.journal.open(RequestRecord {
+        let submission = self.journal.add(RequestRecord {
             request_id: req.id,
             service: req.service,
             customer: req.customer,
