--- a/components/eligibility/src/token_buckets.rs
+++ b/components/eligibility/src/token_buckets.rs
@@ -83,7 +83,12 @@
     }
 
     /// Returns the time until a permit is available.
-    pub fn wait(&mut self, lifetime: &Lifetime, limit: RateLimit, now: Instant) -> Duration {
+    pub fn time_until_permit(
+        &mut self,
+        lifetime: &Lifetime,
+        limit: RateLimit,
+        now: Instant,
+    ) -> Duration {
         self.refilled(lifetime, limit, now).wait(limit)
     }
 
--- a/components/eligibility/tests/token_buckets.rs
+++ b/components/eligibility/tests/token_buckets.rs
@@ -73,9 +73,9 @@
     let mut buckets = TokenBuckets::default();
 
     assert_eq!(buckets.consume(&lifetime(), rate(1.0), now), Duration::from_secs(3));
-    assert_eq!(buckets.wait(&lifetime(), rate(1.0), now), Duration::from_secs(3));
+    assert_eq!(buckets.time_until_permit(&lifetime(), rate(1.0), now), Duration::from_secs(3));
     buckets.remove_expired(now + LOAD_TIME * 2);
-    assert_eq!(buckets.wait(&lifetime(), rate(1.0), now), Duration::from_secs(2));
+    assert_eq!(buckets.time_until_permit(&lifetime(), rate(1.0), now), Duration::from_secs(2));
 }
 
 /// When each VM begins to hold the bucket, and until when it is asked. After a handover it is still
--- a/gateway/src/permits.rs
+++ b/gateway/src/permits.rs
@@ -297,7 +297,7 @@
             return;
         }
         if let Some(limit) = self.rates.limit(&target) {
-            let wait = self.token_buckets.wait(lifetime, limit, now);
+            let wait = self.token_buckets.time_until_permit(lifetime, limit, now);
             self.rates.hold_until(lifetime, now + wait);
         }
     }
