--- a/components/routing/src/lane.rs
+++ b/components/routing/src/lane.rs
@@ -178,8 +178,8 @@
         self.least_urgent().is_some_and(|class| self.floor_credit >= self.hold_seconds(class))
     }
 
-    /// Credits the least urgent class with a fraction of the slot time granted to other classes, and
-    /// debits its own.
+    /// Credits the least urgent class with a fraction of the slot time granted to other classes,
+    /// and debits its own.
     fn update_floor_credit(&mut self, granted: Priority) {
         let Some(least) = self.least_urgent() else { return };
         let hold = self.hold_seconds(granted);
--- a/components/routing/src/usage.rs
+++ b/components/routing/src/usage.rs
@@ -11,8 +11,8 @@
 /// Number of standard deviations above the mean usage of a more urgent class that are kept free for
 /// it. The standard deviation is estimated as the square root of the mean.
 const HEADROOM_DEVIATIONS: f64 = 1.0;
-/// Fraction of the slot releases expected within the slack of an urgent call that counts as available
-/// to it.
+/// Fraction of the slot releases expected within the slack of an urgent call that counts as
+/// available to it.
 const COUNTED_RELEASES: f64 = 0.2;
 /// Weight of a new sample in the mean slack, that is the time for which a call can wait.
 const SLACK_WEIGHT: f64 = 0.05;
--- a/components/store_client/src/head.rs
+++ b/components/store_client/src/head.rs
@@ -9,7 +9,7 @@
 use ids::Revision;
 use serde::{Deserialize, Serialize};
 
-use crate::store::{Entry, Store, WriteOutcome};
+use crate::store::{Store, VersionedValue, WriteOutcome};
 use crate::{HEAD_KEY, SNAPSHOT_PREFIX};
 
 /// Maximum number of change ids listed in the head.
@@ -53,7 +53,7 @@
 ///
 /// # Errors
 /// `StoreUnavailable` if the value is not a head.
-pub fn decode_head(entry: &Entry) -> Result<Head> {
+pub fn decode_head(entry: &VersionedValue) -> Result<Head> {
     serde_json::from_slice(&entry.value)
         .map_err(|e| Error::StoreUnavailable(format!("{HEAD_KEY} is not a valid head: {e}")))
 }
--- a/components/store_client/src/lib.rs
+++ b/components/store_client/src/lib.rs
@@ -14,7 +14,7 @@
     snapshot_key,
 };
 pub use lease::{LeaseGrant, acquire_lease};
-pub use store::{Entry, ListedVm, Store, VmState, WriteOutcome};
+pub use store::{ListedVm, Store, VersionedValue, VmState, WriteOutcome};
 
 /// Key of the configuration head.
 pub const HEAD_KEY: &str = "saddlerail/head";
--- a/components/store_client/src/store.rs
+++ b/components/store_client/src/store.rs
@@ -18,7 +18,7 @@
 
 /// A stored value and its version. The first version is 1; each write increases it.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Entry {
+pub struct VersionedValue {
     /// Bytes of the value.
     pub value: Vec<u8>,
     /// Version of the value.
@@ -93,8 +93,8 @@
     ///
     /// # Errors
     /// `StoreUnavailable` if the store did not answer.
-    pub fn get(&self, key: &str) -> Result<Option<Entry>> {
-        read_entry(self.agent.get(self.url("kv", key)).call())
+    pub fn get(&self, key: &str) -> Result<Option<VersionedValue>> {
+        read_versioned_value(self.agent.get(self.url("kv", key)).call())
     }
 
     /// Waits until the value's version differs from `version`, at most for `wait`, and returns the
@@ -102,7 +102,7 @@
     ///
     /// # Errors
     /// `StoreUnavailable` if the store did not answer.
-    pub fn watch(&self, key: &str, version: u64, wait: Duration) -> Result<Option<Entry>> {
+    pub fn watch(&self, key: &str, version: u64, wait: Duration) -> Result<Option<VersionedValue>> {
         let call = self
             .agent
             .get(self.url("kv", key))
@@ -111,7 +111,7 @@
             .config()
             .timeout_global(Some(wait + CALL_TIMEOUT))
             .build();
-        read_entry(call.call())
+        read_versioned_value(call.call())
     }
 
     /// Writes a value if its version is `expected_version`; 0 requires that the key is absent.
@@ -170,7 +170,7 @@
     header.and_then(|v| v.parse().ok()).unwrap_or(0)
 }
 
-fn read_entry(result: CallResult) -> Result<Option<Entry>> {
+fn read_versioned_value(result: CallResult) -> Result<Option<VersionedValue>> {
     let unavailable = |e: ureq::Error| Error::StoreUnavailable(e.to_string());
     let mut response = result.map_err(unavailable)?;
     match response.status().as_u16() {
@@ -182,7 +182,7 @@
                 .limit(MAX_VALUE_BYTES)
                 .read_to_vec()
                 .map_err(unavailable)?;
-            Ok(Some(Entry { value, version }))
+            Ok(Some(VersionedValue { value, version }))
         }
         404 => Ok(None),
         other => Err(Error::StoreUnavailable(format!("answered {other}"))),
