--- a/components/batching/src/filling.rs
+++ b/components/batching/src/filling.rs
@@ -5,7 +5,7 @@
 use eligibility::Eligibility;
 
 use crate::pool::{ActiveCall, MIN_DURATION, PendingPiece, Pool};
-use crate::submission::{Call, JobKey, Order, Submission};
+use crate::submission::{Call, JobKey, PieceOrder, Submission};
 use crate::worker::{Worker, WorkerKey};
 
 /// Longest time that a piece waits for a worker in its preferred hall, as a fraction of a call's
@@ -113,7 +113,7 @@
     /// urgent pieces that are already late would displace others that are not, which costs 3.6 % of
     /// the requests' value on a day of high load.
     fn sort_waiting(&mut self, now: Instant) {
-        if self.order == Order::Arrival {
+        if self.order == PieceOrder::Arrival {
             return;
         }
         let earliest_end = now + self.spec.call + self.spec.piece.mul_f64(self.mean_pieces);
@@ -200,7 +200,7 @@
         let mut workers = self.workers.values();
         let is_preferred =
             |worker: &Worker| worker.target.hall == *preferred && !worker.last_call_failed();
-        if self.order == Order::Arrival
+        if self.order == PieceOrder::Arrival
             || !workers.any(|worker| is_preferred(worker) && self.is_open(worker, now))
         {
             return None;
--- a/components/batching/src/pool.rs
+++ b/components/batching/src/pool.rs
@@ -11,7 +11,7 @@
 
 use crate::results::Results;
 use crate::submission::{
-    CallKey, Finished, JobKey, Order, PendingRelease, PieceOutcome, Submission,
+    CallKey, Finished, JobKey, PendingRelease, PieceOrder, PieceOutcome, Submission,
 };
 use crate::worker::{Worker, WorkerKey};
 
@@ -64,7 +64,7 @@
 #[derive(Debug)]
 pub struct Pool {
     pub(crate) spec: PoolSpec,
-    pub(crate) order: Order,
+    pub(crate) order: PieceOrder,
     pub(crate) workers: SlotMap<WorkerKey, Worker>,
     pub(crate) by_id: HashMap<TargetName, WorkerKey>,
     pub(crate) jobs: SlotMap<JobKey, Job>,
@@ -86,7 +86,7 @@
 
 impl Pool {
     /// Creates a pool without workers or pieces.
-    pub fn new(spec: PoolSpec, order: Order) -> Self {
+    pub fn new(spec: PoolSpec, order: PieceOrder) -> Self {
         Pool {
             spec,
             order,
--- a/components/batching/src/submission.rs
+++ b/components/batching/src/submission.rs
@@ -17,7 +17,7 @@
 
 /// Order of waiting pieces and how they are matched with workers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub enum Order {
+pub enum PieceOrder {
     /// By slack, preferring workers in the hall of the inputs.
     #[default]
     Slack,
--- a/components/batching/tests/support/mod.rs
+++ b/components/batching/tests/support/mod.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant};
 
-use batching::{Order, Pool, Submission};
+use batching::{PieceOrder, Pool, Submission};
 use ids::{HallName, RequestId, ServiceName, TargetName};
 use intent::{PoolSpec, Target};
 
@@ -44,7 +44,7 @@
 
 /// A pool with these workers.
 pub fn pool(workers: &[Target]) -> Pool {
-    let mut pool = Pool::new(spec(), Order::Slack);
+    let mut pool = Pool::new(spec(), PieceOrder::Slack);
     pool.set_workers(workers.iter());
     pool
 }
--- a/components/routing/src/queue.rs
+++ b/components/routing/src/queue.rs
@@ -35,19 +35,19 @@
 }
 
 impl Waiting {
-    fn order(&self) -> Order {
+    fn queue_key(&self) -> QueueKey {
         (!self.returning, self.start_by, self.id)
     }
 }
 
 /// Order in which a customer's requests of one class are served: returning requests first, then by
 /// the latest start time.
-pub(crate) type Order = (bool, Instant, WaitId);
+pub(crate) type QueueKey = (bool, Instant, WaitId);
 
 /// One customer's waiting requests and scheduled returns of one class.
 #[derive(Debug, Default)]
 pub(crate) struct CustomerQueue {
-    waiting: BTreeMap<Order, Waiting>,
+    waiting: BTreeMap<QueueKey, Waiting>,
     /// Return times announced to refused requests, in ascending order.
     scheduled_returns: VecDeque<Instant>,
 }
@@ -63,11 +63,11 @@
     }
 
     pub(crate) fn push(&mut self, waiting: Waiting) {
-        self.waiting.insert(waiting.order(), waiting);
+        self.waiting.insert(waiting.queue_key(), waiting);
     }
 
     pub(crate) fn remove(&mut self, waiting: &Waiting) -> Option<Waiting> {
-        self.waiting.remove(&waiting.order())
+        self.waiting.remove(&waiting.queue_key())
     }
 
     pub(crate) fn head(&self) -> Option<&Waiting> {
--- a/gateway/src/shared.rs
+++ b/gateway/src/shared.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use batching::{JobKey, Order, Pool, Submission};
+use batching::{JobKey, PieceOrder, Pool, Submission};
 use eligibility::{Backoffs, Departures, Halls, RateLimits, TokenBuckets};
 use fleet::{Fleet, Owner, Split, VmEntry};
 use ids::{HallName, ServiceName, TargetName, VmName};
@@ -99,7 +99,7 @@
     /// Requests in progress.
     pub(crate) active_requests: ActiveRequests,
     /// Order in which pools take waiting pieces.
-    queue_order: Order,
+    queue_order: PieceOrder,
     retry_rules: FleetRetryRules,
     retry_budgets: HashMap<ServiceName, FleetRetryBudget>,
     /// Moving average of the time to the first event, by service.
@@ -127,9 +127,9 @@
         now: Instant,
     ) -> Self {
         let (policy, queue_order) = match cfg.policy {
-            Policy::Adaptive => (selection::Policy::Adaptive, Order::Slack),
-            Policy::RoundRobin => (selection::Policy::RoundRobin, Order::Arrival),
-            Policy::FirstInOrder => (selection::Policy::FirstInOrder, Order::Arrival),
+            Policy::Adaptive => (selection::Policy::Adaptive, PieceOrder::Slack),
+            Policy::RoundRobin => (selection::Policy::RoundRobin, PieceOrder::Arrival),
+            Policy::FirstInOrder => (selection::Policy::FirstInOrder, PieceOrder::Arrival),
         };
         Shared {
             adapter,
