--- a/components/routing/src/router.rs
+++ b/components/routing/src/router.rs
@@ -14,7 +14,7 @@
 use crate::api::{Admission, Grant, SlotAnswer, SlotRefusal, SlotRequest, TargetDump, WaitUpdate};
 use crate::choice::Policy;
 use crate::lane::{Lane, LaneKey, WaitId};
-use crate::plans::Plans;
+use crate::lanes_by_revision::LanesByRevision;
 use crate::queue::Waiting;
 use crate::retry::RetryBudget;
 use crate::shares::{self, SharingVm};
@@ -37,7 +37,7 @@
     /// Targets of the newest configuration.
     pub(crate) by_name: BTreeMap<TargetName, TargetKey>,
     pub(crate) lanes: SlotMap<LaneKey, Lane>,
-    pub(crate) plans: Plans,
+    pub(crate) lanes_by_revision: LanesByRevision,
     /// Share of each customer in the newest configuration.
     pub(crate) shares: HashMap<CustomerName, u32>,
     pub(crate) times: HashMap<(ServiceName, StageName), StageTimes>,
@@ -67,7 +67,7 @@
             targets: SlotMap::with_key(),
             by_name: BTreeMap::new(),
             lanes: SlotMap::with_key(),
-            plans: Plans::default(),
+            lanes_by_revision: LanesByRevision::default(),
             shares: HashMap::new(),
             times: HashMap::new(),
             budget: RetryBudget::new(now),
@@ -90,7 +90,8 @@
         self.shares = catalogue.customers.values().map(|c| (c.name.clone(), c.share)).collect();
         let by_name = &self.by_name;
         let lanes = &mut self.lanes;
-        self.plans.add(revision, catalogue, by_name, |targets| lanes.insert(Lane::new(targets)));
+        self.lanes_by_revision
+            .add(revision, catalogue, by_name, |targets| lanes.insert(Lane::new(targets)));
         let mut updates = self.drop_unused();
         updates.extend(self.serve_all_lanes(now));
         updates
@@ -109,19 +110,19 @@
 
     /// Records that a request began under the configuration, which is kept until the request ends.
     pub fn begin_request(&mut self, revision: Revision) {
-        self.plans.begin(revision);
+        self.lanes_by_revision.begin(revision);
     }
 
     /// Records the end of a request that began under the configuration. Drops the configuration
     /// if nothing uses it any more, and returns what became of requests still waiting under it.
     pub fn end_request(&mut self, revision: Revision) -> Vec<WaitUpdate> {
-        if self.plans.end(revision) { self.drop_unused() } else { Vec::new() }
+        if self.lanes_by_revision.end(revision) { self.drop_unused() } else { Vec::new() }
     }
 
     /// Drops lanes and targets that belong to no kept configuration.
     fn drop_unused(&mut self) -> Vec<WaitUpdate> {
         let mut updates = Vec::new();
-        for key in self.plans.drop_unused() {
+        for key in self.lanes_by_revision.drop_unused() {
             if let Some(mut lane) = self.lanes.remove(key) {
                 let refused = SlotRefusal::NoTarget { retry_after: admission::MIN_RETRY_AFTER };
                 updates.extend(lane.take_all().iter().map(|w| WaitUpdate::Refused(w.id, refused)));
@@ -144,7 +145,7 @@
         }
         let left = req.deadline.saturating_duration_since(now);
         let stages = 0..req.service.stages.len();
-        let lanes = stages.filter_map(|stage| self.plans.lane(req, stage, None));
+        let lanes = stages.filter_map(|stage| self.lanes_by_revision.lane(req, stage, None));
         let waits: Vec<(LaneKey, Duration)> = lanes
             .filter_map(|key| Some((key, self.expected_wait_in(self.lanes.get(key)?, req, now))))
             .collect();
@@ -184,7 +185,7 @@
             return SlotAnswer::Refused(SlotRefusal::NoTarget { retry_after: Duration::ZERO });
         };
         let share = self.pick_share(stage);
-        let Some(lane_key) = self.plans.lane(req, req.stage, share) else {
+        let Some(lane_key) = self.lanes_by_revision.lane(req, req.stage, share) else {
             let retry_after = admission::MIN_RETRY_AFTER;
             return SlotAnswer::Refused(SlotRefusal::NoTarget { retry_after });
         };
