--- a/components/store_client/src/head.rs
+++ b/components/store_client/src/head.rs
@@ -44,17 +44,17 @@
 /// `StoreUnavailable` if the store did not answer or the value is not a head.
 pub fn read_head(store: &Store) -> Result<(Head, u64)> {
     match store.get(HEAD_KEY)? {
-        Some(entry) => Ok((decode_head(&entry)?, entry.version)),
+        Some(stored) => Ok((decode_head(&stored)?, stored.version)),
         None => Ok((Head::default(), 0)),
     }
 }
 
-/// Decodes the head from its entry.
+/// Decodes the head from its stored value.
 ///
 /// # Errors
 /// `StoreUnavailable` if the value is not a head.
-pub fn decode_head(entry: &VersionedValue) -> Result<Head> {
-    serde_json::from_slice(&entry.value)
+pub fn decode_head(stored: &VersionedValue) -> Result<Head> {
+    serde_json::from_slice(&stored.value)
         .map_err(|e| Error::StoreUnavailable(format!("{HEAD_KEY} is not a valid head: {e}")))
 }
 
@@ -68,8 +68,8 @@
         return Ok(Catalogue::default());
     }
     let missing = || Error::StoreUnavailable(format!("{} is missing", head.snapshot));
-    let entry = store.get(&head.snapshot)?.ok_or_else(missing)?;
-    let catalogue: Catalogue = serde_json::from_slice(&entry.value).map_err(|e| {
+    let stored = store.get(&head.snapshot)?.ok_or_else(missing)?;
+    let catalogue: Catalogue = serde_json::from_slice(&stored.value).map_err(|e| {
         Error::StoreUnavailable(format!("{} is not a valid catalogue: {e}", head.snapshot))
     })?;
     if catalogue.digest() != head.digest {
@@ -225,15 +225,15 @@
         WriteOutcome::Refused(problem) => Err(Error::StoreUnavailable(problem)),
         // Only this change writes the key, so reading it back shows whether the write took effect.
         WriteOutcome::Unknown(problem) => match store.get(key)? {
-            Some(entry) if entry.value == json => Ok(()),
+            Some(stored) if stored.value == json => Ok(()),
             _ => Err(Error::StoreUnavailable(problem)),
         },
     }
 }
 
 fn delete_snapshot(store: &Store, key: &str) {
-    if let Ok(Some(entry)) = store.get(key) {
-        store.delete(key, entry.version);
+    if let Ok(Some(stored)) = store.get(key) {
+        store.delete(key, stored.version);
     }
 }
 
