--- a/components/intent/src/service.rs
+++ b/components/intent/src/service.rs
@@ -18,7 +18,7 @@
     pub call: Duration,
     /// Approximate time that each piece adds to a call.
     pub piece: Duration,
-    /// Space in which results are kept, in bytes.
+    /// Room of a target, that is its memory for results, in bytes.
     pub room_bytes: u64,
     /// Time for which a result is kept after its call.
     pub result_life: Duration,
--- a/gateway/src/outbound_links.rs
+++ b/gateway/src/outbound_links.rs
@@ -186,8 +186,8 @@
         }
     }
 
-    /// Has the peer release results that were computed through this link if their workers are short
-    /// of memory.
+    /// Has the peer release results that were computed through this link if room at their
+    /// workers is scarce.
     pub(crate) fn release_if_scarce(&self, handles: &[String]) {
         let handles = handles.to_vec();
         let release = Release { handles, if_scarce: true, number: None, told: false };
--- a/gateway/src/pool_calls.rs
+++ b/gateway/src/pool_calls.rs
@@ -223,7 +223,7 @@
 }
 
 /// Tells the waiting requests that their inputs are no longer needed, so that these can be released
-/// early: workers' memory is scarcer than time.
+/// early: workers' room is scarcer than time.
 fn notify_fetched(app: &App, pool: &ServiceName, call: CallKey) {
     let jobs = app.state.with(|shared, _| {
         shared.pools.get_mut(pool).map(|pool| pool.inputs_fetched(call)).unwrap_or_default()
--- a/gateway/src/releases.rs
+++ b/gateway/src/releases.rs
@@ -1,11 +1,11 @@
 //! Releases results of stages that are no longer needed: sends release calls to the workers that
-//! hold them, so that the workers can reuse the memory.
+//! hold them, so that the workers can reuse the room (memory for results).
 //!
 //! Exactly one VM is responsible for a result at any time: first the owner, which had it computed;
 //! once the owner has handed the result over, the VM of the request (the requester); and the owner
 //! again once the requester's lease has ended ([`result_leases`]). The requester calls workers
 //! itself, so that no release is lost together with an owner, and reports the release to the owner,
-//! which tracks the workers' memory. If a worker announces a rate limit, the release goes through
+//! which tracks the workers' room. If a worker announces a rate limit, the release goes through
 //! the owner, which combines the releases of all VMs.
 
 use std::collections::{BTreeMap, HashMap};
@@ -85,7 +85,7 @@
     }
 }
 
-/// Releases results that requests of this VM hold, if their workers are short of memory.
+/// Releases results that requests of this VM hold, if room at their workers is scarce.
 pub(crate) fn release_results_if_scarce(app: &Rc<App>, handles: &[String]) {
     for (origin, handle) in app.held.look_up(handles) {
         match origin {
@@ -199,7 +199,7 @@
     }
 }
 
-/// Releases results that this VM had computed, if their workers are short of memory.
+/// Releases results that this VM had computed, if room at their workers is scarce.
 fn release_as_owner_if_scarce(app: &Rc<App>, handles: &[String]) {
     let pending = app.state.with(|shared, _| {
         let pools = shared.pools.iter_mut();
@@ -214,7 +214,7 @@
     }
 }
 
-/// Handles a peer's release of results: unconditional, or only if the workers are short of memory.
+/// Handles a peer's release of results: unconditional, or only if room at the workers is scarce.
 /// Returns the tasks that call the workers.
 pub(crate) fn release_for_peer(
     app: &Rc<App>,
@@ -229,7 +229,7 @@
     release_as_owner(app, handles)
 }
 
-/// Releases results that no request released by itself, since nobody waits for them or their memory
+/// Releases results that no request released by itself, since nobody waits for them or their room
 /// is needed. The VMs that hold them under leases are notified, so that the workers are called only
 /// once.
 pub(crate) fn reclaim(app: &Rc<App>, pool: &ServiceName, pending: Vec<PendingRelease>) {
@@ -282,7 +282,7 @@
     }
 }
 
-/// Starts a task that releases results at a worker of a pool of this VM. The pool counts the memory
+/// Starts a task that releases results at a worker of a pool of this VM. The pool counts their room
 /// as free once the worker has confirmed.
 fn release_in_background(
     app: &Rc<App>,
@@ -299,7 +299,7 @@
 }
 
 /// Records the outcome of a release in the pool, and dispatches calls that may have waited for the
-/// memory.
+/// room.
 fn complete_release(app: &Rc<App>, pool: &ServiceName, pending: &PendingRelease, confirmed: bool) {
     app.state.with(|shared, now| {
         let pool = shared.pools.get_mut(pool);
--- a/gateway/src/stages.rs
+++ b/gateway/src/stages.rs
@@ -41,7 +41,7 @@
 const MIN_BYTES_FOR_PREFERRED_HALL: u64 = 200_000;
 
 /// Time, beyond the transfer itself, within which an engine accepts a request and has fetched its
-/// inputs. A shorter time frees the workers' memory earlier, but some engines find their inputs
+/// inputs. A shorter time frees the workers' room earlier, but some engines find their inputs
 /// gone: with 25 ms, one deployment gains 1.0 % of the requests' value on a day of high load, and
 /// another loses 1.3 %.
 const FETCH_OVERHEAD: Duration = Duration::from_millis(60);
@@ -85,7 +85,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Retention {
     Kept,
-    /// Only while their workers have memory to spare.
+    /// Only while their workers have room to spare.
     IfRoom,
     Released,
 }
@@ -133,7 +133,7 @@
         }
     }
 
-    /// Lets the workers drop the results as soon as their memory is scarce.
+    /// Lets the workers drop the results as soon as their room is scarce.
     fn release_if_scarce(&mut self) {
         if self.retention == Retention::Kept {
             self.retention = Retention::IfRoom;
@@ -175,8 +175,8 @@
         FETCH_OVERHEAD + self.last.iter().filter_map(time).sum::<Duration>()
     }
 
-    /// Lets the workers drop the results as soon as their memory is scarce. Reading a prompt takes
-    /// 140 to 420 ms, for which the results would otherwise hold that memory. That would cost 1.0 % of
+    /// Lets the workers drop the results as soon as their room is scarce. Reading a prompt takes
+    /// 140 to 420 ms, for which the results would otherwise occupy that room. That would cost 1.0 % of
     /// the requests' value on a day of high load.
     pub(crate) fn release_if_scarce(&mut self) {
         for index in &self.last {
--- a/gateway/src/streams.rs
+++ b/gateway/src/streams.rs
@@ -122,7 +122,7 @@
 }
 
 /// Waits for an attempt. Once its engine has had time to fetch the results of the stages, workers
-/// keep these only while they have memory to spare: results of a megabyte and more would otherwise
+/// keep these only while they have room to spare: results of a megabyte and more would otherwise
 /// occupy it for as long as a prompt is read.
 async fn release_once_fetched<T>(
     attempting: impl Future<Output = T>,
