--- a/components/platform_interface/src/lib.rs
+++ b/components/platform_interface/src/lib.rs
@@ -1,8 +1,8 @@
 //! Interface between the serving path and the platform it runs on: callers, targets, the platform's
 //! store and the operators' intent.
 //!
-//! An adapter for a platform provides the functions in [`PlatformAdapter`], which translate between the
-//! platform's wire formats and the types here. The serving path uses only these types.
+//! An adapter for a platform provides the functions in [`PlatformAdapter`], which translate between
+//! the platform's wire formats and the types here. The serving path uses only these types.
 
 pub mod callers;
 pub mod calls;
--- a/components/quarantine/src/table.rs
+++ b/components/quarantine/src/table.rs
@@ -248,8 +248,8 @@
         refused
     }
 
-    /// Returns the number of requests with at least one crash that counts, refused or not. Most are
-    /// bystanders.
+    /// Returns the number of requests with at least one crash that counts, refused or not. Most
+    /// of them only ran on a target that another request crashed.
     pub fn suspect_count(&self) -> usize {
         let counts = |record: &&Record| record.crashes.counted().next().is_some();
         self.records.values().filter(counts).count()
--- a/gateway/src/outbound_links.rs
+++ b/gateway/src/outbound_links.rs
@@ -434,7 +434,8 @@
                 if last_received.elapsed() > PEER_TIMEOUT {
                     return format!("silent for {:?}", last_received.elapsed());
                 }
-                let is_hall_unreachable = app.state.with(|shared, _| shared.fleet.is_unreachable(vm));
+                let is_hall_unreachable =
+                    app.state.with(|shared, _| shared.fleet.is_unreachable(vm));
                 if last_received.elapsed() > HEARTBEAT_INTERVAL && is_hall_unreachable {
                     return "its hall is unreachable".to_owned();
                 }
--- a/gateway/src/stages.rs
+++ b/gateway/src/stages.rs
@@ -176,8 +176,8 @@
     }
 
     /// Lets the workers drop the results as soon as their room is scarce. Reading a prompt takes
-    /// 140 to 420 ms, for which the results would otherwise occupy that room. That would cost 1.0 % of
-    /// the requests' value on a day of high load.
+    /// 140 to 420 ms, for which the results would otherwise occupy that room. That would cost 1.0 %
+    /// of the requests' value on a day of high load.
     pub(crate) fn release_if_scarce(&mut self) {
         for index in &self.last {
             self.runs[*index].release_if_scarce();
