--- a/components/platform_interface/src/calls.rs
+++ b/components/platform_interface/src/calls.rs
@@ -110,7 +110,7 @@
     Late,
     /// An input no longer exists.
     InputGone,
-    /// The worker has no space for the result.
+    /// The worker has no room for the result.
     NoRoom,
     /// The piece failed.
     Failed,
--- a/gateway/src/piece_events.rs
+++ b/gateway/src/piece_events.rs
@@ -28,7 +28,7 @@
     Done {
         /// The submission that the event belongs to.
         submission: StageSubmission,
-        /// Index of the piece.
+        /// Number of the piece in its stage.
         piece: u32,
         /// Its result or why there is none.
         outcome: PieceOutcome,
