--- a/gateway/src/admission.rs
+++ b/gateway/src/admission.rs
@@ -222,7 +222,10 @@
 ) -> Duration {
     let pool = &req.entry.stages[index].pool;
     let Some(forecast) = forecast(shared, pool, now) else {
-        return req.intent.pool(pool).map_or(Duration::ZERO, |pool| pool.call + pool.piece);
+        return req
+            .intent
+            .pool(pool)
+            .map_or(Duration::ZERO, |pool| pool.call_time + pool.piece_time);
     };
     let due = stage_due(shared, req, index);
     let mut ahead =
