--- a/components/fleet/src/peer.rs
+++ b/components/fleet/src/peer.rs
@@ -35,8 +35,8 @@
     pub incoming: f64,
     /// Pieces that the pool can make per second.
     pub rate: f64,
-    /// When this report was received.
-    pub at: Instant,
+    /// When this report was received; for the own load, when it was computed.
+    pub received_at: Instant,
 }
 
 impl PoolLoad {
--- a/gateway/src/admission.rs
+++ b/gateway/src/admission.rs
@@ -179,7 +179,7 @@
 /// Age of the oldest forecast that the decision is based on; `None` if there is none.
 fn oldest_forecast(shared: &Shared, req: &AcceptedRequest, now: Instant) -> Option<Duration> {
     let forecasts = req.entry.stages.iter().filter_map(|stage| forecast(shared, &stage.pool, now));
-    forecasts.map(|forecast| now.saturating_duration_since(forecast.at)).max()
+    forecasts.map(|forecast| now.saturating_duration_since(forecast.received_at)).max()
 }
 
 /// Number of distinct urgencies in the configuration that are higher than the request's.
@@ -229,11 +229,11 @@
     };
     let due = stage_due(shared, req, index);
     let mut ahead =
-        forecast.queue.ahead_of(req.urgency, due.saturating_duration_since(forecast.at));
+        forecast.queue.ahead_of(req.urgency, due.saturating_duration_since(forecast.received_at));
     if !start.is_zero() {
         ahead += forecast.incoming;
     }
-    ahead += unreported_pieces(shared, req, pool, forecast.at, due);
+    ahead += unreported_pieces(shared, req, pool, forecast.received_at, due);
     forecast.expected_time(start, ahead)
 }
 
@@ -267,7 +267,7 @@
 /// The load that a pool's owner reported, if the report is recent enough.
 fn forecast(shared: &Shared, pool: &ServiceName, now: Instant) -> Option<PoolLoad> {
     let load = shared.load_of(pool, &shared.expected_owner(pool, now), now)?;
-    (now.saturating_duration_since(load.at) < FORECAST_MAX_AGE).then_some(load)
+    (now.saturating_duration_since(load.received_at) < FORECAST_MAX_AGE).then_some(load)
 }
 
 /// Counts the pieces of an admitted request and returns their number by stage.
--- a/gateway/src/link_messages.rs
+++ b/gateway/src/link_messages.rs
@@ -133,7 +133,7 @@
             let late = f64::from(pool.late);
             (
                 pool.pool.clone(),
-                fleet::PoolLoad { turnaround, rate, queue, late, incoming, at: now },
+                fleet::PoolLoad { turnaround, rate, queue, late, incoming, received_at: now },
             )
         });
         shared.targets.record_peer_load(peer_hash(vm), &loads, now);
--- a/gateway/src/owner_selection.rs
+++ b/gateway/src/owner_selection.rs
@@ -138,7 +138,7 @@
             late: late as f64,
             incoming: self.incoming_pieces(name, now),
             rate: pool.rate(now),
-            at: now,
+            received_at: now,
         })
     }
 
