--- a/gateway/src/settings.rs
+++ b/gateway/src/settings.rs
@@ -47,7 +47,7 @@
     pub cold: ColdMargin,
     /// Retry budget of the whole fleet.
     #[serde(default)]
-    pub repeats: RetryBudget,
+    pub repeats: RetryRules,
     /// When a request that crashes targets is refused.
     #[serde(default)]
     pub quarantine: QuarantineRules,
@@ -119,7 +119,7 @@
 /// Budget of requests that are sent a second time.
 #[derive(Debug, Clone, Copy, PartialEq, Deserialize, Serialize)]
 #[serde(deny_unknown_fields, default)]
-pub struct RetryBudget {
+pub struct RetryRules {
     /// Retries allowed per request.
     pub ratio: f64,
     /// Retries allowed in each window in addition to `ratio`.
@@ -128,13 +128,13 @@
     pub window_s: f64,
 }
 
-impl Default for RetryBudget {
+impl Default for RetryRules {
     fn default() -> Self {
-        RetryBudget { ratio: 0.1, slack: 10.0, window_s: 10.0 }
+        RetryRules { ratio: 0.1, slack: 10.0, window_s: 10.0 }
     }
 }
 
-impl RetryBudget {
+impl RetryRules {
     /// Length of the sliding window.
     pub fn window(&self) -> Duration {
         Duration::from_secs_f64(self.window_s)
