--- a/gateway/src/owner_selection.rs
+++ b/gateway/src/owner_selection.rs
@@ -30,25 +30,25 @@
 }
 
 impl Shared {
-    /// The VM to which the pieces of a submission are sent. Results are wanted in the hall `near`,
-    /// or anywhere if that is `None`. The random number `draw`, from 0 to 1, decides whether a
-    /// faster owner is chosen, see [`fleet::should_spill`].
+    /// The VM to which the pieces of a submission are sent. Results are wanted in the hall
+    /// `preferred_hall`, or anywhere if that is `None`. The number `random`, from 0 to 1, decides
+    /// whether an owner whose queue drains sooner is chosen, see [`fleet::should_spill`].
     pub(crate) fn choose_owner(
         &self,
         pool: &ServiceName,
-        near: Option<&HallName>,
-        draw: f64,
+        preferred_hall: Option<&HallName>,
+        random: f64,
         now: Instant,
     ) -> Owner {
-        let preferred = self.preferred_owner(pool, near, now);
+        let preferred = self.preferred_owner(pool, preferred_hall, now);
         let alternative = self.fastest_owner_against(pool, &preferred, now).filter(|candidate| {
-            fleet::should_spill(candidate.baseline, candidate.drain, candidate.margin, draw)
+            fleet::should_spill(candidate.baseline, candidate.drain, candidate.margin, random)
         });
         alternative.map_or(preferred, |candidate| candidate.owner)
     }
 
     /// The VM to which a pool's pieces from this VM are expected to be sent, whatever the random
-    /// draw.
+    /// number.
     pub(crate) fn expected_owner(&self, pool: &ServiceName, now: Instant) -> Owner {
         let preferred = self.preferred_owner(pool, None, now);
         let alternative = self.fastest_owner_against(pool, &preferred, now);
@@ -63,12 +63,12 @@
     pub(crate) fn preferred_owner(
         &self,
         pool: &ServiceName,
-        near: Option<&HallName>,
+        preferred_hall: Option<&HallName>,
         now: Instant,
     ) -> Owner {
         let Some(split) = self.splits.get(pool) else { return Owner::This };
         let own = split.part_of(&self.own_hall);
-        let wanted = near.map_or(own, |hall| split.part_of(hall));
+        let wanted = preferred_hall.map_or(own, |hall| split.part_of(hall));
         let wanted = self.open_part(pool, split, wanted, now);
         match self.owner_of_part(pool, split, wanted, now) {
             Owner::Unknown => self.owner_of_part(pool, split, own, now),
