--- a/components/intent/src/entry.rs
+++ b/components/intent/src/entry.rs
@@ -73,6 +73,9 @@
 impl Entry {
     /// Checks that the entry names at least one service, that its services are defined, and that
     /// each stage names a pool and needs only earlier stages.
+    ///
+    /// # Errors
+    /// The first of these rules that the entry breaks.
     pub(crate) fn check(
         &self,
         services: &BTreeMap<ServiceName, Service>,
--- a/components/store_client/src/store.rs
+++ b/components/store_client/src/store.rs
@@ -129,6 +129,9 @@
     }
 
     /// Requests a lease and returns the response's body; `None` if another holder has the lease.
+    ///
+    /// # Errors
+    /// `StoreUnavailable` if the store did not answer or answered with another error.
     pub(crate) fn put_lease(
         &self,
         name: &str,
--- a/daemon/src/claims.rs
+++ b/daemon/src/claims.rs
@@ -26,8 +26,10 @@
 
 /// Claims the request's id before any stage runs, if it needs a claim.
 ///
-/// Returns `None` if no claim is needed, and a refusal if the id is taken or the store can't be
-/// reached.
+/// Returns `None` if no claim is needed.
+///
+/// # Errors
+/// A refusal if the id is taken or the store can't be reached.
 pub(crate) fn claim_id(shared: &Pipeline, req: &CallerRequest) -> Result<Option<Claim>, Refusal> {
     if !requires_claim(req) {
         return Ok(None);
--- a/daemon/src/requests.rs
+++ b/daemon/src/requests.rs
@@ -18,7 +18,10 @@
 const NO_CONFIGURATION_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 impl Dispatcher {
-    /// Checks service and customer against the configuration in force and opens a journal record.
+    /// Checks service and customer against the configuration in force and adds a journal record.
+    ///
+    /// # Errors
+    /// A refusal if no configuration is in force, or it lacks the service or the customer.
     pub(crate) fn begin_request(&mut self, req: BeginRequest) -> Result<BegunRequest, Refusal> {
         let Some(configuration) = self.history.current().cloned() else {
             let refusal = Refusal::not_run(Reason::NoConfiguration, "no revision is known yet");
--- a/gateway/src/connections.rs
+++ b/gateway/src/connections.rs
@@ -77,6 +77,10 @@
 
 impl Connections {
     /// Sends a call, which uses up a permit, and waits for the head of its answer.
+    ///
+    /// # Errors
+    /// `Withheld` if the permit is no longer valid, `NotSent` if no byte was sent, `Broke` if the
+    /// connection ended before the head arrived.
     pub(crate) async fn send(
         &self,
         target: &Target,
@@ -197,6 +201,9 @@
 }
 
 /// Opens a TCP connection with a connect timeout and a limit for unacknowledged data.
+///
+/// # Errors
+/// The text of the operating system's error, or that the connection was not open in time.
 pub(crate) async fn connect(address: SocketAddr) -> Result<TcpStream, String> {
     let connecting = tokio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(address));
     let stream = match connecting.await {
--- a/gateway/src/store_connection.rs
+++ b/gateway/src/store_connection.rs
@@ -74,6 +74,9 @@
 
     /// Makes a call and reads its whole answer. `kind` names the call in metrics; `wait` is how
     /// long the store may hold back the answer.
+    ///
+    /// # Errors
+    /// Those of [`Self::begin`] and [`Self::finish`].
     pub(crate) async fn call(
         &mut self,
         kind: &'static str,
@@ -86,6 +89,9 @@
 
     /// Makes a call; returns the answer once its head has arrived. The parameters are those of
     /// [`Self::call`].
+    ///
+    /// # Errors
+    /// `Failed` if there is no connection, or no head in time.
     pub(crate) async fn begin(
         &mut self,
         kind: &'static str,
@@ -100,6 +106,10 @@
     }
 
     /// Reads the body of an answer while bytes arrive, for at most [`MAX_ANSWER_TIME`].
+    ///
+    /// # Errors
+    /// `Failed` if the body breaks off, pauses or takes too long, or for an error status other than
+    /// those of `HistoryCompacted` and `LeaseNotFound`.
     pub(crate) async fn finish(&mut self, begun: OpenAnswer) -> Result<Bytes, StoreCallError> {
         let OpenAnswer { kind, status, mut body, began } = begun;
         let mut buf = BytesMut::new();
