--- a/components/batching/src/completion.rs
+++ b/components/batching/src/completion.rs
@@ -6,7 +6,7 @@
 use platform_interface::calls::PieceAnswer;
 
 use crate::pool::{ActiveCall, PendingPiece, Pool};
-use crate::submission::{CallEnd, CallKey, Finished, JobKey, PieceOutcome};
+use crate::submission::{CallEnd, CallKey, FinishedPiece, JobKey, PieceOutcome};
 use crate::worker::WorkerKey;
 
 /// Maximum number of failed attempts of a piece.
@@ -40,7 +40,7 @@
     }
 
     /// Records the end of a call; returns the finished pieces.
-    pub fn call_ended(&mut self, key: CallKey, end: CallEnd, now: Instant) -> Vec<Finished> {
+    pub fn call_ended(&mut self, key: CallKey, end: CallEnd, now: Instant) -> Vec<FinishedPiece> {
         let Some(call) = self.calls.remove(key) else { return Vec::new() };
         let took = now.saturating_duration_since(call.began);
         if matches!(end, CallEnd::Failed | CallEnd::HallUnreachable) {
@@ -71,7 +71,7 @@
         call: &ActiveCall,
         answers: Vec<PieceAnswer>,
         now: Instant,
-    ) -> Vec<Finished> {
+    ) -> Vec<FinishedPiece> {
         let mut finished = Vec::new();
         self.update_room_estimates(call, &answers, now);
         let missing = std::iter::repeat(PieceAnswer::Failed);
@@ -144,10 +144,10 @@
         &mut self,
         pending: &PendingPiece,
         outcome: PieceOutcome,
-    ) -> Option<Finished> {
+    ) -> Option<FinishedPiece> {
         let job = self.jobs.get_mut(pending.job)?;
         job.unfinished -= 1;
-        let finished = Finished { job: pending.job, piece: pending.piece, outcome };
+        let finished = FinishedPiece { job: pending.job, piece: pending.piece, outcome };
         if job.unfinished == 0 {
             self.jobs.remove(pending.job);
         }
@@ -156,7 +156,7 @@
 
     /// Requeues pieces, adding `new_failures` to their failed attempts. Finishes those without
     /// attempts left as failed and returns them.
-    fn requeue(&mut self, pieces: Vec<PendingPiece>, new_failures: u32) -> Vec<Finished> {
+    fn requeue(&mut self, pieces: Vec<PendingPiece>, new_failures: u32) -> Vec<FinishedPiece> {
         let mut failed = Vec::new();
         for mut pending in pieces {
             let Some(job) = self.jobs.get_mut(pending.job) else { continue };
--- a/components/batching/src/lib.rs
+++ b/components/batching/src/lib.rs
@@ -25,6 +25,7 @@
 pub use queue::QueueCounts;
 pub use room_use::RoomUse;
 pub use submission::{
-    Call, CallEnd, CallKey, Finished, JobKey, PendingRelease, PieceOrder, PieceOutcome, Submission,
+    Call, CallEnd, CallKey, FinishedPiece, JobKey, PendingRelease, PieceOrder, PieceOutcome,
+    Submission,
 };
 pub use worker::WorkerKey;
--- a/components/batching/src/pool.rs
+++ b/components/batching/src/pool.rs
@@ -11,7 +11,7 @@
 
 use crate::results::Results;
 use crate::submission::{
-    CallKey, Finished, JobKey, PendingRelease, PieceOrder, PieceOutcome, Submission,
+    CallKey, FinishedPiece, JobKey, PendingRelease, PieceOrder, PieceOutcome, Submission,
 };
 use crate::worker::{Worker, WorkerKey};
 
@@ -152,7 +152,7 @@
 
     /// Finishes the waiting pieces for which no worker may be called before their deadline as
     /// [`PieceOutcome::Failed`], regardless of the attempts left, and returns them.
-    pub fn fail_unservable(&mut self, now: Instant) -> Vec<Finished> {
+    pub fn fail_unservable(&mut self, now: Instant) -> Vec<FinishedPiece> {
         if self.workers.is_empty() {
             return Vec::new();
         }
@@ -179,7 +179,7 @@
     }
 
     /// Finishes the waiting pieces of a submission with this outcome and returns them.
-    pub fn finish_waiting(&mut self, job: JobKey, outcome: &PieceOutcome) -> Vec<Finished> {
+    pub fn finish_waiting(&mut self, job: JobKey, outcome: &PieceOutcome) -> Vec<FinishedPiece> {
         let (removed, left) = self.waiting.iter().partition(|waiting| waiting.job == job);
         self.waiting = left;
         let removed: Vec<PendingPiece> = removed;
--- a/components/batching/src/submission.rs
+++ b/components/batching/src/submission.rs
@@ -130,7 +130,7 @@
 
 /// A finished piece.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Finished {
+pub struct FinishedPiece {
     /// The submission.
     pub job: JobKey,
     /// Number of the piece.
--- a/components/batching/tests/pool.rs
+++ b/components/batching/tests/pool.rs
@@ -7,7 +7,7 @@
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
 
-use batching::{CallEnd, Finished, PieceOutcome, Pool, Submission};
+use batching::{CallEnd, FinishedPiece, PieceOutcome, Pool, Submission};
 use eligibility::Halls;
 use ids::HallName;
 use intent::Target;
@@ -113,7 +113,7 @@
     };
 
     assert_ne!(workers[0], workers[1]);
-    assert!(matches!(finished[..], [Finished { outcome: PieceOutcome::Failed, .. }]));
+    assert!(matches!(finished[..], [FinishedPiece { outcome: PieceOutcome::Failed, .. }]));
 }
 
 #[test]
--- a/gateway/src/pool_calls.rs
+++ b/gateway/src/pool_calls.rs
@@ -6,7 +6,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use batching::{Call, CallEnd, CallKey, Finished, JobKey, PieceOutcome, Pool};
+use batching::{Call, CallEnd, CallKey, FinishedPiece, JobKey, PieceOutcome, Pool};
 use ids::ServiceName;
 use platform_interface::calls::{OwnCall, PieceAnswer, PieceCall};
 use slog::info;
@@ -52,7 +52,7 @@
     let finished = app.state.with(|shared, _| {
         let jobs = shared.jobs_with_unreachable_inputs(pool);
         let pool = shared.pools.get_mut(pool);
-        let finish_jobs = |pool: &mut Pool| -> Vec<Finished> {
+        let finish_jobs = |pool: &mut Pool| -> Vec<FinishedPiece> {
             jobs.into_iter()
                 .flat_map(|job| pool.finish_waiting(job, &PieceOutcome::InputGone))
                 .collect()
@@ -292,14 +292,14 @@
 }
 
 /// Delivers finished pieces to the requests that wait for them.
-fn deliver(app: &Rc<App>, pool: &ServiceName, finished: Vec<Finished>) {
+fn deliver(app: &Rc<App>, pool: &ServiceName, finished: Vec<FinishedPiece>) {
     let mut sinks = app.sinks.borrow_mut();
     let jobs: BTreeSet<JobKey> = finished.iter().map(|finished| finished.job).collect();
     let mut unread = Vec::new();
     let now = now();
     let life = app.state.with(|shared, _| shared.pools.get(pool).map(Pool::result_life));
     let life = life.unwrap_or_default();
-    for Finished { job, piece, outcome } in finished {
+    for FinishedPiece { job, piece, outcome } in finished {
         match sinks.get(&(pool.clone(), job)) {
             Some(Sink::Local(tx, stage_submission)) => {
                 if let PieceOutcome::Stored(handle) = &outcome {
