--- a/components/membership/src/roster.rs
+++ b/components/membership/src/roster.rs
@@ -18,7 +18,7 @@
 /// Maximum number of full adverts in one answer; the rest follows in later rounds.
 const MAX_ADVERTS: usize = 16;
 /// Maximum number of VMs of other halls that are kept; those of the own hall are all kept.
-const MAX_FAR_VMS: usize = 16;
+const MAX_REMOTE_VMS: usize = 16;
 
 /// An advert and when its last update was received.
 #[derive(Debug)]
@@ -53,14 +53,14 @@
     }
 
     /// Stores an advert if it is newer than the known one. Ignores this VM's own advert, and those
-    /// of new VMs of other halls beyond `MAX_FAR_VMS`.
+    /// of new VMs of other halls beyond `MAX_REMOTE_VMS`.
     pub fn merge(&mut self, advert: Advert, now: Instant) {
         if advert.heartbeat.vm == self.own {
             return;
         }
         let known = self.adverts.get(&advert.heartbeat.vm);
-        let far = || self.adverts.values().filter(|e| e.advert.hall != self.hall).count();
-        let full = known.is_none() && advert.hall != self.hall && far() >= MAX_FAR_VMS;
+        let remote = || self.adverts.values().filter(|e| e.advert.hall != self.hall).count();
+        let full = known.is_none() && advert.hall != self.hall && remote() >= MAX_REMOTE_VMS;
         if !full
             && known.is_none_or(|old| advert.heartbeat.version() > old.advert.heartbeat.version())
         {
@@ -129,30 +129,35 @@
         self.adverts.retain(|_, e| now.saturating_duration_since(e.updated_at) < FORGET_AFTER);
     }
 
-    /// Peer addresses of random gossip partners: up to `near` from the own hall and `far` from
+    /// Peer addresses of random gossip partners: up to `local` from the own hall and `remote` from
     /// others. Stale VMs are included, so that halls find each other again after a partition.
-    pub fn sample_partners(&self, near: usize, far: usize) -> Vec<SocketAddr> {
-        self.sample(near, far, |_| true)
+    pub fn sample_partners(&self, local: usize, remote: usize) -> Vec<SocketAddr> {
+        self.sample(local, remote, |_| true)
     }
 
     /// Peer addresses of random VMs whose last known revision is older than `revision`: up to
-    /// `near` from the own hall and `far` from others.
+    /// `local` from the own hall and `remote` from others.
     pub fn sample_without_revision(
         &self,
         revision: Revision,
-        near: usize,
-        far: usize,
+        local: usize,
+        remote: usize,
     ) -> Vec<SocketAddr> {
-        self.sample(near, far, |advert| advert.heartbeat.revision < revision)
+        self.sample(local, remote, |advert| advert.heartbeat.revision < revision)
     }
 
-    fn sample(&self, near: usize, far: usize, fits: impl Fn(&Advert) -> bool) -> Vec<SocketAddr> {
+    fn sample(
+        &self,
+        local: usize,
+        remote: usize,
+        fits: impl Fn(&Advert) -> bool,
+    ) -> Vec<SocketAddr> {
         let mut rng = rand::rng();
         let adverts = || self.adverts.values().map(|e| &e.advert).filter(|a| fits(a));
         let in_hall = adverts().filter(|a| a.hall == self.hall).map(|a| a.peers);
-        let mut chosen = in_hall.sample(&mut rng, near);
+        let mut chosen = in_hall.sample(&mut rng, local);
         let others = adverts().filter(|a| a.hall != self.hall).map(|a| a.peers);
-        chosen.extend(others.sample(&mut rng, far));
+        chosen.extend(others.sample(&mut rng, remote));
         chosen
     }
 
