--- a/components/fleet/src/split.rs
+++ b/components/fleet/src/split.rs
@@ -50,7 +50,7 @@
 
     /// Sets the version of the configuration in which this VM first saw the pool. VMs with an older
     /// version may not know the pool.
-    pub fn first_seen(self, version: u64) -> Self {
+    pub fn with_first_seen(self, version: u64) -> Self {
         Split { first_seen_version: version, ..self }
     }
 
--- a/components/fleet/tests/ownership.rs
+++ b/components/fleet/tests/ownership.rs
@@ -167,7 +167,7 @@
     let (now, split) = (Instant::now(), split(6, 7));
     let part = split.part_of(&hall("hall-0"));
     let [owner, own] = [0, 1].map(|rank| owner_at_rank(rank, &split, 0, 60, 6));
-    let split = split.first_seen(5);
+    let split = split.with_first_seen(5);
     let mut fleet = listed(own, 60, 6, now);
     fleet.record_heard(&vm(owner), true, now);
     let owner_at_version = |fleet: &mut Fleet, version| {
--- a/gateway/src/shared.rs
+++ b/gateway/src/shared.rs
@@ -295,7 +295,7 @@
             let workers = self.targets.of_service(name);
             let split = Split::new(&spec, workers.map(|target| &target.hall));
             let first_seen = *self.first_seen.entry(name.clone()).or_insert(intent.version);
-            let split = split.first_seen(first_seen);
+            let split = split.with_first_seen(first_seen);
             let own = split.part_of(&self.own_hall);
             let queue_order = self.queue_order;
             let halls = &self.halls;
