--- a/components/selection/src/cost.rs
+++ b/components/selection/src/cost.rs
@@ -59,7 +59,7 @@
         request: &SelectionRequest<'_>,
         now: Instant,
     ) -> f64 {
-        let state = &self.arena[key];
+        let state = &self.states[key];
         let calls = state.total_calls(now);
         let failure_cost = state.failure_rate * FAILURE_COST;
         match request.size {
@@ -96,7 +96,7 @@
         candidates
             .iter()
             .copied()
-            .max_by_key(|key| hashing::combine(prefix_hash, self.arena[*key].id_hash))
+            .max_by_key(|key| hashing::combine(prefix_hash, self.states[*key].id_hash))
     }
 }
 
--- a/components/selection/src/targets.rs
+++ b/components/selection/src/targets.rs
@@ -17,7 +17,7 @@
 pub struct Targets {
     policy: Policy,
     pub(crate) own_hall: HallName,
-    pub(crate) arena: SlotMap<TargetKey, TargetState>,
+    pub(crate) states: SlotMap<TargetKey, TargetState>,
     by_id: HashMap<TargetName, TargetKey>,
     by_service: HashMap<ServiceName, Vec<TargetKey>>,
     by_address: HashMap<SocketAddr, TargetKey>,
@@ -32,7 +32,7 @@
         Targets {
             policy,
             own_hall,
-            arena: SlotMap::with_key(),
+            states: SlotMap::with_key(),
             by_id: HashMap::new(),
             by_service: HashMap::new(),
             by_address: HashMap::new(),
@@ -50,13 +50,13 @@
         let (id, service, address) = (target.id.clone(), target.service.clone(), target.address);
         let cold = target.cold_start_remaining;
         if let Some(key) = self.by_id.get(&id).copied() {
-            self.arena[key].target = target;
-            self.arena[key].cold_state.set_remaining(cold, now);
+            self.states[key].target = target;
+            self.states[key].cold_state.set_remaining(cold, now);
             self.by_address.insert(address, key);
             return;
         }
-        let key = self.arena.insert(TargetState::new(target));
-        self.arena[key].cold_state.set_remaining(cold, now);
+        let key = self.states.insert(TargetState::new(target));
+        self.states[key].cold_state.set_remaining(cold, now);
         self.by_address.insert(address, key);
         self.by_id.insert(id, key);
         self.by_service.entry(service).or_default().push(key);
@@ -65,7 +65,7 @@
     /// Removes a target and returns its description.
     pub fn remove(&mut self, id: &TargetName) -> Option<Target> {
         let key = self.by_id.remove(id)?;
-        let state = self.arena.remove(key)?;
+        let state = self.states.remove(key)?;
         if let Some(keys) = self.by_service.get_mut(&state.target.service) {
             keys.retain(|other| *other != key);
         }
@@ -79,23 +79,23 @@
     /// Returns the targets of a service.
     pub fn of_service(&self, service: &ServiceName) -> impl Iterator<Item = &Target> {
         let keys = self.by_service.get(service).map(Vec::as_slice).unwrap_or_default();
-        keys.iter().filter_map(|key| self.arena.get(*key)).map(|state| &state.target)
+        keys.iter().filter_map(|key| self.states.get(*key)).map(|state| &state.target)
     }
 
     /// Returns the service of a target.
     pub fn service_of(&self, id: &TargetName) -> Option<&ServiceName> {
-        self.arena.get(*self.by_id.get(id)?).map(|state| &state.target.service)
+        self.states.get(*self.by_id.get(id)?).map(|state| &state.target.service)
     }
 
     /// Returns a target by its id.
     pub fn get(&self, id: &TargetName) -> Option<&Target> {
-        self.arena.get(*self.by_id.get(id)?).map(|state| &state.target)
+        self.states.get(*self.by_id.get(id)?).map(|state| &state.target)
     }
 
     /// Returns the target that listens at an address.
     pub fn at_address(&self, address: SocketAddr) -> Option<&Target> {
         let key = self.by_address.get(&address)?;
-        self.arena.get(*key).map(|state| &state.target)
+        self.states.get(*key).map(|state| &state.target)
     }
 
     /// Returns the hall of the target that listens at an address.
@@ -112,9 +112,9 @@
         now: Instant,
     ) -> Option<HallName> {
         let keys = self.by_service.get(service)?;
-        let open = |key: &TargetKey| self.is_open(&self.arena[*key], now);
+        let open = |key: &TargetKey| self.is_open(&self.states[*key], now);
         let candidates: Vec<TargetKey> = keys.iter().copied().filter(open).collect();
-        Some(self.arena[self.home(&candidates, size)?].target.hall.clone())
+        Some(self.states[self.home(&candidates, size)?].target.hall.clone())
     }
 
     /// Sets the state of the halls.
@@ -130,7 +130,7 @@
         cold_time: impl Fn(&ServiceName) -> Option<Duration>,
         now: Instant,
     ) {
-        for state in self.arena.values_mut().filter(|state| state.target.hall == *hall) {
+        for state in self.states.values_mut().filter(|state| state.target.hall == *hall) {
             if let Some(time) = cold_time(&state.target.service) {
                 state.cold_state.assume_cold(time, now);
             }
@@ -148,7 +148,7 @@
         let by_service = &self.by_service;
         let share =
             |target: &Target| share(target, by_service.get(&target.service).map_or(0, Vec::len));
-        let cold = self.arena.values_mut().filter(|state| state.cold_state.is_cold(now));
+        let cold = self.states.values_mut().filter(|state| state.cold_state.is_cold(now));
         cold.map(|state| state.cold_state.set_share(share(&state.target))).count()
     }
 
@@ -168,7 +168,7 @@
         let keys = self.by_service.get(service).map(Vec::as_slice).unwrap_or_default();
         keys.iter()
             .copied()
-            .filter(|key| self.arena[*key].target.request_interval.is_some())
+            .filter(|key| self.states[*key].target.request_interval.is_some())
             .collect()
     }
 
@@ -182,7 +182,7 @@
     /// Updates the state that a target announced in its answers: departure, backoff and rate limit.
     /// Returns false if the target is unknown.
     pub fn update_announced(&mut self, announced: &Target) -> bool {
-        let state = self.by_id.get(&announced.id).and_then(|key| self.arena.get_mut(*key));
+        let state = self.by_id.get(&announced.id).and_then(|key| self.states.get_mut(*key));
         let Some(TargetState { target, .. }) = state else { return false };
         target.leaving |= announced.leaving;
         target.backoff_until = announced.backoff_until.max(target.backoff_until);
@@ -194,7 +194,7 @@
     /// Returns the addresses of at most `max_count` targets of a hall, starting at another one with
     /// each call.
     pub fn sample_of_hall(&mut self, hall: &HallName, max_count: usize) -> Vec<SocketAddr> {
-        let of_hall = self.arena.values().filter(|state| state.target.hall == *hall);
+        let of_hall = self.states.values().filter(|state| state.target.hall == *hall);
         let all: Vec<SocketAddr> = of_hall.map(|state| state.target.address).collect();
         self.turn = self.turn.wrapping_add(1);
         let first = self.turn % all.len().max(1);
@@ -203,18 +203,18 @@
 
     /// Returns the targets of a hall.
     pub fn of_hall(&self, hall: &HallName) -> impl Iterator<Item = &Target> {
-        let targets = self.arena.values().map(|state| &state.target);
+        let targets = self.states.values().map(|state| &state.target);
         targets.filter(move |target| target.hall == *hall)
     }
 
     /// Returns the number of targets.
     pub fn len(&self) -> usize {
-        self.arena.len()
+        self.states.len()
     }
 
     /// Whether no target is known.
     pub fn is_empty(&self) -> bool {
-        self.arena.is_empty()
+        self.states.is_empty()
     }
 
     /// Selects a target and counts the call there. The caller must report the end of the call with
@@ -223,8 +223,8 @@
         let keys = self.by_service.get(request.service)?;
         let untried = keys.iter().copied().filter(|key| !request.exclude.contains(key));
         let allowed: Vec<TargetKey> =
-            untried.filter(|key| self.is_allowed(&self.arena[*key], now)).collect();
-        let open = |key: &TargetKey| self.is_open(&self.arena[*key], now);
+            untried.filter(|key| self.is_allowed(&self.states[*key], now)).collect();
+        let open = |key: &TargetKey| self.is_open(&self.states[*key], now);
         let mut candidates: Vec<TargetKey> = allowed.iter().copied().filter(open).collect();
         if candidates.is_empty() {
             candidates = allowed;
@@ -233,13 +233,13 @@
             Policy::Adaptive => self.cheapest(&candidates, request, now),
             Policy::RoundRobin => candidates.get(self.turn % candidates.len().max(1)).copied(),
             Policy::FirstInOrder => {
-                candidates.iter().copied().min_by_key(|key| self.arena[*key].target.id.clone())
+                candidates.iter().copied().min_by_key(|key| self.states[*key].target.id.clone())
             }
         }?;
         self.turn = self.turn.wrapping_add(1);
         let home = self.prompt_home(&candidates, request);
         let cost = self.cost(chosen, home, request, now);
-        let state = &mut self.arena[chosen];
+        let state = &mut self.states[chosen];
         let unread = request.size.map_or(0, |size| state.uncached_tokens(size));
         state.calls += 1;
         state.cold_state.record_request(now);
@@ -259,28 +259,28 @@
 
     /// Records that the target has processed the prompt of a call.
     pub fn record_prompt_read(&mut self, key: TargetKey, unread: u64) {
-        if let Some(state) = self.arena.get_mut(key) {
+        if let Some(state) = self.states.get_mut(key) {
             state.unread = state.unread.saturating_sub(unread);
         }
     }
 
     /// Records the end of a call.
     pub fn record_outcome(&mut self, key: TargetKey, outcome: TargetOutcome, now: Instant) {
-        if let Some(state) = self.arena.get_mut(key) {
+        if let Some(state) = self.states.get_mut(key) {
             state.record_outcome(outcome, now);
         }
     }
 
     /// Records that a call was given up because the target did not answer.
     pub fn record_timeout(&mut self, key: TargetKey, now: Instant) {
-        if let Some(state) = self.arena.get_mut(key) {
+        if let Some(state) = self.states.get_mut(key) {
             state.record_timeout(now);
         }
     }
 
     /// Records a load report of a target.
     pub fn record_target_load(&mut self, key: TargetKey, running: u32, waiting: u32, now: Instant) {
-        if let Some(state) = self.arena.get_mut(key) {
+        if let Some(state) = self.states.get_mut(key) {
             state.record_target_load(running, waiting, now);
         }
     }
@@ -289,7 +289,7 @@
     /// prompt tokens.
     pub fn record_peer_load(&mut self, peer: u64, loads: &[(TargetName, u32, u64)], now: Instant) {
         for (id, calls, unread) in loads {
-            if let Some(state) = self.by_id.get(id).and_then(|key| self.arena.get_mut(*key)) {
+            if let Some(state) = self.by_id.get(id).and_then(|key| self.states.get_mut(*key)) {
                 state.record_peer_load(peer, *calls, *unread, now);
             }
         }
@@ -297,7 +297,7 @@
 
     /// Returns this VM's calls in progress: by target, their number and unprocessed prompt tokens.
     pub fn own_load(&self) -> impl Iterator<Item = (&TargetName, u32, u64)> {
-        let busy = self.arena.values().filter(|state| state.calls > 0);
+        let busy = self.states.values().filter(|state| state.calls > 0);
         busy.map(|state| (&state.target.id, state.calls, state.unread))
     }
 
