--- a/gateway/src/held_results.rs
+++ b/gateway/src/held_results.rs
@@ -1,7 +1,7 @@
 //! Keeps track of the results that requests of this VM hold. The origin of a result is the VM that
 //! had it computed, as owner of a part of the pool. A result is held until it is released here or
-//! reclaimed by its origin; a released result of a peer is kept until the peer has confirmed that it
-//! knows of the release.
+//! reclaimed by its origin; a released result of a peer is kept until the peer has confirmed that
+//! it knows of the release.
 
 use std::cell::RefCell;
 use std::collections::{BTreeSet, HashMap};
--- a/gateway/src/state_handle.rs
+++ b/gateway/src/state_handle.rs
@@ -1,5 +1,5 @@
-//! [`StateHandle`], the handle through which tasks access the actor that holds the shared state, and
-//! the clock that all of them use.
+//! [`StateHandle`], the handle through which tasks access the actor that holds the shared state,
+//! and the clock that all of them use.
 
 use std::cell::RefCell;
 use std::time::{Duration, Instant};
