--- a/components/batching/src/filling.rs
+++ b/components/batching/src/filling.rs
@@ -116,8 +116,7 @@
         if self.order == PieceOrder::Arrival {
             return;
         }
-        let earliest_end =
-            now + self.spec.call_time + self.spec.piece_time.mul_f64(self.mean_pieces);
+        let earliest_end = now + self.spec.call + self.spec.piece.mul_f64(self.mean_pieces);
         let jobs = &self.jobs;
         self.waiting.sort_by_cached_key(|waiting| {
             let submission = jobs.get(waiting.job).map(|job| &job.submission);
@@ -206,8 +205,8 @@
         {
             return None;
         }
-        let max_wait = self.spec.call_time.mul_f64(PREFERRED_HALL_WAIT_FRACTION);
-        let latest = job.submission.due.checked_sub(self.spec.call_time * 2)?;
+        let max_wait = self.spec.call.mul_f64(PREFERRED_HALL_WAIT_FRACTION);
+        let latest = job.submission.due.checked_sub(self.spec.call * 2)?;
         let until = (job.submitted + max_wait).min(latest);
         (until > now).then_some(until)
     }
@@ -223,8 +222,7 @@
         };
         let reserved_bytes = pieces.iter().map(bytes_of).sum();
         let count = u32::try_from(pieces.len()).unwrap_or(u32::MAX);
-        let expected_duration =
-            (self.spec.call_time + self.spec.piece_time * count).max(MIN_DURATION);
+        let expected_duration = (self.spec.call + self.spec.piece * count).max(MIN_DURATION);
         self.mean_pieces += PIECES_WEIGHT * (f64::from(count) - self.mean_pieces);
         self.update_backlogged_pieces(count);
         let fetch_time = self.fetch_time(&pieces);
--- a/components/batching/src/forecast.rs
+++ b/components/batching/src/forecast.rs
@@ -23,8 +23,7 @@
         let by_room = by_room.map_or(usize::MAX, |count| usize::try_from(count).unwrap_or(1));
         let full = self.spec.batch.min(by_room).max(1) as f64;
         let full = self.backlogged_pieces.map_or(full, |pieces| full.min(pieces)).max(1.0);
-        let call_secs =
-            self.spec.call_time.as_secs_f64() + full * self.spec.piece_time.as_secs_f64();
+        let call_secs = self.spec.call.as_secs_f64() + full * self.spec.piece.as_secs_f64();
         let calls_per_s =
             f64::from(self.spec.at_once.max(1)) / call_secs.max(MIN_DURATION.as_secs_f64());
         let schedulable = self.workers.values().filter(|worker| self.is_schedulable(worker, now));
@@ -44,8 +43,8 @@
     pub fn expected_turnaround(&self) -> Duration {
         let busy = self.workers.values().filter(|worker| worker.active_calls > 0).count() as f64;
         let busy_fraction = busy / self.workers.len().max(1) as f64;
-        let next_free = self.spec.call_time.mul_f64(busy_fraction.powi(WAIT_EXPONENT) / 2.0);
-        next_free + self.spec.call_time + self.spec.piece_time.mul_f64(self.mean_pieces)
+        let next_free = self.spec.call.mul_f64(busy_fraction.powi(WAIT_EXPONENT) / 2.0);
+        next_free + self.spec.call + self.spec.piece.mul_f64(self.mean_pieces)
     }
 
     /// Returns counts of the waiting pieces that can still be in time, by urgency and slack.
@@ -53,7 +52,7 @@
         let mut queue = QueueCounts::default();
         let submission = |waiting: &PendingPiece| Some(&self.jobs.get(waiting.job)?.submission);
         for submission in self.waiting.iter().filter_map(submission) {
-            if submission.due > now + self.spec.call_time {
+            if submission.due > now + self.spec.call {
                 let slack = effective_due_of(submission).saturating_duration_since(now);
                 queue.add(submission.urgency, slack);
             }
--- a/components/fleet/src/split.rs
+++ b/components/fleet/src/split.rs
@@ -80,6 +80,6 @@
 /// Pieces per second that a worker makes if all its calls are full.
 fn worker_rate(spec: &PoolSpec) -> f64 {
     let batch = spec.batch.max(1) as f64;
-    let call = spec.call_time.as_secs_f64() + batch * spec.piece_time.as_secs_f64();
+    let call = spec.call.as_secs_f64() + batch * spec.piece.as_secs_f64();
     if call > 0.0 { batch * f64::from(spec.at_once.max(1)) / call } else { 0.0 }
 }
--- a/components/intent/src/service.rs
+++ b/components/intent/src/service.rs
@@ -15,9 +15,9 @@
     /// Maximum number of pieces in a call.
     pub batch: usize,
     /// Approximate fixed time of a call, to which its pieces add.
-    pub call_time: Duration,
+    pub call: Duration,
     /// Approximate time that each piece adds to a call.
-    pub piece_time: Duration,
+    pub piece: Duration,
     /// Room of a target, that is its memory for results, in bytes.
     pub room_bytes: u64,
     /// Time for which a result is kept after its call.
--- a/gateway/src/admission.rs
+++ b/gateway/src/admission.rs
@@ -222,10 +222,7 @@
 ) -> Duration {
     let pool = &req.entry.stages[index].pool;
     let Some(forecast) = forecast(shared, pool, now) else {
-        return req
-            .intent
-            .pool(pool)
-            .map_or(Duration::ZERO, |pool| pool.call_time + pool.piece_time);
+        return req.intent.pool(pool).map_or(Duration::ZERO, |pool| pool.call + pool.piece);
     };
     let due = stage_due(shared, req, index);
     let mut ahead =
--- a/gateway/src/owner_selection.rs
+++ b/gateway/src/owner_selection.rs
@@ -84,7 +84,7 @@
         now: Instant,
     ) -> Option<Candidate> {
         let split = self.splits.get(pool).filter(|split| !split.has_one_part())?;
-        let margin = self.intent.as_ref()?.pool(pool)?.call_time;
+        let margin = self.intent.as_ref()?.pool(pool)?.call;
         let baseline = self.load_of(pool, baseline, now)?.drain_time();
         let owners = split.parts().map(|part| self.owner_of_part(pool, split, part, now));
         let loads =
--- a/gateway/src/stages.rs
+++ b/gateway/src/stages.rs
@@ -481,8 +481,7 @@
         stages.filter(|(other, s)| piece_count(*other) > 0 && s.needs.contains(&index));
     let time = |(other, stage): (usize, &intent::EntryStage)| {
         let pool = intent.pool(&stage.pool);
-        let own = pool
-            .map_or(Duration::ZERO, |pool| pool.call_time + pool.piece_time * piece_count(other));
+        let own = pool.map_or(Duration::ZERO, |pool| pool.call + pool.piece * piece_count(other));
         own + min_time_after(intent, entry, pieces, other)
     };
     dependents.map(time).max().unwrap_or(Duration::ZERO)
