--- a/components/target_calls/src/call.rs
+++ b/components/target_calls/src/call.rs
@@ -83,7 +83,7 @@
     /// The answer states that the target did not run the call.
     Declined(String),
     /// The answer named another attempt or none; this one may have run.
-    OtherAttempt(String),
+    Crossed(String),
     /// Something was sent and no complete answer came, so the call may have run.
     MayHaveRun(String),
 }
@@ -230,7 +230,7 @@
 fn check_head(response: &Response<Body>, attempt: &AttemptId) -> Result<(), CallFailure> {
     let answered = header(response, ATTEMPT_HEADER).unwrap_or("none");
     if answered != attempt.as_str() {
-        return Err(CallFailure::OtherAttempt(format!("the answer names attempt {answered}")));
+        return Err(CallFailure::Crossed(format!("the answer names attempt {answered}")));
     }
     match response.status().as_u16() {
         200 => Ok(()),
@@ -254,10 +254,7 @@
     let body: AnswerBody = serde_json::from_slice(&bytes)
         .map_err(|e| may_have_run(format!("the answer can't be read: {e}")))?;
     if body.attempt != attempt.as_str() {
-        return Err(CallFailure::OtherAttempt(format!(
-            "the answer names attempt {}",
-            body.attempt
-        )));
+        return Err(CallFailure::Crossed(format!("the answer names attempt {}", body.attempt)));
     }
     Ok(PlainAnswer { output: body.output.get().as_bytes().to_vec(), cost: body.cost })
 }
--- a/components/target_calls/src/stream.rs
+++ b/components/target_calls/src/stream.rs
@@ -69,7 +69,7 @@
     /// Waits for the next event.
     ///
     /// # Errors
-    /// `OtherAttempt` for another attempt's token. `MayHaveRun` if the stream ends early, can't be
+    /// `Crossed` for another attempt's token. `MayHaveRun` if the stream ends early, can't be
     /// parsed, or has a gap or a repetition.
     pub fn next_event(&mut self) -> Result<StreamEvent, CallFailure> {
         let broken = |problem: String| CallFailure::MayHaveRun(problem);
@@ -86,7 +86,7 @@
             .map_err(|e| broken(format!("a token can't be read: {e}")))?;
         if data.attempt != self.attempt.as_str() {
             let problem = format!("a token names attempt {}", data.attempt);
-            return Err(CallFailure::OtherAttempt(problem));
+            return Err(CallFailure::Crossed(problem));
         }
         if event.id != Some(self.last + 1) {
             return Err(broken(format!("token {:?} came after {}", event.id, self.last)));
--- a/components/target_calls/tests/stream.rs
+++ b/components/target_calls/tests/stream.rs
@@ -59,7 +59,7 @@
     let crossed = token(&ours, 1) + &token(&other, 2) + &end(2);
     let (numbers, ended) = read(crossed.into_bytes(), &ours);
     assert_eq!(numbers, [1]);
-    assert!(matches!(ended, Err(CallFailure::OtherAttempt(_))), "{ended:?}");
+    assert!(matches!(ended, Err(CallFailure::Crossed(_))), "{ended:?}");
 }
 
 proptest! {
--- a/daemon/src/pipeline.rs
+++ b/daemon/src/pipeline.rs
@@ -408,7 +408,7 @@
                 let problem = problem.clone();
                 (CallEnd::Declined, AttemptEnd::Declined { problem }, "declined")
             }
-            Some(CallFailure::OtherAttempt(problem)) => {
+            Some(CallFailure::Crossed(problem)) => {
                 self.shared.metrics.answer_to_other_attempt(granted.grant.name.as_str());
                 let problem = problem.clone();
                 (CallEnd::Failed, AttemptEnd::Failed { problem }, "crossed")
@@ -513,7 +513,7 @@
             CallFailure::NotSent(problem) | CallFailure::Declined(problem) => {
                 AttemptFailure::Retry(format!("stage {} at {name}: {problem}", stage.name))
             }
-            CallFailure::OtherAttempt(problem) | CallFailure::MayHaveRun(problem) => {
+            CallFailure::Crossed(problem) | CallFailure::MayHaveRun(problem) => {
                 self.record_run(stage, granted, None);
                 self.may_have_run = true;
                 let detail = format!("stage {} at {name}: {problem}", stage.name);
