--- a/components/membership/src/advert.rs
+++ b/components/membership/src/advert.rs
@@ -34,7 +34,7 @@
     /// Address of its operations page.
     pub operations: SocketAddr,
     /// The part that changes while its process runs.
-    pub heartbeat: Heartbeat,
+    pub beat: Heartbeat,
 }
 
 /// The part of an advert that changes while a process runs.
--- a/components/membership/src/roster.rs
+++ b/components/membership/src/roster.rs
@@ -55,37 +55,35 @@
     /// Stores an advert if it is newer than the known one. Ignores this VM's own advert, and those
     /// of new VMs of other halls beyond `MAX_REMOTE_VMS`.
     pub fn merge(&mut self, advert: Advert, now: Instant) {
-        if advert.heartbeat.vm == self.own {
+        if advert.beat.vm == self.own {
             return;
         }
-        let known = self.adverts.get(&advert.heartbeat.vm);
+        let known = self.adverts.get(&advert.beat.vm);
         let remote = || self.adverts.values().filter(|e| e.advert.hall != self.hall).count();
         let full = known.is_none() && advert.hall != self.hall && remote() >= MAX_REMOTE_VMS;
-        if !full
-            && known.is_none_or(|old| advert.heartbeat.version() > old.advert.heartbeat.version())
-        {
-            self.adverts.insert(advert.heartbeat.vm, Entry { advert, updated_at: now });
+        if !full && known.is_none_or(|old| advert.beat.version() > old.advert.beat.version()) {
+            self.adverts.insert(advert.beat.vm, Entry { advert, updated_at: now });
         }
     }
 
     /// Applies a heartbeat if it is newer and its VM is known in the same incarnation.
-    pub fn merge_heartbeat(&mut self, heartbeat: Heartbeat, now: Instant) {
-        let Some(entry) = self.adverts.get_mut(&heartbeat.vm) else { return };
-        let same_incarnation = entry.advert.heartbeat.incarnation == heartbeat.incarnation;
-        if same_incarnation && heartbeat.sequence > entry.advert.heartbeat.sequence {
-            entry.advert.heartbeat = heartbeat;
+    pub fn merge_heartbeat(&mut self, beat: Heartbeat, now: Instant) {
+        let Some(entry) = self.adverts.get_mut(&beat.vm) else { return };
+        let same_incarnation = entry.advert.beat.incarnation == beat.incarnation;
+        if same_incarnation && beat.sequence > entry.advert.beat.sequence {
+            entry.advert.beat = beat;
             entry.updated_at = now;
         }
     }
 
     /// Digest of the roster: the version known of each VM.
     pub fn digest(&self) -> Vec<DigestEntry> {
-        let entry_of = |heartbeat: &Heartbeat| DigestEntry {
-            vm: heartbeat.vm,
-            incarnation: heartbeat.incarnation,
-            sequence: heartbeat.sequence,
+        let entry_of = |beat: &Heartbeat| DigestEntry {
+            vm: beat.vm,
+            incarnation: beat.incarnation,
+            sequence: beat.sequence,
         };
-        self.adverts.values().map(|e| entry_of(&e.advert.heartbeat)).collect()
+        self.adverts.values().map(|e| entry_of(&e.advert.beat)).collect()
     }
 
     /// Updates for a peer that sent the digest `known`.
@@ -94,10 +92,10 @@
             known.iter().map(|k| (k.vm, (k.incarnation, k.sequence))).collect();
         let mut delta = Delta::default();
         for advert in self.adverts.values().map(|e| &e.advert) {
-            match known.get(&advert.heartbeat.vm) {
-                Some(version) if *version >= advert.heartbeat.version() => {}
-                Some((incarnation, _)) if *incarnation == advert.heartbeat.incarnation => {
-                    delta.heartbeats.push(advert.heartbeat.clone());
+            match known.get(&advert.beat.vm) {
+                Some(version) if *version >= advert.beat.version() => {}
+                Some((incarnation, _)) if *incarnation == advert.beat.incarnation => {
+                    delta.heartbeats.push(advert.beat.clone());
                 }
                 _ if delta.adverts.len() < MAX_ADVERTS => delta.adverts.push(advert.clone()),
                 _ => {}
@@ -143,7 +141,7 @@
         local: usize,
         remote: usize,
     ) -> Vec<SocketAddr> {
-        self.sample(local, remote, |advert| advert.heartbeat.revision < revision)
+        self.sample(local, remote, |advert| advert.beat.revision < revision)
     }
 
     fn sample(
@@ -164,7 +162,7 @@
     /// Sum of the calls in flight from all fresh VMs, by target.
     pub fn loads(&self, interval: Duration, now: Instant) -> HashMap<NameHash, u32> {
         let mut sums = HashMap::new();
-        for (target, calls) in self.fresh(interval, now).flat_map(|a| a.heartbeat.loads.iter()) {
+        for (target, calls) in self.fresh(interval, now).flat_map(|a| a.beat.loads.iter()) {
             *sums.entry(*target).or_insert(0) += calls;
         }
         sums
@@ -174,7 +172,7 @@
     /// those with the lowest name hashes among the fresh VMs that are not draining.
     pub fn reads_platform(&self, count: usize, interval: Duration, now: Instant) -> bool {
         let fresh = self.fresh(interval, now);
-        let staying = fresh.filter(|a| a.hall == self.hall && !a.heartbeat.draining);
-        staying.filter(|a| a.heartbeat.vm < self.own).count() < count
+        let staying = fresh.filter(|a| a.hall == self.hall && !a.beat.draining);
+        staying.filter(|a| a.beat.vm < self.own).count() < count
     }
 }
--- a/components/membership/tests/roster.rs
+++ b/components/membership/tests/roster.rs
@@ -12,7 +12,7 @@
 
 fn advert(vm: &str, hall: &str, incarnation: u64, sequence: u64) -> Advert {
     let vm = VmName::new(vm).expect("name");
-    let heartbeat = Heartbeat {
+    let beat = Heartbeat {
         vm: NameHash::of_vm(&vm),
         incarnation: Incarnation(incarnation),
         sequence,
@@ -23,7 +23,7 @@
     };
     let address = "127.0.0.1:1".parse().expect("an address");
     let hall = HallName::new(hall).expect("name");
-    Advert { vm, hall, peers: address, operations: address, heartbeat }
+    Advert { vm, hall, peers: address, operations: address, beat }
 }
 
 fn roster() -> Roster {
@@ -43,15 +43,12 @@
 
     roster.merge(advert("vm-1", "hall-a", 1, 9), now);
     roster.merge(advert("vm-1", "hall-a", 2, 4), now);
-    roster.merge_heartbeat(
-        Heartbeat { sequence: 3, ..advert("vm-1", "hall-a", 2, 0).heartbeat },
-        now,
-    );
-    roster.merge_heartbeat(advert("vm-1", "hall-a", 3, 1).heartbeat, now);
+    roster.merge_heartbeat(Heartbeat { sequence: 3, ..advert("vm-1", "hall-a", 2, 0).beat }, now);
+    roster.merge_heartbeat(advert("vm-1", "hall-a", 3, 1).beat, now);
     let known = roster.digest();
     assert_eq!((known[0].incarnation, known[0].sequence), (Incarnation(2), 5));
 
-    roster.merge_heartbeat(advert("vm-1", "hall-a", 2, 6).heartbeat, now);
+    roster.merge_heartbeat(advert("vm-1", "hall-a", 2, 6).beat, now);
     roster.merge(advert("vm-1", "hall-a", 3, 1), now);
     let known = roster.digest();
     assert_eq!((known[0].incarnation, known[0].sequence), (Incarnation(3), 1));
--- a/daemon/src/dump.rs
+++ b/daemon/src/dump.rs
@@ -67,9 +67,9 @@
             vm: advert.vm.clone(),
             hall: advert.hall.clone(),
             operations: advert.operations,
-            incarnation: advert.heartbeat.incarnation,
-            revision: advert.heartbeat.revision,
-            draining: advert.heartbeat.draining,
+            incarnation: advert.beat.incarnation,
+            revision: advert.beat.revision,
+            draining: advert.beat.draining,
             age,
         }
     }
--- a/daemon/src/fleet.rs
+++ b/daemon/src/fleet.rs
@@ -54,7 +54,7 @@
     /// This VM's current advert.
     pub(crate) fn advert(&self) -> Advert {
         let loads = self.router.own_loads();
-        let heartbeat = Heartbeat {
+        let beat = Heartbeat {
             vm: NameHash::of_vm(&self.setup.cfg.vm),
             incarnation: self.setup.incarnation,
             sequence: self.sequence,
@@ -68,7 +68,7 @@
             hall: self.setup.cfg.hall.clone(),
             peers: self.advertised_address(),
             operations: self.setup.cfg.operations,
-            heartbeat,
+            beat,
         }
     }
 
@@ -127,10 +127,7 @@
     /// Merges the adverts and heartbeats that a peer sent.
     pub(crate) fn merge_delta(&mut self, delta: Delta, now: Instant) {
         delta.adverts.into_iter().for_each(|advert| self.roster.merge(advert, now));
-        delta
-            .heartbeats
-            .into_iter()
-            .for_each(|heartbeat| self.roster.merge_heartbeat(heartbeat, now));
+        delta.heartbeats.into_iter().for_each(|beat| self.roster.merge_heartbeat(beat, now));
         self.apply_peer_state(now);
     }
 
@@ -140,11 +137,11 @@
         let interval = self.round_pacer.interval();
         let loads = self.roster.loads(interval, now);
         let vms_with_load =
-            self.roster.fresh(interval, now).filter(|a| !a.heartbeat.loads.is_empty()).count();
+            self.roster.fresh(interval, now).filter(|a| !a.beat.loads.is_empty()).count();
         let calls = |name: &TargetName| loads.get(&NameHash::of_target(name)).copied().unwrap_or(0);
         self.router.set_peer_loads(calls, vms_with_load);
         self.router.set_sharing_vms(self.sharing_vms(now));
-        let reported = self.roster.fresh(interval, now).flat_map(|a| a.heartbeat.leaving.iter());
+        let reported = self.roster.fresh(interval, now).flat_map(|a| a.beat.leaving.iter());
         let leaving = self.leaving.all_leaving(reported);
         self.router.set_leaving(|name| leaving.contains(name));
     }
@@ -155,7 +152,7 @@
         let sharing_vm =
             |vm: &VmName, hall: &HallName| SharingVm { vm: vm.clone(), hall: hall.clone() };
         let not_draining =
-            self.roster.fresh(self.round_pacer.interval(), now).filter(|a| !a.heartbeat.draining);
+            self.roster.fresh(self.round_pacer.interval(), now).filter(|a| !a.beat.draining);
         let own = sharing_vm(&self.setup.cfg.vm, &self.setup.cfg.hall);
         not_draining.map(|a| sharing_vm(&a.vm, &a.hall)).chain([own]).collect()
     }
--- a/daemon/src/peer_links.rs
+++ b/daemon/src/peer_links.rs
@@ -66,7 +66,7 @@
     let mut clients = PeerClients::default();
     while let Ok(round) = links.dispatcher.ask_async(Message::StartRound).await {
         let interval = round.interval;
-        let have = round.own.heartbeat.revision;
+        let have = round.own.beat.revision;
         announce(&links, &mut clients, &round).await;
         let newest = exchange_with_partners(&links, &mut clients, round).await;
         if let Some((revision, peer)) = newest.filter(|(revision, _)| *revision > have) {
@@ -82,10 +82,8 @@
 
 /// Announces a new configuration to some VMs that do not have it yet.
 async fn announce(links: &PeerLinks, clients: &mut PeerClients, round: &Round) {
-    let announcement = Announcement {
-        revision: round.own.heartbeat.revision.0,
-        peers: round.own.peers.to_string(),
-    };
+    let announcement =
+        Announcement { revision: round.own.beat.revision.0, peers: round.own.peers.to_string() };
     let mut calls = JoinSet::new();
     for mut client in round.announce_to.iter().filter_map(|a| clients.client(*a)) {
         let bytes = announcement.encoded_len() as u64 + FRAMING_BYTES;
--- a/daemon/src/peer_messages.rs
+++ b/daemon/src/peer_messages.rs
@@ -9,23 +9,22 @@
 use crate::configuration::{Configuration, Source};
 
 /// Encodes a heartbeat.
-pub(crate) fn heartbeat_to_wire(heartbeat: Heartbeat) -> wire::Beat {
-    let (load_targets, load_calls) =
-        heartbeat.loads.into_iter().map(|(t, calls)| (t.0, calls)).unzip();
+pub(crate) fn beat_to_wire(beat: Heartbeat) -> wire::Beat {
+    let (load_targets, load_calls) = beat.loads.into_iter().map(|(t, calls)| (t.0, calls)).unzip();
     wire::Beat {
-        vm: heartbeat.vm.0,
-        incarnation: heartbeat.incarnation.0,
-        sequence: heartbeat.sequence,
-        revision: heartbeat.revision.0,
-        draining: heartbeat.draining,
+        vm: beat.vm.0,
+        incarnation: beat.incarnation.0,
+        sequence: beat.sequence,
+        revision: beat.revision.0,
+        draining: beat.draining,
         load_targets,
         load_calls,
-        leaving: heartbeat.leaving.into_iter().map(String::from).collect(),
+        leaving: beat.leaving.into_iter().map(String::from).collect(),
     }
 }
 
 /// Decodes a heartbeat; names of leaving targets that are not valid are dropped.
-pub(crate) fn heartbeat_from_wire(beat: wire::Beat) -> Heartbeat {
+pub(crate) fn beat_from_wire(beat: wire::Beat) -> Heartbeat {
     let targets = beat.load_targets.into_iter().map(NameHash);
     let leaving = beat.leaving.iter().map(|name| TargetName::new(name));
     Heartbeat {
@@ -46,7 +45,7 @@
         hall: advert.hall.into(),
         peers: advert.peers.to_string(),
         operations: advert.operations.to_string(),
-        beat: Some(heartbeat_to_wire(advert.heartbeat)),
+        beat: Some(beat_to_wire(advert.beat)),
     }
 }
 
@@ -57,7 +56,7 @@
         hall: HallName::new(&advert.hall).ok()?,
         peers: advert.peers.parse().ok()?,
         operations: advert.operations.parse().ok()?,
-        heartbeat: heartbeat_from_wire(advert.beat?),
+        beat: beat_from_wire(advert.beat?),
     })
 }
 
@@ -89,7 +88,7 @@
     wire::News {
         own: Some(advert_to_wire(own)),
         others: delta.adverts.into_iter().map(advert_to_wire).collect(),
-        beats: delta.heartbeats.into_iter().map(heartbeat_to_wire).collect(),
+        beats: delta.heartbeats.into_iter().map(beat_to_wire).collect(),
     }
 }
 
@@ -98,7 +97,7 @@
     let adverts = news.own.into_iter().chain(news.others);
     Delta {
         adverts: adverts.filter_map(advert_from_wire).collect(),
-        heartbeats: news.beats.into_iter().map(heartbeat_from_wire).collect(),
+        heartbeats: news.beats.into_iter().map(beat_from_wire).collect(),
     }
 }
 
