--- a/gateway/src/active_requests.rs
+++ b/gateway/src/active_requests.rs
@@ -9,7 +9,7 @@
 use crate::app::App;
 
 new_key_type! {
-    /// A request that is being served.
+    /// Key of a request that is being served.
     pub(crate) struct ActiveRequestKey;
 }
 
@@ -48,8 +48,8 @@
     pub(crate) may_have_run: bool,
     /// Whether the head of the answer was sent to the caller.
     pub(crate) head_sent: bool,
-    /// Time that few requests to the same entry exceed, from being sent to a target to the end of
-    /// the answer; `None` until one has been answered.
+    /// Upper bound, exceeded by few requests to the same entry, on the time from being sent to a
+    /// target to the end of the answer; `None` until one has been answered.
     pub(crate) response_time: Option<Duration>,
 }
 
--- a/gateway/src/admission.rs
+++ b/gateway/src/admission.rs
@@ -74,7 +74,7 @@
 
     /// Number of pieces admitted since `since` that are served before pieces of the given urgency
     /// and due time.
-    fn since(&self, since: Instant, urgency: u8, due: Instant) -> f64 {
+    fn pieces_ahead(&self, since: Instant, urgency: u8, due: Instant) -> f64 {
         let new = self.0.iter().rev().take_while(|admitted| admitted.at >= since);
         new.filter(|admitted| admitted.urgency < urgency || admitted.due <= due)
             .map(|admitted| admitted.pieces)
@@ -258,7 +258,7 @@
         .admission
         .recent
         .get(pool)
-        .map_or(0.0, |recent| recent.since(counted_until, req.urgency, due))
+        .map_or(0.0, |recent| recent.pieces_ahead(counted_until, req.urgency, due))
 }
 
 /// The load that a pool's owner reported, if the report is recent enough.
--- a/gateway/src/attempts.rs
+++ b/gateway/src/attempts.rs
@@ -31,7 +31,8 @@
 /// Most rate-limited targets for which one attempt asks a permit, since each may cost a round trip
 /// to another VM. After these only targets without a rate limit are chosen.
 const MAX_PERMIT_REQUESTS: usize = 6;
-/// A request waits for a permit of the last remaining target for its latency goal divided by this.
+/// A request waits for a permit of the last remaining target for at most its latency goal divided
+/// by this.
 const PERMIT_WAIT_DIVISOR: u32 = 4;
 
 /// Why an attempt is abandoned when its target's hall becomes unreachable.
@@ -57,8 +58,9 @@
     pub(crate) pick: Pick,
     /// The lifetime of the target that it was sent to; a crash is attributed to it.
     pub(crate) lifetime: LifetimeId,
-    /// Time since the target announced that it is leaving, when it was chosen. Such targets aren't
-    /// chosen, so a value in the log reveals a code path that ignores announcements.
+    /// Time from the target's announcement that it is leaving to its choice for this attempt.
+    /// Leaving targets should not be chosen, so a value in the log reveals a code path that ignores
+    /// announcements.
     leaving_age: Option<Duration>,
     /// The rate limit of the target, if one was known.
     rate: Option<RateLimit>,
@@ -129,12 +131,11 @@
         }
     }
 
-    /// The application state that the VM's tasks share.
+    /// The context that all tasks share.
     pub(crate) fn app(&self) -> &Rc<App> {
         &self.app
     }
 
-    /// The request.
     pub(crate) fn req(&self) -> &Rc<AcceptedRequest> {
         &self.req
     }
--- a/gateway/src/connections.rs
+++ b/gateway/src/connections.rs
@@ -1,4 +1,4 @@
-//! A pool of HTTP/1 connections to targets. Idle connections are reused; a connection whose call is
+//! HTTP/1 connections to targets. Idle connections are kept for reuse; a connection whose call is
 //! abandoned is closed.
 
 use std::cell::RefCell;
@@ -24,9 +24,10 @@
 use crate::state_handle::now;
 
 /// Longest wait for a new connection. Halls are milliseconds apart. A lost SYN is sent again only
-/// after seconds, long after another target could have been tried.
+/// after a second or more, long after another target could have been tried.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
-/// A peer that has not acknowledged sent bytes after this time is taken as unreachable.
+/// A connection fails if sent bytes are not acknowledged within this time: the other end is then
+/// taken as unreachable.
 const UNACKED_TIMEOUT: Duration = Duration::from_millis(1500);
 /// Time that a connection stays idle before it is reused, so that an unexpected extra answer to the
 /// last request is noticed and closes the connection.
@@ -211,9 +212,9 @@
         Ok(Err(e)) => return Err(e.to_string()),
         Err(_) => return Err(format!("not connected within {CONNECT_TIMEOUT:?}")),
     };
-    let bounded = stream
+    let configured = stream
         .set_nodelay(true)
         .and_then(|()| SockRef::from(&stream).set_tcp_user_timeout(Some(UNACKED_TIMEOUT)));
-    bounded.map_err(|e| e.to_string())?;
+    configured.map_err(|e| e.to_string())?;
     Ok(stream)
 }
--- a/gateway/src/crashes.rs
+++ b/gateway/src/crashes.rs
@@ -134,7 +134,7 @@
 }
 
 /// Refusal of a request that crashed too many targets; `None` if it is not refused. `may_have_run`
-/// says whether this attempt may have run at a target.
+/// says whether the request may have run at a target.
 pub(crate) fn refusal(app: &App, req: &AcceptedRequest, may_have_run: bool) -> Option<Refusal> {
     let left = app.state.with(|shared, now| shared.refused_for(req, now))?;
     app.metrics.request_quarantined(req.service.as_str());
@@ -144,7 +144,7 @@
 }
 
 /// Waits until a request is refused because of a crash that becomes known while it runs, and
-/// returns the refusal. Callers wait for this and for the request's stages or target at once.
+/// returns the refusal. It is awaited together with the request's stages or its target's answer.
 pub(crate) async fn until_refused(app: &App, req: &AcceptedRequest, may_have_run: bool) -> Refusal {
     let mut crash_changes = app.state.with(|shared, _| shared.crashes_changed.subscribe());
     loop {
--- a/gateway/src/held_results.rs
+++ b/gateway/src/held_results.rs
@@ -67,7 +67,7 @@
     pub(crate) handles: Vec<String>,
     /// Whether this VM has to release them, not their origin.
     pub(crate) is_released_here: bool,
-    /// After this a peer that is the origin releases them.
+    /// Time after which the origin, if it is a peer, releases them itself.
     pub(crate) until: Instant,
 }
 
--- a/gateway/src/outbound_links.rs
+++ b/gateway/src/outbound_links.rs
@@ -1,7 +1,8 @@
-//! Links that this VM dialed. Each VM dials the VMs that batch calls for it and some more. The
-//! dialer submits pieces, the accepting side (the owner) batches them into calls, and both sides
-//! send heartbeats, crashes, departures and rate limits. The dialer also requests changes in the
-//! store and permits for calls.
+//! Links that this VM dialed. In a small fleet each VM dials all others; in a large one it dials
+//! the likely owners of pools and token buckets, some VMs of each hall, and the origins of results
+//! that it holds. The dialer submits pieces, the accepting side (the owner) batches them into
+//! calls, and both sides send heartbeats, crashes, departures and rate limits. The dialer also
+//! requests changes in the store and permits for calls.
 
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, HashMap};
@@ -52,7 +53,7 @@
 /// A link that was not needed for this long is closed.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(5);
 /// Most releases of a link that wait for the peer's confirmation; bounds the memory, since a peer
-/// of an older version confirms none.
+/// of an older build confirms none.
 const MAX_UNCONFIRMED: usize = 1024;
 /// Reason for closing a link after [`IDLE_TIMEOUT`].
 const IDLE_REASON: &str = "not needed any more";
--- a/gateway/src/own_calls.rs
+++ b/gateway/src/own_calls.rs
@@ -36,8 +36,8 @@
 /// Sends a call and reads its answer.
 ///
 /// # Errors
-/// Why there is no answer with a success status. There is no timeout here: callers set their own
-/// and return [`OwnCallError::TimedOut`].
+/// Why there is no answer with a success status. There is no timeout here: the calling functions
+/// set their own, for which [`OwnCallError::TimedOut`] is meant.
 pub(crate) async fn own_call(
     app: &Rc<App>,
     target: &Target,
--- a/gateway/src/run.rs
+++ b/gateway/src/run.rs
@@ -128,11 +128,11 @@
 
 impl Signals {
     fn new() -> Result<Self> {
-        let watch = |kind| signal(kind).map_err(|e| Error::io("watching for signals", e));
+        let install = |kind| signal(kind).map_err(|e| Error::io("watching for signals", e));
         Ok(Signals {
-            term: watch(SignalKind::terminate())?,
-            int: watch(SignalKind::interrupt())?,
-            hup: watch(SignalKind::hangup())?,
+            term: install(SignalKind::terminate())?,
+            int: install(SignalKind::interrupt())?,
+            hup: install(SignalKind::hangup())?,
         })
     }
 }
--- a/gateway/src/settings.rs
+++ b/gateway/src/settings.rs
@@ -153,10 +153,10 @@
 }
 
 impl Default for QuarantineRules {
-    /// A request that did not cause a crash may still be running on the target, once at each of its
-    /// tries. Most entries have two tries and a caller sends its request again once, so such a
-    /// request rarely meets three crashes. Ten minutes is the longest lease that the platform
-    /// grants.
+    /// A request that is not the cause may be running on a target when that crashes, at most once
+    /// per attempt. Most entries allow two attempts and a caller sends its request again once, so
+    /// such a request rarely meets three crashes. Ten minutes is the longest lease that the
+    /// platform grants.
     fn default() -> Self {
         QuarantineRules { crashes: 3, lasts_s: 600.0 }
     }
--- a/gateway/src/shared.rs
+++ b/gateway/src/shared.rs
@@ -111,7 +111,8 @@
     pub(crate) quarantine: Quarantine,
     /// Notified when a target crash caused by a request becomes known; peers are notified at once.
     pub(crate) crashes_changed: watch::Sender<()>,
-    /// Targets whose store entries expired around a store outage, and when they count as gone.
+    /// Targets whose store entries lapsed, that is, were removed around an outage of the store or
+    /// overwritten with something invalid, and when they count as gone.
     pub(crate) lapsed: HashMap<TargetName, Instant>,
     /// Leases that peers hold on results which workers produced in this VM's calls.
     pub(crate) leases: Leases,
@@ -220,7 +221,7 @@
                 Change::Put(key, value) if key.starts_with(evacuations_prefix) => {
                     self.apply_evacuation(&key, &value, from, now);
                 }
-                Change::Put(key, value) => self.apply_own_entry(&key, Some(&value), now),
+                Change::Put(key, value) => self.apply_own_prefix_entry(&key, Some(&value), now),
                 Change::Removed(key) if key.starts_with(evacuations_prefix) => {
                     self.end_evacuation(&key, from, now);
                 }
@@ -229,7 +230,7 @@
                         self.target_entry_removed(id, from, now);
                         targets_changed = true;
                     }
-                    None => self.apply_own_entry(&key, None, now),
+                    None => self.apply_own_prefix_entry(&key, None, now),
                 },
             }
         }
@@ -240,7 +241,7 @@
     }
 
     /// Applies a change under this system's own prefix: a VM's entry or a refused request.
-    fn apply_own_entry(&mut self, key: &str, value: Option<&[u8]>, now: Instant) {
+    fn apply_own_prefix_entry(&mut self, key: &str, value: Option<&[u8]>, now: Instant) {
         if value.is_some_and(|value| self.apply_stored_refusal(key, value, now)) {
             return;
         }
@@ -311,12 +312,12 @@
         }
     }
 
-    /// Addresses of the VMs to which this VM should have links: owners of pools and of token
-    /// buckets.
+    /// Addresses of the VMs to which this VM should have links, see [`Fleet::wanted_links`]. A
+    /// service with token buckets counts like a pool that is not split.
     pub(crate) fn wanted_links(&self) -> BTreeSet<SocketAddr> {
         let pools = self.splits.iter().map(|(name, split)| (name.as_str(), split));
-        let (rated, whole) = (self.rate_limited_services(), Split::default());
-        let bucket_services = rated.iter().map(|service| (service.as_str(), &whole));
+        let (rate_limited, whole) = (self.rate_limited_services(), Split::default());
+        let bucket_services = rate_limited.iter().map(|service| (service.as_str(), &whole));
         self.fleet.wanted_links(pools.chain(bucket_services))
     }
 
@@ -370,10 +371,10 @@
             return Vec::new();
         }
         let waiting = self.pools.get(pool).into_iter().flat_map(Pool::waiting_submissions);
-        let lacks = |(_, submission): &(JobKey, &Submission)| {
+        let is_input_unreachable = |(_, submission): &(JobKey, &Submission)| {
             submission.inputs.iter().any(|handle| self.is_result_unreachable(handle))
         };
-        waiting.filter(lacks).map(|(job, _)| job).collect()
+        waiting.filter(is_input_unreachable).map(|(job, _)| job).collect()
     }
 
     /// The hall that stores most of the inputs.
--- a/gateway/src/stages.rs
+++ b/gateway/src/stages.rs
@@ -45,7 +45,7 @@
 /// gone: with 25 ms, one deployment gains 1.0 % of the requests' value on a day of high load, and
 /// another loses 1.3 %.
 const FETCH_OVERHEAD: Duration = Duration::from_millis(60);
-/// A result crosses two links: that of its worker and that of the engine.
+/// Number of network links that a result crosses: that of its worker and that of the engine.
 const FETCH_LINKS: f64 = 2.0;
 
 /// Why the stages gave no results.
@@ -169,8 +169,8 @@
         let time = |index: &usize| {
             let stage = &req.entry.stages[*index];
             let bytes = stage.result_bytes * u64::from(self.runs[*index].pieces);
-            let link = req.intent.pool(&stage.pool)?.link.filter(|link| *link > 0)?;
-            Some(Duration::from_secs_f64(FETCH_LINKS * bytes as f64 / link as f64))
+            let bytes_per_s = req.intent.pool(&stage.pool)?.link.filter(|rate| *rate > 0)?;
+            Some(Duration::from_secs_f64(FETCH_LINKS * bytes as f64 / bytes_per_s as f64))
         };
         FETCH_OVERHEAD + self.last.iter().filter_map(time).sum::<Duration>()
     }
--- a/gateway/src/store_watch.rs
+++ b/gateway/src/store_watch.rs
@@ -26,8 +26,8 @@
 /// Pause after the first failed call; doubles with each further failure in a row.
 const FIRST_RETRY_PAUSE: Duration = Duration::from_millis(80);
 /// Longest pause after a failed call. The platform counts refused calls too, so the pause is not
-/// shorter; the return of the store is still noticed well within the seconds that changes may take
-/// after it.
+/// shorter. The return of the store is still noticed early enough for changes to take effect in
+/// time, within seconds of that return.
 pub(crate) const MAX_RETRY_PAUSE: Duration = Duration::from_millis(500);
 
 /// Exponential backoff between failed calls; holds the next pause.
@@ -244,7 +244,7 @@
 /// Applies the changes in the answer to a watch call.
 fn apply_changes(app: &Rc<App>, page: Page) {
     let own_prefix = app.adapter.intents.own_prefix;
-    let vms = page.items.iter().any(|item| item.key.starts_with(own_prefix));
+    let may_change_vms = page.items.iter().any(|item| item.key.starts_with(own_prefix));
     app.state.with(|shared, now| {
         let items = page.items.into_iter().map(to_view_item).collect();
         shared.merge(items, "store", now);
@@ -252,7 +252,7 @@
         shared.prefers_store = false;
     });
     recheck_pools(app);
-    if vms {
+    if may_change_vms {
         app.vms_changed.notify_one();
     }
 }
--- a/gateway/src/target_announcements.rs
+++ b/gateway/src/target_announcements.rs
@@ -37,8 +37,9 @@
     }
 }
 
-/// Applies what the answer to a call of the system's own announces; such a call carries no request
-/// id.
+/// Applies what the answer to one of the gateway's own calls ([`crate::own_calls`]) announces,
+/// unless another target gave it. Such a call carries no request ID by which its answer could be
+/// checked.
 pub(crate) fn apply_own_call_answer(
     app: &Rc<App>,
     target: &Target,
--- a/gateway/src/whole_answers.rs
+++ b/gateway/src/whole_answers.rs
@@ -34,7 +34,7 @@
             tokio::time::Instant::from_std(now() + req.entry.latency_goal * ATTEMPT_LATENCY_GOALS);
         let may_retry = req.entry.repeatable && req.entry.max_attempts > 1 && retry_at < reply_by;
         let limit = if may_retry { retry_at } else { reply_by };
-        let error = match timeout_at(limit, attempt_once(app, &mut attempts)).await {
+        let error = match timeout_at(limit, try_targets(app, &mut attempts)).await {
             Ok(Ok(Ok(answer))) => return answer,
             Ok(Ok(Err(error))) => error,
             Ok(Err(reason)) => return (refusal(app, reason, Some(&req.id)), outcome_of(reason)),
@@ -70,7 +70,7 @@
 type Served = (Response<AnswerBody>, &'static str);
 
 /// Sends the request to one target, and again after a server error if a retry is allowed.
-async fn attempt_once(
+async fn try_targets(
     app: &Rc<App>,
     attempts: &mut Attempts,
 ) -> Result<Result<Served, AttemptError>, Refusal> {
@@ -101,7 +101,7 @@
         attempts.set_may_have_run();
         let error = AttemptError::Lost(format!("status {}", head.status.as_u16()));
         if attempts.take_retry(&error) {
-            return Box::pin(attempt_once(app, attempts)).await;
+            return Box::pin(try_targets(app, attempts)).await;
         }
     }
     let mut answer = Response::new(whole(body));
--- a/gateway/tests/events.rs
+++ b/gateway/tests/events.rs
@@ -3,6 +3,7 @@
 
 use gateway::events::EventSplitter;
 
+/// Three events with both kinds of line endings, one with an unknown field before its ID.
 const STREAM: &[u8] =
     b"id: 1\ndata: a\n\nweight-versions: 2\nid: 2\ndata: b\n\nid: 3\r\ndata: c\r\n\r\n";
 
--- a/gateway/tests/settings.rs
+++ b/gateway/tests/settings.rs
@@ -27,13 +27,13 @@
 #[test]
 fn max_apply_time_is_the_shorter_of_both_limits_and_empty_cold_margins_get_defaults() {
     let shorter = parse(&format!("{GOOD}in_force_ms: 3000\nevacuation_ms: 1000\n")).unwrap();
-    let open = "evacuation_ms: \ncold:\n  overshoot: \n  slack: \n";
-    let open = parse(&format!("{GOOD}{open}")).unwrap();
+    let empty = "evacuation_ms: \ncold:\n  overshoot: \n  slack: \n";
+    let empty = parse(&format!("{GOOD}{empty}")).unwrap();
     let given = parse(&format!("{GOOD}cold: {{overshoot: 1.5, slack: 5}}\n")).unwrap();
 
     assert_eq!(shorter.max_apply_time().as_millis(), 1000);
-    assert_eq!(open.max_apply_time().as_millis(), 2000);
-    assert_eq!((open.cold.overshoot, open.cold.slack), (1.0, 0.0));
+    assert_eq!(empty.max_apply_time().as_millis(), 2000);
+    assert_eq!((empty.cold.overshoot, empty.cold.slack), (1.0, 0.0));
     assert_eq!((given.cold.overshoot, given.cold.slack), (1.5, 5.0));
 }
 
