--- a/components/batching/src/completion.rs
+++ b/components/batching/src/completion.rs
@@ -15,11 +15,12 @@
 const MIN_ROOM_FRACTION: f64 = 0.6;
 /// Decrease of [`Pool::room_fraction`] when a worker had no room for a result.
 const ROOM_DECREASE: f64 = 0.03;
-/// Errors in the estimated result sizes explain missing room for at most this many results. Room
-/// missing beyond that is attributed to results unknown to this owner.
+/// If a worker reports no room although more than this many further results should have fitted,
+/// results unknown to this owner are assumed to use the room. If fewer should have fitted, the
+/// estimated result sizes are assumed to be wrong.
 const MAX_SIZE_ERROR_RESULTS: u64 = 2;
 /// Increase of [`Pool::room_fraction`] with each call that found room. It is a tenth of the
-/// decrease, so that one call in ten may find no room.
+/// decrease, so that the fraction stays the same while about one call in ten finds no room.
 const ROOM_INCREASE: f64 = 0.003;
 
 impl Pool {
@@ -101,9 +102,9 @@
         finished
     }
 
-    /// Updates the estimates of usable room from the answers of a call. Missing room beyond the
-    /// size of a few results is attributed to results unknown to this owner; less than that, to
-    /// errors in the estimated result sizes.
+    /// Updates the estimates of usable room from the answers of a call. If there was no room for a
+    /// result, either results unknown to this owner use room or the estimated result sizes are
+    /// wrong; [`MAX_SIZE_ERROR_RESULTS`] tells which is assumed.
     fn update_room_estimates(&mut self, call: &ActiveCall, answers: &[PieceAnswer], now: Instant) {
         let count = |is: fn(&PieceAnswer) -> bool| answers.iter().filter(|a| is(a)).count() as u64;
         let no_room = count(|answer| matches!(answer, PieceAnswer::NoRoom));
--- a/components/batching/src/filling.rs
+++ b/components/batching/src/filling.rs
@@ -19,7 +19,7 @@
 /// A call that takes longer than this multiple of the expected time, plus [`TIMEOUT_MARGIN`], is
 /// given up and its pieces are requeued.
 const TIMEOUT_FACTOR: f64 = 2.5;
-/// Time added to the expected time multiplied by [`TIMEOUT_FACTOR`].
+/// Time added to [`TIMEOUT_FACTOR`] times the expected time of a call to get its timeout.
 const TIMEOUT_MARGIN: Duration = Duration::from_millis(250);
 /// After this many failed attempts, a piece shares calls only with pieces of its own request: a
 /// piece that crashes every worker must not use up the attempts of others, nor make them look like
@@ -33,8 +33,8 @@
 /// calls get smaller when results that wait to be used take up room, which lasts for some seconds
 /// and dozens of calls.
 const BACKLOGGED_WEIGHT: f64 = 0.05;
-/// Time, in addition to the transfer, within which a target that starts a call has fetched its
-/// inputs: many times the latency between halls.
+/// Time that a target needs at most, in addition to the transfer, to fetch the inputs of a call:
+/// many times the latency between halls.
 const FETCH_MARGIN: Duration = Duration::from_millis(20);
 /// Network links that an input crosses: that of its worker and that of the target that fetches it.
 const FETCH_LINKS: f64 = 2.0;
--- a/components/batching/src/lib.rs
+++ b/components/batching/src/lib.rs
@@ -3,8 +3,8 @@
 //!
 //! A pool is a service whose targets, its workers, run pieces of stages in batches. A submission
 //! has pieces of one stage of one request; a call sends pieces of several submissions to a worker.
-//! The worker stores the results: they use its room (memory for results) until they are released or
-//! expire.
+//! To make a piece means to run it and store its result. The worker stores the results: they use
+//! its room (memory for results) until they are released or expire.
 //!
 //! One VM, the owner, does this for a pool on behalf of all VMs. Ownership only improves
 //! efficiency: a piece may be made twice, so two owners at the same time duplicate work but break
--- a/components/batching/src/pool.rs
+++ b/components/batching/src/pool.rs
@@ -150,8 +150,8 @@
         workers.filter_map(|worker| self.halls.opens_at(&worker.target, now)).min()
     }
 
-    /// Finishes the waiting pieces for which no worker may be called before their deadline as
-    /// [`PieceOutcome::Failed`], regardless of the attempts left, and returns them.
+    /// Fails the waiting pieces for which no worker may be called before their deadline, regardless
+    /// of the attempts left, and returns them with [`PieceOutcome::Failed`].
     pub fn fail_unservable(&mut self, now: Instant) -> Vec<FinishedPiece> {
         if self.workers.is_empty() {
             return Vec::new();
@@ -276,8 +276,8 @@
         self.release(queued_releases)
     }
 
-    /// Drops the worker of this id if the target is a later process of it, which holds none of the
-    /// earlier results.
+    /// Drops the known worker with the target's id if the target is a later process under that id,
+    /// which holds none of the earlier results.
     fn end_earlier_lifetime(&mut self, target: &Target) {
         let Some(key) = self.by_id.get(&target.id).copied() else { return };
         let known = self.workers.get(key).map(|worker| &worker.target);
--- a/components/batching/src/results.rs
+++ b/components/batching/src/results.rs
@@ -12,7 +12,7 @@
     pub(crate) worker: WorkerKey,
     /// The submission that it belongs to.
     pub(crate) job: JobKey,
-    /// Estimated size.
+    /// Estimated size in bytes.
     pub(crate) bytes: u64,
     expires: Instant,
     /// Whether it may be released when room is scarce.
--- a/components/batching/src/submission.rs
+++ b/components/batching/src/submission.rs
@@ -65,7 +65,7 @@
     pub target: Target,
     /// The pieces: submission and number.
     pub pieces: Vec<(JobKey, u32)>,
-    /// Room used at the target by its results and earlier ones, in bytes, for the log.
+    /// Room used at the target by the results of this call and earlier ones, in bytes, for the log.
     pub room_used: u64,
     /// Longest time that a piece of the call waited, for the log.
     pub waited: Duration,
