--- a/components/eligibility/src/backoffs.rs
+++ b/components/eligibility/src/backoffs.rs
@@ -1,4 +1,4 @@
-//! Targets that declined work of this VM and for how long each asked it to back off.
+//! Targets that declined work of this VM, and until when each asked it to back off.
 
 use std::collections::HashMap;
 use std::time::Instant;
--- a/components/quarantine/src/crash.rs
+++ b/components/quarantine/src/crash.rs
@@ -9,7 +9,7 @@
 pub struct LifetimeHash(pub u64);
 
 /// Identifies one lifetime of a target. VMs tell lifetimes apart by the id and start time that the
-/// target reports, and by the number of its ends that they know.
+/// target reports, and by how many times they know it to have ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct LifetimeId {
     /// Id and start time that the target reported, possibly for an earlier lifetime.
--- a/components/quarantine/src/recent_completions.rs
+++ b/components/quarantine/src/recent_completions.rs
@@ -1,4 +1,4 @@
-//! Requests that recently completed at a target.
+//! Requests that recently completed at a target and so are not suspected of crashing targets.
 
 use std::collections::{HashMap, VecDeque};
 use std::time::{Duration, Instant};
@@ -9,10 +9,10 @@
 const MAX_COMPLETIONS: usize = 2048;
 /// Time for which a completion is remembered. It is longer than the time limits of requests, so
 /// that a request that is sent repeatedly is always present, and short enough that one which starts
-/// to crash targets is not exempt.
+/// to crash targets is not exempt for long.
 const TTL: Duration = Duration::from_secs(30);
 
-/// Requests that recently completed at this VM.
+/// Requests of this VM that recently completed.
 #[derive(Debug, Default)]
 pub(crate) struct RecentCompletions {
     /// When each request last completed.
--- a/components/quarantine/src/table.rs
+++ b/components/quarantine/src/table.rs
@@ -2,9 +2,9 @@
 //! that VMs send to each other.
 //!
 //! A request that crashed enough targets is refused at all VMs. An inference engine runs dozens of
-//! requests at once, and all of them fail when it crashes. The one that caused the crash differs
-//! from the others, the bystanders, by completions: a bystander does not meet several crashes
-//! without completing before, between or after them, and one completion at any VM clears it.
+//! requests at once, and all of them fail when it crashes. Completions distinguish the request that
+//! caused the crash from the others, the bystanders: a bystander that meets several crashes also
+//! completes before, between or after them, and one completion at any VM clears it.
 
 use std::collections::{HashMap, VecDeque};
 use std::time::{Duration, Instant};
@@ -17,7 +17,7 @@
 /// such the oldest. An engine has 64 requests in progress when it crashes, and each of them gets a
 /// record.
 const MAX_RECORDS: usize = 1024;
-/// Most changes that are kept for VMs that link later. All changes of the kept records fit, with
+/// Most changes that are kept for VMs that connect later. All changes of the kept records fit, with
 /// room to spare.
 const MAX_CHANGES: usize = 4096;
 /// A lost connection counts as a crash if the end of its target becomes known within this time. It
--- a/components/quarantine/tests/table.rs
+++ b/components/quarantine/tests/table.rs
@@ -33,8 +33,13 @@
 }
 
 /// Crashes a target during one request.
-fn crash(vm: &mut Quarantine, of: RequestDigest, lifetime_hash: u64, now: Instant) -> Vec<Crash> {
-    vm.connection_lost(of, lifetime(lifetime_hash), now);
+fn crash(
+    vm: &mut Quarantine,
+    request_digest: RequestDigest,
+    lifetime_hash: u64,
+    now: Instant,
+) -> Vec<Crash> {
+    vm.connection_lost(request_digest, lifetime(lifetime_hash), now);
     vm.lifetime_ended(lifetime(lifetime_hash), now)
 }
 
@@ -236,12 +241,12 @@
     }
 
     fn send(&mut self, vm: usize, request: usize, target: usize) {
-        let of = digest(request);
-        if self.vms[vm].refused_for(&of, self.now).is_some() {
+        let request_digest = digest(request);
+        if self.vms[vm].refused_for(&request_digest, self.now).is_some() {
             self.refused_others += usize::from(request != 0);
             return;
         }
-        self.in_progress.push((vm, of, target));
+        self.in_progress.push((vm, request_digest, target));
         if request == 0 {
             // A change travels half round the ring and needs one heartbeat per link.
             let is_known = self.third_crash.is_some_and(|at| self.now > at + PROPAGATION * 3);
@@ -257,8 +262,8 @@
         let (ended, others) = self.in_progress.drain(..).partition(|(_, _, at)| *at == target);
         self.in_progress = others;
         let ended: Vec<(usize, RequestDigest, usize)> = ended;
-        for (vm, of, _) in &ended {
-            self.vms[*vm].connection_lost(*of, lifetime, self.now);
+        for (vm, request_digest, _) in &ended {
+            self.vms[*vm].connection_lost(*request_digest, lifetime, self.now);
         }
         for (vm, _, _) in &ended {
             self.vms[*vm].lifetime_ended(lifetime, self.now);
@@ -275,8 +280,8 @@
         let (done, others) = self.in_progress.drain(..).partition(|(_, _, at)| *at == target);
         self.in_progress = others;
         let done: Vec<(usize, RequestDigest, usize)> = done;
-        for (vm, of, _) in done {
-            self.vms[vm].request_completed(of, self.now);
+        for (vm, request_digest, _) in done {
+            self.vms[vm].request_completed(request_digest, self.now);
         }
     }
 
@@ -311,8 +316,8 @@
         let now = Instant::now();
         let crashes: Vec<Crash> = reports
             .iter()
-            .map(|(of, lifetime_hash, cleared)| Crash {
-                digest: digest(*of),
+            .map(|(number, lifetime_hash, cleared)| Crash {
+                digest: digest(*number),
                 lifetime: lifetime(*lifetime_hash),
                 cleared: *cleared,
             })
