--- a/components/routing/src/lane.rs
+++ b/components/routing/src/lane.rs
@@ -45,7 +45,7 @@
     /// Virtual time: the start tag of the customer served last.
     virtual_time: f64,
     pub(crate) usage: Usage,
-    /// Moving average of the share of refused requests that return at the announced time.
+    /// Moving average of the fraction of refused requests that return at the announced time.
     return_rate: f64,
 }
 
--- a/components/routing/src/lanes_by_revision.rs
+++ b/components/routing/src/lanes_by_revision.rs
@@ -94,7 +94,7 @@
         });
         let configurations = self.by_revision.values();
         let used: HashSet<LaneKey> =
-            configurations.flat_map(|p| p.lanes.values()).copied().collect();
+            configurations.flat_map(|c| c.lanes.values()).copied().collect();
         let mut unused = Vec::new();
         self.lane_of.retain(|_, lane| {
             let keep = used.contains(lane);
--- a/components/routing/src/router.rs
+++ b/components/routing/src/router.rs
@@ -164,18 +164,18 @@
         })
     }
 
-    /// Schedules the return of a refused request, at least `earliest` from now, and returns the
+    /// Schedules the return of a refused request, at least `min_delay` from now, and returns the
     /// time until then.
     fn schedule_return(
         &mut self,
         lane: LaneKey,
         req: &SlotRequest<'_>,
-        earliest: Duration,
+        min_delay: Duration,
         now: Instant,
     ) -> Duration {
         let slots = self.lanes.get(lane).map_or(1.0, |lane| self.slots_of(lane, req.priority, now));
-        let Some(lane) = self.lanes.get_mut(lane) else { return earliest };
-        let time = lane.schedule_return(req.customer, req.priority, now + earliest, slots, now);
+        let Some(lane) = self.lanes.get_mut(lane) else { return min_delay };
+        let time = lane.schedule_return(req.customer, req.priority, now + min_delay, slots, now);
         admission::clamp_retry_after(time.saturating_duration_since(now))
     }
 
@@ -260,9 +260,9 @@
         let wait = self.expected_wait_in(lane, req, now);
         let left = start_by.saturating_duration_since(now);
         if !admission::fits(wait, left) {
-            let earliest = admission::retry_after(wait, left);
+            let min_delay = admission::retry_after(wait, left);
             return Some(SlotRefusal::TooLate {
-                retry_after: self.schedule_return(lane_key, req, earliest, now),
+                retry_after: self.schedule_return(lane_key, req, min_delay, now),
             });
         }
         let max_queued = MAX_QUEUED_PER_SLOT * self.slots_of(lane, req.priority, now);
--- a/components/routing/src/usage.rs
+++ b/components/routing/src/usage.rs
@@ -79,10 +79,10 @@
     /// Slots to keep free for classes more urgent than this one: their mean usage plus a
     /// deviation, less their calls in flight and the slots expected to be released in time.
     pub(crate) fn headroom(&self, class: Priority, now: Instant) -> f64 {
-        let releases = self.releases();
+        let releases_per_s = self.releases_per_s();
         let needed = |usage: &ClassUsage| {
             let mean = usage.mean(now);
-            let in_time = COUNTED_RELEASES * releases * usage.slack.unwrap_or(0.0);
+            let in_time = COUNTED_RELEASES * releases_per_s * usage.slack.unwrap_or(0.0);
             let wanted = mean + HEADROOM_DEVIATIONS * mean.sqrt();
             (wanted - f64::from(usage.in_flight) - in_time).max(0.0)
         };
@@ -90,7 +90,7 @@
     }
 
     /// Expected number of slots released per second.
-    fn releases(&self) -> f64 {
+    fn releases_per_s(&self) -> f64 {
         let releases_of = |usage: &ClassUsage| {
             usage.hold.map_or(0.0, |hold| f64::from(usage.in_flight) / hold.max(1e-3))
         };
