--- a/components/selection/src/cost.rs
+++ b/components/selection/src/cost.rs
@@ -11,9 +11,9 @@
 /// Cost of a call to another hall, as a fraction of a slot in use.
 const OTHER_HALL_COST: f64 = 0.25;
 /// Prompt tokens that cost as much as one request in progress. Such a request slows each step of
-/// the engine by a few hundredths, which over an answer is the time to process so many tokens. With
-/// 40, nearly idle engines process a tenth fewer shared prompt tokens again, but a deployment of
-/// busy ones loses 1.5 % of the requests' value on a day of high load.
+/// the engine by a few percent; over a whole answer this adds up to the time to process this many
+/// tokens. With 40 tokens, nearly idle engines reprocess a tenth fewer shared prompt tokens, but a
+/// deployment of busy engines loses 1.5 % of the requests' value on a day of high load.
 const TOKENS_PER_REQUEST: f64 = 120.0;
 /// Weight of a token that the target still has to process for other calls, relative to one of this
 /// call. It costs waiting time, but no repeated work.
@@ -64,17 +64,18 @@
         let failure_cost = state.failure_rate * FAILURE_COST;
         match request.size {
             None => {
-                let remote = if state.target.hall == self.own_hall { 0.0 } else { OTHER_HALL_COST };
+                let remote_cost =
+                    if state.target.hall == self.own_hall { 0.0 } else { OTHER_HALL_COST };
                 let utilization = (calls + 1.0) / f64::from(state.target.slots);
                 // Nothing waits below one call per slot, so the hall outweighs the load at low
                 // utilization.
-                utilization.max(remote) + remote + state.failure_rate
+                utilization.max(remote_cost) + remote_cost + state.failure_rate
             }
             Some(size) => {
                 let cached_fraction = if home == Some(key) { HOME_CACHED } else { 0.0 };
                 let shared = shared_tokens(size) as f64 * cached_fraction;
                 let unread = (state.uncached_tokens(size) as f64 - shared).max(0.0);
-                let remote: u64 = size
+                let remote_bytes: u64 = size
                     .inputs
                     .iter()
                     .filter(|(hall, _)| *hall != state.target.hall)
@@ -82,7 +83,7 @@
                     .sum();
                 let tokens = unread
                     + state.total_unread(now) as f64 * QUEUED_WEIGHT
-                    + remote as f64 / BYTES_PER_MB * TOKENS_PER_REMOTE_MB;
+                    + remote_bytes as f64 / BYTES_PER_MB * TOKENS_PER_REMOTE_MB;
                 tokens / TOKENS_PER_REQUEST + calls + failure_cost
             }
         }
--- a/components/selection/src/retry_budget.rs
+++ b/components/selection/src/retry_budget.rs
@@ -38,8 +38,8 @@
     pub fn try_take(&mut self, rules: &FleetRetryRules, vms: usize, now: Instant) -> bool {
         remove_expired(&mut self.requests, rules.window, now);
         remove_expired(&mut self.retries, rules.window, now);
-        let shared = rules.slack / vms.max(1) as f64;
-        let allowed = USED_FRACTION * (rules.ratio * self.requests.len() as f64 + shared);
+        let own_slack = rules.slack / vms.max(1) as f64;
+        let allowed = USED_FRACTION * (rules.ratio * self.requests.len() as f64 + own_slack);
         let is_left = (self.retries.len() as f64) + 1.0 <= allowed;
         if is_left {
             self.retries.push_back(now);
