--- a/daemon/src/fleet.rs
+++ b/daemon/src/fleet.rs
@@ -117,8 +117,8 @@
         let has_fresh_remote = fresh.iter().any(|a| a.hall != *own_hall);
         let is_candidate = |vm: &&ListedVm| {
             let is_fresh = fresh.iter().any(|a| a.peers == vm.address);
-            let own = vm.address == self.advertised_address();
-            !own && !is_fresh && (vm.hall == *own_hall || !has_fresh_remote)
+            let is_own = vm.address == self.advertised_address();
+            !is_own && !is_fresh && (vm.hall == *own_hall || !has_fresh_remote)
         };
         let candidates = self.vm_list.iter().filter(|vm| vm.entry).filter(is_candidate);
         candidates.map(|vm| vm.address).choose(&mut rand::rng())
@@ -138,8 +138,9 @@
         let loads = self.roster.loads(interval, now);
         let vms_with_load =
             self.roster.fresh(interval, now).filter(|a| !a.beat.loads.is_empty()).count();
-        let calls = |name: &TargetName| loads.get(&NameHash::of_target(name)).copied().unwrap_or(0);
-        self.router.set_peer_loads(calls, vms_with_load);
+        let peer_calls =
+            |name: &TargetName| loads.get(&NameHash::of_target(name)).copied().unwrap_or(0);
+        self.router.set_peer_loads(peer_calls, vms_with_load);
         self.router.set_sharing_vms(self.sharing_vms(now));
         let reported = self.roster.fresh(interval, now).flat_map(|a| a.beat.leaving.iter());
         let leaving = self.leaving.all_leaving(reported);
--- a/daemon/src/main.rs
+++ b/daemon/src/main.rs
@@ -19,7 +19,7 @@
 /// Exit code for invalid settings.
 const BAD_SETTINGS: u8 = 2;
 /// Exit code for a daemon that could not start or ended with an error.
-const NOT_STARTED: u8 = 1;
+const FAILED: u8 = 1;
 
 fn command() -> Command {
     Command::new("saddleraild")
@@ -81,7 +81,7 @@
         Ok(()) => ExitCode::SUCCESS,
         Err(e) => {
             console::print_error(&e);
-            ExitCode::from(NOT_STARTED)
+            ExitCode::from(FAILED)
         }
     }
 }
--- a/daemon/src/start.rs
+++ b/daemon/src/start.rs
@@ -141,9 +141,9 @@
     };
     let permits = Arc::new(Semaphore::new(cfg.limits.requests));
     let server = Arc::new(CallerServer { pipeline, permits: Arc::clone(&permits), abort });
-    let bounds =
+    let connection_limits =
         ConnectionLimits { connections: cfg.limits.connections, head_wait: cfg.limits.head_wait() };
-    runtime.spawn(http_server::serve(callers_listener, bounds, stop, move |req| {
+    runtime.spawn(http_server::serve(callers_listener, connection_limits, stop, move |req| {
         callers::handle(Arc::clone(&server), req)
     }));
     Ok(ShutdownHandles { dispatcher, permits })
--- a/daemon/tests/pages.rs
+++ b/daemon/tests/pages.rs
@@ -50,10 +50,10 @@
 
 #[test]
 fn signals_page_lists_exactly_the_metrics() {
-    let named = first_cells(&page("signals.md"));
+    let listed = first_cells(&page("signals.md"));
     let metrics: BTreeSet<String> = metric_names::ALL.iter().map(|&m| m.to_owned()).collect();
     let on_page: BTreeSet<String> =
-        named.into_iter().filter(|n| n.starts_with("saddlerail_")).collect();
+        listed.into_iter().filter(|n| n.starts_with("saddlerail_")).collect();
     assert_eq!(on_page, metrics);
 }
 
