--- a/load/src/choice.rs
+++ b/load/src/choice.rs
@@ -8,7 +8,7 @@
 use selection::{CallSize, Policy, SelectionRequest, TargetOutcome, Targets, prefix_chain};
 
 /// Number of selections timed together.
-const CHOICES: u64 = 2000;
+const SELECTIONS: u64 = 2000;
 /// Numbers of engines to select from: up to the largest deployment in use, and twice the
 /// expected size.
 const ENGINE_COUNTS: [u16; 3] = [24, 240, 740];
@@ -18,14 +18,14 @@
 /// candidate took 1,151 us.
 pub(crate) fn measure() -> errors::Result<()> {
     for engines in ENGINE_COUNTS {
-        let took = mean_choice_time(engines)?;
+        let took = mean_selection_time(engines)?;
         println!("{engines} engines: {:.1} us a choice", took.as_secs_f64() * 1e6);
     }
     Ok(())
 }
 
 /// Mean time of a selection among `engines` engines.
-fn mean_choice_time(engines: u16) -> errors::Result<Duration> {
+fn mean_selection_time(engines: u16) -> errors::Result<Duration> {
     let service = ServiceName::new("engines")?;
     let hall = HallName::new("hall-a")?;
     let mut targets = Targets::new(Policy::Adaptive, hall.clone());
@@ -46,14 +46,14 @@
         targets.upsert(target, Instant::now());
     }
     let began = Instant::now();
-    for number in 0..CHOICES {
+    for number in 0..SELECTIONS {
         let size = call_size(number);
         let request = SelectionRequest { service: &service, exclude: &[], size: Some(&size) };
         if let Some(pick) = targets.pick(&request, began) {
             targets.record_outcome(pick.key, TargetOutcome::Answered, began);
         }
     }
-    Ok(began.elapsed() / u32::try_from(CHOICES).unwrap_or(u32::MAX))
+    Ok(began.elapsed() / u32::try_from(SELECTIONS).unwrap_or(u32::MAX))
 }
 
 /// Size of a call whose prompt has three parts; the first two are shared with other calls.
--- a/load/src/fleet.rs
+++ b/load/src/fleet.rs
@@ -40,8 +40,8 @@
         .map(|(name, share)| format!("customer: {{name: {name}, share: {share}}}"))
         .collect();
     for (pool, slots) in layout.pools.iter().zip(layout.slots) {
-        let start = format!("{}-", pool.name);
-        let pool_targets = fleet.targets.iter().filter(|(name, _)| name.starts_with(&start));
+        let prefix = format!("{}-", pool.name);
+        let pool_targets = fleet.targets.iter().filter(|(name, _)| name.starts_with(&prefix));
         for (index, (name, address)) in pool_targets.enumerate() {
             let hall = layout.halls[index % layout.halls.len()];
             documents.push(format!(
--- a/load/src/overhead.rs
+++ b/load/src/overhead.rs
@@ -13,7 +13,7 @@
 
 use crate::client::{Connections, Post, connections, post};
 use crate::fleet::{Layout, start};
-use crate::process::{cpu_time, memory_mb};
+use crate::process::{cpu_time, memory_mib};
 
 /// Calls timed directly, and as many through the VM.
 const CALLS: usize = 3000;
@@ -93,7 +93,7 @@
     let fleet = single_vm_fleet();
     let runtime = Runtime::new().unwrap_or_else(|e| panic!("cannot start the Tokio runtime: {e}"));
     let (vm, pid) = (fleet.vms[0].callers, fleet.pid(0));
-    println!("memory at rest: {:.1} MB", memory_mb(pid));
+    println!("memory at rest: {:.1} MB", memory_mib(pid));
 
     let connections = Arc::new(connections());
     let target = fleet.target("plain-1");
@@ -123,7 +123,7 @@
             "{loops} closed loops over four stages: {rate:.0} requests/s, {used:.2} cores, \
              {:.0} us of CPU time per request, {:.1} MB",
             1e6 * used / rate.max(1.0),
-            memory_mb(pid)
+            memory_mib(pid)
         );
     }
 
@@ -142,7 +142,7 @@
             "  added at 0.95: {} us; {:.1} us of CPU time per token; memory {:.1} MB",
             vm_times.value_at_quantile(0.95).saturating_sub(direct_times.value_at_quantile(0.95)),
             1e6 * used / tokens.max(1) as f64,
-            memory_mb(pid)
+            memory_mib(pid)
         );
     }
 }
--- a/load/src/process.rs
+++ b/load/src/process.rs
@@ -17,7 +17,7 @@
 }
 
 /// Resident memory of a process in MiB; 0 if it has ended.
-pub(crate) fn memory_mb(pid: u32) -> f64 {
+pub(crate) fn memory_mib(pid: u32) -> f64 {
     let status = fs::read_to_string(format!("/proc/{pid}/status")).unwrap_or_default();
     let line = status.lines().find_map(|l| l.strip_prefix("VmRSS:")).unwrap_or_default();
     let kib: f64 = line.split_whitespace().next().and_then(|v| v.parse().ok()).unwrap_or(0.0);
--- a/load/src/prove.rs
+++ b/load/src/prove.rs
@@ -20,6 +20,7 @@
 const VMS: usize = 4;
 /// Threads that send requests, each one request after the other.
 const CALLERS: u64 = 8;
+/// Number of stand-in targets.
 const PLAIN_TARGETS: u16 = 6;
 
 const SERVICES: &str = "\
@@ -83,7 +84,7 @@
         vms: VMS,
         policy: "adaptive",
     }));
-    let callers: Vec<SocketAddr> = lock(&fleet).vms.iter().map(|vm| vm.callers).collect();
+    let caller_addresses: Vec<SocketAddr> = lock(&fleet).vms.iter().map(|vm| vm.callers).collect();
     let operations_addresses: Vec<SocketAddr> =
         lock(&fleet).vms.iter().map(|vm| vm.operations).collect();
     let finished = AtomicBool::new(false);
@@ -91,9 +92,10 @@
     let (sent, reverted) = thread::scope(|scope| {
         let senders: Vec<_> = (0..CALLERS)
             .map(|caller| {
-                let (callers, finished, next_number) = (&callers, &finished, &next_number);
+                let (caller_addresses, finished, next_number) =
+                    (&caller_addresses, &finished, &next_number);
                 scope.spawn(move || {
-                    send_requests(callers, finished, next_number, seed ^ (caller + 1))
+                    send_requests(caller_addresses, finished, next_number, seed ^ (caller + 1))
                 })
             })
             .collect();
@@ -131,7 +133,7 @@
 /// Sends requests to random services until the run is finished. Some that may run at most once are
 /// sent to two VMs at the same time under one id.
 fn send_requests(
-    callers: &[SocketAddr],
+    caller_addresses: &[SocketAddr],
     finished: &AtomicBool,
     next_number: &AtomicU64,
     seed: u64,
@@ -150,7 +152,7 @@
             request.once(&id)
         };
         let times = if !repeatable && rng.random_bool(0.3) { 2 } else { 1 };
-        let vms: Vec<SocketAddr> = callers.sample(&mut rng, times).copied().collect();
+        let vms: Vec<SocketAddr> = caller_addresses.sample(&mut rng, times).copied().collect();
         let replies = thread::scope(|scope| {
             let request = &request;
             let sends: Vec<_> =
--- a/load/src/rates.rs
+++ b/load/src/rates.rs
@@ -47,16 +47,16 @@
     /// Refill rate in tokens per second.
     per_s: f64,
     tokens: f64,
-    /// Time of the last refill.
-    at: Duration,
+    /// Time of the last refill, counted from the start of the simulation.
+    refilled_at: Duration,
 }
 
 impl RateShare {
     /// Takes a token if there is one.
     fn try_take(&mut self, at: Duration) -> bool {
-        let time = (at - self.at).as_secs_f64();
+        let time = (at - self.refilled_at).as_secs_f64();
         self.tokens = (self.tokens + self.per_s * time).min(1.0);
-        self.at = at;
+        self.refilled_at = at;
         let granted = self.tokens >= 1.0;
         self.tokens -= f64::from(u8::from(granted));
         granted
@@ -102,7 +102,8 @@
         SharingScheme::Few => (per_s.round() as usize).clamp(1, vms),
         SharingScheme::Even | SharingScheme::Account => vms,
     };
-    let share = |_| RateShare { per_s: per_s / senders as f64, tokens: 0.0, at: Duration::ZERO };
+    let share =
+        |_| RateShare { per_s: per_s / senders as f64, tokens: 0.0, refilled_at: Duration::ZERO };
     let mut shares: Vec<RateShare> = (0..senders).map(share).collect();
     let (mut buckets, start) = (TokenBuckets::default(), Instant::now());
     let lifetime = Lifetime { target: TargetName::new("target")?, born: None };
--- a/load/src/report.rs
+++ b/load/src/report.rs
@@ -109,11 +109,11 @@
     completed: &[CompletedRequest],
     fleet: &Fleet,
 ) -> Report {
-    let of = |index: usize| -> Vec<&CompletedRequest> {
+    let of_kind = |index: usize| -> Vec<&CompletedRequest> {
         completed.iter().filter(|e| e.kind == index).collect()
     };
     let rows: Vec<KindRow> =
-        kinds.iter().enumerate().map(|(index, kind)| row(kind, &of(index))).collect();
+        kinds.iter().enumerate().map(|(index, kind)| row(kind, &of_kind(index))).collect();
     let records = fleet.records();
     let mut cost_by_stage: BTreeMap<String, u64> = BTreeMap::new();
     for (_, call) in &records {
@@ -127,7 +127,7 @@
     };
     let in_time_cost: u64 = completed.iter().filter(in_time).map(|e| e.cost).sum();
     let whole_retries = completed.iter().filter_map(|e| e.retry).filter(|retry| retry.whole);
-    let used = in_time_cost + whole_retries.map(|retry| retry.cost).sum::<u64>();
+    let useful_cost = in_time_cost + whole_retries.map(|retry| retry.cost).sum::<u64>();
     let whole: usize = rows.iter().map(|r| r.whole).sum();
     let later: usize = rows.iter().map(|r| r.later).sum();
     let mut calls_by_stage_run: BTreeMap<String, usize> = BTreeMap::new();
@@ -166,7 +166,7 @@
         attainment: whole as f64 / completed.len().max(1) as f64,
         cost,
         cost_by_stage,
-        cost_wasted_percent: 100.0 * (cost.saturating_sub(used)) as f64 / cost.max(1) as f64,
+        cost_wasted_percent: 100.0 * (cost.saturating_sub(useful_cost)) as f64 / cost.max(1) as f64,
         cost_per_whole: cost as f64 / (whole + later).max(1) as f64,
         tries_per_stage: records.len() as f64 / calls_by_stage_run.len().max(1) as f64,
         prefix_hits_percent: percent(hits.iter().filter(|hit| **hit).count(), hits.len()),
--- a/load/src/run.rs
+++ b/load/src/run.rs
@@ -24,7 +24,7 @@
     pub(crate) reason: Option<Reason>,
     /// Cost of the answered stages, in the targets' own units.
     pub(crate) cost: u64,
-    /// Result of the retry, if the request was refused with a time at which to retry.
+    /// Result of the retry, if the refusal named a time at which to retry.
     pub(crate) retry: Option<Retry>,
 }
 
@@ -82,7 +82,7 @@
     Post { to, path: format!("/v1/services/{}", kind.service), headers, body }
 }
 
-/// Sends a request, and once more if it is refused with a time at which to retry.
+/// Sends a request, and once more if its refusal names a time at which to retry.
 async fn send(
     connections: &Connections,
     arrival: Arrival,
@@ -112,7 +112,7 @@
     answer.stages.iter().filter_map(|stage| stage.cost).sum()
 }
 
-/// Sends a request again that was refused with a time at which to retry; `None` if it was not.
+/// Retries a request if its refusal named a time at which to retry; otherwise returns `None`.
 async fn retry_refused(
     connections: &Connections,
     request: &Post,
--- a/load/src/scenario.rs
+++ b/load/src/scenario.rs
@@ -42,7 +42,7 @@
 enum InjectedFault {
     None,
     /// One engine is ten times slower, from a third to two thirds of the run.
-    SlowTargets,
+    SlowEngine,
     /// Three of the engines decline all work as busy, from a third to two thirds of the run.
     ThirdBusy,
     /// Every engine fails, from a third to two thirds of the run.
@@ -229,7 +229,7 @@
             kinds.push(RequestKind { phase: middle, ..large });
             Scenario { kinds, ..base }
         }
-        "quipu-slow-target" => Scenario { injected_fault: InjectedFault::SlowTargets, ..base },
+        "quipu-slow-target" => Scenario { injected_fault: InjectedFault::SlowEngine, ..base },
         "quipu-third-gone" => Scenario { injected_fault: InjectedFault::ThirdBusy, ..base },
         "quipu-all-failing" => Scenario { injected_fault: InjectedFault::AllFailing, ..base },
         "quipu-return" => Scenario { pause: middle, ..base },
@@ -286,12 +286,12 @@
         vms,
         policy,
     });
-    let callers: Vec<SocketAddr> = fleet.vms.iter().map(|vm| vm.callers).collect();
+    let caller_addresses: Vec<SocketAddr> = fleet.vms.iter().map(|vm| vm.callers).collect();
     let completed = thread::scope(|scope| {
         scope.spawn(|| inject_fault(&fleet, scenario.injected_fault, seconds));
         let tasks = tokio::runtime::Runtime::new()
             .unwrap_or_else(|e| panic!("cannot start the Tokio runtime of the benchmark: {e}"));
-        tasks.block_on(run(&scenario.kinds, sent, &callers))
+        tasks.block_on(run(&scenario.kinds, sent, &caller_addresses))
     });
     report(policy, &scenario.kinds, &completed, &fleet)
 }
@@ -309,7 +309,7 @@
     let third = Duration::from_secs_f64(seconds / 3.0);
     let (names, fault): (Vec<String>, _) = match injected_fault {
         InjectedFault::None => return,
-        InjectedFault::SlowTargets => {
+        InjectedFault::SlowEngine => {
             let slow = json!({ "service_ms": 200, "token_ms": 50, "prefill_ms": 600 });
             (vec!["modelo-1".to_owned()], slow)
         }
--- a/load/src/slopes.rs
+++ b/load/src/slopes.rs
@@ -8,7 +8,7 @@
 
 use standins::fleet::{Fleet, Pool, agent, get_json, wait_until};
 
-use crate::process::{cpu_time, memory_mb};
+use crate::process::{cpu_time, memory_mib};
 
 /// Time over which the use of an idle fleet is measured.
 const IDLE_WINDOW: Duration = Duration::from_secs(20);
@@ -74,7 +74,7 @@
         peak = peak.max((bytes_now - bytes_then) / seconds);
     }
     let calls = (platform_calls(&fleet) - calls) / seconds;
-    let memory: f64 = (0..vms).map(|i| memory_mb(fleet.pid(i))).sum::<f64>() / vms as f64;
+    let memory: f64 = (0..vms).map(|i| memory_mib(fleet.pid(i))).sum::<f64>() / vms as f64;
     let state = get_json(fleet.vms[0].operations, "/state").unwrap_or_default();
     let interval = state["round_interval_ms"].as_u64().unwrap_or(0);
     let (propagation, change_bytes) = measure_change(&fleet);
