--- a/src/cmd/report.rs
+++ b/src/cmd/report.rs
@@ -54,7 +54,7 @@
         "ms, 90th percentile",
         percentile_90,
     );
-    let mut fill = Chart::new("Pieces in a call, by pool", "pieces, mean", mean);
+    let mut call_sizes = Chart::new("Pieces in a call, by pool", "pieces, mean", mean);
     for pairs in events {
         let Some(time) = logs::number(pairs, "time") else { continue };
         let interval = ((time - first) / seconds) as u64;
@@ -81,12 +81,12 @@
             "stages ended" => add(&mut stages, text("entry"), "took_ms"),
             "pool call" => {
                 add(&mut waits, text("pool"), "waited_ms");
-                add(&mut fill, text("pool"), "pieces");
+                add(&mut call_sizes, text("pool"), "pieces");
             }
             _ => {}
         }
     }
-    vec![ended, refused, stages, waits, fill, start_delays]
+    vec![ended, refused, stages, waits, call_sizes, start_delays]
 }
 
 /// Prints one aggregate over the whole run for each series.
--- a/src/cmd/wait.rs
+++ b/src/cmd/wait.rs
@@ -39,13 +39,13 @@
 ) -> Result<()> {
     let began = Instant::now();
     loop {
-        let missing = check_vms(store, first, revision)?;
-        if let Ok(vms) = missing {
+        let checked = check_vms(store, first, revision)?;
+        if let Ok(vms) = checked {
             messages::in_force(revision, vms, began.elapsed());
             return Ok(());
         }
         if began.elapsed() >= timeout {
-            for (vm, why) in missing.err().into_iter().flatten() {
+            for (vm, why) in checked.err().into_iter().flatten() {
                 messages::missing(&vm, &why);
             }
             let what = format!("revision {revision} in force everywhere");
--- a/src/pool_charts.rs
+++ b/src/pool_charts.rs
@@ -29,7 +29,7 @@
     ("late", "late"),
     ("failed", "failed"),
 ];
-/// Percentage that equals the fraction 1.
+/// Factor that turns a fraction into a percentage.
 const PERCENT: f64 = 100.0;
 
 /// VMs that called a pool's workers within an interval.
