--- a/standins/src/serving_path/crashing.rs
+++ b/standins/src/serving_path/crashing.rs
@@ -1,5 +1,5 @@
-//! Stand-in runners that crash on a certain request and restart after a while. Each run from a
-//! start to a crash is an incarnation of the runner.
+//! Stand-in runners that crash on a certain request and restart after a while. The time from a
+//! start to the next crash is a lifetime of the runner.
 
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
 use std::sync::{Arc, Mutex, PoisonError};
@@ -22,7 +22,7 @@
 pub enum RestartId {
     /// A new id.
     NewId,
-    /// The same id; only the start time (`born`) in the store entry tells the incarnations apart.
+    /// The same id; only the start time (`born`) in the store entry tells the lifetimes apart.
     SameId,
 }
 
@@ -51,15 +51,15 @@
 }
 
 struct State {
-    /// The current incarnation; `None` while the runner is down.
-    incarnation: Option<Runner>,
+    /// The runner of the current lifetime; `None` while it is down.
+    current: Option<Runner>,
     /// Whether its port is open for connections.
     is_listening: bool,
-    /// Connections of the current incarnation, to be closed by a crash.
+    /// Connections of the current lifetime, to be closed by a crash.
     open_connections: Vec<TcpStream>,
-    /// Number of incarnations so far.
-    incarnation_count: u64,
-    /// Bodies of the requests that all incarnations received.
+    /// Number of lifetimes so far.
+    lifetime_count: u64,
+    /// Bodies of the requests received in all lifetimes.
     received_bodies: Vec<Vec<u8>>,
 }
 
@@ -84,10 +84,10 @@
     ) -> std::io::Result<Self> {
         let listener = TcpListener::bind("127.0.0.1:0")?;
         let state = State {
-            incarnation: None,
+            current: None,
             is_listening: true,
             open_connections: Vec::new(),
-            incarnation_count: 0,
+            lifetime_count: 0,
             received_bodies: Vec::new(),
         };
         let crashing = CrashingRunner {
@@ -99,19 +99,17 @@
             state: Arc::new(Mutex::new(state)),
         };
         // The entry is written before this returns, so that tests can rely on it.
-        let (serving, first) = (crashing.clone(), crashing.begin_incarnation());
+        let (serving, first) = (crashing.clone(), crashing.begin_lifetime());
         spawn(move || serving.run(listener, first));
         Ok(crashing)
     }
 
-    /// Number of crashes so far: the incarnations but for the current one.
+    /// Number of crashes so far: the lifetimes without the current one.
     pub fn crashes(&self) -> u64 {
-        self.with(|state| {
-            state.incarnation_count.saturating_sub(u64::from(state.incarnation.is_some()))
-        })
+        self.with(|state| state.lifetime_count.saturating_sub(u64::from(state.current.is_some())))
     }
 
-    /// Number of requests with this body that all incarnations received.
+    /// Number of requests with this body received in all lifetimes.
     pub fn requests_with_body(&self, body: &[u8]) -> usize {
         self.with(|state| state.received_bodies.iter().filter(|seen| *seen == body).count())
     }
@@ -120,7 +118,7 @@
         f(&mut self.state.lock().unwrap_or_else(PoisonError::into_inner))
     }
 
-    /// Serves one incarnation after the other.
+    /// Serves one lifetime after the other.
     fn run(&self, first_listener: TcpListener, first: Runner) {
         let (mut listener, mut runner) = (first_listener, first);
         loop {
@@ -134,13 +132,13 @@
                     Err(_) => sleep(BIND_RETRY_INTERVAL),
                 }
             };
-            runner = self.begin_incarnation();
+            runner = self.begin_lifetime();
         }
     }
 
-    /// Begins the next incarnation and writes its store entry.
-    fn begin_incarnation(&self) -> Runner {
-        let number = self.with(|state| state.incarnation_count);
+    /// Begins the next lifetime and writes its store entry.
+    fn begin_lifetime(&self) -> Runner {
+        let number = self.with(|state| state.lifetime_count);
         let id = |number: u64| match self.config.restart_id {
             RestartId::NewId => format!("{}-{number}", self.name),
             RestartId::SameId => self.name.clone(),
@@ -148,8 +146,8 @@
         let runner =
             Runner::unserved(&id(number), self.address, self.config.default_behavior.clone());
         self.with(|state| {
-            state.incarnation_count += 1;
-            state.incarnation = Some(runner.clone());
+            state.lifetime_count += 1;
+            state.current = Some(runner.clone());
             state.is_listening = true;
         });
         if self.config.restart_id == RestartId::NewId && number > 0 {
@@ -159,7 +157,7 @@
         runner
     }
 
-    /// The store entry, with the time at which the incarnation began.
+    /// The store entry, with the time at which the lifetime began.
     fn entry(&self, runner: &Runner) -> Value {
         let born = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         let mut entry = runner.entry(&self.service, "hall-a", "ready");
@@ -167,12 +165,12 @@
         entry
     }
 
-    /// Accepts connections until the incarnation ends.
+    /// Accepts connections until the lifetime ends.
     fn accept(&self, listener: &TcpListener, runner: &Runner) {
         for stream in listener.incoming().flatten() {
             let is_up = self.with(|state| {
                 state.open_connections.extend(stream.try_clone());
-                state.incarnation.is_some()
+                state.current.is_some()
             });
             if !is_up {
                 return;
@@ -209,10 +207,10 @@
         fatal
     }
 
-    /// Ends the incarnation: closes its port first, then all its connections. The thread that
+    /// Ends the lifetime: closes its port first, then all its connections. The thread that
     /// accepts connections is woken by a connection from here.
     fn crash(&self) {
-        if self.with(|state| state.incarnation.take()).is_none() {
+        if self.with(|state| state.current.take()).is_none() {
             return;
         }
         drop(TcpStream::connect(self.address));
--- a/standins/src/serving_path/soak_notices.rs
+++ b/standins/src/serving_path/soak_notices.rs
@@ -19,8 +19,8 @@
 const RATES_AT_MS: [std::ops::Range<u64>; 3] = [0..1000, 1000..2500, 2500..6000];
 /// Rate limits that runners announce, in requests per second.
 const RATES: [&str; 4] = ["0.5", "1", "3", "12.5"];
-/// Start time (`born`) of the new incarnations of runners, in milliseconds; the entries of the
-/// earlier ones have none.
+/// Start time (`born`) of the new lifetimes of runners, in milliseconds; the entries of the earlier
+/// ones have none.
 const NEW_BORN_MS: u64 = 1;
 
 /// Lets one runner of each service announce that it is leaving: from some time on in each answer,
@@ -65,7 +65,7 @@
     }
 }
 
-/// Ends the notices of all runners and lets them return with the same ids, as new incarnations.
+/// Ends the notices of all runners and lets them return with the same ids, in new lifetimes.
 pub(super) fn restart_runners(site: &Site) {
     for (service, runners) in site.services() {
         for (runner, hall) in runners.iter().zip(HALLS) {
