--- a/standins/src/bin/standin-target.rs
+++ b/standins/src/bin/standin-target.rs
@@ -334,8 +334,8 @@
     /// Time per token: `token_ms` grows with the fraction of busy slots, up to 1.5 times when all
     /// are busy, because batching slows each stream.
     fn token_time(&self, token_ms: u64) -> Duration {
-        let running = f64::from(self.state().running) / f64::from(self.slots);
-        Duration::from_millis(token_ms).mul_f64(1.0 + 0.5 * running)
+        let busy_fraction = f64::from(self.state().running) / f64::from(self.slots);
+        Duration::from_millis(token_ms).mul_f64(1.0 + 0.5 * busy_fraction)
     }
 
     /// Streams the tokens as server-sent events, starting after `Last-Event-Id`.
--- a/standins/src/fleet.rs
+++ b/standins/src/fleet.rs
@@ -279,7 +279,7 @@
     pub fn wait_for_peer_discovery(&self) {
         let others = (self.vms.len() - 1).min(MIN_KNOWN_VMS);
         for vm in &self.vms {
-            wait_until(&format!("{} knows all", vm.name), || {
+            wait_until(&format!("{} knows the other VMs", vm.name), || {
                 let state = get_json(vm.operations, "/state").unwrap_or_default();
                 let vms = state["vms"].as_array().cloned().unwrap_or_default();
                 vms.iter().filter(|v| v["age"] == "fresh").count() >= others
--- a/standins/src/serving_path/runners.rs
+++ b/standins/src/serving_path/runners.rs
@@ -22,8 +22,8 @@
     pub id: String,
     /// Time of receipt.
     pub at: Instant,
-    /// Whether the answer announced that the runner is leaving (`Server-Leaving`), and counts: see
-    /// `answered_at_once`.
+    /// Whether the answer announced that the runner is leaving (`Server-Leaving`). False without
+    /// `answered_at_once`, since VMs ignore the notice in other answers.
     pub announces_leaving: bool,
     /// Time for which the answer asked for no further requests (`Retry-After`).
     pub retry_after: Option<Duration>,
@@ -60,7 +60,7 @@
     pub(super) script: Vec<Behavior>,
     /// Behavior once the script is empty.
     default_behavior: Option<Behavior>,
-    /// Handles whose release it was told, with the time.
+    /// Handles that it was told to release, with the time of each release call.
     pub(super) released: Vec<(String, Instant)>,
     /// Results that it computed.
     pub(super) made: Vec<StageResult>,
--- a/standins/src/serving_path/scenarios.rs
+++ b/standins/src/serving_path/scenarios.rs
@@ -94,7 +94,7 @@
         site.store.put("op/config", &config);
         site.store.remove("servers/i-pool-2");
         let vm = site.start_vm(name, "");
-        wait_until("it is in force", || vm.state()["configuration"] == json!(2));
+        wait_until("the configuration is in force", || vm.state()["configuration"] == json!(2));
         let worker = &site.pool[0];
         for number in 0..self.before {
             let answer = chain(&format!("before-{number}"), "6,1").send(vm.callers);
@@ -211,10 +211,12 @@
         site.engines.iter().for_each(|engine| engine.queue_behaviors(&slow));
         let pending = send_requests(vms[requester].callers, self.requests);
         if self.fault == Fault::OwnerKilledAtWork {
-            wait_until("a piece is asked for", || received_count(&site.pool) > 0);
+            wait_until("a worker receives a call", || received_count(&site.pool) > 0);
             thread::sleep(self.fault_delay * AT_WORK_FACTOR);
         } else {
-            wait_until("the engines have them", || received_count(&site.engines) >= self.requests);
+            wait_until("the engines have the requests", || {
+                received_count(&site.engines) >= self.requests
+            });
             thread::sleep(self.fault_delay);
         }
 
--- a/standins/src/serving_path/site.rs
+++ b/standins/src/serving_path/site.rs
@@ -51,11 +51,11 @@
 impl Vm {
     /// Starts a VM that uses a store; `extra` is appended to its settings.
     pub fn start(name: &str, hall: &str, store: SocketAddr, extra: &str) -> Self {
-        Vm::start_to(name, hall, store, extra, to_file)
+        Vm::start_with_output(name, hall, store, extra, to_file)
     }
 
     /// Like [`Vm::start`]; `out` opens the standard output, given the path of the log file.
-    fn start_to(
+    fn start_with_output(
         name: &str,
         hall: &str,
         store: SocketAddr,
@@ -81,7 +81,7 @@
     /// Starts a VM whose standard output, its log, is a pipe; returns the reading end, which may be
     /// read or left to fill.
     pub fn start_piped(name: &str, store: SocketAddr) -> (Self, ChildStdout) {
-        let mut vm = Vm::start_to(name, "hall-a", store, "", |_| Stdio::piped());
+        let mut vm = Vm::start_with_output(name, "hall-a", store, "", |_| Stdio::piped());
         let out = vm.child.stdout.take().expect("its standard output");
         (vm, out)
     }
--- a/standins/src/serving_path/soak_checks.rs
+++ b/standins/src/serving_path/soak_checks.rs
@@ -19,8 +19,8 @@
 const TOLERATED_CRASHES: u64 = 2;
 /// Number of events in a complete stream.
 const STREAM_EVENTS: u64 = 5;
-/// Time after a notice that a runner is leaving. Requests that callers send later to the VM that
-/// received the notice must not reach the runner.
+/// Time that a VM has to respect the notice of a runner that it is leaving: requests that callers
+/// send to this VM later must not reach the runner.
 const LEAVING_TOLERANCE: Duration = Duration::from_secs(2);
 /// Time within which requests arrive that were in transit when a notice was sent.
 const TRANSIT_TIME: Duration = Duration::from_millis(500);
@@ -34,7 +34,7 @@
 const RESULT_LIFE: Duration = Duration::from_secs(4);
 /// Tolerated multiple of the number of requests that the rate limit allows in [`RATE_SPAN`].
 const RATE_FACTOR: f64 = 1.5;
-/// Number of requests tolerated in addition to [`RATE_FACTOR`].
+/// Number of requests tolerated in [`RATE_SPAN`] beyond this multiple.
 const EXTRA_REQUESTS: f64 = 5.0;
 
 /// Checks that only few runners crashed on the fatal request, and that no other request was
@@ -146,7 +146,7 @@
 ) {
     let sent = by_id(answered);
     for runner in site.plain.iter().chain(&site.engines) {
-        let counted = requests_at_rate(&runner.received(), &sent, interruptions);
+        let counted = requests_under_rate_limit(&runner.received(), &sent, interruptions);
         report.rate_limited += counted.len();
         for (first, _) in &counted {
             let within =
@@ -166,7 +166,7 @@
 
 /// Requests that arrived while a rate limit was in force, from VMs that knew of it: time and rate
 /// limit in requests per second.
-fn requests_at_rate(
+fn requests_under_rate_limit(
     received: &[ReceivedRequest],
     sent: &HashMap<&str, &AnsweredRequest>,
     interruptions: &[Interruption],
--- a/standins/src/serving_path/stop_soak.rs
+++ b/standins/src/serving_path/stop_soak.rs
@@ -27,9 +27,10 @@
 use super::soak::{AnsweredRequest, REQUEST_KINDS, Report, SEED_OFFSET, Size};
 use super::soak_checks::check_answer;
 
-/// Settings of a stop: notice and grace period.
+/// Settings of a stop: notice period in milliseconds, grace period in seconds.
 const STOP_SETTINGS: &str = "stop: {notice_ms: 300, grace_s: 2}\n";
-/// Time after the signal within which a VM process has to end by itself.
+/// Grace period of [`STOP_SETTINGS`]: time after the signal within which a VM process has to end by
+/// itself.
 const GRACE_PERIOD: Duration = Duration::from_secs(2);
 /// Deadline of requests, in milliseconds: long enough for several stops and starts.
 const DEADLINE_MS: u64 = 8000;
@@ -56,7 +57,7 @@
 /// Runs stops for `time`, then the checks.
 pub fn run(seed: u64, time: Duration, size: Size) -> Report {
     let site = Site::start();
-    site.store.put("op/config", &long_configuration(2));
+    site.store.put("op/config", &configuration_with_long_timeouts(2));
     let stopped_vms: Vec<StoppedVm> =
         (0..size.vms).map(|number| start_vm(&site, seed, number)).collect();
     let (over, sent) = (AtomicBool::new(false), AtomicU64::new(0));
@@ -102,7 +103,7 @@
 }
 
 /// The default configuration with request timeouts that are longer than a stop.
-fn long_configuration(version: u64) -> serde_json::Value {
+fn configuration_with_long_timeouts(version: u64) -> serde_json::Value {
     let mut cfg = default_configuration(version);
     for route in cfg["routes"].as_array_mut().expect("routes") {
         route["timeout_ms"] = json!(DEADLINE_MS);
@@ -171,7 +172,8 @@
             let read_delay = Duration::from_millis(rng.random_range(READ_DELAY_MS));
             let read_delay = if rng.random_bool(0.3) { read_delay } else { Duration::ZERO };
             let at = Instant::now();
-            let answer = long_call(kind, &id).send_on_and_read_after(&mut conn, read_delay);
+            let answer =
+                call_with_long_deadline(kind, &id).send_on_and_read_after(&mut conn, read_delay);
             let closes = |answer: &super::HttpMessage| answer.header("connection") == "close";
             is_open = answer.as_ref().is_some_and(|answer| answer.is_complete && !closes(answer));
             let request = AnsweredRequest { id, kind, vm, sent: at, answer };
@@ -180,7 +182,7 @@
     }
 }
 
-fn long_call(kind: usize, id: &str) -> Call {
+fn call_with_long_deadline(kind: usize, id: &str) -> Call {
     let path = REQUEST_KINDS[kind].0;
     let call = Call::new("POST", HOST, path, id)
         .with_header("Deadline-Milliseconds", &DEADLINE_MS.to_string())
@@ -213,7 +215,7 @@
             }
             _ => {
                 version += 1;
-                site.store.put("op/config", &long_configuration(version));
+                site.store.put("op/config", &configuration_with_long_timeouts(version));
             }
         }
     }
--- a/standins/src/serving_path/store.rs
+++ b/standins/src/serving_path/store.rs
@@ -171,8 +171,8 @@
             }
             ("POST", "/kv-lease") => {
                 let body: Value = serde_json::from_slice(&req.body).unwrap_or_default();
-                let ttl = body["ttl_ms"].as_u64().unwrap_or(1000);
-                Some(("200 OK", self.with(|state| state.grant_lease(ttl))))
+                let ttl_ms = body["ttl_ms"].as_u64().unwrap_or(1000);
+                Some(("200 OK", self.with(|state| state.grant_lease(ttl_ms))))
             }
             ("POST", keep) if keep.starts_with("/kv-keep/") => {
                 let id = keep.trim_start_matches("/kv-keep/").parse().unwrap_or(0);
@@ -187,7 +187,7 @@
         let end = Instant::now() + Duration::from_millis(wait_ms);
         let mut was_unresponsive = false;
         loop {
-            let seen = self.with(|state| {
+            let result = self.with(|state| {
                 // A watch that waits while the store becomes unresponsive gets no answer, not
                 // even after its own time limit; its connection is closed once the mode changes.
                 was_unresponsive |= state.mode == StoreMode::Unresponsive;
@@ -204,7 +204,7 @@
                 (expired || !events.is_empty())
                     .then(|| Some(("200 OK", json!({"events": events, "as_of": state.revision}))))
             });
-            match seen {
+            match result {
                 Some(answer) => return answer,
                 None => sleep(POLL_INTERVAL),
             }
@@ -273,11 +273,11 @@
         ("200 OK", json!({"revision": self.revision}))
     }
 
-    fn grant_lease(&mut self, ttl: u64) -> Value {
+    fn grant_lease(&mut self, ttl_ms: u64) -> Value {
         let id = self.leases.keys().max().copied().unwrap_or(0) + 1;
-        let ttl_time = Duration::from_millis(ttl);
-        self.leases.insert(id, (Instant::now() + ttl_time, ttl_time));
-        json!({"lease": id, "ttl_ms": ttl})
+        let ttl = Duration::from_millis(ttl_ms);
+        self.leases.insert(id, (Instant::now() + ttl, ttl));
+        json!({"lease": id, "ttl_ms": ttl_ms})
     }
 
     fn renew_lease(&mut self, id: u64) -> (&'static str, Value) {
--- a/standins/tests/platform.rs
+++ b/standins/tests/platform.rs
@@ -28,8 +28,8 @@
     }
 
     let put = |expect: u64, value: &str| {
-        let rx = agent.put(url(&format!("?expect={expect}"))).send(value).expect("an answer");
-        rx.status().as_u16()
+        let response = agent.put(url(&format!("?expect={expect}"))).send(value).expect("an answer");
+        response.status().as_u16()
     };
     assert_eq!(put(1, "x"), 409);
     assert_eq!(put(0, "x"), 200);
