--- a/tests/departures.rs
+++ b/tests/departures.rs
@@ -132,10 +132,10 @@
         site.store.put(&key, &entry);
     };
     let wait_logged = |event: &str, count: usize| {
-        let line = format!("target={}", leaving.id);
+        let target_field = format!("target={}", leaving.id);
         let logged_count =
-            || vm.log().lines().filter(|l| l.contains(event) && l.contains(&line)).count();
-        wait_until("the VM knows of the entry", || logged_count() >= count);
+            || vm.log().lines().filter(|l| l.contains(event) && l.contains(&target_field)).count();
+        wait_until("the VM has logged the event", || logged_count() >= count);
     };
     write_entry(2, 1_000);
     wait_logged("target known", 2);
--- a/tests/evacuation.rs
+++ b/tests/evacuation.rs
@@ -36,7 +36,7 @@
 }
 
 fn wait_logged(vm: &Vm, text: &str) {
-    wait_until("it is logged", || vm.log().contains(text));
+    wait_until("the text is logged", || vm.log().contains(text));
 }
 
 /// Sends four requests of each kind; returns the ids of those that were not answered completely
--- a/tests/fatal_requests.rs
+++ b/tests/fatal_requests.rs
@@ -52,7 +52,7 @@
 /// Time within which all VMs of this fleet refuse a fatal request.
 const PROPAGATED_WITHIN: Duration = Duration::from_secs(2);
 
-/// VMs whose only engines are ones that crash on the fatal request.
+/// A site with VMs, all of whose engines crash on the fatal request.
 struct Case {
     site: Site,
     engines: Vec<CrashingRunner>,
--- a/tests/input_release.rs
+++ b/tests/input_release.rs
@@ -1,6 +1,6 @@
-//! When a VM releases the results of one stage that a worker holds as inputs of a call for the next
-//! stage, with real processes. They use the worker's memory, so they are released early; but while
-//! that call waits in the worker's queue, it still needs them.
+//! Release of the results of one stage that are the inputs of the next one, with real processes.
+//! The results use the memory of a worker, so the VM releases them early; but while the call of the
+//! next stage waits in the worker's queue, it still needs them.
 
 // A failing `expect` in a fixture fails the test.
 #![allow(clippy::expect_used)]
--- a/tests/lapsed_entries.rs
+++ b/tests/lapsed_entries.rs
@@ -3,10 +3,10 @@
 //!
 //! Guards against requests to a target after its entry was removed. A VM can lose the store while
 //! its peers still reach it, for instance because a renewal of its lease was late. If it takes that
-//! for an outage and hears of a removal from a peer, it keeps the entry for the time that an outage
-//! takes to be over, counted from then: a request reached a target 3,048 ms after its departure,
-//! where 3,000 ms are allowed. While its peers report that the store answers them, the VM has to
-//! apply the removal at once.
+//! for an outage of the store and then hears of a removal from a peer, it keeps the entry for as
+//! long as after an outage, counted from then: a request reached a target 3,048 ms after its
+//! departure, where 3,000 ms are allowed. While its peers report that the store answers them, the
+//! VM has to apply the removal at once.
 
 // A failing `expect` in a fixture fails the test.
 #![allow(clippy::expect_used)]
--- a/tests/large_configuration.rs
+++ b/tests/large_configuration.rs
@@ -59,7 +59,7 @@
 
     site.store.put("op/config", &large_configuration(2));
 
-    wait_until("it is in force", || vm.state()["configuration"] == json!(2));
+    wait_until("the configuration is in force", || vm.state()["configuration"] == json!(2));
     assert!(!vm.log().contains("store lost"), "a call timed out although bytes arrived");
 }
 
--- a/tests/mixed_versions.rs
+++ b/tests/mixed_versions.rs
@@ -91,7 +91,7 @@
     let vms: Vec<Vm> = ["mixed-a", "mixed-b", "mixed-c"].map(|name| site.start_vm(name, "")).into();
     let finished = AtomicBool::new(false);
 
-    let ended = thread::scope(|scope| {
+    let results = thread::scope(|scope| {
         let (site, finished) = (&site, &finished);
         let send = |(number, vm): (usize, _)| {
             scope.spawn(move || send_until(finished, site, vm, &number.to_string()))
@@ -103,11 +103,11 @@
             thread::sleep(CHANGE_PAUSE);
         }
         finished.store(true, Ordering::Relaxed);
-        let ended = senders.into_iter().map(|sender| sender.join().expect("a sender ends"));
-        ended.collect::<Vec<_>>()
+        let results = senders.into_iter().map(|sender| sender.join().expect("a sender ends"));
+        results.collect::<Vec<_>>()
     });
 
-    for (runs, failed_statuses) in ended {
+    for (runs, failed_statuses) in results {
         assert!(runs.len() > 5, "{}", runs.len());
         assert!(runs.iter().all(|runs| *runs == 1), "{runs:?}");
         assert!(failed_statuses.is_empty(), "{failed_statuses:?}");
--- a/tests/orders.rs
+++ b/tests/orders.rs
@@ -97,7 +97,7 @@
 
 /// Sends an order with an outdated fence, as a former holder would that was paused between the
 /// check of its lease and the order; returns the HTTP status.
-fn stale_order(fleet: &Fleet) -> u16 {
+fn send_stale_order(fleet: &Fleet) -> u16 {
     let order = json!({ "fence": 0, "wanted": { "model": "stale" } });
     let url = format!("http://{}/v1/orders", fleet.target(ENGINE));
     agent().post(url).send(order.to_string()).expect("an answer").status().as_u16()
@@ -109,7 +109,7 @@
     apply_wanted_model(&fleet, "m1", true);
     wait_until("m1 is ordered", || model(&fleet) == "m1");
 
-    assert_eq!(stale_order(&fleet), 409);
+    assert_eq!(send_stale_order(&fleet), 409);
     assert_eq!(model(&fleet), "m1");
 }
 
@@ -122,7 +122,7 @@
 
     // The stale order takes effect: for about a second the engine is in the condition that the
     // order names.
-    assert_eq!(stale_order(&fleet), 200);
+    assert_eq!(send_stale_order(&fleet), 200);
     assert_eq!(model(&fleet), "stale");
     wait_until("the holder restores the wanted model", || model(&fleet) == "m1");
 }
--- a/tests/random_scenarios.rs
+++ b/tests/random_scenarios.rs
@@ -1,5 +1,5 @@
-//! Random scenarios generated from fixed seeds and run with real processes. The soak test runs
-//! hundreds of them when started by hand.
+//! Random scenarios generated from fixed seeds and run with real processes. The `soak` program runs
+//! hundreds of them when started by hand with `--turns` or `--results`.
 
 use standins::serving_path::scenarios::{QueuedCallScenario, ResultReleaseScenario};
 
@@ -8,8 +8,8 @@
 /// Seeds of scenarios in which the owner of results or the VM that requested them fails.
 const RESULT_SEEDS: std::ops::Range<u64> = 0..6;
 
-/// Guards against inputs that are released as if they were fetched while the call that needs them
-/// still waits at its worker, with random preceding calls.
+/// Guards against inputs that are released as if they had been fetched while the call that needs
+/// them still waits at its worker, with random preceding calls.
 #[test]
 fn inputs_are_kept_while_a_call_waits_at_a_busy_worker() {
     for seed in QUEUED_CALL_SEEDS {
--- a/tests/rates.rs
+++ b/tests/rates.rs
@@ -196,7 +196,7 @@
 
     assert!(
         site.plain[0].most_within(SPAN, since) > max_requests(1.0),
-        "the end of the rate is respected"
+        "the target is no longer limited"
     );
     assert_eq!(served(&statuses), statuses.len());
     wait_until("all VMs know of the end of the rate", || {
--- a/tests/serving_stops.rs
+++ b/tests/serving_stops.rs
@@ -15,11 +15,12 @@
 use standins::serving_path::site::{HOST, Site, Vm, default_configuration};
 use standins::serving_path::{HttpConnection, HttpMessage};
 
-/// Settings of a stop: the grace period is shorter than the timeout of requests.
+/// Settings of a stop: notice period in milliseconds, and grace period in seconds, which is shorter
+/// than the timeout of requests.
 const STOP: &str = "stop: {notice_ms: 1000, grace_s: 4}\n";
-/// Grace period: time after the signal within which the process has to end by itself.
+/// Grace period of [`STOP`]: time after the signal within which the process has to end by itself.
 const GRACE: Duration = Duration::from_secs(4);
-/// Notice period: time after the signal during which requests are still accepted.
+/// Notice period of [`STOP`]: time after the signal during which requests are still accepted.
 const NOTICE: Duration = Duration::from_secs(1);
 /// Timeout of requests, in milliseconds; longer than [`GRACE`].
 const TIMEOUT_MS: u32 = 20_000;
@@ -32,7 +33,7 @@
 /// Makes a runner answer only after the end of a stop.
 const SILENT: Behavior = Behavior::Hang(Duration::from_secs(15));
 
-/// A site whose requests have a timeout of [`LONG_MS`] and may wait for most of it.
+/// A site whose requests have a timeout of [`TIMEOUT_MS`] and may wait for most of it.
 fn start_site() -> Site {
     let site = Site::start();
     let mut config = default_configuration(2);
@@ -51,7 +52,7 @@
 }
 
 /// A request with a timeout of [`TIMEOUT_MS`]; one to `/chain/` has three pieces.
-fn long_call(path: &str, id: &str) -> Call {
+fn call_with_long_deadline(path: &str, id: &str) -> Call {
     let call = Call::new("POST", HOST, path, id)
         .with_header("Deadline-Milliseconds", &TIMEOUT_MS.to_string())
         .body(b"a body");
@@ -71,7 +72,7 @@
             .map(|number| {
                 scope.spawn(move || {
                     thread::sleep(PAUSE * u32::try_from(number).unwrap_or(u32::MAX));
-                    long_call(path, &format!("r-{number}")).send(address)
+                    call_with_long_deadline(path, &format!("r-{number}")).send(address)
                 })
             })
             .collect();
@@ -154,7 +155,7 @@
     site.engines.iter().for_each(|engine| engine.queue_behaviors(&vec![slow.clone(); 8]));
     let address = vm.callers;
     let send = move |path, id: &str| {
-        let call = long_call(path, id);
+        let call = call_with_long_deadline(path, id);
         thread::spawn(move || {
             let began = Instant::now();
             (call.send(address).expect("an answer"), began.elapsed())
@@ -193,7 +194,8 @@
 
         vm.signal("-TERM");
         thread::sleep(NOTICE + PAUSE);
-        let answer = long_call("/repeat/", "r-1").send(vm.callers).expect("an answer");
+        let answer =
+            call_with_long_deadline("/repeat/", "r-1").send(vm.callers).expect("an answer");
 
         let retry_after = answer.header("retry-after").parse::<f64>().expect("seconds");
         assert_eq!(answer.status(), 503);
@@ -213,7 +215,7 @@
     let mut vm = start_vm(&site, "stop-signals");
     set_behavior(&site.engines, &SILENT);
     let (address, id) = (vm.callers, "r-1");
-    let caller = thread::spawn(move || long_call("/stream/", id).send(address));
+    let caller = thread::spawn(move || call_with_long_deadline("/stream/", id).send(address));
     wait_until("an engine runs the request", || site.runs(id) == 1);
 
     let signalled = Instant::now();
@@ -235,7 +237,7 @@
     let mut vm = start_vm(&site, "stop-asleep");
     set_behavior(&site.engines, &SILENT);
     let (address, id) = (vm.callers, "r-1");
-    let caller = thread::spawn(move || long_call("/stream/", id).send(address));
+    let caller = thread::spawn(move || call_with_long_deadline("/stream/", id).send(address));
     wait_until("an engine runs the request", || site.runs(id) == 1);
 
     vm.signal("-TERM");
@@ -252,10 +254,10 @@
 /// reads slowly.
 #[test]
 fn a_caller_that_reads_late_gets_its_whole_answer_from_a_vm_that_stops() {
-    const BYTES: usize = 48 << 20;
+    const ANSWER_BYTES: usize = 48 << 20;
     let site = start_site();
     let mut vm = start_vm(&site, "stop-slow-reader");
-    set_behavior(&site.plain, &Behavior::Large(BYTES));
+    set_behavior(&site.plain, &Behavior::Large(ANSWER_BYTES));
     let (address, is_answered) = (vm.callers, || vm.log().contains("outcome=whole"));
     let read_late = || {
         wait_until("the VM has answered", is_answered);
@@ -263,11 +265,11 @@
         thread::sleep(GRACE.mul_f64(0.7));
     };
 
-    let answer = long_call("/once/", "r-1").send_and_read_after(address, read_late);
+    let answer = call_with_long_deadline("/once/", "r-1").send_and_read_after(address, read_late);
 
     let answer = answer.expect("a head");
     assert!(answer.is_complete, "the answer was truncated");
-    assert_eq!(answer.body.len(), BYTES);
+    assert_eq!(answer.body.len(), ANSWER_BYTES);
     assert_eq!(vm.wait_exit(), Some(0));
 }
 
@@ -278,7 +280,7 @@
     let mut vm = start_vm(&site, "stop-rest");
     let _unused = TcpStream::connect(vm.callers).expect("a connection");
     let mut idle = HttpConnection::new(TcpStream::connect(vm.callers).expect("a connection"));
-    let answer = long_call("/repeat/", "r-1").send_on(&mut idle).expect("an answer");
+    let answer = call_with_long_deadline("/repeat/", "r-1").send_on(&mut idle).expect("an answer");
     assert!(answer.is_complete);
 
     let signalled = Instant::now();
--- a/tests/serving_streams.rs
+++ b/tests/serving_streams.rs
@@ -44,19 +44,19 @@
     // The second engine breaks the stream at once, because it resumes after the third event.
     assert_eq!(event_ids(&answer), [1, 2, 3]);
     assert!(!answer.is_complete, "two tries are allowed");
-    let one_breaks = || {
+    let break_one_stream = || {
         site.engines[0].queue_behaviors(&[Behavior::BreakStream(3)]);
         site.engines[1].queue_behaviors(&[Behavior::Stream(5)]);
     };
-    one_breaks();
-    let mut seen = Vec::new();
+    break_one_stream();
+    let mut runs = Vec::new();
     for number in 0..2 {
         let answer = send_expecting_answer(&post("/resumed/", &format!("s-1{number}")), &vm);
         assert!(answer.is_complete, "{answer:?}");
         assert_eq!(event_ids(&answer), [1, 2, 3, 4, 5]);
-        seen.push(site.runs(&format!("s-1{number}")));
+        runs.push(site.runs(&format!("s-1{number}")));
     }
-    assert!(seen.contains(&2), "one of them was resumed at the other engine: {seen:?}");
+    assert!(runs.contains(&2), "one of them was resumed at the other engine: {runs:?}");
 }
 
 #[test]
