--- a/components/caller_request/src/lib.rs
+++ b/components/caller_request/src/lib.rs
@@ -1,6 +1,8 @@
 //! Parses the path and headers of a caller's HTTP request.
 //!
 //! A request that can't be accepted is refused with [`Reason::BadRequest`]; it has not run.
+//!
+//! Used by the `daemon` crate; in the `gateway` crate, the platform's adapter parses the requests.
 
 use std::time::{Duration, Instant};
 
--- a/components/catalogue/src/lib.rs
+++ b/components/catalogue/src/lib.rs
@@ -1,5 +1,6 @@
 //! The configuration that operators declare: services with stages, targets, customers, labels and
-//! selectors.
+//! selectors. It is the configuration of the `daemon` crate; that of the `gateway` crate is in the
+//! `intent` crate.
 //!
 //! A [`Catalogue`] is the complete configuration of one revision. It is validated by [`check()`]
 //! before it is accepted, so the rest of the system can rely on every name in it.
--- a/components/intent/src/lib.rs
+++ b/components/intent/src/lib.rs
@@ -1,5 +1,6 @@
 //! The configuration that operators want in force: entries by host and path, services with their
-//! pools or engines, customers by key, and the targets of the services.
+//! pools or engines, customers by key, and the targets of the services. It is the configuration
+//! of the `gateway` crate; that of the `daemon` crate is in the `catalogue` crate.
 
 mod entry;
 mod service;
--- a/components/membership/src/lib.rs
+++ b/components/membership/src/lib.rs
@@ -1,4 +1,5 @@
-//! Gossip membership: what a VM knows of the other VMs of the fleet.
+//! Gossip membership: what a VM knows of the other VMs of the fleet. Used by the `daemon`
+//! crate; the `gateway` crate uses the `fleet` crate instead.
 //!
 //! Each VM describes itself under an increasing sequence number. In each round it exchanges digests
 //! and updates with a few random partners; see `docs/design/membership.md`.
--- a/components/outcomes/src/lib.rs
+++ b/components/outcomes/src/lib.rs
@@ -1,6 +1,8 @@
 //! The outcomes of a request, the reasons for a failure, and their HTTP representation.
 //!
 //! `docs/operators/callers.md` has a table of all combinations of outcome, reason and status.
+//!
+//! Used by the `daemon` crate; the `gateway` crate uses the refusals of `platform_interface`.
 
 use std::time::Duration;
 
--- a/components/peering/src/lib.rs
+++ b/components/peering/src/lib.rs
@@ -1,8 +1,8 @@
 //! Messages and gRPC services of the links between VMs.
 //!
-//! [`peer`] is the link on which VMs exchange their state and the catalogue; [`work`] is the link
-//! on which they submit pieces of stages. The generated code is committed; `cargo run -p protogen`
-//! regenerates it from `proto/`.
+//! [`peer`] is the link of the `daemon` crate, on which VMs exchange their state and the catalogue;
+//! [`work`] is the link of the `gateway` crate, on which they submit pieces of stages. The code is
+//! generated from `proto/` by `cargo run -p protogen`, and committed.
 
 #[allow(missing_docs, clippy::all, clippy::pedantic, unused_qualifications)]
 #[rustfmt::skip]
--- a/components/platform_interface/src/lib.rs
+++ b/components/platform_interface/src/lib.rs
@@ -1,5 +1,5 @@
-//! Interface between the serving path and the platform it runs on: callers, targets, the platform's
-//! store and the operators' intent.
+//! Interface between the serving path (the `gateway` crate) and the platform it runs on: callers,
+//! targets, the platform's store and the operators' intent.
 //!
 //! An adapter for a platform provides the functions in [`PlatformAdapter`], which translate between
 //! the platform's wire formats and the types here. The serving path uses only these types.
--- a/components/settings/src/lib.rs
+++ b/components/settings/src/lib.rs
@@ -1,4 +1,5 @@
-//! Reads the daemon's settings file (YAML) and validates it before the daemon starts.
+//! Reads the settings file (YAML) of the `daemon` crate and validates it before the daemon starts.
+//! The `gateway` crate has its own settings, which it reads with [`load_with`] and [`read_yaml`].
 
 use std::net::SocketAddr;
 use std::path::Path;
--- a/components/store_client/src/lib.rs
+++ b/components/store_client/src/lib.rs
@@ -1,4 +1,5 @@
-//! Client of the platform's key-value service and VM list.
+//! Client of the platform's key-value service and VM list. Used by the `daemon` crate and the
+//! operators' command-line tool.
 //!
 //! It also defines what is kept there: the head of the configuration, leases and claims on request
 //! ids.
--- a/components/store_view/src/lib.rs
+++ b/components/store_view/src/lib.rs
@@ -1,5 +1,6 @@
 //! A VM's copy of the platform's store: the newest known value of each key, as read from the store
-//! itself or received from a peer. A lower revision never replaces a higher one.
+//! itself or received from a peer. A lower revision never replaces a higher one. Used by the
+//! `gateway` crate.
 
 mod contact;
 mod stall;
--- a/components/target_calls/src/lib.rs
+++ b/components/target_calls/src/lib.rs
@@ -1,7 +1,7 @@
 //! HTTP client for targets: calls to stages, streams of tokens, and orders to engines.
 //!
 //! A failed call says whether it may have run at the target, which decides whether it may be
-//! repeated.
+//! repeated. Used by the `daemon` crate; the `gateway` crate makes its calls itself.
 
 mod call;
 mod order;
