--- a/components/fleet/src/lib.rs
+++ b/components/fleet/src/lib.rs
@@ -8,7 +8,7 @@
 //! part.
 //!
 //! This crate holds state only: it does no input or output, and the caller passes the current time
-//! in.
+//! in. It is used by the `gateway` crate; the `daemon` crate uses the `membership` crate instead.
 
 mod ownership;
 mod peer;
--- a/components/fleet/src/ownership.rs
+++ b/components/fleet/src/ownership.rs
@@ -16,8 +16,8 @@
 /// Number of best-ranked VMs that a VM links to in its own part of a pool: the owner and its
 /// successor.
 const OWN_PART_LINKS: usize = 2;
-/// The same for each other part, whose owner gets the submissions that spill over from the own
-/// part.
+/// Number of best-ranked VMs that a VM links to in each other part: the owner, which gets the
+/// submissions that spill over from the VM's own part.
 const OTHER_PART_LINKS: usize = 1;
 /// Number of VMs of each hall that a VM links to in a large fleet, to receive changes of the store
 /// and to detect whether the hall is reachable. More than one, so that the failure of a VM is not
@@ -39,7 +39,7 @@
     Unknown,
 }
 
-/// Cache of the VMs by rank for each key, the best one first, until the list of VMs changes.
+/// Caches the list of all VMs for each key, the best-ranked one first, until the known VMs change.
 /// Without it, a VM in a fleet of 295 would rank all of them for every heartbeat: 294 peers send
 /// five per second each.
 #[derive(Debug, Default)]
@@ -244,8 +244,8 @@
 
     /// Whether to wait for a VM that takes no work yet rather than to choose the next one, so that
     /// VMs with different links choose alike. The wait lasts for [`SETTLE_TIME`] after this VM's
-    /// start or the loss of a peer, and after a VM announced that it stops unless the awaited one
-    /// is known to be silent.
+    /// start or the loss of a peer. It lasts as long after a VM announced that it stops, unless the
+    /// awaited VM is known to be silent.
     ///
     /// Without the wait for the successor of a stopping VM, three to five VMs filled the calls of
     /// one part for ten seconds while all VMs of a fleet of 59 stopped in turn, each for the VMs
--- a/components/fleet/src/peer.rs
+++ b/components/fleet/src/peer.rs
@@ -35,7 +35,7 @@
     pub incoming: f64,
     /// Pieces that the pool can make per second.
     pub rate: f64,
-    /// When this report was received; for the own load, when it was computed.
+    /// When this report was received; for this VM's own load, when it was computed.
     pub received_at: Instant,
 }
 
@@ -47,10 +47,10 @@
         self.time_for(self.queue.total() as f64 + self.late + self.incoming)
     }
 
-    /// Expected time from submission to result of a piece that is submitted in `begin` from now and
-    /// has `ahead` pieces queued before it now, some of which are made by then.
-    pub fn expected_time(&self, begin: Duration, ahead: f64) -> Duration {
-        self.time_for(ahead).saturating_sub(begin) + self.turnaround
+    /// Expected time from submission to result of a piece that will be submitted after `delay`.
+    /// `ahead` pieces are queued before it now, some of which will be made by then.
+    pub fn expected_time(&self, delay: Duration, ahead: f64) -> Duration {
+        self.time_for(ahead).saturating_sub(delay) + self.turnaround
     }
 
     /// Time to make `pieces` pieces; a rate below one piece per second counts as one.
--- a/components/fleet/tests/ownership.rs
+++ b/components/fleet/tests/ownership.rs
@@ -221,14 +221,15 @@
     let (now, split) = (Instant::now(), split(6, 20));
 
     let links = [60, 295, 370].map(|vms| {
-        let most = (0..vms).step_by(29).map(|own| {
+        let counts = (0..vms).step_by(29).map(|own| {
             let fleet = listed(own, vms, 6, now);
             fleet.wanted_links([(POOL, &split)].into_iter()).len()
         });
-        most.max().unwrap()
+        counts.max().unwrap()
     });
 
-    // Two owners in the own part, one in each other part, and two VMs of each hall.
+    // The owner and its successor in the own part, the owner of each other part, and two VMs of
+    // each hall.
     assert!(links.iter().all(|links| *links <= 16), "{links:?}");
 }
 
--- a/components/fleet/tests/spill.rs
+++ b/components/fleet/tests/spill.rs
@@ -9,7 +9,7 @@
 use fleet::{Owner, PoolLoad, fastest_owner, should_spill};
 use ids::VmName;
 
-/// Least lead of the other part at which submissions spill.
+/// Lead of the other part above which submissions spill.
 const MARGIN: Duration = Duration::from_millis(240);
 
 /// Fraction of submissions that spill, for drain times of the own part and of the other one.
@@ -20,7 +20,7 @@
     spilled as f64 / 1000.0
 }
 
-/// An owner with `late` queued pieces and a rate of `rate` pieces per second.
+/// An owner with `late` late pieces in its queue and a rate of `rate` pieces per second.
 fn owner(name: &str, late: f64, rate: f64) -> (Owner, PoolLoad) {
     let (turnaround, queue, received_at) = (Duration::ZERO, QueueCounts::default(), Instant::now());
     let load = PoolLoad { turnaround, queue, late, incoming: 0.0, rate, received_at };
