--- a/components/intent/src/target.rs
+++ b/components/intent/src/target.rs
@@ -6,8 +6,8 @@
 
 use ids::{HallName, ServiceName, TargetName};
 
-/// A target as it describes itself in its registration and in its answers. A restart begins another
-/// lifetime: under another id, or under the same id with another start time.
+/// A target as it describes itself in its entry in the platform's store and in its answers. A
+/// restart begins another lifetime: under another id, or under the same id with another start time.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Target {
     /// Id of the target.
@@ -26,16 +26,16 @@
     /// reset.
     pub leaving: bool,
     /// Time until which it wants no work from this VM, as it stated when it declined a request.
-    /// Never part of a registration.
+    /// Never part of the target's entry in the store.
     pub backoff_until: Option<Instant>,
     /// Time until which this VM sends it nothing because its request rate is used up. Never part
-    /// of a registration.
+    /// of the target's entry in the store.
     pub rate_limited_until: Option<Instant>,
     /// Interval between two requests of all VMs together, if the target announces a rate limit in
     /// its answers.
     pub request_interval: Option<Duration>,
-    /// Time for which the target would still be cold when it wrote its registration. A cold target
-    /// handles few requests.
+    /// Time for which the target would still be cold when it wrote its entry in the store. A cold
+    /// target handles few requests.
     pub cold_start_remaining: Duration,
 }
 
@@ -45,8 +45,8 @@
         hashing::combine(hashing::hash_text(self.id.as_str()), self.born.unwrap_or_default())
     }
 
-    /// Whether this is an earlier lifetime than `known`, which has the same id. A write from before
-    /// a restart may arrive after newer ones.
+    /// Whether this is an earlier lifetime than `known`, which has the same id. An entry written
+    /// before a restart may arrive after newer ones.
     pub fn is_earlier_lifetime_than(&self, known: &Target) -> bool {
         matches!((self.born, known.born), (Some(born), Some(known)) if born < known)
     }
--- a/components/store_client/src/store.rs
+++ b/components/store_client/src/store.rs
@@ -58,13 +58,13 @@
 /// A VM in the platform's list.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ListedVm {
-    /// Name of a target or of an entry VM.
+    /// Name of the target or of the entry VM (a VM that runs a daemon of this system).
     pub name: String,
     /// Data hall of the VM.
     pub hall: HallName,
     /// Address of the peer link for an entry VM, of the service for a target.
     pub address: SocketAddr,
-    /// Whether the VM is an entry VM, that is, runs a daemon of this system.
+    /// Whether the VM is an entry VM; if not, it is a target.
     #[serde(default)]
     pub entry: bool,
     /// State of the VM.
--- a/components/store_view/src/contact.rs
+++ b/components/store_view/src/contact.rs
@@ -23,7 +23,7 @@
 /// State of the contact between the store and the VMs.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct StoreContact {
-    /// When it last answered this VM.
+    /// When the store last answered this VM.
     last_answer: Option<Instant>,
     /// When bytes of an answer to this VM last arrived.
     last_bytes: Option<Instant>,
@@ -31,9 +31,9 @@
     lost_since: Option<Instant>,
     /// Whether calls of this VM fail and the store answered no peer since the first failed call.
     lost_by_all: bool,
-    /// When it last answered any VM.
+    /// When the store last answered any VM.
     last_answer_to_any: Option<Instant>,
-    /// When it first answered any VM after the latest outage.
+    /// When the store first answered any VM after its latest outage.
     returned: Option<Instant>,
 }
 
@@ -103,7 +103,7 @@
         self.lost_by_all || self.is_silent_to_all(now)
     }
 
-    /// Whether it answered a VM before, but none within the last `STORE_TIMEOUT`.
+    /// Whether the store answered a VM before, but none within the last `STORE_TIMEOUT`.
     fn is_silent_to_all(&self, now: Instant) -> bool {
         self.last_answer_to_any.is_some_and(|at| now.saturating_duration_since(at) >= STORE_TIMEOUT)
     }
--- a/components/store_view/tests/contact.rs
+++ b/components/store_view/tests/contact.rs
@@ -23,13 +23,13 @@
 fn after_an_outage_the_grace_period_starts_with_the_first_answer_to_any_vm() {
     let lost_at = Instant::now() + SECOND;
     let mut contact = lost(lost_at);
-    let while_away = contact.grace_until(lost_at + SECOND * 2);
+    let while_lost = contact.grace_until(lost_at + SECOND * 2);
     let peer_back = lost_at + SECOND * 10;
     contact.record_peer_answer(peer_back);
     let before_own_return = contact.grace_until(peer_back + SECOND / 4);
     assert!(contact.record_answer(peer_back + SECOND / 2));
 
-    assert_eq!(while_away, Some(lost_at + SECOND * 2 + GRACE));
+    assert_eq!(while_lost, Some(lost_at + SECOND * 2 + GRACE));
     assert_eq!(before_own_return, Some(peer_back + GRACE));
     assert_eq!(contact.grace_until(peer_back + SECOND), Some(peer_back + GRACE));
     assert_eq!(contact.grace_until(peer_back + GRACE), None);
--- a/components/target_calls/src/call.rs
+++ b/components/target_calls/src/call.rs
@@ -15,7 +15,8 @@
 
 /// Header that carries the attempt id, in calls and answers.
 pub const ATTEMPT_HEADER: &str = "x-attempt-id";
-/// Header in which a target reports its load as `RUNNING/WAITING`, in calls.
+/// Header of answers with the target's load, as `RUNNING/WAITING`: the numbers of calls that run
+/// and that wait.
 pub const LOAD_HEADER: &str = "x-load";
 /// Header with the value `true` on answers of a target that is leaving.
 pub const LEAVING_HEADER: &str = "x-leaving";
@@ -219,8 +220,8 @@
 /// Reads a target's status from the headers of its answer.
 fn status_of(response: &Response<Body>) -> TargetStatus {
     let load = header(response, LOAD_HEADER).and_then(|v| {
-        let (running, queued) = v.split_once('/')?;
-        Some((running.parse().ok()?, queued.parse().ok()?))
+        let (running, waiting) = v.split_once('/')?;
+        Some((running.parse().ok()?, waiting.parse().ok()?))
     });
     TargetStatus { load, leaving: header(response, LEAVING_HEADER) == Some("true") }
 }
