--- a/components/selection/src/targets.rs
+++ b/components/selection/src/targets.rs
@@ -48,15 +48,15 @@
             self.remove(&target.id);
         }
         let (id, service, address) = (target.id.clone(), target.service.clone(), target.address);
-        let cold_remaining = target.cold_start_remaining;
+        let remaining_cold_time = target.cold_start_remaining;
         if let Some(key) = self.by_id.get(&id).copied() {
             self.states[key].target = target;
-            self.states[key].cold_state.set_remaining(cold_remaining, now);
+            self.states[key].cold_state.set_remaining(remaining_cold_time, now);
             self.by_address.insert(address, key);
             return;
         }
         let key = self.states.insert(TargetState::new(target));
-        self.states[key].cold_state.set_remaining(cold_remaining, now);
+        self.states[key].cold_state.set_remaining(remaining_cold_time, now);
         self.by_address.insert(address, key);
         self.by_id.insert(id, key);
         self.by_service.entry(service).or_default().push(key);
